--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -43,18 +43,22 @@
 )
 
 // Leader is the value of LeaderKey and TermKey.
-type Leader struct{ Node string }
+type Leader struct {
+	Node string `json:"Node"`
+}
 
 // Job is an accepted job. Status is queued until it is final.
 type Job struct {
-	Spec   wire.Work
-	Status wire.JobStatus
-	AtMs   int64 // time of day of acceptance
-	Per    int   // tasks to a piece of its placement
+	Spec   wire.Work      `json:"Spec"`
+	Status wire.JobStatus `json:"Status"`
+	AtMs   int64          `json:"AtMs"` // time of day of acceptance
+	Per    int            `json:"Per"`  // tasks to a piece of its placement
 }
 
 // ClusterVersion is the value of VersionKey.
-type ClusterVersion struct{ Version int }
+type ClusterVersion struct {
+	Version int `json:"Version"`
+}
 
 // Finish gives the job its final status. If the record is larger than a value may be,
 // it loses what nothing of a job that is over is read for: a record that was written
@@ -68,43 +72,52 @@
 }
 
 // Final is the last word on a job.
-type Final struct{ Status wire.JobStatus }
+type Final struct {
+	Status wire.JobStatus `json:"Status"`
+}
 
 // Returns lists machines that may be gone at any time: they are never used again
 // and their return is repeated until the cloud confirms it.
-type Returns struct{ Hosts []string }
+type Returns struct {
+	Hosts []string `json:"Hosts"`
+}
 
 // Images lists images that were seen on a machine. It only guides placement.
-type Images struct{ Names []string }
+type Images struct {
+	Names []string `json:"Names"`
+}
 
 // Kept lists machines that a node answers in the place of a leader that it
 // cannot reach. The state service carries the word where the mesh does not.
-type Kept struct{ Hosts []string }
+type Kept struct {
+	Hosts []string `json:"Hosts"`
+}
 
 // Takeover is how a change of leader went: what the new leader has proven, and when.
 // Times are milliseconds since the new leader saw that nobody leads.
 type Takeover struct {
-	Term uint64
-	Node string
+	Term uint64 `json:"Term"`
+	Node string `json:"Node"`
 	// Warm: the new leader took over what it had followed. If not, Cause says why, and it
 	// has listed all records.
-	Warm  bool
-	Cause string `json:",omitempty"`
+	Warm  bool   `json:"Warm"`
+	Cause string `json:"Cause,omitempty"`
 	// What it had followed: the leader's term, the revision of the state service up to
 	// which all records were part of it, its digest and its age, and how many changes the
 	// state service had made since.
-	FollowedTerm uint64 `json:",omitempty"`
-	Position     uint64 `json:",omitempty"`
-	Digest       string `json:",omitempty"`
-	AgeMs        int64  `json:",omitempty"`
-	Changes      int    `json:",omitempty"`
+	FollowedTerm uint64 `json:"FollowedTerm,omitempty"`
+	Position     uint64 `json:"Position,omitempty"`
+	Digest       string `json:"Digest,omitempty"`
+	AgeMs        int64  `json:"AgeMs,omitempty"`
+	Changes      int    `json:"Changes,omitempty"`
 	// What is in its picture: machines that may run tasks, and attempts that may be on them.
-	Machines, Attempts int
+	Machines int `json:"Machines"`
+	Attempts int `json:"Attempts"`
 	// The lease of the leader before has ended by the state service's word at 0.
-	ElectedMs int64
-	LoadedMs  int64 // all records are known
-	ReadyMs   int64 // the first machine has reported with the new token
-	DecidedMs int64 // the first round that could place tasks has ended
+	ElectedMs int64 `json:"ElectedMs"`
+	LoadedMs  int64 `json:"LoadedMs"`  // all records are known
+	ReadyMs   int64 `json:"ReadyMs"`   // the first machine has reported with the new token
+	DecidedMs int64 `json:"DecidedMs"` // the first round that could place tasks has ended
 }
 
 // Placed is an attempt that was decided and is not yet recorded as ended.
--- a/wire/awaits.go
+++ b/wire/awaits.go
@@ -24,7 +24,9 @@
 // HasAwaits reports whether a submission names jobs that it waits for. The body may
 // be malformed otherwise.
 func HasAwaits(body []byte) bool {
-	var in struct{ Awaits json.RawMessage }
+	var in struct {
+		Awaits json.RawMessage `json:"Awaits"`
+	}
 	if err := json.Unmarshal(body, &in); err != nil {
 		return false
 	}
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -84,10 +84,10 @@
 
 // JobView answers submissions, polls and withdrawals.
 type JobView struct {
-	UID     string `json:"Uid"`
-	Status  JobStatus
-	Done    int `json:"done"`
-	Running int `json:"running"`
+	UID     string    `json:"Uid"`
+	Status  JobStatus `json:"Status"`
+	Done    int       `json:"done"`
+	Running int       `json:"running"`
 }
 
 // Fault is the body of an answer that refuses a request.
@@ -122,24 +122,24 @@
 
 // TaskReport is one task of a worker's report.
 type TaskReport struct {
-	Task   string `json:"Leg"`
-	Try    uint64
-	Status TaskStatus
-	Cause  Cause `json:",omitempty"`
-	Kept   bool  `json:",omitempty"`
+	Task   string     `json:"Leg"`
+	Try    uint64     `json:"Try"`
+	Status TaskStatus `json:"Status"`
+	Cause  Cause      `json:"Cause,omitempty"`
+	Kept   bool       `json:"Kept,omitempty"`
 }
 
 // Report is the body of POST /checkin.
 type Report struct {
-	Host        string
-	Address     string
-	MachineType string `json:"Rig"`
-	Zone        string `json:"Yard"`
-	Spot        bool   `json:"Standby"`
-	Session     uint64 `json:"Shift"`
-	Sequence    uint64 `json:"Tick"`
-	Token       uint64 `json:"Baton"`
-	WarningS    *float64
+	Host        string       `json:"Host"`
+	Address     string       `json:"Address"`
+	MachineType string       `json:"Rig"`
+	Zone        string       `json:"Yard"`
+	Spot        bool         `json:"Standby"`
+	Session     uint64       `json:"Shift"`
+	Sequence    uint64       `json:"Tick"`
+	Token       uint64       `json:"Baton"`
+	WarningS    *float64     `json:"WarningS"`
 	Tasks       []TaskReport `json:"Legs"`
 }
 
@@ -172,28 +172,28 @@
 
 // Order is one command to a worker.
 type Order struct {
-	Verb    Verb
-	Leg     string
-	Try     uint64
-	LeewayS float64 `json:",omitempty"`
+	Verb    Verb    `json:"Verb"`
+	Leg     string  `json:"Leg"`
+	Try     uint64  `json:"Try"`
+	LeewayS float64 `json:"LeewayS,omitempty"`
 }
 
 // Orders answers a check-in with 200.
 type Orders struct {
-	Baton  uint64
-	Orders []Order
+	Baton  uint64  `json:"Baton"`
+	Orders []Order `json:"Orders"`
 }
 
 // Direct is the body of POST /do.
 type Direct struct {
-	Token   uint64 `json:"Baton"`
-	Session uint64 `json:"Shift"`
-	Orders  []Order
+	Token   uint64  `json:"Baton"`
+	Session uint64  `json:"Shift"`
+	Orders  []Order `json:"Orders"`
 }
 
 // Redirect answers a check-in with 421.
 type Redirect struct {
-	Dispatcher string `json:",omitempty"`
+	Dispatcher string `json:"Dispatcher,omitempty"`
 }
 
 // TaskName is the name of a task of a job.
@@ -214,15 +214,15 @@
 
 // MachineType is a machine type of GET /catalog.
 type MachineType struct {
-	Name       string `json:"Sku"`
-	Cores      float64
-	Gpus       float64
-	RAMGb      float64 `json:"RamGb"`
-	LocalGb    float64
-	PullGbPerS float64
-	Hourly     float64
-	LowPrice   float64
-	BootS      float64
+	Name       string   `json:"Sku"`
+	Cores      float64  `json:"Cores"`
+	Gpus       float64  `json:"Gpus"`
+	RAMGb      float64  `json:"RamGb"`
+	LocalGb    float64  `json:"LocalGb"`
+	PullGbPerS float64  `json:"PullGbPerS"`
+	Hourly     float64  `json:"Hourly"`
+	LowPrice   float64  `json:"LowPrice"`
+	BootS      float64  `json:"BootS"`
 	Zones      []string `json:"Yards"`
 }
 
@@ -233,15 +233,17 @@
 
 // RentRequest is the body of POST /machines.
 type RentRequest struct {
-	Booking     string
+	Booking     string `json:"Booking"`
 	MachineType string `json:"Rig"`
 	Zone        string `json:"Yard"`
 	Spot        bool   `json:"Standby"`
-	HowMany     int
+	HowMany     int    `json:"HowMany"`
 }
 
 // HostNames names machines, in rentals and returns.
-type HostNames struct{ Hosts []string }
+type HostNames struct {
+	Hosts []string `json:"Hosts"`
+}
 
 // HostStatus is the state of a machine in the cloud's list.
 type HostStatus string
@@ -255,64 +257,66 @@
 
 // ListedHost is a machine in the cloud's list.
 type ListedHost struct {
-	UID         string `json:"Uid"`
-	Address     string
-	MachineType string `json:"Rig"`
-	Zone        string `json:"Yard"`
-	Spot        bool   `json:"Standby"`
-	Status      HostStatus
-	AgeS        float64
+	UID         string     `json:"Uid"`
+	Address     string     `json:"Address"`
+	MachineType string     `json:"Rig"`
+	Zone        string     `json:"Yard"`
+	Spot        bool       `json:"Standby"`
+	Status      HostStatus `json:"Status"`
+	AgeS        float64    `json:"AgeS"`
 }
 
 // HostList answers GET /machines.
 type HostList struct {
-	Hosts []ListedHost
-	More  bool
+	Hosts []ListedHost `json:"Hosts"`
+	More  bool         `json:"More"`
 }
 
 // Item is a key of the state service.
 type Item struct {
-	Key    string
-	Value  json.RawMessage
-	Stamp  uint64
-	Permit uint64 `json:",omitempty"`
+	Key    string          `json:"Key"`
+	Value  json.RawMessage `json:"Value"`
+	Stamp  uint64          `json:"Stamp"`
+	Permit uint64          `json:"Permit,omitempty"`
 }
 
 // Items answers GET /kv?Under=.
 type Items struct {
-	Rows  []Item
-	More  bool
-	Epoch uint64
+	Rows  []Item `json:"Rows"`
+	More  bool   `json:"More"`
+	Epoch uint64 `json:"Epoch"`
 }
 
 // Guard is a condition of a commit: the key has this stamp (0: is absent).
 type Guard struct {
-	Key   string
-	Stamp uint64
+	Key   string `json:"Key"`
+	Stamp uint64 `json:"Stamp"`
 }
 
 // Change is one write of a commit: a Set with a Value, or a Drop.
 type Change struct {
-	Set    string          `json:",omitempty"`
-	Value  json.RawMessage `json:",omitempty"`
-	Permit uint64          `json:",omitempty"`
-	Drop   string          `json:",omitempty"`
+	Set    string          `json:"Set,omitempty"`
+	Value  json.RawMessage `json:"Value,omitempty"`
+	Permit uint64          `json:"Permit,omitempty"`
+	Drop   string          `json:"Drop,omitempty"`
 }
 
 // Commit is the body of POST /commit.
 type Commit struct {
-	Guards []Guard
-	Apply  []Change
+	Guards []Guard  `json:"Guards"`
+	Apply  []Change `json:"Apply"`
 }
 
 // CommitReply answers POST /commit.
 type CommitReply struct {
-	Epoch  uint64
+	Epoch  uint64   `json:"Epoch"`
 	Failed []string `json:"failed"`
 }
 
 // Hold answers POST /holds.
-type Hold struct{ Permit uint64 }
+type Hold struct {
+	Permit uint64 `json:"Permit"`
+}
 
 // HoldRequest is the body of POST /holds.
 type HoldRequest struct {
@@ -321,14 +325,14 @@
 
 // News is one change seen by a watch.
 type News struct {
-	Set   string
-	Drop  string
-	Value json.RawMessage
-	Stamp uint64
+	Set   string          `json:"Set"`
+	Drop  string          `json:"Drop"`
+	Value json.RawMessage `json:"Value"`
+	Stamp uint64          `json:"Stamp"`
 }
 
 // Changes answers GET /changes.
 type Changes struct {
-	Epoch uint64
-	News  []News
+	Epoch uint64 `json:"Epoch"`
+	News  []News `json:"News"`
 }
--- a/wire/work.go
+++ b/wire/work.go
@@ -10,41 +10,53 @@
 
 // Work is the body of POST /work.
 type Work struct {
-	UID      string `json:"Uid"`
-	Berth    string
-	Crew     string
-	Shape    Shape
-	Rank     Rank
-	Legs     int
-	Cores    float64
-	Gpus     float64
-	RAMGb    float64 `json:"RamGb"`
-	Rollout  string
-	ImageGb  float64
-	Rigs     []string `json:",omitempty"`
-	Yard     string   `json:",omitempty"`
-	Together bool
-	Scatter  bool
-	Standby  bool
-	ExpectS  float64
-	MarkS    float64
-	StowS    float64
-	DueS     *float64 `json:",omitempty"`
+	UID      string   `json:"Uid"`
+	Berth    string   `json:"Berth"`
+	Crew     string   `json:"Crew"`
+	Shape    Shape    `json:"Shape"`
+	Rank     Rank     `json:"Rank"`
+	Legs     int      `json:"Legs"`
+	Cores    float64  `json:"Cores"`
+	Gpus     float64  `json:"Gpus"`
+	RAMGb    float64  `json:"RamGb"`
+	Rollout  string   `json:"Rollout"`
+	ImageGb  float64  `json:"ImageGb"`
+	Rigs     []string `json:"Rigs,omitempty"`
+	Yard     string   `json:"Yard,omitempty"`
+	Together bool     `json:"Together"`
+	Scatter  bool     `json:"Scatter"`
+	Standby  bool     `json:"Standby"`
+	ExpectS  float64  `json:"ExpectS"`
+	MarkS    float64  `json:"MarkS"`
+	StowS    float64  `json:"StowS"`
+	DueS     *float64 `json:"DueS,omitempty"`
 	// Awaits names the jobs that have to be done before a task of this one starts.
-	Awaits []string `json:",omitempty"`
+	Awaits []string `json:"Awaits,omitempty"`
 }
 
 // workIn tells fields that are missing from fields that are zero.
 type workIn struct {
-	UID                               *string `json:"Uid"`
-	Berth, Crew, Shape, Rank, Rollout *string
-	RAMGb                             *float64 `json:"RamGb"`
-	Legs, Cores, Gpus, ImageGb        *float64
-	Rigs                              *[]string
-	Yard                              *string
-	Together, Scatter, Standby        *bool
-	ExpectS, MarkS, StowS, DueS       *float64
-	Awaits                            []string
+	UID      *string   `json:"Uid"`
+	Berth    *string   `json:"Berth"`
+	Crew     *string   `json:"Crew"`
+	Shape    *string   `json:"Shape"`
+	Rank     *string   `json:"Rank"`
+	Rollout  *string   `json:"Rollout"`
+	RAMGb    *float64  `json:"RamGb"`
+	Legs     *float64  `json:"Legs"`
+	Cores    *float64  `json:"Cores"`
+	Gpus     *float64  `json:"Gpus"`
+	ImageGb  *float64  `json:"ImageGb"`
+	Rigs     *[]string `json:"Rigs"`
+	Yard     *string   `json:"Yard"`
+	Together *bool     `json:"Together"`
+	Scatter  *bool     `json:"Scatter"`
+	Standby  *bool     `json:"Standby"`
+	ExpectS  *float64  `json:"ExpectS"`
+	MarkS    *float64  `json:"MarkS"`
+	StowS    *float64  `json:"StowS"`
+	DueS     *float64  `json:"DueS"`
+	Awaits   []string  `json:"Awaits"`
 }
 
 // ValidUID reports whether id has the form of a job id: "run-" and six digits
