--- a/internal/api/admission_test.go
+++ b/internal/api/admission_test.go
@@ -11,17 +11,17 @@
 // although there was room for them.
 func TestStagesOfPipelinesAreAdmittedLikeTheirLast(t *testing.T) {
 	for _, tc := range []struct {
-		rank   wire.Priority
-		awaits []string
-		want   wire.Priority
+		priority wire.Priority
+		awaits   []string
+		want     wire.Priority
 	}{
 		{wire.BestEffort, nil, wire.BestEffort},
 		{wire.BestEffort, []string{"run-000001"}, wire.High},
 		{wire.Standard, []string{"run-000001"}, wire.High},
 		{wire.Critical, []string{"run-000001"}, wire.Critical},
 	} {
-		if got := admissionRank(&wire.JobSpec{Priority: tc.rank, Dependencies: tc.awaits}); got != tc.want {
-			t.Errorf("%s with Awaits %v is admitted as %s, want %s", tc.rank, tc.awaits, got, tc.want)
+		if got := admissionPriority(&wire.JobSpec{Priority: tc.priority, Dependencies: tc.awaits}); got != tc.want {
+			t.Errorf("%s with Awaits %v is admitted as %s, want %s", tc.priority, tc.awaits, got, tc.want)
 		}
 	}
 }
--- a/internal/api/bench_test.go
+++ b/internal/api/bench_test.go
@@ -55,8 +55,8 @@
 			b.Fatal(err)
 		}
 		piece := ledger.Piece{Next: 2}
-		for leg := range tasksPerMachine {
-			piece.Live = append(piece.Live, ledger.Placed{Task: leg, Try: 1, Host: benchHost(i), Session: 1})
+		for task := range tasksPerMachine {
+			piece.Live = append(piece.Live, ledger.Placed{Task: task, Try: 1, Host: benchHost(i), Session: 1})
 		}
 		job := ledger.Job{Spec: spec, Status: wire.JobQueued, AtMs: time.Now().UnixMilli(), Per: 80}
 		commit(wire.Change{Set: ledger.JobKey(spec.UID), Value: ledger.Encode(job)},
@@ -107,12 +107,12 @@
 
 // benchReportBody is the report of a machine whose tasks all run.
 func benchReportBody(term uint64, machine int, tick uint64) string {
-	var legs []string
-	for leg := range tasksPerMachine {
-		legs = append(legs, fmt.Sprintf(`{"Leg":"%s/%d","Try":1,"Status":"running"}`, benchUID(machine), leg))
+	var tasks []string
+	for task := range tasksPerMachine {
+		tasks = append(tasks, fmt.Sprintf(`{"Leg":"%s/%d","Try":1,"Status":"running"}`, benchUID(machine), task))
 	}
 	return fmt.Sprintf(`{"Host":"%s","Address":"10.1.0.1:9000","Rig":"g8","Yard":"a","Standby":false,"Shift":1,"Tick":%d,"Baton":%d,"WarningS":null,"Legs":[%s]}`,
-		benchHost(machine), tick, term, strings.Join(legs, ","))
+		benchHost(machine), tick, term, strings.Join(tasks, ","))
 }
 
 func benchCheckIn(b testing.TB, n *Node, machine int, tick uint64) {
--- a/internal/api/reports.go
+++ b/internal/api/reports.go
@@ -143,8 +143,8 @@
 	if len(withdrawn) == 0 {
 		return true
 	}
-	gone := func(leg string) bool {
-		uid, _, _ := wire.SplitTaskName(leg)
+	gone := func(task string) bool {
+		uid, _, _ := wire.SplitTaskName(task)
 		return withdrawn[uid]
 	}
 	stops := map[wire.Command]bool{}
@@ -322,8 +322,8 @@
 }
 
 // Announce tells a worker a token by an empty direct command.
-func (n *Node) Announce(ctx context.Context, address string, baton, shift uint64) (wire.Heartbeat, error) {
-	body, err := json.Marshal(wire.DirectCommands{FencingToken: baton, Incarnation: shift, Commands: []wire.Command{}})
+func (n *Node) Announce(ctx context.Context, address string, token, incarnation uint64) (wire.Heartbeat, error) {
+	body, err := json.Marshal(wire.DirectCommands{FencingToken: token, Incarnation: incarnation, Commands: []wire.Command{}})
 	if err != nil {
 		return wire.Heartbeat{}, fmt.Errorf("encode: %w", err)
 	}
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -68,7 +68,7 @@
 func (n *Node) recordJob(ctx context.Context, work *wire.JobSpec, value json.RawMessage) error {
 	// When many come at once, those of higher rank are taken first: each rank
 	// leaves a quarter of the budget to each rank above it.
-	leave := float64(wire.Critical.Level()-admissionRank(work).Level()) / float64(wire.Critical.Level())
+	leave := float64(wire.Critical.Level()-admissionPriority(work).Level()) / float64(wire.Critical.Level())
 	tx := wire.Transaction{
 		Compares: []wire.Compare{{Key: ledger.JobKey(work.UID)}, {Key: ledger.FinalKey(work.UID)}},
 		Changes:  []wire.Change{{Set: ledger.JobKey(work.UID), Value: value}},
@@ -94,11 +94,11 @@
 	return c.JSON(http.StatusOK, view)
 }
 
-// admissionRank is the rank by which a submission is admitted when many come at once.
+// admissionPriority is the rank by which a submission is admitted when many come at once.
 // A job that waits for others is a stage of a pipeline. Users give the rank that they
 // care about to its last stage only, and can submit that only once the others are
 // accepted: all of them are admitted like work of high rank.
-func admissionRank(work *wire.JobSpec) wire.Priority {
+func admissionPriority(work *wire.JobSpec) wire.Priority {
 	if len(work.Dependencies) > 0 && work.Priority.Level() < wire.High.Level() {
 		return wire.High
 	}
--- a/internal/controller/announce.go
+++ b/internal/controller/announce.go
@@ -68,9 +68,9 @@
 		if m.State == fleet.Booting && !m.Listed || now.Sub(c.announced[m.ID]) < 3*every {
 			return
 		}
-		shift := max(m.Session, m.SessionHint)
-		m.Each(func(a *fleet.Attempt) { shift = max(shift, a.Session) })
-		ts = append(ts, announcement{m.ID, m.Address, max(shift, 1)})
+		incarnation := max(m.Session, m.SessionHint)
+		m.Each(func(a *fleet.Attempt) { incarnation = max(incarnation, a.Session) })
+		ts = append(ts, announcement{m.ID, m.Address, max(incarnation, 1)})
 	})
 	// Any of them, for most may be gone together: one that answers is enough to
 	// end the term of a leader that is deposed and does not know.
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -35,9 +35,9 @@
 		m, _ := c.fleet.Report(&wire.Heartbeat{Host: fmt.Sprintf("m-%03d", i), MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, now)
 		c.capacity(m)
 		j := c.jobs[uid]
-		for leg := range 8 {
-			a := &fleet.Attempt{UID: uid, Task: leg, Try: 1, Need: j.need, Image: "image"}
-			j.piece(leg).live[leg] = a
+		for task := range 8 {
+			a := &fleet.Attempt{UID: uid, Task: task, Try: 1, Need: j.need, Image: "image"}
+			j.piece(task).live[task] = a
 			j.live++
 			c.fleet.Place(m, a, now)
 			c.fleet.Commit(a, now)
@@ -56,8 +56,8 @@
 	c.Deps.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 	c.Reached = func() []string { return []string{"a"} }
 	uid := func(i int) string { return fmt.Sprintf("run-%06d", i) }
-	spec := func(i int, rank wire.Priority, cores float64) wire.JobSpec {
-		return wire.JobSpec{UID: uid(i), JobClass: "serve", Team: "crew", Kind: wire.Service, Priority: rank, TaskCount: 8, Cores: cores, Gpus: 1, RAMGb: 40, Image: fmt.Sprint("image-", i%12)}
+	spec := func(i int, priority wire.Priority, cores float64) wire.JobSpec {
+		return wire.JobSpec{UID: uid(i), JobClass: "serve", Team: "crew", Kind: wire.Service, Priority: priority, TaskCount: 8, Cores: cores, Gpus: 1, RAMGb: 40, Image: fmt.Sprint("image-", i%12)}
 	}
 	for i := range machines {
 		s := spec(i, wire.High, 8)
@@ -68,20 +68,20 @@
 		m, _ := c.fleet.Report(&wire.Heartbeat{Host: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, *now)
 		c.capacity(m)
 		j := c.jobs[s.UID]
-		legs := []wire.TaskReport{}
-		for leg := range 8 {
-			if leg == 7 && i%10 == 0 {
+		tasks := []wire.TaskReport{}
+		for task := range 8 {
+			if task == 7 && i%10 == 0 {
 				continue
 			}
-			a := &fleet.Attempt{UID: s.UID, Task: leg, Try: 1, Need: j.need, Image: s.Image}
-			j.piece(leg).live[leg] = a
+			a := &fleet.Attempt{UID: s.UID, Task: task, Try: 1, Need: j.need, Image: s.Image}
+			j.piece(task).live[task] = a
 			j.live++
 			c.fleet.Place(m, a, *now)
 			c.fleet.Commit(a, *now)
 			c.fleet.Orders(m, *now, true)
-			legs = append(legs, wire.TaskReport{Task: a.Name(), Attempt: 1, Status: wire.TaskRunning})
+			tasks = append(tasks, wire.TaskReport{Task: a.Name(), Attempt: 1, Status: wire.TaskRunning})
 		}
-		c.fleet.Report(&wire.Heartbeat{Host: m.ID, MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: c.term, Tasks: legs}, *now)
+		c.fleet.Report(&wire.Heartbeat{Host: m.ID, MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: c.term, Tasks: tasks}, *now)
 	}
 	for i := range waiting {
 		s := spec(1_000_000+i, wire.Standard, 96) // no machine has room for it
--- a/internal/controller/checkin_test.go
+++ b/internal/controller/checkin_test.go
@@ -13,7 +13,7 @@
 // Answers that have no commands wait for some, but not when another controller
 // relays the report or the node is behind. The waits of many machines end together:
 // each with a wake-up of its own, they took an eighth of a leader's processor time.
-func TestWaitsForCommandsEndTogether(t *testing.T) {
+func TestWaitsForCommandsEndSingleZone(t *testing.T) {
 	const machines = 120
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -47,7 +47,7 @@
 type Worker interface {
 	// Announce tells a worker the term's token. It returns the worker's
 	// session and the highest token the worker has seen.
-	Announce(ctx context.Context, address string, token, shift uint64) (wire.Heartbeat, error)
+	Announce(ctx context.Context, address string, token, incarnation uint64) (wire.Heartbeat, error)
 }
 
 // VersionTracker tells which formats of records are in use.
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -9,8 +9,8 @@
 )
 
 // takeStage takes an array of one task into the picture.
-func (c *Controller) takeStage(uid string, rank wire.Priority, dueS float64, at time.Time, stamp uint64, awaits ...string) {
-	spec := wire.JobSpec{UID: uid, Team: "crew", Kind: wire.JobArray, TaskCount: 1, Cores: 1, RAMGb: 1, Image: "i", Priority: rank, ExpectedRunS: 10, Dependencies: awaits}
+func (c *Controller) takeStage(uid string, priority wire.Priority, dueS float64, at time.Time, stamp uint64, awaits ...string) {
+	spec := wire.JobSpec{UID: uid, Team: "crew", Kind: wire.JobArray, TaskCount: 1, Cores: 1, RAMGb: 1, Image: "i", Priority: priority, ExpectedRunS: 10, Dependencies: awaits}
 	if dueS > 0 {
 		spec.DeadlineS = &dueS
 	}
@@ -19,7 +19,7 @@
 
 // A stage stops nobody's work for the rank of the last one while there is time to rent a
 // machine: batch lost a third of its starts to stages that were in no hurry.
-func TestInheritedRankCountsWhenTimeIsShort(t *testing.T) {
+func TestInheritedPriorityCountsWhenTimeIsShort(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := watched(&now)
 	c.cat = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, BootS: 45, Zones: []string{"a"}}}}
--- a/internal/controller/job_test.go
+++ b/internal/controller/job_test.go
@@ -22,35 +22,35 @@
 // second attempt hid the first, which held its room for ever.
 func TestPickTakesEachWaitingTaskOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		legs := rapid.IntRange(1, 40).Draw(t, "legs")
-		j := newJob("run-000001", ledger.Entry{Job: &ledger.Job{Spec: wire.JobSpec{TaskCount: legs}, Status: wire.JobQueued, Per: 7}, Stamp: 1}, time.Now())
+		tasks := rapid.IntRange(1, 40).Draw(t, "legs")
+		j := newJob("run-000001", ledger.Entry{Job: &ledger.Job{Spec: wire.JobSpec{TaskCount: tasks}, Status: wire.JobQueued, Per: 7}, Stamp: 1}, time.Now())
 		waiting := map[int]bool{}
-		for leg := range legs {
-			waiting[leg] = true
+		for task := range tasks {
+			waiting[task] = true
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			leg := rapid.IntRange(0, legs-1).Draw(t, "leg")
-			p := j.piece(leg)
+			task := rapid.IntRange(0, tasks-1).Draw(t, "leg")
+			p := j.piece(task)
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0: // an attempt from a record, or one that ended
-				if p.live[leg] == nil && waiting[leg] {
-					p.live[leg] = &fleet.Attempt{}
+				if p.live[task] == nil && waiting[task] {
+					p.live[task] = &fleet.Attempt{}
 					j.live++
-					delete(waiting, leg)
-				} else if p.live[leg] != nil {
-					delete(p.live, leg)
+					delete(waiting, task)
+				} else if p.live[task] != nil {
+					delete(p.live, task)
 					j.live--
-					j.freed = append(j.freed, leg)
-					waiting[leg] = true
+					j.freed = append(j.freed, task)
+					waiting[task] = true
 				}
 			case 1:
-				if p.live[leg] == nil && waiting[leg] {
-					p.done.SetDone(leg % 7)
+				if p.live[task] == nil && waiting[task] {
+					p.done.SetDone(task % 7)
 					j.done++
-					delete(waiting, leg)
+					delete(waiting, task)
 				}
 			case 2:
-				n := rapid.IntRange(0, legs).Draw(t, "n")
+				n := rapid.IntRange(0, tasks).Draw(t, "n")
 				got := j.pick(n)
 				if want := min(n, len(waiting)); len(got) != want {
 					t.Fatalf("picked %v of %d waiting, want %d", got, len(waiting), want)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -52,12 +52,12 @@
 	// When some have ended, others are placed.
 	placed := j.live
 	for _, p := range j.pieces {
-		for leg, a := range p.live {
-			if leg%2 == 0 {
+		for task, a := range p.live {
+			if task%2 == 0 {
 				c.fleet.Commit(a, now)
 				a.Cause, a.State = wire.CauseDone, fleet.Ended
-				delete(p.live, leg)
-				p.done.SetDone(leg % per)
+				delete(p.live, task)
+				p.done.SetDone(task % per)
 				j.live--
 				j.done++
 			}
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -29,11 +29,11 @@
 }
 
 func (c *Controller) hearFrom(i int, tick uint64, now time.Time) {
-	yard := "a"
+	zone := "a"
 	if i%2 == 1 {
-		yard = "b"
+		zone = "b"
 	}
-	c.fleet.Report(&wire.Heartbeat{Host: fmt.Sprintf("m-%03d", i), Zone: yard, Incarnation: 1, Sequence: tick, FencingToken: 5}, now)
+	c.fleet.Report(&wire.Heartbeat{Host: fmt.Sprintf("m-%03d", i), Zone: zone, Incarnation: 1, Sequence: tick, FencingToken: 5}, now)
 }
 
 // A cut between zones silences machines one after the other, as their reports
@@ -253,8 +253,8 @@
 	c := watched(&now)
 	c.Deps.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 	c.cat = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g", Cores: 8, Gpus: 8, RAMGb: 8, BootS: 30, Zones: []string{"a"}}}}
-	array := func(uid string, legs int, ago time.Duration) *job {
-		spec := wire.JobSpec{UID: uid, JobClass: "batch", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: legs, Cores: 1, Gpus: 1, RAMGb: 1}
+	array := func(uid string, tasks int, ago time.Duration) *job {
+		spec := wire.JobSpec{UID: uid, JobClass: "batch", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: 1, Gpus: 1, RAMGb: 1}
 		e := ledger.Entry{Job: &ledger.Job{Spec: spec, Status: wire.JobQueued, Per: 16, AtMs: now.Add(-ago).UnixMilli()}, Stamp: 1}
 		c.takeJob(uid, e)
 		c.jobs[uid].waitFrom = now.Add(-ago)
--- a/internal/controller/nodes_test.go
+++ b/internal/controller/nodes_test.go
@@ -29,9 +29,9 @@
 			return c.fleet.Get(fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(t, "machine")))
 		}
 		jobs, tick := 0, uint64(0)
-		report := func(m string, session uint64, legs []wire.TaskReport) {
+		report := func(m string, session uint64, tasks []wire.TaskReport) {
 			tick++
-			r := wire.Heartbeat{Host: m, MachineType: "g8", Zone: "a", Spot: m == "m-1", Incarnation: session, Sequence: tick, FencingToken: c.term, Tasks: legs}
+			r := wire.Heartbeat{Host: m, MachineType: "g8", Zone: "a", Spot: m == "m-1", Incarnation: session, Sequence: tick, FencingToken: c.term, Tasks: tasks}
 			if rapid.IntRange(0, 30).Draw(t, "notice") == 0 {
 				r.SpotNoticeS = new(float64)
 			}
@@ -55,7 +55,7 @@
 		actions := map[string]func(t *rapid.T){
 			"report": func(t *rapid.T) {
 				id := fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(t, "host"))
-				var legs []wire.TaskReport
+				var tasks []wire.TaskReport
 				if m := c.fleet.Get(id); m != nil {
 					m.Each(func(a *fleet.Attempt) {
 						states := []wire.TaskStatus{wire.TaskFetching, wire.TaskRunning, wire.TaskSaving, wire.TaskEnded}
@@ -64,14 +64,14 @@
 							l.Cause = rapid.SampledFrom([]wire.Cause{wire.CauseDone, wire.CauseError, wire.CauseStopped}).Draw(t, "cause")
 						}
 						if rapid.IntRange(0, 5).Draw(t, "missing") > 0 {
-							legs = append(legs, l)
+							tasks = append(tasks, l)
 						}
 					})
 				}
 				if rapid.IntRange(0, 5).Draw(t, "orphan") == 0 {
-					legs = append(legs, wire.TaskReport{Task: "run-999999/0", Attempt: 1, Status: wire.TaskRunning})
+					tasks = append(tasks, wire.TaskReport{Task: "run-999999/0", Attempt: 1, Status: wire.TaskRunning})
 				}
-				report(id, 1+uint64(rapid.IntRange(0, 20).Draw(t, "session"))/20, legs)
+				report(id, 1+uint64(rapid.IntRange(0, 20).Draw(t, "session"))/20, tasks)
 			},
 			"job": func(t *rapid.T) {
 				jobs++
@@ -92,11 +92,11 @@
 				if j == nil || m == nil {
 					return
 				}
-				for _, leg := range j.pick(1) {
-					p := j.piece(leg)
-					a := &fleet.Attempt{UID: j.uid, Task: leg, Try: p.next, Need: j.need, Image: j.rec.Spec.Image}
+				for _, task := range j.pick(1) {
+					p := j.piece(task)
+					a := &fleet.Attempt{UID: j.uid, Task: task, Try: p.next, Need: j.need, Image: j.rec.Spec.Image}
 					p.next++
-					p.live[leg] = a
+					p.live[task] = a
 					j.live++
 					c.fleet.Place(m, a, now)
 					c.fleet.Commit(a, now)
--- a/internal/controller/picture.go
+++ b/internal/controller/picture.go
@@ -107,17 +107,17 @@
 		})
 		return nil
 	}
-	byYard, known := map[string]int{}, true
+	byZone, known := map[string]int{}, true
 	if j.live > 0 && (spec.SingleZone || spec.SpreadZones) {
 		j.each(func(a *fleet.Attempt) {
-			byYard[a.Machine.Zone]++
+			byZone[a.Machine.Zone]++
 			known = known && a.Machine.Zone != ""
 		})
 	}
 	if !known {
 		return nil // a zone that a task may be in is not known yet
 	}
-	sj := &sched.Job{Spec: spec, Guaranteed: guaranteed, Level: c.levelNow(j, now), AtMs: j.fromMs, Waiting: waiting, Live: j.live, ByZone: byYard,
+	sj := &sched.Job{Spec: spec, Guaranteed: guaranteed, Level: c.levelNow(j, now), AtMs: j.fromMs, Waiting: waiting, Live: j.live, ByZone: byZone,
 		WaitedS: now.Sub(j.waitFrom).Seconds(), SlackS: c.slackS(spec), LaxS: c.laxS(j, now), Avoid: c.avoids(j, now)}
 	// What a service has lost is down until it has its image again.
 	sj.Fetch = sj.SlackS < 0 || j.lost > 0 && spec.Kind == wire.Service
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -20,12 +20,12 @@
 
 const lease = 10 * time.Second
 
-func report(shift, tick, baton uint64, legs ...wire.TaskReport) *wire.Heartbeat {
-	return &wire.Heartbeat{Host: "m-1", Address: "x", MachineType: "g8", Zone: "a", Incarnation: shift, Sequence: tick, FencingToken: baton, Tasks: legs}
+func report(incarnation, tick, token uint64, tasks ...wire.TaskReport) *wire.Heartbeat {
+	return &wire.Heartbeat{Host: "m-1", Address: "x", MachineType: "g8", Zone: "a", Incarnation: incarnation, Sequence: tick, FencingToken: token, Tasks: tasks}
 }
 
-func running(leg string, try uint64) wire.TaskReport {
-	return wire.TaskReport{Task: leg, Attempt: try, Status: wire.TaskRunning}
+func running(task string, try uint64) wire.TaskReport {
+	return wire.TaskReport{Task: task, Attempt: try, Status: wire.TaskRunning}
 }
 
 // An attempt of an earlier term is off its machine only once a report with
@@ -130,12 +130,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		f := New(5, lease, nobody{})
-		shift, tick, seen := uint64(1), uint64(0), uint64(4)
+		incarnation, tick, seen := uint64(1), uint64(0), uint64(4)
 		on := map[attemptKey]bool{} // what the worker has
 		var attempts []*Attempt
 		var copies []*wire.Heartbeat
 		var flight []wire.Command // the answer to the report in flight
-		var flightShift, flightBaton uint64
+		var flightIncarnation, flightToken uint64
 		// One attempt may have been launched by an earlier term.
 		old := &Attempt{UID: "run-000009", Try: 3, Session: 1, Inherited: true}
 		f.Place(f.Know("m-1", now), old, now)
@@ -149,11 +149,11 @@
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1: // the worker reports; what was in flight before is dropped
 				tick++
-				r := report(shift, tick, seen)
+				r := report(incarnation, tick, seen)
 				for k := range on {
 					r.Tasks = append(r.Tasks, running(k.task, k.try))
 				}
-				flight, flightBaton = nil, 0
+				flight, flightToken = nil, 0
 				if oldFlight && rapid.Bool().Draw(t, "oldAnswers") {
 					// This report went to the deposed leader.
 					if seen < 5 {
@@ -170,12 +170,12 @@
 				if m, fresh := f.Report(r, now); fresh {
 					flight = f.Orders(m, now, true)
 				}
-				flightShift, flightBaton = shift, 5
+				flightIncarnation, flightToken = incarnation, 5
 			case 2: // the answer arrives
-				if flightBaton == 0 || flightShift != shift {
+				if flightToken == 0 || flightIncarnation != incarnation {
 					continue
 				}
-				seen = max(seen, flightBaton)
+				seen = max(seen, flightToken)
 				for _, o := range flight {
 					k := attemptKey{o.Task, o.Attempt}
 					switch o.Verb {
@@ -185,13 +185,13 @@
 						delete(on, k)
 					}
 				}
-				flight, flightBaton = nil, 0
+				flight, flightToken = nil, 0
 			case 3: // a copy of some report arrives late
 				if len(copies) > 0 {
 					f.Report(copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")], now)
 				}
 			case 4: // the lease ends
-				shift++
+				incarnation++
 				clear(on)
 				oldFlight = false
 			case 5: // a task is placed and recorded
@@ -217,7 +217,7 @@
 					t.Fatalf("%s is off, but the worker has it", a.Name())
 				}
 				for _, o := range flight {
-					if o.Verb == wire.Launch && o.Task == a.Name() && o.Attempt == a.Try && flightBaton != 0 {
+					if o.Verb == wire.Launch && o.Task == a.Name() && o.Attempt == a.Try && flightToken != 0 {
 						t.Fatalf("%s is off, but its launch is under way", a.Name())
 					}
 				}
@@ -233,7 +233,7 @@
 func TestWhoIsTakenForDeaf(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		baton uint64        // of the report of the earlier session
+		token uint64        // of the report of the earlier session
 		after time.Duration // when the machine reports again
 		takes bool
 	}{
@@ -243,7 +243,7 @@
 	} {
 		now := time.Now()
 		f := New(5, lease, nobody{})
-		f.Report(report(1, 7, tc.baton), now)
+		f.Report(report(1, 7, tc.token), now)
 		m := f.Get("m-1")
 		m.Cap = Res{8, 8, 8}
 		now = now.Add(tc.after)
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -41,8 +41,8 @@
 // The record of a placement of eight tasks is encoded.
 func BenchmarkEncodePiece(b *testing.B) {
 	piece := Piece{Next: 2, Done: []byte{0}}
-	for leg := range 8 {
-		piece.Live = append(piece.Live, Placed{Task: leg, Try: 1, Host: "m-000001", Session: 1})
+	for task := range 8 {
+		piece.Live = append(piece.Live, Placed{Task: task, Try: 1, Host: "m-000001", Session: 1})
 	}
 	b.ReportAllocs()
 	for range b.N {
--- a/internal/ledger/piece.go
+++ b/internal/ledger/piece.go
@@ -31,8 +31,8 @@
 
 // session is a machine in one of its sessions.
 type session struct {
-	host  string
-	shift uint64
+	host        string
+	incarnation uint64
 }
 
 // newDense lists attempts densely.
--- a/internal/provision/provision.go
+++ b/internal/provision/provision.go
@@ -226,6 +226,6 @@
 // Spare is how many tasks of a class to keep room for: a standard deviation of
 // what arrives while a machine boots. Jobs come by chance, and legs2 is the mean
 // of their tasks squared: a few large jobs vary more than many small ones.
-func Spare(jobsPerS, legs2, bootS float64) int {
-	return int(math.Ceil(math.Sqrt(jobsPerS * bootS * legs2)))
+func Spare(jobsPerS, tasks2, bootS float64) int {
+	return int(math.Ceil(math.Sqrt(jobsPerS * bootS * tasks2)))
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -71,7 +71,9 @@
 		const hosts = 3
 		var mu sync.Mutex
 		sentReports := map[string]wire.Heartbeat{} // by host, session and tick
-		keyOf := func(host string, shift, tick uint64) string { return fmt.Sprintf("%s %d %d", host, shift, tick) }
+		keyOf := func(host string, incarnation, sequence uint64) string {
+			return fmt.Sprintf("%s %d %d", host, incarnation, sequence)
+		}
 		var wrong []string
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -172,11 +174,11 @@
 		return reply, err
 	})
 	s.Observe = func(kind ReportKind, n int) { kinds[kind] += n }
-	for tick := uint64(1); tick <= 3; tick++ {
-		if tick == 3 {
+	for sequence := uint64(1); sequence <= 3; sequence++ {
+		if sequence == 3 {
 			receiver.Forget(func(string) bool { return false })
 		}
-		r := wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: tick, Tasks: []wire.TaskReport{}}
+		r := wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, Tasks: []wire.TaskReport{}}
 		p := pendingOf(&r)
 		if err := s.add(Leader{"n0", 1}, p); err != nil {
 			t.Fatal(err)
@@ -184,8 +186,8 @@
 		for range 3 {
 			s.exchange()
 		}
-		if res := <-p.result; res.err != nil || res.answer.Sequence != tick {
-			t.Errorf("report %d ends with %+v", tick, res)
+		if res := <-p.result; res.err != nil || res.answer.Sequence != sequence {
+			t.Errorf("report %d ends with %+v", sequence, res)
 		}
 	}
 	want := map[ReportKind]int{KindFull: 2, KindRepeated: 2, KindResent: 1}
@@ -214,9 +216,9 @@
 			return peer.HeartbeatBatchReply{Leading: true}, nil
 		})
 		go s.Run(ctx)
-		report := func(to Leader, tick uint64) (took time.Duration, err error) {
+		report := func(to Leader, sequence uint64) (took time.Duration, err error) {
 			began := time.Now()
-			_, err = s.Report(ctx, to, &wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: tick}, []byte("{}"), Relaxed)
+			_, err = s.Report(ctx, to, &wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence}, []byte("{}"), Relaxed)
 			return time.Since(began), err
 		}
 		if took, err := report(Leader{"n0", 2}, 1); !errors.Is(err, ErrNoAnswer) || took != s.Patience {
@@ -226,10 +228,10 @@
 			t.Errorf("a leader of an older term: %v after %s", err, took)
 		}
 		for _, tc := range []struct {
-			name string
-			to   Leader
-			tick uint64
-			want error
+			name     string
+			to       Leader
+			sequence uint64
+			want     error
 		}{
 			{"a newer report", Leader{"n0", 2}, 11, ErrSuperseded},
 			{"a newer leader", Leader{"n2", 3}, 12, ErrLeaderNotReached},
@@ -237,7 +239,7 @@
 			first := make(chan error, 1)
 			go func() { _, err := report(s.leader, 10); first <- err }()
 			time.Sleep(time.Second)
-			go func() { _, _ = report(tc.to, tc.tick) }()
+			go func() { _, _ = report(tc.to, tc.sequence) }()
 			time.Sleep(time.Millisecond)
 			select {
 			case err := <-first:
--- a/internal/relay/size_test.go
+++ b/internal/relay/size_test.go
@@ -30,8 +30,8 @@
 			waiting := make([]*pendingReport, workers)
 			for i := range waiting {
 				r := &wire.Heartbeat{Host: fmt.Sprintf("m-%06d", i), Zone: "a", Incarnation: 1, Sequence: tick}
-				for leg := range 8 {
-					r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName("run-000001", 8*i+leg), Attempt: 1, Status: wire.TaskRunning})
+				for task := range 8 {
+					r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName("run-000001", 8*i+task), Attempt: 1, Status: wire.TaskRunning})
 				}
 				waiting[i] = pendingOf(r)
 				if err := s.add(Leader{"n0", 1}, waiting[i]); err != nil {
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -75,11 +75,11 @@
 	if d.team != "" && v.Team != d.team && guaranteed[v.UID] {
 		return false
 	}
-	return d.byRank(v) || d.reclaims && v.Team != d.team
+	return d.byPriority(v) || d.reclaims && v.Team != d.team
 }
 
-// byRank reports whether running work may be displaced for its rank alone.
-func (d displacer) byRank(v *Victim) bool { return v.Level < d.below && (!v.Serve || d.overdue) }
+// byPriority reports whether running work may be displaced for its rank alone.
+func (d displacer) byPriority(v *Victim) bool { return v.Level < d.below && (!v.Serve || d.overdue) }
 
 // mayDisplace reports whether a job may displace running work.
 func (r *round) mayDisplace(j *Job, v *Victim) bool {
@@ -261,7 +261,7 @@
 	victims := r.victims[c.node]
 	for k := c.from; k < c.to; k++ {
 		v := &victims[k]
-		if d.byRank(v) || !d.displaces(v, r.in.Guaranteed) {
+		if d.byPriority(v) || !d.displaces(v, r.in.Guaranteed) {
 			continue
 		}
 		taken, known := after[v.Team]
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -149,7 +149,7 @@
 	}
 	var places []Place
 	if j.Spec.SingleZone {
-		places = r.together(j, want, l)
+		places = r.singleZone(j, want, l)
 	} else {
 		places = r.choose(j, want, l, "")
 	}
@@ -164,17 +164,17 @@
 	return n
 }
 
-// together tries each zone and takes the one that holds most, on the fewest
+// singleZone tries each zone and takes the one that holds most, on the fewest
 // machines. A job that has tasks in a zone stays there.
-func (r *refRound) together(j *Job, want int, l layer) []Place {
-	for yard, n := range j.ByZone {
+func (r *refRound) singleZone(j *Job, want int, l layer) []Place {
+	for zone, n := range j.ByZone {
 		if n > 0 {
-			return r.choose(j, want, l, yard)
+			return r.choose(j, want, l, zone)
 		}
 	}
 	var best []Place
-	for _, yard := range r.yards() {
-		p := r.choose(j, want, l, yard)
+	for _, zone := range r.zones() {
+		p := r.choose(j, want, l, zone)
 		if count(p) > count(best) || (count(p) == count(best) && len(p) < len(best)) {
 			best = p
 		}
@@ -182,31 +182,31 @@
 	return best
 }
 
-func (r *refRound) yards() []string {
-	var yards []string
+func (r *refRound) zones() []string {
+	var zones []string
 	for i := range r.in.Nodes {
-		if y := r.in.Nodes[i].Zone; !slices.Contains(yards, y) {
-			yards = append(yards, y)
+		if y := r.in.Nodes[i].Zone; !slices.Contains(zones, y) {
+			zones = append(zones, y)
 		}
 	}
-	slices.Sort(yards)
-	return yards
+	slices.Sort(zones)
+	return zones
 }
 
 // yardCap is how many more tasks of j each zone may hold.
-func refYardCap(j *Job, yard string) int {
+func refZoneCap(j *Job, zone string) int {
 	if !j.Spec.SpreadZones {
 		return j.Spec.TaskCount
 	}
-	return (j.Spec.TaskCount+1)/2 - j.ByZone[yard]
+	return (j.Spec.TaskCount+1)/2 - j.ByZone[zone]
 }
 
-func (r *refRound) usable(j *Job, i int, yard string) bool {
+func (r *refRound) usable(j *Job, i int, zone string) bool {
 	n := &r.in.Nodes[i]
 	if !n.Spot && !n.Fixed && j.Spec.AllowSpot && !j.Dear && (!j.Overdue || n.Leaving && !j.Tired) || r.warm && (!n.Present || !slices.Contains(n.Images, j.Spec.Image)) {
 		return false
 	}
-	return !r.reserved[i] && (yard == "" || n.Zone == yard) &&
+	return !r.reserved[i] && (zone == "" || n.Zone == zone) &&
 		Allowed(j.Spec, n.Type, n.Zone, n.Spot) && (j.Avoid == "" || n.ID != j.Avoid)
 }
 
@@ -232,13 +232,13 @@
 
 // options lists where tasks of j fit, at most want on each node. The list is good until
 // the next call.
-func (r *refRound) options(j *Job, want int, l layer, yard string) []refOption {
+func (r *refRound) options(j *Job, want int, l layer, zone string) []refOption {
 	need := fleet.Need(j.Spec)
 	opts := r.optionsBuffer[:0]
 	for _, i := range r.candidates(l) {
 		free := r.room[l][i]
 		c := free.Count(need, want)
-		if c == 0 || !r.usable(j, i, yard) {
+		if c == 0 || !r.usable(j, i, zone) {
 			continue
 		}
 		n := &r.in.Nodes[i]
@@ -281,13 +281,13 @@
 }
 
 // choose picks nodes for up to want tasks, the best first.
-func (r *refRound) choose(j *Job, want int, l layer, yard string) []Place {
-	order := refLeast[refOption]{items: r.options(j, want, l, yard), cmp: r.better(j)}
+func (r *refRound) choose(j *Job, want int, l layer, zone string) []Place {
+	order := refLeast[refOption]{items: r.options(j, want, l, zone), cmp: r.better(j)}
 	var places []Place
 	taken := map[string]int{}
 	for o := range order.all() {
 		y := r.in.Nodes[o.node].Zone
-		c := min(o.count, want, refYardCap(j, y)-taken[y])
+		c := min(o.count, want, refZoneCap(j, y)-taken[y])
 		if c <= 0 {
 			continue
 		}
@@ -340,20 +340,20 @@
 		return cmp.Or(cmp.Compare(r.room[soon][b].Gpus, r.room[soon][a].Gpus), cmp.Compare(r.room[soon][b].Cores, r.room[soon][a].Cores), cmp.Compare(a, b))
 	})
 	taken := map[string]int{}
-	yard := ""
+	zone := ""
 	for _, i := range nodes {
 		if want <= 0 {
 			break
 		}
 		y := r.in.Nodes[i].Zone
-		if j.Spec.SingleZone && yard != "" && y != yard {
+		if j.Spec.SingleZone && zone != "" && y != zone {
 			continue
 		}
-		c := min(r.in.Nodes[i].Cap.Count(need, want), refYardCap(j, y)-taken[y])
+		c := min(r.in.Nodes[i].Cap.Count(need, want), refZoneCap(j, y)-taken[y])
 		if c <= 0 {
 			continue
 		}
-		yard = y
+		zone = y
 		taken[y] += c
 		want -= c
 		r.reserved[i] = true
@@ -429,14 +429,14 @@
 // bound names a kind of job and a layer. Room only shrinks in a round, but for
 // what is stopped: of a kind that fitted so many times, no more fit later.
 type refBound struct {
-	layer          layer
-	level          int // of a job that displaces
-	need           fleet.Res
-	rigs, yard     string
-	standby        bool
-	overdue, tired bool
-	dear           bool
-	image          string // if only nodes that have it will do
+	layer              layer
+	level              int // of a job that displaces
+	need               fleet.Res
+	machineTypes, zone string
+	standby            bool
+	overdue, tired     bool
+	dear               bool
+	image              string // if only nodes that have it will do
 }
 
 // bound names the job's kind. ok is false if what fits depends on more.
@@ -445,7 +445,7 @@
 	if s.SingleZone || s.SpreadZones || j.Avoid != "" {
 		return b, false
 	}
-	b = refBound{layer: l, need: fleet.Need(s), rigs: strings.Join(s.MachineTypes, " "), yard: s.Zone, standby: s.AllowSpot, overdue: j.Overdue, tired: j.Tired, dear: j.Dear}
+	b = refBound{layer: l, need: fleet.Need(s), machineTypes: strings.Join(s.MachineTypes, " "), zone: s.Zone, standby: s.AllowSpot, overdue: j.Overdue, tired: j.Tired, dear: j.Dear}
 	if r.warm {
 		b.image = s.Image
 	}
@@ -587,7 +587,7 @@
 	taken := map[string]int{}
 	for c := range order.all() {
 		z := r.in.Nodes[c.node].Zone
-		if (j.Spec.SingleZone && zone != "" && z != zone) || refYardCap(j, z)-taken[z] <= 0 {
+		if (j.Spec.SingleZone && zone != "" && z != zone) || refZoneCap(j, z)-taken[z] <= 0 {
 			continue
 		}
 		if j.Spec.SingleZone {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -323,7 +323,7 @@
 	}
 	var places []Place
 	if j.Spec.SingleZone {
-		places = r.together(j, want, l)
+		places = r.singleZone(j, want, l)
 	} else {
 		places = r.choose(j, want, l, "")
 	}
@@ -346,9 +346,9 @@
 	return n
 }
 
-// together tries each zone and takes the one that holds most, on the fewest
+// singleZone tries each zone and takes the one that holds most, on the fewest
 // machines. A job that has tasks in a zone stays there.
-func (r *round) together(j *Job, want int, l layer) []Place {
+func (r *round) singleZone(j *Job, want int, l layer) []Place {
 	for zone, n := range j.ByZone {
 		if n > 0 {
 			return r.choose(j, want, l, zone)
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -49,7 +49,7 @@
 			free[i] = in.Nodes[i].Free
 		}
 		placed, gpus := map[string]int{}, 0.0
-		yards := map[string]map[string]int{}
+		zones := map[string]map[string]int{}
 		for _, p := range plan.Places {
 			s, n := p.Job.Spec, &in.Nodes[p.Node]
 			if !Allowed(s, n.Type, n.Zone, n.Spot) {
@@ -63,10 +63,10 @@
 			}
 			placed[s.UID] += p.Count
 			gpus += float64(p.Count) * s.Gpus
-			if yards[s.UID] == nil {
-				yards[s.UID] = map[string]int{}
+			if zones[s.UID] == nil {
+				zones[s.UID] = map[string]int{}
 			}
-			yards[s.UID][n.Zone] += p.Count
+			zones[s.UID][n.Zone] += p.Count
 		}
 		if limit > 0 && gpus > limit {
 			t.Fatalf("the team uses %v of %v gpus", gpus, limit)
@@ -76,12 +76,12 @@
 			if n := placed[s.UID]; n > s.TaskCount || (s.Kind == wire.Service || s.SingleZone) && n != 0 && n != s.TaskCount {
 				t.Fatalf("%s starts with %d of %d tasks", s.UID, n, s.TaskCount)
 			}
-			if s.SingleZone && len(yards[s.UID]) > 1 {
-				t.Fatalf("%s is in zones %v", s.UID, yards[s.UID])
+			if s.SingleZone && len(zones[s.UID]) > 1 {
+				t.Fatalf("%s is in zones %v", s.UID, zones[s.UID])
 			}
-			for _, n := range yards[s.UID] {
+			for _, n := range zones[s.UID] {
 				if s.SpreadZones && n > (s.TaskCount+1)/2 {
-					t.Fatalf("%s is in zones %v", s.UID, yards[s.UID])
+					t.Fatalf("%s is in zones %v", s.UID, zones[s.UID])
 				}
 			}
 		}
@@ -155,9 +155,9 @@
 	}
 }
 
-func job(uid string, level, legs int, cores, gpus float64) *Job {
-	w := &wire.JobSpec{UID: uid, Team: "crew", Kind: wire.Service, TaskCount: legs, Cores: cores, Gpus: gpus}
-	return &Job{Spec: w, Level: level, Waiting: legs, ByZone: map[string]int{}}
+func job(uid string, level, tasks int, cores, gpus float64) *Job {
+	w := &wire.JobSpec{UID: uid, Team: "crew", Kind: wire.Service, TaskCount: tasks, Cores: cores, Gpus: gpus}
+	return &Job{Spec: w, Level: level, Waiting: tasks, ByZone: map[string]int{}}
 }
 
 func node(id string, cores, gpus float64) Node {
--- a/internal/standin/dependencies.go
+++ b/internal/standin/dependencies.go
@@ -8,10 +8,10 @@
 
 // judgeReleased checks, at the start of a task, that all that its job needs is done.
 // w.mu is held.
-func (w *World) judgeReleased(leg string, spec *wire.JobSpec) {
+func (w *World) judgeReleased(task string, spec *wire.JobSpec) {
 	for _, uid := range spec.Dependencies {
 		if len(w.done[uid]) < w.specs[uid].TaskCount {
-			w.breach("too_early", "%s starts before %s is done", leg, uid)
+			w.breach("too_early", "%s starts before %s is done", task, uid)
 		}
 	}
 }
--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -209,10 +209,10 @@
 
 // hostLoad is a machine's room and the tasks that it has, as its worker knows.
 type hostLoad struct {
-	rig, yard   string
-	standby     bool
-	cores, gpus float64
-	legs        []string
+	machineType, zone string
+	standby           bool
+	cores, gpus       float64
+	tasks             []string
 }
 
 // sweepWaiting looks for jobs that wait although there is room for them.
@@ -237,8 +237,8 @@
 	defer w.mu.Unlock()
 	placed, gpus := map[string]int{}, map[string]float64{}
 	for i := range loads {
-		for _, leg := range loads[i].legs {
-			uid, _, _ := wire.SplitTaskName(leg)
+		for _, task := range loads[i].tasks {
+			uid, _, _ := wire.SplitTaskName(task)
 			s := w.specs[uid]
 			placed[uid]++
 			gpus[s.Team] += s.Gpus
@@ -252,8 +252,8 @@
 		_, accepted := w.accepted[uid]
 		_, over := w.final[uid]
 		room := slices.ContainsFunc(loads, func(l hostLoad) bool {
-			return l.cores >= s.Cores && l.gpus >= s.Gpus && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, l.rig)) &&
-				(s.Zone == "" || s.Zone == l.yard) && (s.AllowSpot || !l.standby)
+			return l.cores >= s.Cores && l.gpus >= s.Gpus && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, l.machineType)) &&
+				(s.Zone == "" || s.Zone == l.zone) && (s.AllowSpot || !l.standby)
 		})
 		waits := accepted && !over && !w.asked[uid] && !s.SingleZone && !s.SpreadZones && s.JobClass != w.Mistaken &&
 			len(w.done[uid])+placed[uid] < s.TaskCount && room && (team.GpusMax == 0 || gpus[s.Team]+s.Gpus <= team.GpusMax)
@@ -277,15 +277,15 @@
 	if k.dead || now.Before(k.hungTill) || now.Before(k.sickTill) || now.Sub(k.born) < k.boot {
 		return hostLoad{}, false
 	}
-	l := hostLoad{rig: k.Rig, yard: k.Yard, standby: k.Spot}
+	l := hostLoad{machineType: k.MachineType, zone: k.Zone, standby: k.Spot}
 	for _, r := range k.w.Catalog.MachineTypes {
-		if r.Name == k.Rig {
+		if r.Name == k.MachineType {
 			l.cores, l.gpus = r.Cores, r.Gpus
 		}
 	}
-	for key, leg := range k.tasks {
-		if leg.status != wire.TaskEnded {
-			l.legs = append(l.legs, key.name)
+	for key, task := range k.tasks {
+		if task.status != wire.TaskEnded {
+			l.tasks = append(l.tasks, key.name)
 		}
 	}
 	return l, true
--- a/internal/standin/relays_test.go
+++ b/internal/standin/relays_test.go
@@ -68,19 +68,19 @@
 	for i := range siteZones {
 		s.labels = append(s.labels, fmt.Sprintf("n%d", i))
 	}
-	rig := catalog.MachineTypes[1]
-	rig.Zones = nil
+	machineType := catalog.MachineTypes[1]
+	machineType.Zones = nil
 	for i := range siteZones {
-		rig.Zones = append(rig.Zones, zoneName(i))
+		machineType.Zones = append(machineType.Zones, zoneName(i))
 	}
-	s.world = standin.NewWorld(s.config(0), s.net, s.labels, wire.Catalog{MachineTypes: []wire.MachineType{rig}})
+	s.world = standin.NewWorld(s.config(0), s.net, s.labels, wire.Catalog{MachineTypes: []wire.MachineType{machineType}})
 	s.world.Capacity = 2 * siteZones * workersOfZone
 	for i := range s.labels {
 		s.start(i)
 	}
 	time.Sleep(3 * time.Second)
 	for i := range siteZones {
-		s.world.AddMachines(rig.Name, zoneName(i), workersOfZone)
+		s.world.AddMachines(machineType.Name, zoneName(i), workersOfZone)
 	}
 	return s
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -15,9 +15,9 @@
 
 // Worker is one machine and the worker on it.
 type Worker struct {
-	Host, Rig, Yard string
-	Address         string // for direct commands
-	Spot            bool
+	Host, MachineType, Zone string
+	Address                 string // for direct commands
+	Spot                    bool
 
 	w    *World
 	born time.Time
@@ -52,8 +52,8 @@
 	due    time.Time // of the next change
 }
 
-func newWorker(w *World, host, rig, yard string, standby bool, boot time.Duration) *Worker {
-	return &Worker{Host: host, Rig: rig, Yard: yard, Spot: standby, w: w, born: time.Now(), boot: boot, session: 1,
+func newWorker(w *World, host, machineType, zone string, standby bool, boot time.Duration) *Worker {
+	return &Worker{Host: host, MachineType: machineType, Zone: zone, Spot: standby, w: w, born: time.Now(), boot: boot, session: 1,
 		tasks: map[taskKey]*workerTask{}, images: map[string]bool{}, poke: make(chan struct{}, 1), stop: make(chan struct{})}
 }
 
@@ -176,7 +176,7 @@
 // body makes the report as it stands. k.mu is held.
 func (k *Worker) body() []byte {
 	k.sequence++
-	r := wire.Heartbeat{Host: k.Host, Address: k.Address, MachineType: k.Rig, Zone: k.Yard, Spot: k.Spot, Incarnation: k.session, Sequence: k.sequence, FencingToken: k.token, Tasks: []wire.TaskReport{}}
+	r := wire.Heartbeat{Host: k.Host, Address: k.Address, MachineType: k.MachineType, Zone: k.Zone, Spot: k.Spot, Incarnation: k.session, Sequence: k.sequence, FencingToken: k.token, Tasks: []wire.TaskReport{}}
 	for key, l := range k.tasks {
 		r.Tasks = append(r.Tasks, wire.TaskReport{Task: key.name, Attempt: key.try, Status: l.status, Cause: l.cause, Checkpointed: l.kept})
 	}
@@ -192,7 +192,7 @@
 	k.mu.Lock()
 	sent := time.Now()
 	k.mind(sent)
-	shift := k.session
+	incarnation := k.session
 	data := k.body()
 	node := k.w.Nodes[k.node]
 	if k.sequence%7 == 0 {
@@ -214,7 +214,7 @@
 		if json.Unmarshal(body, &o) != nil || o.FencingToken < k.token {
 			return true // dropped
 		}
-		if k.session != shift {
+		if k.session != incarnation {
 			return true
 		}
 		if o.FencingToken > k.token {
@@ -313,7 +313,7 @@
 		}
 	}
 	for _, r := range k.w.Catalog.MachineTypes {
-		if r.Name == k.Rig {
+		if r.Name == k.MachineType {
 			return cores <= r.Cores && gpus <= r.Gpus
 		}
 	}
@@ -363,7 +363,7 @@
 			switch l.status {
 			case wire.TaskFetching:
 				l.status, l.on, l.due = wire.TaskRunning, true, time.Time{}
-				k.w.Start(key.name, k.Host, k.Rig, k.Yard, k.Spot)
+				k.w.Start(key.name, k.Host, k.MachineType, k.Zone, k.Spot)
 				if now.Before(k.sickTill) || s.JobClass != "" && s.JobClass == k.w.Mistaken {
 					k.end(key, l, wire.CauseError)
 				} else if s.Kind == wire.JobArray {
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -230,41 +230,41 @@
 }
 
 // Start is called when a task has its image and begins to run on a machine.
-func (w *World) Start(leg, host, rig, yard string, standby bool) {
+func (w *World) Start(task, host, machineType, zone string, standby bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started++
-	uid, _, _ := wire.SplitTaskName(leg)
+	uid, _, _ := wire.SplitTaskName(task)
 	s, ok := w.specs[uid]
 	if !ok {
-		w.breach("invented", "%s starts, but nobody submitted it", leg)
+		w.breach("invented", "%s starts, but nobody submitted it", task)
 		return
 	}
 	if _, begun := w.begins[uid]; !begun {
 		w.begins[uid] = time.Now()
 	}
-	if hosts := w.on.hosts[leg]; len(hosts) > 0 {
-		w.breach("ran_twice", "%s starts on %s and is on %v", leg, host, hosts)
+	if hosts := w.on.hosts[task]; len(hosts) > 0 {
+		w.breach("ran_twice", "%s starts on %s and is on %v", task, host, hosts)
 	}
-	w.on.put(leg, host, &s)
-	w.judgeReleased(leg, &s)
+	w.on.put(task, host, &s)
+	w.judgeReleased(task, &s)
 	if at, ok := w.aborted[uid]; ok {
 		w.lateStarts++
 		if time.Since(at).Seconds() > w.Cfg.Cluster.Workers.CancelS {
-			w.breach("ran_cancelled", "%s starts on %s", leg, host)
+			w.breach("ran_cancelled", "%s starts on %s", task, host)
 		}
 	}
-	if len(s.MachineTypes) > 0 && !strings.Contains(strings.Join(s.MachineTypes, " "), rig) || s.Zone != "" && s.Zone != yard || standby && !s.AllowSpot {
-		w.breach("wrong_place", "%s starts on %s (%s, %s, standby %v)", leg, host, rig, yard, standby)
+	if len(s.MachineTypes) > 0 && !strings.Contains(strings.Join(s.MachineTypes, " "), machineType) || s.Zone != "" && s.Zone != zone || standby && !s.AllowSpot {
+		w.breach("wrong_place", "%s starts on %s (%s, %s, standby %v)", task, host, machineType, zone, standby)
 	}
-	yards := map[string]int{}
+	zones := map[string]int{}
 	w.on.eachOf(uid, func(hosts map[string]bool) {
 		for h := range hosts {
-			yards[w.workers[h].Yard]++
+			zones[w.workers[h].Zone]++
 		}
 	})
-	if s.SingleZone && len(yards) > 1 || s.SpreadZones && yards[yard] > (s.TaskCount+1)/2 {
-		w.breach("wrong_place", "%s starts on %s: zones %v", leg, host, yards)
+	if s.SingleZone && len(zones) > 1 || s.SpreadZones && zones[zone] > (s.TaskCount+1)/2 {
+		w.breach("wrong_place", "%s starts on %s: zones %v", task, host, zones)
 	}
 	w.judgeQuota(s.Team)
 }
@@ -287,12 +287,12 @@
 }
 
 // End is called when a task leaves a machine; completed if it ran to its end.
-func (w *World) End(leg, host string, completed bool) {
+func (w *World) End(task, host string, completed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.on.take(leg, host)
+	w.on.take(task, host)
 	if completed {
-		uid, n, _ := wire.SplitTaskName(leg)
+		uid, n, _ := wire.SplitTaskName(task)
 		if w.done[uid] == nil {
 			w.done[uid] = map[int]bool{}
 		}
@@ -307,10 +307,10 @@
 func (w *World) sweepCancelled() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for leg, hosts := range w.on.hosts {
-		uid, _, _ := wire.SplitTaskName(leg)
+	for task, hosts := range w.on.hosts {
+		uid, _, _ := wire.SplitTaskName(task)
 		if at, ok := w.aborted[uid]; ok && time.Since(at).Seconds() > w.Cfg.Cluster.Workers.CancelS {
-			w.breach("ran_cancelled", "%s is on %v, %.1f s after its user was told", leg, hosts, time.Since(at).Seconds())
+			w.breach("ran_cancelled", "%s is on %v, %.1f s after its user was told", task, hosts, time.Since(at).Seconds())
 			delete(w.aborted, uid)
 		}
 	}
@@ -373,7 +373,7 @@
 		if age < wk.boot {
 			status = wire.HostBooting
 		}
-		out.Hosts = append(out.Hosts, wire.ListedHost{UID: wk.Host, Address: wk.Address, MachineType: wk.Rig, Zone: wk.Yard, Spot: wk.Spot, Status: status, AgeS: age.Seconds()})
+		out.Hosts = append(out.Hosts, wire.ListedHost{UID: wk.Host, Address: wk.Address, MachineType: wk.MachineType, Zone: wk.Zone, Spot: wk.Spot, Status: status, AgeS: age.Seconds()})
 	}
 	sort.Slice(out.Hosts, func(i, j int) bool { return out.Hosts[i].UID < out.Hosts[j].UID })
 	if out.More = len(out.Hosts) > most; out.More {
@@ -413,10 +413,10 @@
 }
 
 // add makes a machine. w.mu is held.
-func (w *World) add(rig, yard string, standby bool, boot time.Duration) string {
+func (w *World) add(machineType, zone string, standby bool, boot time.Duration) string {
 	host := fmt.Sprintf("m-%06d", w.serial)
 	w.serial++
-	wk := newWorker(w, host, rig, yard, standby, boot)
+	wk := newWorker(w, host, machineType, zone, standby, boot)
 	w.workers[host] = wk
 	wk.Address = host
 	if w.ListenWorker != nil {
@@ -428,11 +428,11 @@
 }
 
 // AddMachines makes machines that are up at once.
-func (w *World) AddMachines(rig, yard string, n int) {
+func (w *World) AddMachines(machineType, zone string, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for range n {
-		w.add(rig, yard, false, 0)
+		w.add(machineType, zone, false, 0)
 	}
 }
 
@@ -458,7 +458,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if wk := w.workers[host]; wk != nil {
-		return wk.Yard
+		return wk.Zone
 	}
 	return ""
 }
