--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -27,7 +27,7 @@
 	if state, ok := m.finished[uid]; ok {
 		return state
 	}
-	for _, name := range m.jobs[uid].Awaits {
+	for _, name := range m.jobs[uid].Dependencies {
 		if m.state(name) == Cancelled {
 			return Cancelled
 		}
@@ -36,7 +36,7 @@
 }
 
 func (m *model) ready(uid string) bool {
-	return m.state(uid) == Open && !slices.ContainsFunc(m.jobs[uid].Awaits, func(name string) bool { return m.state(name) != Done })
+	return m.state(uid) == Open && !slices.ContainsFunc(m.jobs[uid].Dependencies, func(name string) bool { return m.state(name) != Done })
 }
 
 // urgency derives a job's priority and due time from all open jobs that need it.
@@ -44,7 +44,7 @@
 	job := m.jobs[uid]
 	level, dueMs := job.Level, job.DueMs
 	for _, other := range m.order {
-		if m.state(other) == Open && slices.Contains(m.jobs[other].Awaits, uid) {
+		if m.state(other) == Open && slices.Contains(m.jobs[other].Dependencies, uid) {
 			otherLevel, otherDueMs := m.urgency(other)
 			level, dueMs = max(level, otherLevel), min(dueMs, otherDueMs-m.jobs[other].RunMs)
 		}
@@ -97,7 +97,7 @@
 					job.DueMs = float64(rapid.IntRange(0, 1000).Draw(t, "dueMs"))
 				}
 				if len(m.order) > 0 {
-					job.Awaits = slices.Compact(slices.Sorted(slices.Values(rapid.SliceOfN(rapid.SampledFrom(m.order), 0, 3).Draw(t, "awaits"))))
+					job.Dependencies = slices.Compact(slices.Sorted(slices.Values(rapid.SliceOfN(rapid.SampledFrom(m.order), 0, 3).Draw(t, "awaits"))))
 				}
 				m.jobs[uid] = job
 				m.order = append(m.order, uid)
@@ -184,10 +184,10 @@
 	g := New()
 	g.Add("j0", Job{Level: 1, DueMs: math.Inf(1)})
 	for i := 1; i < size; i++ {
-		g.Add(fmt.Sprintf("j%d", i), Job{Awaits: []string{fmt.Sprintf("j%d", i-1)}, Level: 1, DueMs: math.Inf(1), RunMs: 1})
-		g.Add(fmt.Sprintf("fan%d", i), Job{Awaits: []string{"j0"}, Level: 1, DueMs: math.Inf(1)})
+		g.Add(fmt.Sprintf("j%d", i), Job{Dependencies: []string{fmt.Sprintf("j%d", i-1)}, Level: 1, DueMs: math.Inf(1), RunMs: 1})
+		g.Add(fmt.Sprintf("fan%d", i), Job{Dependencies: []string{"j0"}, Level: 1, DueMs: math.Inf(1)})
 	}
-	g.Add("last", Job{Awaits: []string{fmt.Sprintf("j%d", size-1)}, Level: 4, DueMs: 10000, RunMs: 1})
+	g.Add("last", Job{Dependencies: []string{fmt.Sprintf("j%d", size-1)}, Level: 4, DueMs: 10000, RunMs: 1})
 	if level, dueMs := g.Urgency("j0"); level != 4 || dueMs != 10000-size {
 		t.Errorf("the first of a chain has level %d and due time %v", level, dueMs)
 	}
@@ -204,8 +204,8 @@
 func TestUrgencyReachesTheFirstInAnyOrder(t *testing.T) {
 	jobs := map[string]Job{
 		"first":  {Level: 1, DueMs: math.Inf(1), RunMs: 10},
-		"middle": {Awaits: []string{"first"}, Level: 1, DueMs: math.Inf(1), RunMs: 20},
-		"last":   {Awaits: []string{"middle"}, Level: 3, DueMs: 100, RunMs: 30},
+		"middle": {Dependencies: []string{"first"}, Level: 1, DueMs: math.Inf(1), RunMs: 20},
+		"last":   {Dependencies: []string{"middle"}, Level: 3, DueMs: 100, RunMs: 30},
 	}
 	for _, order := range [][]string{{"first", "middle", "last"}, {"last", "first", "middle"}, {"first", "last", "middle"}, {"last", "middle", "first"}} {
 		g := New()
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -73,8 +73,8 @@
 	return bodies, nil
 }
 
-// sameButTick reports whether two reports of a worker say the same in the same session.
-func sameButTick(a, b *wire.Heartbeat) bool {
+// sameButSequence reports whether two reports of a worker say the same in the same session.
+func sameButSequence(a, b *wire.Heartbeat) bool {
 	if a.SpotNoticeS != nil || b.SpotNoticeS != nil {
 		return false // the notice runs down
 	}
--- a/internal/relay/pressure_test.go
+++ b/internal/relay/pressure_test.go
@@ -114,10 +114,10 @@
 			at[i] = "n0"
 		}
 		now, moved := time.Unix(1000, 0), 0
-		for tick := uint64(1); tick <= 20; tick++ {
+		for sequence := uint64(1); sequence <= 20; sequence++ {
 			now, moved = now.Add(time.Second), 0
 			for i := range tc.workers {
-				report := &wire.Heartbeat{Host: fmt.Sprint("m-", i), Zone: fmt.Sprint("zone-", i%8), Incarnation: 1, Sequence: tick}
+				report := &wire.Heartbeat{Host: fmt.Sprint("m-", i), Zone: fmt.Sprint("zone-", i%8), Incarnation: 1, Sequence: sequence}
 				if to := r.Route(report, at[i], Relaxed, now); to != "" {
 					at[i] = to
 					moved++
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -22,11 +22,11 @@
 }
 
 // reports makes the reports of a test's workers, each newer than the one before.
-type reports struct{ tick uint64 }
+type reports struct{ sequence uint64 }
 
 func (r *reports) next(host, zone string) *wire.Heartbeat {
-	r.tick++
-	return &wire.Heartbeat{Host: host, Zone: zone, Incarnation: 1, Sequence: r.tick}
+	r.sequence++
+	return &wire.Heartbeat{Host: host, Zone: zone, Incarnation: 1, Sequence: r.sequence}
 }
 
 // settle lets workers report once a second where they are sent, and returns where each
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -226,7 +226,7 @@
 		}
 		p.move(sent)
 		inBatch = append(inBatch, p)
-		if last := s.taken[p.report.Host]; last != nil && sameButTick(last, p.report) {
+		if last := s.taken[p.report.Host]; last != nil && sameButSequence(last, p.report) {
 			b.repeat(p.report, last, p.pressure)
 		} else {
 			b.add(p.report, p.body, p.pressure)
--- a/internal/relay/size_test.go
+++ b/internal/relay/size_test.go
@@ -26,10 +26,10 @@
 			largest = max(largest, size)
 			return receiver.Exchange(args)
 		})
-		for tick := uint64(1); tick <= 2; tick++ {
+		for sequence := uint64(1); sequence <= 2; sequence++ {
 			waiting := make([]*pendingReport, workers)
 			for i := range waiting {
-				r := &wire.Heartbeat{Host: fmt.Sprintf("m-%06d", i), Zone: "a", Incarnation: 1, Sequence: tick}
+				r := &wire.Heartbeat{Host: fmt.Sprintf("m-%06d", i), Zone: "a", Incarnation: 1, Sequence: sequence}
 				for task := range 8 {
 					r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName("run-000001", 8*i+task), Attempt: 1, Status: wire.TaskRunning})
 				}
@@ -47,7 +47,7 @@
 			for i, p := range waiting {
 				select {
 				case res := <-p.result:
-					if res.err != nil || res.answer.Host != p.report.Host || res.answer.Sequence != tick {
+					if res.err != nil || res.answer.Host != p.report.Host || res.answer.Sequence != sequence {
 						t.Fatalf("report %d of %d ends with %+v", i, workers, res)
 					}
 				default:
--- a/internal/sched/classes.go
+++ b/internal/sched/classes.go
@@ -110,7 +110,7 @@
 	m.classes = m.classes[:0]
 	for slot := range m.class {
 		m.class[slot] = noClass
-		if r.vacant(slot) {
+		if r.empty(slot) {
 			continue
 		}
 		if key := r.keyOf(int32(slot)); r.open(&key) {
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -185,7 +185,7 @@
 		if worst.Len() >= most && d.loss[slot] >= worst.Least().loss && !room.HoldsOne(need) {
 			continue // all that it offers loses as much, and it is later in order
 		}
-		if r.vacant(slot) || !r.usable(j, int32(slot)) {
+		if r.empty(slot) || !r.usable(j, int32(slot)) {
 			continue
 		}
 		r.offers(j, int32(slot), need, want, add)
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -461,7 +461,7 @@
 	need := fleet.Need(j.Spec)
 	var nodes []int32
 	for slot := range r.memory.kind {
-		if r.vacant(slot) || !r.usable(j, int32(slot)) {
+		if r.empty(slot) || !r.usable(j, int32(slot)) {
 			continue
 		}
 		if r.kinds[r.memory.kind[slot]].capacity.Count(need, 1) > 0 {
@@ -493,7 +493,7 @@
 	r.plan.Reserved = j.Spec.UID
 }
 
-// vacant reports whether there is no machine in a slot.
-func (r *round) vacant(slot int) bool {
+// empty reports whether there is no machine in a slot.
+func (r *round) empty(slot int) bool {
 	return slot < r.view.Len() && r.view.nodes[slot].id == ""
 }
--- a/internal/sched/view.go
+++ b/internal/sched/view.go
@@ -21,7 +21,7 @@
 	levels   [maxLevels]int            // how many victims there are of each level
 	unsorted bool                      // slots are not in the order of IDs
 	inUse    int                       // kinds that were in use when they were last counted
-	vacant   int                       // slots without a machine
+	empty    int                       // slots without a machine
 	memory   memory
 }
 
@@ -143,11 +143,11 @@
 	v.countVictims(node.victims, -1)
 	*node = keptNode{}
 	delete(v.slots, id)
-	v.vacant++
+	v.empty++
 	// No vacant slot is last: a machine that is appended is compared with the one before.
 	for len(v.nodes) > 0 && v.nodes[len(v.nodes)-1].id == "" {
 		v.nodes = v.nodes[:len(v.nodes)-1]
-		v.vacant--
+		v.empty--
 	}
 	return true
 }
@@ -190,12 +190,12 @@
 // prepare brings the slots into the order of IDs, and gives up vacant slots and unused kinds
 // once they are many.
 func (v *View) prepare() {
-	if !v.unsorted && v.vacant <= len(v.slots)/2 && len(v.kinds.list) <= 2*v.inUse+unusedKinds {
+	if !v.unsorted && v.empty <= len(v.slots)/2 && len(v.kinds.list) <= 2*v.inUse+unusedKinds {
 		return
 	}
 	nodes := slices.DeleteFunc(v.nodes, func(k keptNode) bool { return k.id == "" })
 	slices.SortFunc(nodes, func(a, b keptNode) int { return cmp.Compare(a.id, b.id) })
-	v.nodes, v.unsorted, v.vacant = nodes, false, 0
+	v.nodes, v.unsorted, v.empty = nodes, false, 0
 	clear(v.images)
 	used := kinds{}
 	for slot := range nodes {
--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -14,10 +14,10 @@
 // Entry is one record or one view. The names of its fields are short, for they are sent
 // with each.
 type Entry struct {
-	Key     string `cbor:"k"`
-	Value   []byte `cbor:"v,omitempty"`
-	Stamp   uint64 `cbor:"s,omitempty"` // of a record; 0 for a view
-	Dropped bool   `cbor:"d,omitempty"`
+	Key         string `cbor:"k"`
+	Value       []byte `cbor:"v,omitempty"`
+	ModRevision uint64 `cbor:"s,omitempty"` // of a record; 0 for a view
+	Dropped     bool   `cbor:"d,omitempty"`
 }
 
 // recordPrefixes are the keys of the records that only the leader writes and that a new
@@ -40,9 +40,9 @@
 	var hash xxhash.Digest
 	hash.Reset()
 	_, _ = hash.WriteString(e.Key)
-	var stamp [9]byte // a zero byte ends the key
-	binary.LittleEndian.PutUint64(stamp[1:], e.Stamp)
-	_, _ = hash.Write(stamp[:])
+	var modRevision [9]byte // a zero byte ends the key
+	binary.LittleEndian.PutUint64(modRevision[1:], e.ModRevision)
+	_, _ = hash.Write(modRevision[:])
 	_, _ = hash.Write(e.Value)
 	return hash.Sum64()
 }
@@ -70,7 +70,7 @@
 func (e *editor) take(entry *Entry) {
 	key := []byte(entry.Key)
 	old, known := e.txn.Get(key)
-	if known && old.Stamp > entry.Stamp {
+	if known && old.ModRevision > entry.ModRevision {
 		return
 	}
 	if known {
@@ -106,7 +106,7 @@
 func (c contents) items(prefix string) []wire.KeyValue {
 	var rows []wire.KeyValue
 	c.tree.Root().WalkPrefix([]byte(prefix), func(_ []byte, entry *Entry) bool {
-		rows = append(rows, wire.KeyValue{Key: entry.Key, Value: entry.Value, ModRevision: entry.Stamp})
+		rows = append(rows, wire.KeyValue{Key: entry.Key, Value: entry.Value, ModRevision: entry.ModRevision})
 		return false
 	})
 	return rows
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -143,12 +143,12 @@
 	}
 }
 
-// NotHeard notes that no leader is reached: what is held grows old.
-func (f *Follower) NotHeard() {
+// LeaderNotReached notes that no leader is reached: what is held grows old.
+func (f *Follower) LeaderNotReached() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state == Following {
-		f.missed(errNotHeard)
+		f.missed(errLeaderNotReached)
 	}
 }
 
@@ -207,7 +207,7 @@
 	}
 }
 
-var errNotHeard = errors.New("no leader is reached")
+var errLeaderNotReached = errors.New("no leader is reached")
 
 var errNotOffered = errors.New("the leader offers nothing now")
 
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -42,14 +42,14 @@
 	if sum := h.recomputed(); sum != h.digest {
 		return nil, f.fail(fmt.Errorf("%w at %d", ErrDigest, h.sequence))
 	}
-	news, err := changesSince(ctx, r, h.position)
+	events, err := changesSince(ctx, r, h.position)
 	if errors.Is(err, store.ErrTooOld) {
 		return nil, f.fail(fmt.Errorf("%w: %d", ErrTooFarBehind, h.position))
 	}
 	if err != nil {
 		return nil, fmt.Errorf("changes after %d: %w", h.position, err)
 	}
-	p, err := prove(h, news)
+	p, err := prove(h, events)
 	if err != nil {
 		return nil, f.fail(err)
 	}
@@ -102,22 +102,22 @@
 		}()
 	}
 	wg.Wait()
-	var news []wire.WatchEvent
+	var events []wire.WatchEvent
 	for i := range changes {
-		news = append(news, changes[i].Events...)
+		events = append(events, changes[i].Events...)
 	}
-	return news, errors.Join(errs...)
+	return events, errors.Join(errs...)
 }
 
 // prove takes changes into a copy and lists what it then holds.
-func prove(h *held, news []wire.WatchEvent) (*Proven, error) {
+func prove(h *held, events []wire.WatchEvent) (*Proven, error) {
 	edit := h.edit()
-	for _, n := range news {
-		edit.take(&Entry{Key: n.Set + n.Drop, Value: n.Value, Stamp: n.ModRevision, Dropped: n.Drop != ""})
+	for _, n := range events {
+		edit.take(&Entry{Key: n.Set + n.Drop, Value: n.Value, ModRevision: n.ModRevision, Dropped: n.Drop != ""})
 	}
 	now := edit.contents()
 	p := &Proven{Pieces: now.items(ledger.PiecePrefix), Returns: now.items(ledger.ReturnsPrefix), Images: now.items(ledger.ImagesPrefix),
-		FollowedTerm: h.term, Position: h.position, Digest: h.digest, Changes: len(news)}
+		FollowedTerm: h.term, Position: h.position, Digest: h.digest, Changes: len(events)}
 	if err := now.views(p); err != nil {
 		return nil, err
 	}
--- a/internal/standby/service_test.go
+++ b/internal/standby/service_test.go
@@ -26,13 +26,13 @@
 
 // service is a fake state service that keeps its whole history.
 type service struct {
-	epoch uint64
-	items map[string]wire.KeyValue
-	log   []wire.WatchEvent
-	kept  uint64 // changes up to here are no longer kept
-	down  error
-	next  outcome // of the next commit
-	late  []wire.Transaction
+	revision uint64
+	items    map[string]wire.KeyValue
+	log      []wire.WatchEvent
+	kept     uint64 // changes up to here are no longer kept
+	down     error
+	next     outcome // of the next commit
+	late     []wire.Transaction
 }
 
 func newService() *service { return &service{items: map[string]wire.KeyValue{}} }
@@ -40,7 +40,7 @@
 // elect makes a new term.
 func (s *service) elect() uint64 {
 	s.apply(wire.Transaction{Changes: []wire.Change{{Set: ledger.LeaderKey, Value: []byte(`{}`)}}})
-	return s.epoch
+	return s.revision
 }
 
 func (s *service) apply(tx wire.Transaction) bool {
@@ -49,15 +49,15 @@
 			return false
 		}
 	}
-	s.epoch++
+	s.revision++
 	for _, c := range tx.Changes {
 		if c.Drop != "" {
 			delete(s.items, c.Drop)
-			s.log = append(s.log, wire.WatchEvent{Drop: c.Drop, ModRevision: s.epoch})
+			s.log = append(s.log, wire.WatchEvent{Drop: c.Drop, ModRevision: s.revision})
 			continue
 		}
-		s.items[c.Set] = wire.KeyValue{Key: c.Set, Value: c.Value, ModRevision: s.epoch}
-		s.log = append(s.log, wire.WatchEvent{Set: c.Set, Value: c.Value, ModRevision: s.epoch})
+		s.items[c.Set] = wire.KeyValue{Key: c.Set, Value: c.Value, ModRevision: s.revision}
+		s.log = append(s.log, wire.WatchEvent{Set: c.Set, Value: c.Value, ModRevision: s.revision})
 	}
 	return true
 }
@@ -90,7 +90,7 @@
 	if how == lostAnswer {
 		return 0, store.ErrUnknown
 	}
-	return s.epoch, nil
+	return s.revision, nil
 }
 
 func (s *service) Get(_ context.Context, key string) (wire.KeyValue, bool, error) {
@@ -105,7 +105,7 @@
 			rows = append(rows, s.items[key])
 		}
 	}
-	return rows, s.epoch, s.down
+	return rows, s.revision, s.down
 }
 
 func (s *service) Changes(_ context.Context, under string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
@@ -115,7 +115,7 @@
 	if after < s.kept {
 		return wire.WatchResponse{}, store.ErrTooOld
 	}
-	ch := wire.WatchResponse{Revision: s.epoch}
+	ch := wire.WatchResponse{Revision: s.revision}
 	for _, n := range s.log {
 		if n.ModRevision > after && strings.HasPrefix(n.Set+n.Drop, under) {
 			ch.Events = append(ch.Events, n)
--- a/internal/standby/size_test.go
+++ b/internal/standby/size_test.go
@@ -26,7 +26,7 @@
 	for _, machines := range []int{4096, 6000} {
 		views := &knowing{}
 		for i := range machines {
-			v := MachineView{Host: fmt.Sprintf("m-%06d", i), Address: "10.1.0.232:9000", Type: "g8", Zone: "zone-a", Session: 1, Images: []string{"image-1", "image-2"}}
+			v := MachineView{Host: fmt.Sprintf("m-%06d", i), Address: "10.1.0.232:9000", Type: "g8", Zone: "zone-a", Incarnation: 1, Images: []string{"image-1", "image-2"}}
 			e, err := v.Entry()
 			if err != nil {
 				t.Fatal(err)
@@ -36,7 +36,7 @@
 		largest := JobView{UID: "run-000001"}
 		var tasks []RunningTask
 		for i := range wire.MaxTasks {
-			tasks = append(tasks, RunningTask{Task: i, Try: 1 << 40, SinceS: int64(i) << 10})
+			tasks = append(tasks, RunningTask{Task: i, Attempt: 1 << 40, SinceS: int64(i) << 10})
 		}
 		if err := largest.SetRunning(tasks); err != nil {
 			t.Fatal(err)
--- a/internal/standby/source.go
+++ b/internal/standby/source.go
@@ -82,7 +82,7 @@
 	edit := s.contents.edit()
 	for _, rows := range lists {
 		for _, row := range rows {
-			entry := &Entry{Key: row.Key, Value: row.Value, Stamp: row.ModRevision}
+			entry := &Entry{Key: row.Key, Value: row.Value, ModRevision: row.ModRevision}
 			if isRecord(entry.Key) {
 				edit.take(entry)
 			}
@@ -229,7 +229,7 @@
 	for size := 0; len(t.keys) > 0 && size < partBytes; t.keys = t.keys[1:] {
 		entry, ok := t.contents.tree.Get([]byte(t.keys[0]))
 		if !ok {
-			entry = &Entry{Key: t.keys[0], Dropped: true, Stamp: ^uint64(0)}
+			entry = &Entry{Key: t.keys[0], Dropped: true, ModRevision: ^uint64(0)}
 		}
 		entries = append(entries, entry)
 		size += entry.size()
@@ -332,7 +332,7 @@
 	var entries []*Entry
 	for _, c := range tx.Changes {
 		if key := c.Set + c.Drop; isRecord(key) {
-			entries = append(entries, &Entry{Key: key, Value: c.Value, Stamp: revision, Dropped: c.Drop != ""})
+			entries = append(entries, &Entry{Key: key, Value: c.Value, ModRevision: revision, Dropped: c.Drop != ""})
 		}
 	}
 	s.mu.Lock()
@@ -346,8 +346,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if found {
-		s.take([]*Entry{{Key: key, Value: item.Value, Stamp: item.ModRevision}})
+		s.take([]*Entry{{Key: key, Value: item.Value, ModRevision: item.ModRevision}})
 	} else {
-		s.take([]*Entry{{Key: key, Dropped: true, Stamp: ^uint64(0)}})
+		s.take([]*Entry{{Key: key, Dropped: true, ModRevision: ^uint64(0)}})
 	}
 }
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -27,23 +27,23 @@
 
 // leader is a term's writer of records.
 type leader struct {
-	service *service
-	store   *Recorder
-	source  *Source
-	term    uint64
-	stamps  map[string]uint64 // of the records, as it knows them
+	service      *service
+	store        *Recorder
+	source       *Source
+	term         uint64
+	modRevisions map[string]uint64 // of the records, as it knows them
 }
 
 // newLeader is elected and reads what there is, as a controller does.
 func newLeader(s *service) *leader {
-	l := &leader{service: s, term: s.elect(), stamps: map[string]uint64{}}
+	l := &leader{service: s, term: s.elect(), modRevisions: map[string]uint64{}}
 	l.source = NewSource(l.term, []string{"n1", "n2"}, time.Minute)
 	l.store = NewRecorder(s, l.source)
 	var lists [][]wire.KeyValue
 	for _, prefix := range recordPrefixes {
 		rows, _, _ := s.List(context.Background(), prefix)
 		for _, row := range rows {
-			l.stamps[row.Key] = row.ModRevision
+			l.modRevisions[row.Key] = row.ModRevision
 		}
 		lists = append(lists, rows)
 	}
@@ -56,7 +56,7 @@
 func (l *leader) write(value string, drop bool, keys ...string) {
 	tx := wire.Transaction{Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: l.term}}}
 	for _, key := range keys {
-		tx.Compares = append(tx.Compares, wire.Compare{Key: key, ModRevision: l.stamps[key]})
+		tx.Compares = append(tx.Compares, wire.Compare{Key: key, ModRevision: l.modRevisions[key]})
 		change := wire.Change{Set: key, Value: []byte(value)}
 		if drop {
 			change = wire.Change{Drop: key}
@@ -66,14 +66,14 @@
 	revision, err := l.store.Commit(context.Background(), tx)
 	for _, key := range keys {
 		if err == nil {
-			l.stamps[key] = revision
+			l.modRevisions[key] = revision
 			if drop {
-				l.stamps[key] = 0
+				l.modRevisions[key] = 0
 			}
 			continue
 		}
 		item, _, _ := l.store.Get(context.Background(), key)
-		l.stamps[key] = item.ModRevision
+		l.modRevisions[key] = item.ModRevision
 	}
 }
 
@@ -170,11 +170,11 @@
 		t.Fatal(err)
 	}
 	sameAsListed(t, s, p)
-	l.stamps["p/run-1/000000"] = s.items["p/run-1/000000"].ModRevision
+	l.modRevisions["p/run-1/000000"] = s.items["p/run-1/000000"].ModRevision
 	l.term = s.items[ledger.LeaderKey].ModRevision
 	l.write("again", false, "p/run-1/000000")
-	if at := l.source.Status().Position; at != s.epoch {
-		t.Errorf("the position is %d once all is settled, expected %d", at, s.epoch)
+	if at := l.source.Status().Position; at != s.revision {
+		t.Errorf("the position is %d once all is settled, expected %d", at, s.revision)
 	}
 }
 
@@ -332,7 +332,7 @@
 		t.Fatal(err)
 	}
 	sameAsListed(t, s, p)
-	s.kept = s.epoch - 100
+	s.kept = s.revision - 100
 	if _, err := g.Prove(context.Background(), s, term); !errors.Is(err, ErrTooFarBehind) {
 		t.Errorf("proven with %v", err)
 	}
@@ -428,7 +428,7 @@
 		views.entries = append(views.entries, entry)
 	}
 	for i := range 300 {
-		v := MachineView{Host: fmt.Sprintf("m-%d", i), Zone: "a", Session: 3, Images: []string{"x"}}
+		v := MachineView{Host: fmt.Sprintf("m-%d", i), Zone: "a", Incarnation: 3, Images: []string{"x"}}
 		entry, _ := v.Entry()
 		views.entries = append(views.entries, entry)
 	}
--- a/internal/standby/views.go
+++ b/internal/standby/views.go
@@ -20,39 +20,39 @@
 // MachineView is what a leader knows of a machine from its reports and from the cloud.
 // Times are milliseconds of the time of day, 0 for none.
 type MachineView struct {
-	Host       string   `cbor:"1,keyasint"`
-	Address    string   `cbor:"2,keyasint,omitempty"`
-	Type       string   `cbor:"3,keyasint,omitempty"`
-	Zone       string   `cbor:"4,keyasint,omitempty"`
-	Spot       bool     `cbor:"5,keyasint,omitempty"`
-	Session    uint64   `cbor:"6,keyasint,omitempty"` // newest that has reported
-	Token      uint64   `cbor:"7,keyasint,omitempty"` // the leader's term, if the machine has reported with it
-	BornMs     int64    `cbor:"8,keyasint,omitempty"`
-	AvoidMs    int64    `cbor:"9,keyasint,omitempty"` // takes no launches until then
-	SpotNotice bool     `cbor:"10,keyasint,omitempty"`
-	Images     []string `cbor:"12,keyasint,omitempty"`
+	Host         string   `cbor:"1,keyasint"`
+	Address      string   `cbor:"2,keyasint,omitempty"`
+	Type         string   `cbor:"3,keyasint,omitempty"`
+	Zone         string   `cbor:"4,keyasint,omitempty"`
+	Spot         bool     `cbor:"5,keyasint,omitempty"`
+	Incarnation  uint64   `cbor:"6,keyasint,omitempty"` // newest that has reported
+	FencingToken uint64   `cbor:"7,keyasint,omitempty"` // the leader's term, if the machine has reported with it
+	BornMs       int64    `cbor:"8,keyasint,omitempty"`
+	AvoidMs      int64    `cbor:"9,keyasint,omitempty"` // takes no launches until then
+	SpotNotice   bool     `cbor:"10,keyasint,omitempty"`
+	Images       []string `cbor:"12,keyasint,omitempty"`
 }
 
 // JobView is what a leader knows of a job from reports.
 type JobView struct {
-	UID     string `cbor:"1,keyasint"`
-	Begun   bool   `cbor:"2,keyasint,omitempty"` // a task of it has run
-	Fails   int    `cbor:"3,keyasint,omitempty"` // how often in a row it was held back for failing
-	HoldMs  int64  `cbor:"4,keyasint,omitempty"` // it is not placed before
-	WaitMs  int64  `cbor:"5,keyasint,omitempty"` // since when nothing of it ran
-	Running []byte `cbor:"6,keyasint,omitempty"` // bitmap of its running tasks, see RunningTasks
+	UID         string `cbor:"1,keyasint"`
+	Begun       bool   `cbor:"2,keyasint,omitempty"` // a task of it has run
+	Fails       int    `cbor:"3,keyasint,omitempty"` // how often in a row it was held back for failing
+	NotBeforeMs int64  `cbor:"4,keyasint,omitempty"` // it is not placed before
+	WaitMs      int64  `cbor:"5,keyasint,omitempty"` // since when nothing of it ran
+	Running     []byte `cbor:"6,keyasint,omitempty"` // bitmap of its running tasks, see RunningTasks
 	// By running task, in order: the attempt, and since when it runs in seconds of the time
 	// of day after SinceS.
-	Tries  []uint64 `cbor:"7,keyasint,omitempty"`
-	SinceS int64    `cbor:"8,keyasint,omitempty"`
-	AfterS []uint32 `cbor:"9,keyasint,omitempty"`
+	Attempts []uint64 `cbor:"7,keyasint,omitempty"`
+	SinceS   int64    `cbor:"8,keyasint,omitempty"`
+	AfterS   []uint32 `cbor:"9,keyasint,omitempty"`
 }
 
 // RunningTask is a task that has been reported running.
 type RunningTask struct {
-	Task   int
-	Try    uint64
-	SinceS int64 // seconds of the time of day
+	Task    int
+	Attempt uint64
+	SinceS  int64 // seconds of the time of day
 }
 
 // SetRunning keeps the running tasks, which must be in order.
@@ -67,7 +67,7 @@
 	}
 	for _, t := range tasks {
 		set.Add(uint32(t.Task))
-		v.Tries = append(v.Tries, t.Try)
+		v.Attempts = append(v.Attempts, t.Attempt)
 		v.AfterS = append(v.AfterS, uint32(t.SinceS-v.SinceS))
 	}
 	set.RunOptimize()
@@ -91,12 +91,12 @@
 	if err := set.Validate(); err != nil {
 		return nil, fmt.Errorf("%w: tasks of %s: %w", ErrUndecodable, v.UID, err)
 	}
-	if n := int(set.GetCardinality()); n != len(v.Tries) || n != len(v.AfterS) {
-		return nil, fmt.Errorf("%w: %d tasks of %s have %d tries", ErrUndecodable, n, v.UID, len(v.Tries))
+	if n := int(set.GetCardinality()); n != len(v.Attempts) || n != len(v.AfterS) {
+		return nil, fmt.Errorf("%w: %d tasks of %s have %d tries", ErrUndecodable, n, v.UID, len(v.Attempts))
 	}
 	var tasks []RunningTask
 	for i, task := range set.ToArray() {
-		tasks = append(tasks, RunningTask{int(task), v.Tries[i], v.SinceS + int64(v.AfterS[i])})
+		tasks = append(tasks, RunningTask{int(task), v.Attempts[i], v.SinceS + int64(v.AfterS[i])})
 	}
 	return tasks, nil
 }
--- a/internal/standin/day_test.go
+++ b/internal/standin/day_test.go
@@ -126,7 +126,7 @@
 		cfg.Cluster.Teams = d.teams
 	}
 	if d.relayConnections > 0 {
-		cfg.RelayCheckIns, cfg.Cluster.Limits.MaxConnections = !d.old[i], d.relayConnections
+		cfg.RelayHeartbeats, cfg.Cluster.Limits.MaxConnections = !d.old[i], d.relayConnections
 	}
 	cfg.WarmStandby = d.standby && !d.old[i]
 	l := labels[i]
@@ -135,14 +135,14 @@
 	if d.old[i] {
 		state = silentRelease{state}
 	}
-	n := api.New(cfg, api.Network{State: state, Cloud: d.net.Port(l), Workers: d.net.Port(l), Mesh: d.net.Mesh(l + ":81")})
+	n := api.New(cfg, api.Network{State: state, Cloud: d.net.Port(l), Workers: d.net.Port(l), DialPeer: d.net.DialPeer(l + ":81")})
 	srv, err := peer.NewServer(release{Handler: n, d: d, node: i})
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	users := n.Handler()
 	if d.old[i] {
-		users = withoutAwaits(users)
+		users = withoutDependencies(users)
 	}
 	d.net.Attach(l, users, nil)
 	d.net.Attach(l+":81", n.Handler(), srv)
@@ -392,7 +392,7 @@
 // A zone is left with one controller that has lost the state service. A job
 // that is withdrawn meanwhile must be gone within cancel_s: that controller
 // stops to keep leases in time, although nothing tells it of the withdrawal.
-func TestWithdrawnTasksDieBehindACut(t *testing.T) {
+func TestCancelledTasksDieBehindACut(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		d := newDay(t, 1)
--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -30,8 +30,8 @@
 	w.answered(uid, asked, status, v)
 }
 
-// Withdraw asks a node to cancel a job and reports whether it answered.
-func (w *World) Withdraw(node, uid string) bool {
+// Cancel asks a node to cancel a job and reports whether it answered.
+func (w *World) Cancel(node, uid string) bool {
 	w.mu.Lock()
 	w.asked[uid] = true
 	w.mu.Unlock()
--- a/internal/standin/meetings_test.go
+++ b/internal/standin/meetings_test.go
@@ -105,7 +105,7 @@
 	for i := range jobs {
 		go func() {
 			for end := time.Now().Add(long); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-				if d.w.Withdraw(node, fmt.Sprintf("run-%06d", i)) {
+				if d.w.Cancel(node, fmt.Sprintf("run-%06d", i)) {
 					return
 				}
 			}
@@ -185,7 +185,7 @@
 
 // A leader that the state service refuses, alone, learns of a withdrawal from the
 // node that confirmed it: the tasks are gone in seconds, not with their leases.
-func TestWithdrawalsAreTold(t *testing.T) {
+func TestCancellationsAreTold(t *testing.T) {
 	t.Parallel()
 	inDay(t, func(d *day) {
 		spec, _ := replicas(0)(1, rand.New(rand.NewPCG(1, 1)))
@@ -767,8 +767,8 @@
 		step("not_done", 200, wire.JobDone, poll(0))
 		step("went_back", 200, wire.JobQueued, poll(0))
 		step("went_back", 200, wire.JobAborted, poll(1)) // nobody cancelled it
-		step("went_back", 200, wire.JobRunning, func() { w.Withdraw("n0", jobs[2].UID) })
-		step("", 200, wire.JobAborted, func() { w.Withdraw("n0", jobs[2].UID); time.Sleep(time.Second) })
+		step("went_back", 200, wire.JobRunning, func() { w.Cancel("n0", jobs[2].UID) })
+		step("", 200, wire.JobAborted, func() { w.Cancel("n0", jobs[2].UID); time.Sleep(time.Second) })
 		step("went_back", 200, wire.JobRunning, func() { w.CloseLook(jobs[2].UID) })
 		w.Upload(jobs[3])
 		step("", 201, wire.JobQueued, submit(3))
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -17,17 +17,17 @@
 
 // Network carries requests between the parties of a day, by name.
 type Network struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	hosts  map[string]http.Handler
-	meshes map[string]*rpc.Server
-	conns  map[string][]net.Conn
-	cut    map[[2]string]bool // requests from, to hang
-	mute   map[[2]string]bool // answers to requests from, to are lost
-	refuse map[[2]string]bool // answered 503
-	block  map[[2]string]bool // requests from, to are lost
-	still  map[string]chan struct{}
-	late   float64 // share of lost requests that are carried out later
+	mu          sync.Mutex
+	rng         *rand.Rand
+	hosts       map[string]http.Handler
+	peerServers map[string]*rpc.Server
+	conns       map[string][]net.Conn
+	cut         map[[2]string]bool // requests from, to hang
+	mute        map[[2]string]bool // answers to requests from, to are lost
+	refuse      map[[2]string]bool // answered 503
+	block       map[[2]string]bool // requests from, to are lost
+	still       map[string]chan struct{}
+	late        float64 // share of lost requests that are carried out later
 
 	slow       time.Duration // what every request and answer takes more, at most
 	lateWrites float64       // share of commits that get no answer
@@ -38,7 +38,7 @@
 
 // NewNetwork makes a network that is whole.
 func NewNetwork(rng *rand.Rand) *Network {
-	return &Network{rng: rng, hosts: map[string]http.Handler{}, meshes: map[string]*rpc.Server{}, conns: map[string][]net.Conn{},
+	return &Network{rng: rng, hosts: map[string]http.Handler{}, peerServers: map[string]*rpc.Server{}, conns: map[string][]net.Conn{},
 		cut: map[[2]string]bool{}, mute: map[[2]string]bool{}, refuse: map[[2]string]bool{}, block: map[[2]string]bool{}, still: map[string]chan struct{}{}, late: 0.5}
 }
 
@@ -57,10 +57,10 @@
 }
 
 // Attach lets a party answer under a name; nil takes it off.
-func (n *Network) Attach(name string, h http.Handler, mesh *rpc.Server) {
+func (n *Network) Attach(name string, h http.Handler, peerServer *rpc.Server) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.hosts[name], n.meshes[name] = h, mesh
+	n.hosts[name], n.peerServers[name] = h, peerServer
 	if h == nil {
 		for _, c := range n.conns[name] {
 			c.Close()
@@ -355,12 +355,12 @@
 	return n.refuse[link]
 }
 
-// Mesh dials between controllers as one of them.
-func (n *Network) Mesh(from string) func(addr string, timeout time.Duration) (net.Conn, error) {
+// DialPeer dials between controllers as one of them.
+func (n *Network) DialPeer(from string) func(addr string, timeout time.Duration) (net.Conn, error) {
 	return func(addr string, timeout time.Duration) (net.Conn, error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		srv := n.meshes[addr]
+		srv := n.peerServers[addr]
 		if srv == nil || n.cut[[2]string{from, addr}] {
 			return nil, errNoAnswer
 		}
--- a/internal/standin/pipelines_test.go
+++ b/internal/standin/pipelines_test.go
@@ -25,9 +25,9 @@
 }
 
 // stage is a short array without GPUs, as pipelines are made of.
-func stage(i, tasks int, awaits ...string) wire.JobSpec {
+func stage(i, tasks int, dependencies ...string) wire.JobSpec {
 	return wire.JobSpec{UID: fmt.Sprintf("run-%06d", i), JobClass: "stage", Team: "free", Kind: wire.JobArray, Priority: wire.BestEffort, TaskCount: tasks,
-		Cores: 1, RAMGb: 1, Image: "img-s", ImageGb: 0.5, ExpectedRunS: 3, Dependencies: awaits}
+		Cores: 1, RAMGb: 1, Image: "img-s", ImageGb: 0.5, ExpectedRunS: 3, Dependencies: dependencies}
 }
 
 // pipeline submits the four stages of a diamond, each as soon as those that it needs
@@ -165,7 +165,7 @@
 					return
 				}
 				if cancelled {
-					time.AfterFunc(gap-time.Duration(i%5)*time.Millisecond, func() { d.w.Withdraw(labels[i%3], first.UID) })
+					time.AfterFunc(gap-time.Duration(i%5)*time.Millisecond, func() { d.w.Cancel(labels[i%3], first.UID) })
 				}
 				time.Sleep(gap)
 				if d.w.SubmitUntil(second, deadline) {
@@ -351,7 +351,7 @@
 				}
 				time.Sleep(5 * time.Second)
 				tc.before(d)
-				for i := 0; !d.w.Withdraw(labels[i%3], first.UID); i++ {
+				for i := 0; !d.w.Cancel(labels[i%3], first.UID); i++ {
 					time.Sleep(10 * time.Millisecond)
 				}
 				tc.after(d)
@@ -408,7 +408,7 @@
 		d.expect(201, "n0", "POST", "/work", body(wrong))
 		d.w.Submit("n0", second)
 		time.Sleep(10 * time.Second)
-		d.w.Withdraw("n0", first.UID)
+		d.w.Cancel("n0", first.UID)
 		blocked := stage(3, 1, first.UID)
 		blocked.Cores, blocked.Dependencies = 30, nil
 		d.w.Upload(stage(3, 1, first.UID))
--- a/internal/standin/relays_test.go
+++ b/internal/standin/relays_test.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	cfg.RelayCheckIns = s.relays
+	cfg.RelayHeartbeats = s.relays
 	cfg.Cluster.Limits.MaxConnections = 72 // relayed above 36 workers; 18 of them at the leader, 36 at a follower
 	return cfg
 }
@@ -106,7 +106,7 @@
 func (s *site) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := s.labels[i]
-	n := api.New(s.config(i), api.Network{State: s.net.Port(l), Cloud: s.net.Port(l), Workers: s.net.Port(l), Mesh: s.net.Mesh(l + ":81")})
+	n := api.New(s.config(i), api.Network{State: s.net.Port(l), Cloud: s.net.Port(l), Workers: s.net.Port(l), DialPeer: s.net.DialPeer(l + ":81")})
 	srv, err := peer.NewServer(n)
 	if err != nil {
 		s.t.Fatal(err)
--- a/internal/standin/release_test.go
+++ b/internal/standin/release_test.go
@@ -44,27 +44,27 @@
 // User answers a request that a peer passes on.
 func (r release) User(a peer.UserArgs) peer.UserReply {
 	if r.d.old[r.node] {
-		a.Body = dropAwaits(a.Body)
+		a.Body = dropDependencies(a.Body)
 	}
 	return r.Handler.User(a)
 }
 
-// withoutAwaits answers users as the release before, which ignores Awaits.
-func withoutAwaits(h http.Handler) http.Handler {
+// withoutDependencies answers users as the release before, which ignores Awaits.
+func withoutDependencies(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		body = dropAwaits(body)
+		body = dropDependencies(body)
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 		h.ServeHTTP(w, r)
 	})
 }
 
-// dropAwaits takes Awaits out of a submission.
-func dropAwaits(body []byte) []byte {
+// dropDependencies takes Awaits out of a submission.
+func dropDependencies(body []byte) []byte {
 	fields := map[string]json.RawMessage{}
 	if json.Unmarshal(body, &fields) != nil || fields["Awaits"] == nil {
 		return body
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -19,27 +19,27 @@
 
 // State is the state service.
 type State struct {
-	mu      sync.Mutex
-	epoch   uint64
-	permit  uint64
-	items   map[string]wire.KeyValue
-	log     []wire.WatchEvent
-	holds   map[uint64]*hold
-	waiters map[chan struct{}]bool
-	down    bool
-	limits  stateLimits
-	Writes  int
-	Judge   func(tx wire.Transaction) // looks at every commit that is applied
+	mu       sync.Mutex
+	revision uint64
+	leaseID  uint64
+	items    map[string]wire.KeyValue
+	log      []wire.WatchEvent
+	leases   map[uint64]*lease
+	waiters  map[chan struct{}]bool
+	down     bool
+	limits   stateLimits
+	Writes   int
+	Judge    func(tx wire.Transaction) // looks at every commit that is applied
 }
 
-type hold struct {
+type lease struct {
 	ttl  time.Duration
 	ends time.Time
 }
 
 // NewState makes an empty store.
 func NewState() *State {
-	return &State{items: map[string]wire.KeyValue{}, holds: map[uint64]*hold{}, waiters: map[chan struct{}]bool{}}
+	return &State{items: map[string]wire.KeyValue{}, leases: map[uint64]*lease{}, waiters: map[chan struct{}]bool{}}
 }
 
 // SetDown begins or ends an outage. Its end gives all holds their full time.
@@ -48,7 +48,7 @@
 	defer s.mu.Unlock()
 	s.expire()
 	s.down = down
-	for _, h := range s.holds {
+	for _, h := range s.leases {
 		h.ends = time.Now().Add(h.ttl)
 	}
 }
@@ -59,20 +59,20 @@
 		return
 	}
 	now := time.Now()
-	for id, h := range s.holds {
+	for id, h := range s.leases {
 		if now.After(h.ends) {
-			s.endHold(id)
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *State) endHold(id uint64) {
-	delete(s.holds, id)
+func (s *State) endLease(id uint64) {
+	delete(s.leases, id)
 	for key, it := range s.items {
 		if it.LeaseID == id {
-			s.epoch++
+			s.revision++
 			delete(s.items, key)
-			s.note(wire.WatchEvent{Drop: key, ModRevision: s.epoch})
+			s.note(wire.WatchEvent{Drop: key, ModRevision: s.revision})
 		}
 	}
 }
@@ -97,7 +97,9 @@
 	}
 }
 
-type epochReply struct{ Epoch uint64 }
+type revisionReply struct {
+	Revision uint64 `json:"Epoch"`
+}
 
 // ServeHTTP answers the protocol of the state service.
 func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -126,7 +128,7 @@
 		if it, ok := s.items[strings.TrimPrefix(r.URL.Path, "/kv/")]; ok {
 			reply(w, http.StatusOK, it)
 		} else {
-			reply(w, http.StatusNotFound, epochReply{s.epoch})
+			reply(w, http.StatusNotFound, revisionReply{s.revision})
 		}
 	case r.URL.Path == "/commit":
 		s.commit(w, r)
@@ -136,18 +138,18 @@
 			reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 			return
 		}
-		s.permit++
+		s.leaseID++
 		ttl := time.Duration(h.TTLMs) * time.Millisecond
-		s.holds[s.permit] = &hold{ttl, time.Now().Add(ttl)}
-		reply(w, http.StatusOK, wire.Lease{LeaseID: s.permit})
+		s.leases[s.leaseID] = &lease{ttl, time.Now().Add(ttl)}
+		reply(w, http.StatusOK, wire.Lease{LeaseID: s.leaseID})
 	case strings.HasPrefix(r.URL.Path, "/holds/"):
 		id, _ := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(r.URL.Path, "/holds/"), "/touch"), 10, 64)
-		h := s.holds[id]
+		h := s.leases[id]
 		switch {
 		case h == nil:
 			reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such lease"})
 		case r.Method == http.MethodDelete:
-			s.endHold(id)
+			s.endLease(id)
 			reply(w, http.StatusOK, struct{}{})
 		default:
 			h.ends = time.Now().Add(h.ttl)
@@ -171,7 +173,7 @@
 		}
 	}
 	sort.Strings(keys)
-	out := wire.KeyValueList{Revision: s.epoch, More: len(keys) > most, KeyValues: []wire.KeyValue{}}
+	out := wire.KeyValueList{Revision: s.revision, More: len(keys) > most, KeyValues: []wire.KeyValue{}}
 	for _, k := range keys[:min(most, len(keys))] {
 		out.KeyValues = append(out.KeyValues, s.items[k])
 	}
@@ -193,12 +195,12 @@
 		return
 	}
 	for _, c := range tx.Changes {
-		if c.LeaseID != 0 && s.holds[c.LeaseID] == nil {
+		if c.LeaseID != 0 && s.leases[c.LeaseID] == nil {
 			reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"})
 			return
 		}
 	}
-	out := wire.TransactionResponse{Revision: s.epoch}
+	out := wire.TransactionResponse{Revision: s.revision}
 	for _, g := range tx.Compares {
 		if s.items[g.Key].ModRevision != g.ModRevision {
 			out.Failed = append(out.Failed, g.Key)
@@ -212,21 +214,21 @@
 		s.Judge(tx)
 	}
 	if len(tx.Changes) > 0 {
-		s.epoch++
+		s.revision++
 		s.Writes += len(tx.Changes)
 	}
 	for _, c := range tx.Changes {
 		if c.Drop != "" {
 			if _, ok := s.items[c.Drop]; ok {
 				delete(s.items, c.Drop)
-				s.note(wire.WatchEvent{Drop: c.Drop, ModRevision: s.epoch})
+				s.note(wire.WatchEvent{Drop: c.Drop, ModRevision: s.revision})
 			}
 			continue
 		}
-		s.items[c.Set] = wire.KeyValue{Key: c.Set, Value: c.Value, ModRevision: s.epoch, LeaseID: c.LeaseID}
-		s.note(wire.WatchEvent{Set: c.Set, Value: c.Value, ModRevision: s.epoch})
+		s.items[c.Set] = wire.KeyValue{Key: c.Set, Value: c.Value, ModRevision: s.revision, LeaseID: c.LeaseID}
+		s.note(wire.WatchEvent{Set: c.Set, Value: c.Value, ModRevision: s.revision})
 	}
-	out.Revision = s.epoch
+	out.Revision = s.revision
 	reply(w, http.StatusOK, out)
 }
 
@@ -239,7 +241,7 @@
 	for {
 		s.mu.Lock()
 		s.expire()
-		out := wire.WatchResponse{Revision: s.epoch}
+		out := wire.WatchResponse{Revision: s.revision}
 		for _, n := range s.log {
 			if n.ModRevision > after && (strings.HasPrefix(n.Set, q.Get("Under")) && n.Set != "" || strings.HasPrefix(n.Drop, q.Get("Under")) && n.Drop != "") {
 				out.Events = append(out.Events, n)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -40,8 +40,8 @@
 }
 
 type taskKey struct {
-	name string
-	try  uint64
+	name    string
+	attempt uint64
 }
 
 type workerTask struct {
@@ -129,7 +129,7 @@
 	k.node = k.w.Net.Chance(len(k.w.Nodes))
 	k.mu.Unlock()
 	go k.work()
-	for k.awaitReport() && k.pause(k.hang()) {
+	for k.waitForHeartbeat() && k.pause(k.hang()) {
 		for !k.report() {
 			// The next node is tried 1 s later.
 			if !k.pause(time.Second) || !k.pause(k.hang()) {
@@ -139,9 +139,9 @@
 	}
 }
 
-// awaitReport waits until a report is due. It returns false if the machine has ended.
-func (k *Worker) awaitReport() bool {
-	every := k.w.Cfg.ReportEvery()
+// waitForHeartbeat waits until a report is due. It returns false if the machine has ended.
+func (k *Worker) waitForHeartbeat() bool {
+	every := k.w.Cfg.HeartbeatInterval()
 	next := every*3/4 + time.Duration(k.w.Net.Chance(int(every/2)))
 	select {
 	case <-k.stop:
@@ -178,7 +178,7 @@
 	k.sequence++
 	r := wire.Heartbeat{Host: k.Host, Address: k.Address, MachineType: k.MachineType, Zone: k.Zone, Spot: k.Spot, Incarnation: k.session, Sequence: k.sequence, FencingToken: k.token, Tasks: []wire.TaskReport{}}
 	for key, l := range k.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: key.name, Attempt: key.try, Status: l.status, Cause: l.cause, Checkpointed: l.kept})
+		r.Tasks = append(r.Tasks, wire.TaskReport{Task: key.name, Attempt: key.attempt, Status: l.status, Cause: l.cause, Checkpointed: l.kept})
 	}
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -332,7 +332,7 @@
 
 // mind ends the session if its lease has ended. k.mu is held.
 func (k *Worker) mind(now time.Time) {
-	if now.Sub(k.answered) <= k.w.Cfg.Lease() {
+	if now.Sub(k.answered) <= k.w.Cfg.WorkerLease() {
 		return
 	}
 	off := k.killAll()
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -184,9 +184,9 @@
 }
 
 // judgeLaunch checks that a launch was recorded before it was sent.
-func (w *World) judgeLaunch(name string, try uint64, host string) {
-	if !w.recorded(name, try, host) {
-		w.rule("unrecorded", "%s try %d is launched on %s without a record", name, try, host)
+func (w *World) judgeLaunch(name string, attempt uint64, host string) {
+	if !w.recorded(name, attempt, host) {
+		w.rule("unrecorded", "%s try %d is launched on %s without a record", name, attempt, host)
 	}
 }
 
@@ -205,15 +205,15 @@
 
 // judgeReap checks that an end was recorded before the task is forgotten. What
 // is withdrawn is never launched again and needs no such record.
-func (w *World) judgeReap(name string, try uint64, host string) {
+func (w *World) judgeReap(name string, attempt uint64, host string) {
 	uid, _, _ := wire.SplitTaskName(name)
 	item, ok := w.State.Get(ledger.JobKey(uid))
-	if ok && !bytes.Contains(item.Value, []byte(wire.JobAborted)) && w.recorded(name, try, host) {
-		w.rule("reaped", "%s try %d is reaped on %s, but its record says it may run", name, try, host)
+	if ok && !bytes.Contains(item.Value, []byte(wire.JobAborted)) && w.recorded(name, attempt, host) {
+		w.rule("reaped", "%s try %d is reaped on %s, but its record says it may run", name, attempt, host)
 	}
 }
 
-func (w *World) recorded(name string, try uint64, host string) bool {
+func (w *World) recorded(name string, attempt uint64, host string) bool {
 	uid, n, _ := wire.SplitTaskName(name)
 	for _, item := range w.State.Items(ledger.PiecePrefix + uid + "/") {
 		rec, err := ledger.DecodePiece(item.Value)
@@ -221,7 +221,7 @@
 			panic(err)
 		}
 		for _, p := range rec.Live {
-			if p.Task == n && p.Try == try && p.Host == host {
+			if p.Task == n && p.Attempt == attempt && p.Host == host {
 				return true
 			}
 		}
@@ -298,7 +298,7 @@
 		}
 		w.done[uid][n] = true
 		if w.CancelAtEnd && len(w.done[uid]) == w.specs[uid].TaskCount {
-			go w.Withdraw(w.Nodes[len(uid)%len(w.Nodes)], uid)
+			go w.Cancel(w.Nodes[len(uid)%len(w.Nodes)], uid)
 		}
 	}
 }
@@ -563,7 +563,7 @@
 				return
 			}
 		} else if stay > 0 && time.Now().After(leaveAt) {
-			if !w.Withdraw(w.node(), spec.UID) {
+			if !w.Cancel(w.node(), spec.UID) {
 				time.Sleep(time.Second) // it may have been carried out all the same
 			}
 			continue
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -31,8 +31,8 @@
 	ErrThrottled = fmt.Errorf("%w: too many requests", ErrRefused)
 	// ErrUnknown: the service may have executed the request, or may do so later.
 	ErrUnknown = errors.New("outcome at the state service is unknown")
-	// ErrNoHold: the hold has ended.
-	ErrNoHold = errors.New("no such hold")
+	// ErrLeaseNotFound: the hold has ended.
+	ErrLeaseNotFound = errors.New("no such hold")
 	// ErrPage: a page of a listing does not follow on the one before.
 	ErrPage = errors.New("page of a listing is not in order")
 	// ErrTooOld: a watch asked for changes that are no longer kept.
@@ -65,16 +65,16 @@
 
 // Client is a client of the state service. It is safe for concurrent use.
 type Client struct {
-	base    string
-	http    *http.Client
-	timeout time.Duration
-	reqs    *rate.Limiter
-	writes  *rate.Limiter // for records: they wait their turn
-	users   *rate.Limiter // for what users ask to change: it never waits
-	shared  *aimd.Limiter // for reads that answer many users at once
-	lookups *aimd.Limiter // for reads of single records that answer users
-	proven  atomic.Int64  // start of the last answered request, as time since epoch
-	epoch   time.Time
+	base     string
+	http     *http.Client
+	timeout  time.Duration
+	reqs     *rate.Limiter
+	writes   *rate.Limiter // for records: they wait their turn
+	users    *rate.Limiter // for what users ask to change: it never waits
+	shared   *aimd.Limiter // for reads that answer many users at once
+	lookups  *aimd.Limiter // for reads of single records that answer users
+	proven   atomic.Int64  // start of the last answered request, as time since epoch
+	revision time.Time
 	// rejections counts commits that were answered 400.
 	rejections atomic.Uint64
 	throttled  atomic.Uint64 // answers that the service gets too many requests
@@ -125,15 +125,15 @@
 func New(addr string, limits Limits, timeout time.Duration, rt http.RoundTripper) *Client {
 	limiter := func(perS float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(perS), max(1, int(perS))) }
 	return &Client{
-		base:    "http://" + addr,
-		timeout: timeout,
-		http:    &http.Client{Transport: rt},
-		reqs:    limiter(limits.Rps * RequestShare),
-		writes:  limiter(limits.WriteRps * RecordShare),
-		users:   limiter(limits.WriteRps * userShare),
-		shared:  aimd.New(limits.Rps * sharedReadShare / float64(max(1, limits.Nodes))),
-		lookups: aimd.New(limits.Rps * lookupShare / float64(max(1, limits.Nodes))),
-		epoch:   time.Now(),
+		base:     "http://" + addr,
+		timeout:  timeout,
+		http:     &http.Client{Transport: rt},
+		reqs:     limiter(limits.Rps * RequestShare),
+		writes:   limiter(limits.WriteRps * RecordShare),
+		users:    limiter(limits.WriteRps * userShare),
+		shared:   aimd.New(limits.Rps * sharedReadShare / float64(max(1, limits.Nodes))),
+		lookups:  aimd.New(limits.Rps * lookupShare / float64(max(1, limits.Nodes))),
+		revision: time.Now(),
 	}
 }
 
@@ -144,12 +144,12 @@
 	if p == 0 {
 		return time.Duration(1<<62 - 1)
 	}
-	return time.Since(c.epoch) - time.Duration(p)
+	return time.Since(c.revision) - time.Duration(p)
 }
 
 // prove records that a request begun at start was executed.
 func (c *Client) prove(start time.Time) {
-	at := int64(start.Sub(c.epoch))
+	at := int64(start.Sub(c.revision))
 	for {
 		old := c.proven.Load()
 		if old >= at || c.proven.CompareAndSwap(old, max(at, 1)) {
@@ -232,7 +232,7 @@
 // whoever watches from there sees every later change.
 func (c *Client) List(ctx context.Context, under string) ([]wire.KeyValue, uint64, error) {
 	var rows []wire.KeyValue
-	var epoch uint64
+	var revision uint64
 	after := ""
 	for {
 		q := url.Values{"Under": {under}, "Most": {strconv.Itoa(PageSize)}}
@@ -250,8 +250,8 @@
 		if err := wire.Decode(data, &page); err != nil {
 			return nil, 0, fmt.Errorf("list %s: %w", under, err)
 		}
-		if epoch == 0 {
-			epoch = page.Revision
+		if revision == 0 {
+			revision = page.Revision
 		}
 		if err := checkPage(&page, under, after); err != nil {
 			c.refused.Add(1)
@@ -259,7 +259,7 @@
 		}
 		rows = append(rows, page.KeyValues...)
 		if !page.More {
-			return rows, epoch, nil
+			return rows, revision, nil
 		}
 		after = page.KeyValues[len(page.KeyValues)-1].Key
 	}
@@ -288,7 +288,7 @@
 // link, it says nothing: giving up would only add requests.
 func (c *Client) overtaken(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	begun := time.Since(c.epoch)
+	begun := time.Since(c.revision)
 	patience := c.timeout / overtakenShare
 	var look func()
 	var mu sync.Mutex
@@ -314,7 +314,7 @@
 }
 
 // Transaction applies a guarded transaction and returns its epoch. Its error is a
-// *ConflictError, *BusyError, *RejectedError, ErrNoHold, ErrRefused (nothing happened) or
+// *ConflictError, *BusyError, *RejectedError, ErrLeaseNotFound, ErrRefused (nothing happened) or
 // ErrUnknown.
 func (c *Client) Commit(ctx context.Context, tx wire.Transaction) (uint64, error) {
 	if n := len(tx.Changes); n > 0 {
@@ -344,7 +344,7 @@
 		return reply.Revision, nil
 	case http.StatusBadRequest:
 		if bytes.Contains(data, []byte("lease")) || bytes.Contains(data, []byte("hold")) {
-			return 0, fmt.Errorf("commit: %w", ErrNoHold)
+			return 0, fmt.Errorf("commit: %w", ErrLeaseNotFound)
 		}
 		c.rejections.Add(1)
 		return 0, fmt.Errorf("commit: %w", &RejectedError{Keys: changedKeys(tx), Detail: string(data)})
@@ -371,10 +371,10 @@
 func (c *Client) RefusedPages() uint64 { return c.refused.Load() }
 
 // Changes waits up to hold for changes under a prefix after an epoch.
-func (c *Client) Changes(ctx context.Context, under string, after uint64, hold time.Duration) (wire.WatchResponse, error) {
+func (c *Client) Changes(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error) {
 	q := url.Values{"Under": {under}, "After": {strconv.FormatUint(after, 10)},
-		"HoldMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
-	status, data, err := c.call(ctx, http.MethodGet, "/changes?"+q.Encode(), nil, hold)
+		"HoldMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
+	status, data, err := c.call(ctx, http.MethodGet, "/changes?"+q.Encode(), nil, wait)
 	if err != nil {
 		return wire.WatchResponse{}, fmt.Errorf("watch %s: %w", under, err)
 	}
@@ -391,8 +391,8 @@
 	return wire.WatchResponse{}, fmt.Errorf("watch %s: status %d", under, status)
 }
 
-// OpenHold opens a hold that ends unless it is touched within ttl.
-func (c *Client) OpenHold(ctx context.Context, ttl time.Duration) (uint64, error) {
+// GrantLease opens a hold that ends unless it is touched within ttl.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	status, data, err := c.call(ctx, http.MethodPost, "/holds", wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, 0)
 	if err != nil {
 		return 0, fmt.Errorf("open hold: %w", err)
@@ -407,9 +407,9 @@
 	return h.LeaseID, nil
 }
 
-// TouchHold renews a hold.
-func (c *Client) TouchHold(ctx context.Context, permit uint64) error {
-	status, _, err := c.call(ctx, http.MethodPost, "/holds/"+strconv.FormatUint(permit, 10)+"/touch", nil, 0)
+// RenewLease renews a hold.
+func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
+	status, _, err := c.call(ctx, http.MethodPost, "/holds/"+strconv.FormatUint(leaseID, 10)+"/touch", nil, 0)
 	if err != nil {
 		return fmt.Errorf("touch hold: %w", err)
 	}
@@ -417,14 +417,14 @@
 	case http.StatusOK, http.StatusNoContent:
 		return nil
 	case http.StatusNotFound:
-		return fmt.Errorf("touch hold: %w", ErrNoHold)
+		return fmt.Errorf("touch hold: %w", ErrLeaseNotFound)
 	}
 	return fmt.Errorf("touch hold: status %d", status)
 }
 
-// CloseHold ends a hold at once.
-func (c *Client) CloseHold(ctx context.Context, permit uint64) error {
-	_, _, err := c.call(ctx, http.MethodDelete, "/holds/"+strconv.FormatUint(permit, 10), nil, 0)
+// RevokeLease ends a hold at once.
+func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
+	_, _, err := c.call(ctx, http.MethodDelete, "/holds/"+strconv.FormatUint(leaseID, 10), nil, 0)
 	if err != nil {
 		return fmt.Errorf("close hold: %w", err)
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -78,7 +78,7 @@
 		ask  func(c *Client) error
 		cut  bool
 	}{
-		{"a hold", func(c *Client) error { return c.TouchHold(Urgent(t.Context()), 1) }, true},
+		{"a hold", func(c *Client) error { return c.RenewLease(Urgent(t.Context()), 1) }, true},
 		{"a question", func(c *Client) error { _, _, err := c.Get(Lookup(t.Context()), "f/run-000001"); return err }, true},
 		{"a question by a transaction", func(c *Client) error {
 			_, err := c.Commit(Lookup(t.Context()), wire.Transaction{Compares: guards})
--- a/wire/awaits.go
+++ b/wire/awaits.go
@@ -6,31 +6,31 @@
 	"slices"
 )
 
-// parseAwaits checks the ids of the jobs that a job waits for. An id that is
+// parseDependencies checks the ids of the jobs that a job waits for. An id that is
 // repeated counts once.
-func parseAwaits(ids []string) ([]string, error) {
-	var awaits []string
+func parseDependencies(ids []string) ([]string, error) {
+	var dependencies []string
 	for _, id := range ids {
 		if !ValidUID(id) {
 			return nil, fmt.Errorf("field Awaits has an id that has not the form run-000000: %.40q", id)
 		}
-		if !slices.Contains(awaits, id) {
-			awaits = append(awaits, id)
+		if !slices.Contains(dependencies, id) {
+			dependencies = append(dependencies, id)
 		}
 	}
-	return awaits, nil
+	return dependencies, nil
 }
 
-// HasAwaits reports whether a submission names jobs that it waits for. The body may
+// HasDependencies reports whether a submission names jobs that it waits for. The body may
 // be malformed otherwise.
-func HasAwaits(body []byte) bool {
+func HasDependencies(body []byte) bool {
 	var in struct {
-		Awaits json.RawMessage `json:"Awaits"`
+		Dependencies json.RawMessage `json:"Awaits"`
 	}
 	if err := json.Unmarshal(body, &in); err != nil {
 		return false
 	}
-	switch string(in.Awaits) {
+	switch string(in.Dependencies) {
 	case "", "null", "[]":
 		return false
 	}
--- a/wire/awaits_test.go
+++ b/wire/awaits_test.go
@@ -10,7 +10,7 @@
  "Cores":8.0,"Gpus":1.0,"RamGb":64.0,"Rollout":"img-07","ImageGb":6.2,"Together":true,"Scatter":false,"Standby":true,
  "ExpectS":240.0,"MarkS":30.0,"StowS":4.0AWAITS}`
 
-func TestAwaitsOfASubmission(t *testing.T) {
+func TestDependenciesOfASubmission(t *testing.T) {
 	for field, want := range map[string][]string{
 		``:                                      nil,
 		`,"Awaits":null`:                        nil,
@@ -23,8 +23,8 @@
 		if err != nil || !slices.Equal(work.Dependencies, want) {
 			t.Errorf("%s is read as %v, %v", field, work.Dependencies, err)
 		}
-		if HasAwaits(body) != (len(want) > 0) {
-			t.Errorf("%s: HasAwaits is %v", field, HasAwaits(body))
+		if HasDependencies(body) != (len(want) > 0) {
+			t.Errorf("%s: HasAwaits is %v", field, HasDependencies(body))
 		}
 	}
 	for _, field := range []string{`"run-000398"`, `[398]`, `[null]`, `["job-1"]`, `["run-12"]`, `{}`, `[["run-000398"]]`, `true`} {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -313,7 +313,7 @@
 	Failed   []string `json:"failed"`
 }
 
-// Lease answers POST /holds.
+// WorkerLease answers POST /holds.
 type Lease struct {
 	LeaseID uint64 `json:"Permit"`
 }
--- a/wire/work.go
+++ b/wire/work.go
@@ -208,7 +208,7 @@
 		}
 		w.Zone = *in.Zone
 	}
-	w.Dependencies, err = parseAwaits(in.Dependencies)
+	w.Dependencies, err = parseDependencies(in.Dependencies)
 	return err
 }
 
