--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -17,9 +17,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// World is what a day consists of beside the controllers, and the judge of the
+// Cluster is what a day consists of beside the controllers, and the judge of the
 // rules.
-type World struct {
+type Cluster struct {
 	Cfg     *config.Config
 	Net     *Network
 	State   *State
@@ -70,20 +70,20 @@
 	at     time.Time
 }
 
-// NewWorld makes a world for a deployment.
-func NewWorld(cfg *config.Config, nw *Network, nodes []string, cat wire.Catalog) *World {
-	w := &World{Cfg: cfg, Net: nw, State: NewState(), Catalog: cat, Nodes: nodes, begun: time.Now(), workers: map[string]*Worker{},
+// NewCluster makes a world for a deployment.
+func NewCluster(cfg *config.Config, nw *Network, nodes []string, cat wire.Catalog) *Cluster {
+	w := &Cluster{Cfg: cfg, Net: nw, State: NewState(), Catalog: cat, Nodes: nodes, begun: time.Now(), workers: map[string]*Worker{},
 		bookings: map[string][]string{}, specs: map[string]wire.JobSpec{}, done: map[string]map[int]bool{},
 		on: newOccupancy(), aborted: map[string]time.Time{}, asked: map[string]bool{}, accepted: map[string]time.Time{},
 		final: map[string]finalWord{}, waits: map[string]time.Time{}, begins: map[string]time.Time{}, decisions: map[uint64]time.Time{}, Capacity: 12, PollEvery: 3 * time.Second}
-	w.State.Judge = w.judgeCommit
+	w.State.Check = w.checkCommit
 	nw.Attach(cfg.Services.State, w.State, nil)
 	nw.Attach(cfg.Services.Cloud, http.HandlerFunc(w.cloud), nil)
 	return w
 }
 
 // BrokenByRule counts the rules that were broken, with one case of each.
-func (w *World) BrokenByRule() (counts map[string]int, cases []string) {
+func (w *Cluster) BrokenByRule() (counts map[string]int, cases []string) {
 	counts = map[string]int{}
 	for _, breach := range w.Broken() {
 		rule, _, _ := strings.Cut(breach, " ")
@@ -95,21 +95,21 @@
 }
 
 // Broken lists the rules that were broken.
-func (w *World) Broken() []string {
+func (w *Cluster) Broken() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string{}, w.broken...)
 }
 
 // Started counts the starts.
-func (w *World) Started() int {
+func (w *Cluster) Started() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.started
 }
 
-// Rented counts the machines that were rented.
-func (w *World) Rented() int {
+// Provisioned counts the machines that were rented.
+func (w *Cluster) Provisioned() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -120,12 +120,12 @@
 }
 
 // breach notes a broken rule. w.mu is held.
-func (w *World) breach(rule, format string, args ...any) {
+func (w *Cluster) breach(rule, format string, args ...any) {
 	w.broken = append(w.broken, fmt.Sprintf("%s at %.1f s: %s", rule, time.Since(w.begun).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// judgeCommit checks what every commit of a leader must be guarded by.
-func (w *World) judgeCommit(tx wire.Transaction) {
+// checkCommit checks what every commit of a leader must be guarded by.
+func (w *Cluster) checkCommit(tx wire.Transaction) {
 	limits := w.Cfg.StateLimits()
 	if len(tx.Changes) > limits.TxnOps || len(tx.Compares) > 4*limits.TxnOps {
 		w.rule("limits", "%d changes and %d guards in a commit", len(tx.Changes), len(tx.Compares))
@@ -142,10 +142,10 @@
 	}
 	for _, c := range tx.Changes {
 		key := c.Set + c.Drop
-		if uid, _, ok := ledger.SplitPieceKey(c.Set); ok && jobs[uid] {
+		if uid, _, ok := ledger.SplitPlacementKey(c.Set); ok && jobs[uid] {
 			w.decided(guarded[ledger.LeaderKey]) // only launches are guarded by their job
 		}
-		if uid, _, ok := ledger.SplitPieceKey(c.Set); ok && guarded[c.Set] == 0 && !jobs[uid] {
+		if uid, _, ok := ledger.SplitPlacementKey(c.Set); ok && guarded[c.Set] == 0 && !jobs[uid] {
 			w.rule("unguarded", "%s is made without a guard of its job: %v", key, tx.Compares)
 		}
 		if float64(len(c.Value)) > limits.ValueKb*1024 {
@@ -153,7 +153,7 @@
 		}
 		_, own := guarded[key]
 		switch {
-		case strings.HasPrefix(key, ledger.PiecePrefix) && (guarded[ledger.LeaderKey] == 0 || !own),
+		case strings.HasPrefix(key, ledger.PlacementPrefix) && (guarded[ledger.LeaderKey] == 0 || !own),
 			strings.HasPrefix(key, ledger.ReturnsPrefix) && guarded[ledger.LeaderKey] == 0,
 			strings.HasPrefix(key, ledger.JobPrefix) && !own:
 			w.rule("unguarded", "%s is written with guards %v", key, tx.Compares)
@@ -162,7 +162,7 @@
 }
 
 // decided notes a term's first placement.
-func (w *World) decided(term uint64) {
+func (w *Cluster) decided(term uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, known := w.decisions[term]; !known {
@@ -172,7 +172,7 @@
 
 // FirstDecision is when the first placement of a term newer than the given one was
 // committed; ok is false if there was none yet.
-func (w *World) FirstDecision(after uint64) (at time.Time, ok bool) {
+func (w *Cluster) FirstDecision(after uint64) (at time.Time, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for term, decided := range w.decisions {
@@ -183,15 +183,15 @@
 	return at, ok
 }
 
-// judgeLaunch checks that a launch was recorded before it was sent.
-func (w *World) judgeLaunch(name string, attempt uint64, host string) {
+// checkLaunch checks that a launch was recorded before it was sent.
+func (w *Cluster) checkLaunch(name string, attempt uint64, host string) {
 	if !w.recorded(name, attempt, host) {
 		w.rule("unrecorded", "%s try %d is launched on %s without a record", name, attempt, host)
 	}
 }
 
-// judgeReturn checks that it was recorded before that a machine is returned.
-func (w *World) judgeReturn(wk *Worker) {
+// checkReturn checks that it was recorded before that a machine is returned.
+func (w *Cluster) checkReturn(wk *Worker) {
 	if wk.gone() >= 0 {
 		return // a repeat
 	}
@@ -203,9 +203,9 @@
 	w.rule("unrecorded", "%s is returned without a record", wk.Host)
 }
 
-// judgeReap checks that an end was recorded before the task is forgotten. What
+// checkReap checks that an end was recorded before the task is forgotten. What
 // is withdrawn is never launched again and needs no such record.
-func (w *World) judgeReap(name string, attempt uint64, host string) {
+func (w *Cluster) checkReap(name string, attempt uint64, host string) {
 	uid, _, _ := wire.SplitTaskName(name)
 	item, ok := w.State.Get(ledger.JobKey(uid))
 	if ok && !bytes.Contains(item.Value, []byte(wire.JobAborted)) && w.recorded(name, attempt, host) {
@@ -213,10 +213,10 @@
 	}
 }
 
-func (w *World) recorded(name string, attempt uint64, host string) bool {
+func (w *Cluster) recorded(name string, attempt uint64, host string) bool {
 	uid, n, _ := wire.SplitTaskName(name)
-	for _, item := range w.State.Items(ledger.PiecePrefix + uid + "/") {
-		rec, err := ledger.DecodePiece(item.Value)
+	for _, item := range w.State.Items(ledger.PlacementPrefix + uid + "/") {
+		rec, err := ledger.DecodePlacement(item.Value)
 		if err != nil {
 			panic(err)
 		}
@@ -230,7 +230,7 @@
 }
 
 // Start is called when a task has its image and begins to run on a machine.
-func (w *World) Start(task, host, machineType, zone string, standby bool) {
+func (w *Cluster) Start(task, host, machineType, zone string, standby bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started++
@@ -247,7 +247,7 @@
 		w.breach("ran_twice", "%s starts on %s and is on %v", task, host, hosts)
 	}
 	w.on.put(task, host, &s)
-	w.judgeReleased(task, &s)
+	w.checkReleased(task, &s)
 	if at, ok := w.aborted[uid]; ok {
 		w.lateStarts++
 		if time.Since(at).Seconds() > w.Cfg.Cluster.Workers.CancelS {
@@ -266,11 +266,11 @@
 	if s.SingleZone && len(zones) > 1 || s.SpreadZones && zones[zone] > (s.TaskCount+1)/2 {
 		w.breach("wrong_place", "%s starts on %s: zones %v", task, host, zones)
 	}
-	w.judgeQuota(s.Team)
+	w.checkQuota(s.Team)
 }
 
-// judgeQuota checks that a team's tasks use no more than its limit. w.mu is held.
-func (w *World) judgeQuota(team string) {
+// checkQuota checks that a team's tasks use no more than its limit. w.mu is held.
+func (w *Cluster) checkQuota(team string) {
 	t, ok := w.Cfg.Team(team)
 	if !ok || t.CpusMax <= 0 && t.GpusMax <= 0 {
 		return
@@ -287,7 +287,7 @@
 }
 
 // End is called when a task leaves a machine; completed if it ran to its end.
-func (w *World) End(task, host string, completed bool) {
+func (w *Cluster) End(task, host string, completed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.on.take(task, host)
@@ -304,7 +304,7 @@
 }
 
 // sweepCancelled looks for tasks that outlive their cancellation.
-func (w *World) sweepCancelled() {
+func (w *Cluster) sweepCancelled() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for task, hosts := range w.on.hosts {
@@ -317,7 +317,7 @@
 }
 
 // cloud answers the protocol of the cloud.
-func (w *World) cloud(rw http.ResponseWriter, r *http.Request) {
+func (w *Cluster) cloud(rw http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/catalog":
 		reply(rw, http.StatusOK, w.Catalog)
@@ -327,7 +327,7 @@
 			reply(rw, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 			return
 		}
-		w.rent(rw, q)
+		w.provision(rw, q)
 	case r.URL.Path == "/machines/return":
 		var q wire.HostNames
 		if json.NewDecoder(r.Body).Decode(&q) != nil || len(q.Hosts) > wire.MaxReturn {
@@ -339,7 +339,7 @@
 			wk := w.workers[h]
 			w.mu.Unlock()
 			if wk != nil {
-				w.judgeReturn(wk)
+				w.checkReturn(wk)
 				wk.Die()
 			}
 		}
@@ -353,7 +353,7 @@
 const mostListed = 500
 
 // list answers a page of the machine list, as old as the settings say.
-func (w *World) list(rw http.ResponseWriter, r *http.Request) {
+func (w *Cluster) list(rw http.ResponseWriter, r *http.Request) {
 	most, err := strconv.Atoi(r.URL.Query().Get("Most"))
 	if err != nil || most < 1 || most > mostListed {
 		reply(rw, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
@@ -382,7 +382,7 @@
 	reply(rw, http.StatusOK, out)
 }
 
-func (w *World) rent(rw http.ResponseWriter, q wire.ProvisionRequest) {
+func (w *Cluster) provision(rw http.ResponseWriter, q wire.ProvisionRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if names, ok := w.bookings[q.RequestID]; ok {
@@ -413,7 +413,7 @@
 }
 
 // add makes a machine. w.mu is held.
-func (w *World) add(machineType, zone string, standby bool, boot time.Duration) string {
+func (w *Cluster) add(machineType, zone string, standby bool, boot time.Duration) string {
 	host := fmt.Sprintf("m-%06d", w.serial)
 	w.serial++
 	wk := newWorker(w, host, machineType, zone, standby, boot)
@@ -428,7 +428,7 @@
 }
 
 // AddMachines makes machines that are up at once.
-func (w *World) AddMachines(machineType, zone string, n int) {
+func (w *Cluster) AddMachines(machineType, zone string, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for range n {
@@ -437,7 +437,7 @@
 }
 
 // Worker picks a machine that is up, by chance.
-func (w *World) Worker() *Worker {
+func (w *Cluster) Worker() *Worker {
 	w.mu.Lock()
 	var up []*Worker
 	for _, wk := range w.workers {
@@ -454,7 +454,7 @@
 }
 
 // ZoneOf is the zone of a machine.
-func (w *World) ZoneOf(host string) string {
+func (w *Cluster) ZoneOf(host string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if wk := w.workers[host]; wk != nil {
@@ -464,7 +464,7 @@
 }
 
 // StopAll ends all machines, at the end of a day.
-func (w *World) StopAll() {
+func (w *Cluster) StopAll() {
 	w.over.Store(true)
 	w.mu.Lock()
 	var all []*Worker
@@ -478,7 +478,7 @@
 }
 
 // Ask sends a request as a user to a controller.
-func (w *World) Ask(node, method, path string, body any) (int, wire.JobView) {
+func (w *Cluster) Ask(node, method, path string, body any) (int, wire.JobView) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
@@ -503,7 +503,7 @@
 }
 
 // Upload makes a job's description known to workers.
-func (w *World) Upload(spec wire.JobSpec) {
+func (w *Cluster) Upload(spec wire.JobSpec) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.specs[spec.UID] = spec
@@ -511,18 +511,18 @@
 
 // User submits a job, polls it and, if it stands, withdraws it after stay. It
 // returns when the job is over, or at the deadline.
-func (w *World) User(spec wire.JobSpec, stay time.Duration, deadline time.Time) {
+func (w *Cluster) User(spec wire.JobSpec, stay time.Duration, deadline time.Time) {
 	if w.SubmitUntil(spec, deadline) {
 		w.Follow(spec, stay, deadline)
 	}
 }
 
 // node picks a controller, as the load balancer does.
-func (w *World) node() string { return w.Nodes[w.Net.Chance(len(w.Nodes))] }
+func (w *Cluster) node() string { return w.Nodes[w.Net.Chance(len(w.Nodes))] }
 
 // SubmitUntil submits a job until it is accepted. It reports whether it was before the
 // deadline.
-func (w *World) SubmitUntil(spec wire.JobSpec, deadline time.Time) bool {
+func (w *Cluster) SubmitUntil(spec wire.JobSpec, deadline time.Time) bool {
 	w.Upload(spec)
 	for !w.Submit(w.node(), spec) {
 		if time.Now().After(deadline) {
@@ -533,10 +533,10 @@
 	return true
 }
 
-// judgeUnfinished judges a job at its user's deadline.
-func (w *World) judgeUnfinished(uid string) {
+// checkUnfinished judges a job at its user's deadline.
+func (w *Cluster) checkUnfinished(uid string) {
 	switch {
-	case w.Told(uid) != "":
+	case w.Acknowledged(uid) != "":
 	case w.CutOff:
 		w.unfinished.Add(1)
 	default:
@@ -545,20 +545,20 @@
 }
 
 // Unfinished is how many jobs were not over when the world was cut off.
-func (w *World) Unfinished() int { return int(w.unfinished.Load()) }
+func (w *Cluster) Unfinished() int { return int(w.unfinished.Load()) }
 
 // Follow polls an accepted job and withdraws it after stay, if that is above 0. It
 // returns when the job is over, or at the deadline.
-func (w *World) Follow(spec wire.JobSpec, stay time.Duration, deadline time.Time) {
+func (w *Cluster) Follow(spec wire.JobSpec, stay time.Duration, deadline time.Time) {
 	told := 0
 	leaveAt := time.Now().Add(stay)
 	for {
 		if time.Now().After(deadline) {
-			w.judgeUnfinished(spec.UID)
+			w.checkUnfinished(spec.UID)
 			return
 		}
 		w.Poll(w.node(), spec.UID)
-		if w.Told(spec.UID) != "" {
+		if w.Acknowledged(spec.UID) != "" {
 			if told++; told > 4 {
 				return
 			}
@@ -572,7 +572,7 @@
 	}
 }
 
-func (w *World) rule(rule, format string, args ...any) {
+func (w *Cluster) rule(rule, format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.breach(rule, format, args...)
@@ -580,7 +580,7 @@
 
 // Watch looks for tasks that outlive their cancellation, and for jobs that wait
 // although there is room, until the deadline or the end of the day.
-func (w *World) Watch(deadline time.Time) {
+func (w *Cluster) Watch(deadline time.Time) {
 	for time.Now().Before(deadline) && !w.over.Load() {
 		time.Sleep(500 * time.Millisecond)
 		w.sweepCancelled()
