--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,7 +30,7 @@
 
 // Workers try the nodes in the order of their names, round and round: those are counted that
 // are lost right after a node, up to the first that is not.
-func TestLostSuccessors(t *testing.T) {
+func TestUnreachableSuccessorsDelayCampaign(t *testing.T) {
 	c := &Config{Label: "n1", Members: []Member{{Label: "n3"}, {Label: "n0"}, {Label: "n2"}}}
 	for _, tc := range []struct {
 		unreachable string
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -117,7 +117,7 @@
 	lastAt           time.Time
 	arrive           map[string]*arrivals
 	headroomMachines map[string]bool // machines kept as spare room by the last round
-	nodes            keptNodes       // nodes.go
+	nodes            nodeCache       // nodes.go
 
 	// The cloud: rent.go.
 	catalog          *wire.Catalog
@@ -157,7 +157,7 @@
 	c.fleet = fleet.New(term, d.Config.WorkerLease(), c)
 	c.evidence = faultattribution.New(evidenceLeases * d.Config.WorkerLease())
 	c.returns = map[string]*pendingReturn{}
-	c.nodes = newKeptNodes()
+	c.nodes = newNodeCache()
 	c.countsRevision = 1
 	c.begun = c.now()
 	c.window = d.Settings().Window
@@ -241,8 +241,8 @@
 }
 
 // stop asks for the end of an attempt.
-func (c *Controller) stop(a *fleet.Attempt, leewayS float64, now time.Time, why string) {
-	c.fleet.StopAttempt(a, leewayS, now, why)
+func (c *Controller) stop(a *fleet.Attempt, gracePeriodS float64, now time.Time, why string) {
+	c.fleet.StopAttempt(a, gracePeriodS, now, why)
 	if a.Live() {
 		c.answerNow(a.Machine)
 	}
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -90,13 +90,13 @@
 	return j.suspect && j.rec.Spec.Kind == wire.JobArray && !j.rec.Spec.SingleZone
 }
 
-// works reports whether a task of the job has run for a lease: a mistaken one fails as it starts.
-func (c *Controller) works(j *job, now time.Time) bool {
-	works := false
+// completed reports whether a task of the job has run for a lease: a mistaken one fails as it starts.
+func (c *Controller) completed(j *job, now time.Time) bool {
+	completed := false
 	j.each(func(a *fleet.Attempt) {
-		works = works || a.State == fleet.Running && !a.RunAt.IsZero() && now.Sub(a.RunAt) > c.Config.WorkerLease()
+		completed = completed || a.State == fleet.Running && !a.RunAt.IsZero() && now.Sub(a.RunAt) > c.Config.WorkerLease()
 	})
-	return works
+	return completed
 }
 
 // mayPlace is how many of the waiting tasks of a job may be placed now.
@@ -108,7 +108,7 @@
 	if !j.probes() {
 		return waiting
 	}
-	if c.works(j, now) {
+	if c.completed(j, now) {
 		j.trust()
 		return waiting
 	}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -106,11 +106,11 @@
 	b, _, _ := newBroken(t, 6, 12)
 	b.faulty = "m-000002"
 	good := map[string]*job{}
-	passedOver := 0
+	quarantined := 0
 	watch := func() {
 		b.step()
 		if m := b.c.fleet.Get(b.faulty); !m.Takes(b.now) {
-			passedOver++
+			quarantined++
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
 			if m.ID != b.faulty && b.c.evidence.SurelyFaulty(m.ID) {
@@ -124,8 +124,8 @@
 		watch()
 		watch()
 	}
-	if passedOver < 60 {
-		t.Errorf("the faulty machine is passed over for %d of 80 s", passedOver)
+	if quarantined < 60 {
+		t.Errorf("the faulty machine is passed over for %d of 80 s", quarantined)
 	}
 	for range 30 {
 		watch()
--- a/internal/controller/finals.go
+++ b/internal/controller/finals.go
@@ -6,9 +6,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// finalsKept is how many final statuses a leader keeps to tell: as many as counts at once. Who
+// maxFinals is how many final statuses a leader keeps to tell: as many as counts at once. Who
 // has not been told by then reads them from the state service.
-const finalsKept = countsAtOnce
+const maxFinals = countsAtOnce
 
 // finalStatus is the committed final status of a job, and the revision of the counts at which
 // it became known here.
@@ -24,8 +24,8 @@
 // so no rule rests on who tells it, or when.
 func (c *Controller) noteFinal(uid string, status wire.JobStatus) {
 	c.countsRevision++
-	if len(c.finals) >= finalsKept {
-		c.finals = slices.Delete(c.finals, 0, finalsKept/4)
+	if len(c.finals) >= maxFinals {
+		c.finals = slices.Delete(c.finals, 0, maxFinals/4)
 	}
 	c.finals = append(c.finals, finalStatus{uid, status, c.countsRevision})
 	if c.Final != nil {
--- a/internal/controller/finals_test.go
+++ b/internal/controller/finals_test.go
@@ -12,24 +12,24 @@
 
 // A follower that asks again and again learns the final status of every job that ends, without
 // gaps, and of none that has not; what is kept to be told is bounded.
-func TestFinalStatusesAreTold(t *testing.T) {
+func TestFinalStatusesAreAnnounced(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := watched(&now)
 	own := map[string]wire.JobStatus{}
 	c.Final = func(uid string, status wire.JobStatus) { own[uid] = status }
-	const jobs, atOnce = 3 * finalsKept, finalsKept / 4
+	const jobs, atOnce = 3 * maxFinals, maxFinals / 4
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
 		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
 	}
-	told, revision := map[string]wire.JobStatus{}, uint64(0)
+	announced, revision := map[string]wire.JobStatus{}, uint64(0)
 	ask := func() {
 		for more := true; more; {
 			var views []wire.JobView
 			views, revision, more = c.CountsSince(revision)
 			for _, v := range views {
 				if v.Status.Final() {
-					told[v.UID] = v.Status
+					announced[v.UID] = v.Status
 				}
 			}
 		}
@@ -45,11 +45,11 @@
 	}
 	ask()
 	for uid, status := range want {
-		if told[uid] != status || own[uid] != status {
-			t.Fatalf("%s is %s: a follower was told %q, this node %q", uid, status, told[uid], own[uid])
+		if announced[uid] != status || own[uid] != status {
+			t.Fatalf("%s is %s: a follower was told %q, this node %q", uid, status, announced[uid], own[uid])
 		}
 	}
-	if len(told) != len(want) || len(c.finals) > finalsKept {
-		t.Errorf("%d statuses of %d jobs are told, %d are kept", len(told), len(want), len(c.finals))
+	if len(announced) != len(want) || len(c.finals) > maxFinals {
+		t.Errorf("%d statuses of %d jobs are told, %d are kept", len(announced), len(want), len(c.finals))
 	}
 }
--- a/internal/controller/lost.go
+++ b/internal/controller/lost.go
@@ -27,18 +27,18 @@
 func (c *Controller) followRenewedLeases(ctx context.Context) {
 	wait, pause := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
 	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, pause, watchcache.Funcs{Changed: func(n wire.WatchEvent) {
-		var kept records.RenewedLeases
+		var retained records.RenewedLeases
 		if n.Set == "" {
 			return
 		}
-		if err := wire.Decode(n.Value, &kept); err != nil {
+		if err := wire.Decode(n.Value, &retained); err != nil {
 			slog.Warn("kept machines cannot be read", "key", n.Set, "err", err)
 			return
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		now := c.now()
-		for _, id := range kept.Hosts {
+		for _, id := range retained.Hosts {
 			if m := c.fleet.Get(id); m != nil {
 				m.LastHeartbeat = now
 			}
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -44,15 +44,15 @@
 // Up to half of a zone that stop while the others report are given up after three
 // intervals, and more than that after a lease if a controller there is reached:
 // two thirds of a zone that had died were down for six leases.
-func TestWhoIsGivenUp(t *testing.T) {
+func TestWhichMachinesAreDeclaredDead(t *testing.T) {
 	const machines, step = 180, 50 * time.Millisecond
 	for _, tc := range []struct {
-		name   string
-		silent func(i int) bool
-		kept   func(i int) bool // by a follower, from four seconds on
-		relays bool             // the follower relays their reports
-		after  time.Duration
-		want   int
+		name     string
+		silent   func(i int) bool
+		retained func(i int) bool // by a follower, from four seconds on
+		relays   bool             // the follower relays their reports
+		after    time.Duration
+		want     int
 	}{
 		{"cut", func(i int) bool { return i%2 == 1 }, func(i int) bool { return i%4 == 1 }, false, 30 * time.Second, 0},
 		{"few", func(i int) bool { return i < 9 }, func(int) bool { return false }, false, 4500 * time.Millisecond, 9},
@@ -73,10 +73,10 @@
 				switch {
 				case due && (at < 10*time.Second || !tc.silent(i)):
 					c.hearFrom(i, sequence, now)
-				case due && at > 14*time.Second && tc.kept(i) && tc.relays:
+				case due && at > 14*time.Second && tc.retained(i) && tc.relays:
 					c.hearFrom(i, sequence, now)
 					c.fleet.Get(fmt.Sprintf("m-%03d", i)).LastRelayedHeartbeat = now
-				case due && at > 14*time.Second && tc.kept(i):
+				case due && at > 14*time.Second && tc.retained(i):
 					c.fleet.Get(fmt.Sprintf("m-%03d", i)).LastHeartbeat = now
 				}
 			}
@@ -125,7 +125,7 @@
 // A leader that stood still, or that answered no reports because the state service
 // was away for too long, does not know who would have reported meanwhile: it gives
 // up nobody until they have had their time again.
-func TestWhoCouldNotBeHeardIsNotGivenUp(t *testing.T) {
+func TestUnreachableMachinesAreNotDeclaredDead(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		step   time.Duration // from round to round until it is over
@@ -212,7 +212,7 @@
 // What is never written does not hold up launches: the pieces of jobs that were
 // called off together. Nor does what waits to be written: a job whose piece is
 // due takes its launches along.
-func TestCancelledJobsDoNotHoldUpLaunches(t *testing.T) {
+func TestCancelledJobsDoNotDelayLaunches(t *testing.T) {
 	for _, status := range []wire.JobStatus{wire.JobAborted, wire.JobQueued} {
 		now := time.Unix(1000, 0)
 		c := watched(&now)
--- a/internal/controller/nodes.go
+++ b/internal/controller/nodes.go
@@ -12,18 +12,18 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// keptNodes is the machines as rounds see them, kept from round to round. A machine is made
+// nodeCache is the machines as rounds see them, kept from round to round. A machine is made
 // anew when the fleet says that it may have changed, when time alone changes it, and all of
 // them now and then, so that a change that nobody told of is found.
-type keptNodes struct {
+type nodeCache struct {
 	view    *sched.View
 	timed   map[string]time.Time // machines that time alone changes, and when
 	checked time.Time            // when all machines were last made anew
 	missed  uint64               // machines that had changed and nobody had told
 }
 
-func newKeptNodes() keptNodes {
-	return keptNodes{view: sched.NewView(), timed: map[string]time.Time{}}
+func newNodeCache() nodeCache {
+	return nodeCache{view: sched.NewView(), timed: map[string]time.Time{}}
 }
 
 // StaleNodes counts the machines that had changed without the rounds' view of them being told.
@@ -150,15 +150,15 @@
 }
 
 // keepAsHeadroom takes which machines are kept as spare room.
-func (c *Controller) keepAsHeadroom(kept map[string]bool) {
-	for _, lists := range [...][2]map[string]bool{{kept, c.headroomMachines}, {c.headroomMachines, kept}} {
+func (c *Controller) keepAsHeadroom(retained map[string]bool) {
+	for _, lists := range [...][2]map[string]bool{{retained, c.headroomMachines}, {c.headroomMachines, retained}} {
 		for id := range lists[0] {
 			if m := c.fleet.Get(id); m != nil && !lists[1][id] {
 				c.fleet.Touch(m)
 			}
 		}
 	}
-	c.headroomMachines = kept
+	c.headroomMachines = retained
 }
 
 // comes reports whether a machine is expected to take launches soon. One that
--- a/internal/controller/nodes_test.go
+++ b/internal/controller/nodes_test.go
@@ -18,7 +18,7 @@
 
 // The kept nodes are, after every event, what they would be if all were made anew: whatever
 // changes a machine, an attempt, a job's level, prices or spare room has to be told.
-func TestKeptNodesAreAsMadeAnew(t *testing.T) {
+func TestReusedNodesMatchRebuiltOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		c := watched(&now)
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -75,12 +75,12 @@
 		if a == nil {
 			continue
 		}
-		leeway := 0.0
+		gracePeriod := 0.0
 		if v := c.jobs[a.UID].rec.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.SlackS {
-			leeway = v.CheckpointOnStopS + c.Config.Cluster.Workers.ReportS
+			gracePeriod = v.CheckpointOnStopS + c.Config.Cluster.Workers.ReportS
 		}
 		slog.Info("preempted", "leg", a.Name(), "host", a.Machine.ID)
-		c.stop(a, leeway, now, "preempted")
+		c.stop(a, gracePeriod, now, "preempted")
 	}
 	c.last = info
 	c.noteDecision(c.now())
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -177,17 +177,17 @@
 		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
 		c.countsChanged(c.jobs[uid])
 	}
-	told, revision := map[string]bool{}, uint64(0)
+	announced, revision := map[string]bool{}, uint64(0)
 	for pings, more := 0, true; more; pings++ {
 		var views []wire.JobView
 		if views, revision, more = c.CountsSince(revision); len(views) > countsAtOnce || pings > jobs/countsAtOnce {
 			t.Fatalf("%d counts by ping %d", len(views), pings)
 		}
 		for _, v := range views {
-			told[v.UID] = true
+			announced[v.UID] = true
 		}
 	}
-	if len(told) != jobs || revision != c.countsRevision {
-		t.Errorf("%d of %d counts are told, up to %d of %d", len(told), jobs, revision, c.countsRevision)
+	if len(announced) != jobs || revision != c.countsRevision {
+		t.Errorf("%d of %d counts are told, up to %d of %d", len(announced), jobs, revision, c.countsRevision)
 	}
 }
--- a/internal/controller/spare.go
+++ b/internal/controller/spare.go
@@ -75,7 +75,7 @@
 	headroom := c.planHeadroom(p, plan, now)
 	// A new leader waits until the machines have reported before it decides
 	// that there are too few or too many.
-	if !settled && len(c.pendingRequests) == 0 && c.fleet.Len() > 0 && c.unheard() {
+	if !settled && len(c.pendingRequests) == 0 && c.fleet.Len() > 0 && c.silentMachines() {
 		return nil
 	}
 	population := map[string]int{}
@@ -101,16 +101,16 @@
 	for name := range p.in.Teams {
 		in.Teams[name] = &sched.Team{}
 	}
-	headroom, kept := &sched.Plan{}, map[string]bool{}
+	headroom, retained := &sched.Plan{}, map[string]bool{}
 	if len(in.Jobs) > 0 {
 		headroom = sched.Run(in)
 	}
 	for _, place := range headroom.Places {
 		if m := p.machine(place.Node); m != nil {
-			kept[m.ID] = true
+			retained[m.ID] = true
 		}
 	}
-	c.keepAsHeadroom(kept)
+	c.keepAsHeadroom(retained)
 	return headroom
 }
 
@@ -122,8 +122,8 @@
 	return int(provisionShare * c.Config.Cluster.Cloud.Rps * c.Settings().IntervalS)
 }
 
-// unheard reports whether machines that may run tasks have not reported yet.
-func (c *Controller) unheard() bool {
+// silentMachines reports whether machines that may run tasks have not reported yet.
+func (c *Controller) silentMachines() bool {
 	found := false
 	c.fleet.Each(func(m *fleet.Machine) {
 		found = found || (m.State == fleet.Booting && m.LiveCount() > 0) || m.State == fleet.Confirming
--- a/internal/faultattribution/evidence.go
+++ b/internal/faultattribution/evidence.go
@@ -219,11 +219,11 @@
 }
 
 // sumUp finds the odds of parties by what each of their failures tells them.
-func sumUp(parties map[string]*party, toldApart func(*failure) float64) {
+func sumUp(parties map[string]*party, contribution func(*failure) float64) {
 	for _, p := range parties {
 		p.odds = p.prior
 		for _, f := range p.failures {
-			p.odds += toldApart(f)
+			p.odds += contribution(f)
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -102,9 +102,9 @@
 	SentSequence uint64 // newest report whose answer carried the launch
 	Inherited    bool   // decided in an earlier term
 	Stopping     bool   // is to be stopped
-	LeewayS      float64
+	GracePeriodS float64
 	Cause        wire.Cause
-	Kept         bool
+	Checkpointed bool
 	Since        time.Time // of the last change of state
 	RunAt        time.Time // when first seen running
 }
@@ -361,7 +361,7 @@
 
 // StopAttempt asks for the end of an attempt. One that this term never
 // launched, and no other term can have launched, is off at once.
-func (f *Fleet) StopAttempt(a *Attempt, leewayS float64, now time.Time, why string) {
+func (f *Fleet) StopAttempt(a *Attempt, gracePeriodS float64, now time.Time, why string) {
 	if !a.Live() {
 		return
 	}
@@ -369,9 +369,9 @@
 		f.setAttempt(a, Off, now, why)
 		return
 	}
-	if !a.Stopping || leewayS < a.LeewayS {
+	if !a.Stopping || gracePeriodS < a.GracePeriodS {
 		f.Touch(a.Machine)
-		a.Stopping, a.LeewayS = true, leewayS
+		a.Stopping, a.GracePeriodS = true, gracePeriodS
 	}
 }
 
@@ -528,7 +528,7 @@
 	case wire.TaskSaving:
 		f.setAttempt(a, Saving, now, "reported")
 	case wire.TaskEnded:
-		a.Cause, a.Kept = l.Cause, l.Checkpointed
+		a.Cause, a.Checkpointed = l.Cause, l.Checkpointed
 		f.setAttempt(a, Ended, now, string(l.Cause))
 	}
 }
@@ -550,10 +550,10 @@
 			orders = append(orders, wire.Command{Verb: wire.Acknowledge, Task: a.Name(), Attempt: a.Number})
 		case Sent, Fetching, Running:
 			if a.Stopping {
-				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Number, GracePeriodS: a.LeewayS})
+				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Number, GracePeriodS: a.GracePeriodS})
 			}
 		case Saving:
-			if a.Stopping && a.LeewayS == 0 {
+			if a.Stopping && a.GracePeriodS == 0 {
 				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Number})
 			}
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -105,7 +105,7 @@
 
 // A machine that never takes its launches gets none for a while: its reports
 // arrive, but the answers do not reach it.
-func TestDeafMachineIsPassedOver(t *testing.T) {
+func TestMachineThatMissesLaunchesIsAvoided(t *testing.T) {
 	now := time.Now()
 	f := New(5, lease, nobody{})
 	f.ApplyHeartbeat(report(1, 1, 5), now)
@@ -230,7 +230,7 @@
 // is passed over. That its reports were not answered for long says nothing of the
 // kind: 600 jobs waited for two leases after an outage while 700 machines had
 // room. Nor does a copy of a report of an earlier session, but a machine was passed over for two leases when one met a new leader.
-func TestWhoIsTakenForDeaf(t *testing.T) {
+func TestWhichMachinesMissLaunches(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		token uint64        // of the report of the earlier session
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -155,7 +155,7 @@
 // A submission whose commit gets no answer is recorded once more while the state
 // service answers other requests, and its user need not come back: each took
 // 1.25 s and then another node.
-func TestLostAnswersAreNotWaitedFor(t *testing.T) {
+func TestAnswersThatNeverComeAreNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{}
 		cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS, cfg.Cluster.State.ValueKb = 10, 1, 8
@@ -211,7 +211,7 @@
 
 // A question whose read is slow is not answered with what was true before another
 // node confirmed that the job is cancelled.
-func TestAnswersAreNotOlderThanWhatWasTold(t *testing.T) {
+func TestAnswersAreNotOlderThanWhatPeersAnnounced(t *testing.T) {
 	cfg := &config.Config{}
 	cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS, cfg.Cluster.State.ValueKb = 10, 1, 8
 	cfg.Cluster.State.Rps, cfg.Cluster.State.WriteRps, cfg.Cluster.Cloud.Rps, cfg.Cluster.Limits.MaxConnections = 100, 100, 1, 100
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -156,18 +156,18 @@
 		if n.lead.Load() != nil {
 			continue
 		}
-		leader, term, told := n.standbyOf()
+		leader, term, announced := n.standbyOf()
 		n.standby.mu.Lock()
 		if leader != "" {
-			n.standby.reported = told
+			n.standby.reported = announced
 		}
 		n.standby.mu.Unlock()
 		switch {
 		case leader == "":
 			n.standby.follower.LeaderNotReached()
-		case told == n.cfg.Label:
+		case announced == n.cfg.Label:
 			n.standby.follower.Pull(leader, term)
-		case told != "":
+		case announced != "":
 			n.standby.follower.Drop("another node follows the leader")
 		}
 	}
@@ -193,11 +193,11 @@
 		return false
 	}
 	n.standby.mu.Lock()
-	told := n.standby.reported
+	announced := n.standby.reported
 	n.standby.mu.Unlock()
 	return slices.ContainsFunc(n.peers, func(p *peer.Peer) bool {
 		last, ok := p.Last(n.cfg.LeaderLeaseTTL())
-		return ok && p.Label == told && last.Serving && last.CanFollow
+		return ok && p.Label == announced && last.Serving && last.CanFollow
 	})
 }
 
--- a/internal/provision/provision_test.go
+++ b/internal/provision/provision_test.go
@@ -12,7 +12,7 @@
 // What a lost fleet of 4,096 and of 6,000 machines ran is rented for within some rounds, each in
 // calls that the cloud takes and no more than are allowed, and deciding what takes no second:
 // with a look at every machine of the packing for each task it took several.
-func TestLostFleetIsRentedAgain(t *testing.T) {
+func TestDeadFleetIsProvisionedAgain(t *testing.T) {
 	cat := &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 96, Gpus: 8, RAMGb: 576, Hourly: 20, SpotHourly: 5, Zones: []string{"a", "b", "c", "d"}}}}
 	for _, machines := range []int{4096, 6000} {
 		var shorts []sched.Short
--- a/internal/relay/pressure_test.go
+++ b/internal/relay/pressure_test.go
@@ -45,7 +45,7 @@
 }
 
 // A worker whose controller hears nobody any more is not sent back, however many there were.
-func TestLostControllerGetsNobodyBack(t *testing.T) {
+func TestUnreachableControllerGetsNoWorkers(t *testing.T) {
 	r := testRouter(Relayed)
 	r.Resize(100)
 	var sent reports
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -59,8 +59,8 @@
 
 const (
 	whole exchangeFault = iota
-	requestLost
-	replyLost
+	requestDropped
+	replyDropped
 )
 
 // Whatever is lost between followers and leader, and whichever follower a worker reports to,
@@ -92,12 +92,12 @@
 		receiver := newReceiver(1)
 		fault := whole
 		exchange := func(_ Leader, args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
-			if fault == requestLost {
+			if fault == requestDropped {
 				return peer.HeartbeatBatchReply{}, errors.New("lost")
 			}
 			reply, err := receiver.Exchange(args)
 			time.Sleep(time.Millisecond) // the answers of this batch come with a later one
-			if fault == replyLost {
+			if fault == replyDropped {
 				return peer.HeartbeatBatchReply{}, errors.New("lost")
 			}
 			return reply, err
@@ -128,7 +128,7 @@
 				t.Fatal(err)
 			}
 			waiting = append(waiting, p)
-			fault = rapid.SampledFrom([]exchangeFault{whole, whole, whole, whole, whole, whole, requestLost, replyLost}).Draw(t, "fault")
+			fault = rapid.SampledFrom([]exchangeFault{whole, whole, whole, whole, whole, whole, requestDropped, replyDropped}).Draw(t, "fault")
 			s.exchange()
 		}
 		fault = whole
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -74,14 +74,14 @@
 // census counts the workers of each controller: those that were heard lately, and those that
 // have gone elsewhere by themselves.
 type census struct {
-	at          time.Time
-	heard, left map[string]int // by label
+	at              time.Time
+	reporting, left map[string]int // by label
 }
 
 // hears reports whether a controller hears most of its workers, so that one that has gone
 // elsewhere has rather met a slow answer than lost the way.
 func (c *census) hears(label string) bool {
-	return c.heard[label] > 1 && c.heard[label] > c.left[label]
+	return c.reporting[label] > 1 && c.reporting[label] > c.left[label]
 }
 
 // placement is where a worker reports.
@@ -258,10 +258,10 @@
 	if now.Sub(c.at) < time.Duration(censusShare*float64(r.ReportEvery)) {
 		return c
 	}
-	*c = census{at: now, heard: map[string]int{}, left: map[string]int{}}
+	*c = census{at: now, reporting: map[string]int{}, left: map[string]int{}}
 	for _, p := range r.workers {
 		if now.Sub(p.seen) <= stayIntervals*r.ReportEvery {
-			c.heard[p.at]++
+			c.reporting[p.at]++
 		}
 		for _, d := range p.left {
 			if d.label != p.at && now.Sub(d.at) < stayLeases*r.Lease {
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -88,20 +88,20 @@
 		zoneOf := func(host string) string { return zones[host] }
 		r.Resize(len(at))
 		r.mode = Relayed // however few there are
-		check := func(lost string) {
+		check := func(unreachable string) {
 			load := map[string]int{}
 			for host, label := range at {
 				load[label]++
-				if label == lost {
-					t.Fatalf("%s is at %s, which is lost", host, lost)
+				if label == unreachable {
+					t.Fatalf("%s is at %s, which is lost", host, unreachable)
 				}
 				home := map[string]string{"a": "n0", "b": "n1", "c": "n2"}[zones[host]]
-				if home != "" && home != lost && label != home && load[home] < r.capacity(home) {
+				if home != "" && home != unreachable && label != home && load[home] < r.capacity(home) {
 					t.Fatalf("%s of zone %s is at %s", host, zones[host], label)
 				}
 			}
 			for host, label := range at {
-				room := load["n1"] < r.capacity("n1") || lost != "n2" && load["n2"] < r.capacity("n2")
+				room := load["n1"] < r.capacity("n1") || unreachable != "n2" && load["n2"] < r.capacity("n2")
 				if zones[host] == "d" && label == "n0" && room {
 					t.Fatalf("%s of a zone without controller is at the leader, and a follower has room", host)
 				}
--- a/internal/sched/classes.go
+++ b/internal/sched/classes.go
@@ -239,8 +239,8 @@
 
 // has reports whether a node has the image of the job that is looked at.
 func (r *round) has(slot int32) bool {
-	if kept := int32(r.view.Len()); slot >= kept {
-		return slices.Contains(r.in.Nodes[slot-kept].Images, r.job.Spec.Image)
+	if retained := int32(r.view.Len()); slot >= retained {
+		return slices.Contains(r.in.Nodes[slot-retained].Images, r.job.Spec.Image)
 	}
 	return r.holders != nil && r.holders.Test(uint(slot))
 }
@@ -349,8 +349,8 @@
 func (r *round) avoided(j *Job, slot int32) bool { return j.Avoid != "" && r.id(slot) == j.Avoid }
 
 func (r *round) id(slot int32) string {
-	if kept := int32(r.view.Len()); slot >= kept {
-		return r.in.Nodes[slot-kept].ID
+	if retained := int32(r.view.Len()); slot >= retained {
+		return r.in.Nodes[slot-retained].ID
 	}
 	return r.view.nodes[slot].id
 }
--- a/internal/sched/large_test.go
+++ b/internal/sched/large_test.go
@@ -55,11 +55,11 @@
 func BenchmarkRound(b *testing.B) {
 	for _, machines := range []int{340, 1350, 4000, 6000} {
 		for _, waiting := range []int{5, 50, 500} {
-			for _, kept := range []bool{true, false} {
-				b.Run(fmt.Sprintf("machines=%d/waiting=%d/kept=%v", machines, waiting, kept), func(b *testing.B) {
+			for _, retained := range []bool{true, false} {
+				b.Run(fmt.Sprintf("machines=%d/waiting=%d/kept=%v", machines, waiting, retained), func(b *testing.B) {
 					b.ReportAllocs()
 					view := viewOf(large(machines, 0).Nodes)
-					if kept { // rounds use the memory of those before
+					if retained { // rounds use the memory of those before
 						in := large(machines, waiting)
 						in.View, in.Nodes = view, nil
 						Run(in)
@@ -68,11 +68,11 @@
 					for range b.N {
 						b.StopTimer()
 						in := large(machines, waiting)
-						if kept {
+						if retained {
 							in.View, in.Nodes = view, nil
 						}
 						b.StartTimer()
-						if kept {
+						if retained {
 							Run(in)
 						} else {
 							refRun(in)
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -136,8 +136,8 @@
 	if sorted, known := r.victims[slot]; known {
 		return sorted
 	}
-	if kept := int32(r.view.Len()); slot >= kept {
-		return r.in.Nodes[slot-kept].Victims
+	if retained := int32(r.view.Len()); slot >= retained {
+		return r.in.Nodes[slot-retained].Victims
 	}
 	return r.view.nodes[slot].victims
 }
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -433,7 +433,7 @@
 	level                   int // of a job that displaces
 	need                    fleet.Res
 	machineTypes, zone      string
-	standby                 bool
+	spot                    bool
 	overdue, waitedPastBoot bool
 	dear                    bool
 	image                   string // if only nodes that have it will do
@@ -445,7 +445,7 @@
 	if s.SingleZone || s.SpreadZones || j.Avoid != "" {
 		return b, false
 	}
-	b = refBound{layer: l, need: fleet.Need(s), machineTypes: strings.Join(s.MachineTypes, " "), zone: s.Zone, standby: s.AllowSpot, overdue: j.Overdue, waitedPastBoot: j.WaitedPastBoot, dear: j.Dear}
+	b = refBound{layer: l, need: fleet.Need(s), machineTypes: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.Overdue, waitedPastBoot: j.WaitedPastBoot, dear: j.Dear}
 	if r.warm {
 		b.image = s.Image
 	}
--- a/internal/sched/view.go
+++ b/internal/sched/view.go
@@ -15,7 +15,7 @@
 // safe for concurrent use.
 type View struct {
 	slots    map[string]int32
-	nodes    []keptNode // by slot
+	nodes    []retainedNode // by slot
 	kinds    kinds
 	images   map[string]*bitset.BitSet // by image: the slots of machines that have or fetch it
 	levels   [maxLevels]int            // how many victims there are of each level
@@ -25,8 +25,8 @@
 	memory   memory
 }
 
-// keptNode is a machine in its slot.
-type keptNode struct {
+// retainedNode is a machine in its slot.
+type retainedNode struct {
 	id      string // "": the slot is vacant
 	kind    int32
 	pulling int32
@@ -95,7 +95,7 @@
 		slices.Sort(n.Images)
 	}
 	old := &v.nodes[slot]
-	next := keptNode{id: n.ID, kind: v.kinds.number(kindOf(n)), pulling: int32(n.Pulling),
+	next := retainedNode{id: n.ID, kind: v.kinds.number(kindOf(n)), pulling: int32(n.Pulling),
 		room: [layers]fleet.Res{n.Free, n.Soon, n.Later}, victims: n.Victims, images: n.Images}
 	if known && old.equal(&next) {
 		return false
@@ -108,7 +108,7 @@
 }
 
 // equal reports whether two nodes are the same to a round.
-func (k *keptNode) equal(o *keptNode) bool {
+func (k *retainedNode) equal(o *retainedNode) bool {
 	if k.kind != o.kind || k.pulling != o.pulling || k.room != o.room || !slices.Equal(k.images, o.images) || len(k.victims) != len(o.victims) {
 		return false
 	}
@@ -127,7 +127,7 @@
 	if slot > 0 && v.nodes[slot-1].id > id {
 		v.unsorted = true
 	}
-	v.nodes = append(v.nodes, keptNode{id: id})
+	v.nodes = append(v.nodes, retainedNode{id: id})
 	v.slots[id] = slot
 	return slot
 }
@@ -141,7 +141,7 @@
 	node := &v.nodes[slot]
 	v.setImages(slot, node.images, nil)
 	v.countVictims(node.victims, -1)
-	*node = keptNode{}
+	*node = retainedNode{}
 	delete(v.slots, id)
 	v.empty++
 	// No vacant slot is last: a machine that is appended is compared with the one before.
@@ -162,7 +162,7 @@
 // sorted.
 func (v *View) setImages(slot int32, old, next []string) {
 	for _, image := range old {
-		if _, kept := slices.BinarySearch(next, image); kept {
+		if _, retained := slices.BinarySearch(next, image); retained {
 			continue
 		}
 		holders := v.images[image]
@@ -193,8 +193,8 @@
 	if !v.unsorted && v.empty <= len(v.slots)/2 && len(v.kinds.list) <= 2*v.inUse+unusedKinds {
 		return
 	}
-	nodes := slices.DeleteFunc(v.nodes, func(k keptNode) bool { return k.id == "" })
-	slices.SortFunc(nodes, func(a, b keptNode) int { return cmp.Compare(a.id, b.id) })
+	nodes := slices.DeleteFunc(v.nodes, func(k retainedNode) bool { return k.id == "" })
+	slices.SortFunc(nodes, func(a, b retainedNode) int { return cmp.Compare(a.id, b.id) })
 	v.nodes, v.unsorted, v.empty = nodes, false, 0
 	clear(v.images)
 	used := kinds{}
--- a/internal/sched/view_test.go
+++ b/internal/sched/view_test.go
@@ -181,14 +181,14 @@
 // machine out.
 func TestLargeFleetsAreChosenFromAsBefore(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
-		kept, all := large(machines, 300), large(machines, 300)
-		kept.Window, all.Window = 300, 300
-		kept.View, kept.Nodes = viewOf(kept.Nodes), nil
-		if n := kept.View.Machines(); n != machines {
+		retained, all := large(machines, 300), large(machines, 300)
+		retained.Window, all.Window = 300, 300
+		retained.View, retained.Nodes = viewOf(retained.Nodes), nil
+		if n := retained.View.Machines(); n != machines {
 			t.Fatalf("%d of %d machines are kept", n, machines)
 		}
-		plan, want := Run(kept), refRun(all)
-		got, wanted := described(plan, kept.View.ID), described(want, func(node int) string { return all.Nodes[node].ID })
+		plan, want := Run(retained), refRun(all)
+		got, wanted := described(plan, retained.View.ID), described(want, func(node int) string { return all.Nodes[node].ID })
 		if got != wanted {
 			t.Errorf("with %d machines the rounds differ", machines)
 		}
--- a/internal/simcluster/answers_test.go
+++ b/internal/simcluster/answers_test.go
@@ -111,7 +111,7 @@
 
 // A node that alone lost the state service passes its users on; when nobody
 // reaches it they are told at once when to come back.
-func TestUsersArePassedOn(t *testing.T) {
+func TestUserRequestsAreForwarded(t *testing.T) {
 	t.Parallel()
 	inDay(t, func(d *day) {
 		for i, fault := range []func(on bool){
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -203,9 +203,9 @@
 	w.rule("unrecorded", "%s is returned without a record", wk.Host)
 }
 
-// checkReap checks that an end was recorded before the task is forgotten. What
+// checkAcknowledge checks that an end was recorded before the task is forgotten. What
 // is withdrawn is never launched again and needs no such record.
-func (w *Cluster) checkReap(name string, attempt uint64, host string) {
+func (w *Cluster) checkAcknowledge(name string, attempt uint64, host string) {
 	uid, _, _ := wire.SplitTaskName(name)
 	item, ok := w.State.Get(records.JobKey(uid))
 	if ok && !bytes.Contains(item.Value, []byte(wire.JobAborted)) && w.recorded(name, attempt, host) {
@@ -230,7 +230,7 @@
 }
 
 // Start is called when a task has its image and begins to run on a machine.
-func (w *Cluster) Start(task, host, machineType, zone string, standby bool) {
+func (w *Cluster) Start(task, host, machineType, zone string, spot bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started++
@@ -254,8 +254,8 @@
 			w.breach("ran_cancelled", "%s starts on %s", task, host)
 		}
 	}
-	if len(s.MachineTypes) > 0 && !strings.Contains(strings.Join(s.MachineTypes, " "), machineType) || s.Zone != "" && s.Zone != zone || standby && !s.AllowSpot {
-		w.breach("wrong_place", "%s starts on %s (%s, %s, standby %v)", task, host, machineType, zone, standby)
+	if len(s.MachineTypes) > 0 && !strings.Contains(strings.Join(s.MachineTypes, " "), machineType) || s.Zone != "" && s.Zone != zone || spot && !s.AllowSpot {
+		w.breach("wrong_place", "%s starts on %s (%s, %s, standby %v)", task, host, machineType, zone, spot)
 	}
 	zones := map[string]int{}
 	w.on.eachOf(uid, func(hosts map[string]bool) {
@@ -413,10 +413,10 @@
 }
 
 // add makes a machine. w.mu is held.
-func (w *Cluster) add(machineType, zone string, standby bool, boot time.Duration) string {
+func (w *Cluster) add(machineType, zone string, spot bool, boot time.Duration) string {
 	host := fmt.Sprintf("m-%06d", w.serial)
 	w.serial++
-	wk := newWorker(w, host, machineType, zone, standby, boot)
+	wk := newWorker(w, host, machineType, zone, spot, boot)
 	w.workers[host] = wk
 	wk.Address = host
 	if w.ListenWorker != nil {
@@ -550,7 +550,7 @@
 // Follow polls an accepted job and withdraws it after stay, if that is above 0. It
 // returns when the job is over, or at the deadline.
 func (w *Cluster) Follow(spec wire.JobSpec, stay time.Duration, deadline time.Time) {
-	told := 0
+	announced := 0
 	leaveAt := time.Now().Add(stay)
 	for {
 		if time.Now().After(deadline) {
@@ -559,7 +559,7 @@
 		}
 		w.Poll(w.node(), spec.UID)
 		if w.Acknowledged(spec.UID) != "" {
-			if told++; told > 4 {
+			if announced++; announced > 4 {
 				return
 			}
 		} else if stay > 0 && time.Now().After(leaveAt) {
--- a/internal/simcluster/dependencies.go
+++ b/internal/simcluster/dependencies.go
@@ -40,10 +40,10 @@
 		return
 	}
 	w.ancestors(uid, func(name string) bool {
-		told, cancelled := w.aborted[name]
-		late := cancelled && asked.Sub(told).Seconds() > w.Cfg.Cluster.Workers.CancelS
+		announced, cancelled := w.aborted[name]
+		late := cancelled && asked.Sub(announced).Seconds() > w.Cfg.Cluster.Workers.CancelS
 		if late {
-			w.breach("orphaned", "%s is called %s, %.1f s after %s was called cancelled", uid, status, asked.Sub(told).Seconds(), name)
+			w.breach("orphaned", "%s is called %s, %.1f s after %s was called cancelled", uid, status, asked.Sub(announced).Seconds(), name)
 		}
 		return !late
 	})
--- a/internal/simcluster/faults_test.go
+++ b/internal/simcluster/faults_test.go
@@ -185,7 +185,7 @@
 
 // A leader that the state service refuses, alone, learns of a withdrawal from the
 // node that confirmed it: the tasks are gone in seconds, not with their leases.
-func TestCancellationsAreTold(t *testing.T) {
+func TestCancellationsAreAnnounced(t *testing.T) {
 	t.Parallel()
 	inDay(t, func(d *day) {
 		spec, _ := replicas(0)(1, rand.New(rand.NewPCG(1, 1)))
@@ -617,7 +617,7 @@
 // A controller stands still while its clocks run on, in every phase of a term, for
 // less than its hold, a lease or cancel_s and for more. On waking it has an old
 // picture, old reports to answer and answers to what it asked long ago.
-func TestStandingStill(t *testing.T) {
+func TestProcessPause(t *testing.T) {
 	t.Parallel()
 	isLead := func(d *day, label string) bool { lead := d.leading(); return lead >= 0 && labels[lead] == label }
 	// Each tells, of a request, who is to stand still now; nobody is "".
@@ -738,14 +738,14 @@
 			}
 		}), nil)
 		go w.Watch(time.Now().Add(10 * time.Minute))
-		step := func(rule string, code int, told wire.JobStatus, ask func()) {
+		step := func(rule string, code int, announced wire.JobStatus, ask func()) {
 			t.Helper()
-			status, view.Status = code, told
+			status, view.Status = code, announced
 			before := len(w.Broken())
 			ask()
-			news := strings.Join(w.Broken()[before:], "\n")
-			if rule == "" && news != "" || rule != "" && !strings.Contains(news, rule) {
-				t.Errorf("expected %q, the judge sees %q", rule, news)
+			answers := strings.Join(w.Broken()[before:], "\n")
+			if rule == "" && answers != "" || rule != "" && !strings.Contains(answers, rule) {
+				t.Errorf("expected %q, the judge sees %q", rule, answers)
 			}
 		}
 		jobs := make([]wire.JobSpec, 4)
--- a/internal/simcluster/invariants.go
+++ b/internal/simcluster/invariants.go
@@ -55,8 +55,8 @@
 // question was asked, and remembers what is new in it.
 func (w *Cluster) answered(uid string, asked time.Time, status int, v wire.JobView) {
 	w.mu.Lock()
-	news := w.checkAnswer(uid, asked, status, v)
-	look := news && w.CloseLooks
+	answers := w.checkAnswer(uid, asked, status, v)
+	look := answers && w.CloseLooks
 	w.mu.Unlock()
 	if look {
 		w.CloseLook(uid)
@@ -210,7 +210,7 @@
 // hostLoad is a machine's room and the tasks that it has, as its worker knows.
 type hostLoad struct {
 	machineType, zone string
-	standby           bool
+	spot              bool
 	cores, gpus       float64
 	tasks             []string
 }
@@ -253,7 +253,7 @@
 		_, over := w.final[uid]
 		room := slices.ContainsFunc(loads, func(l hostLoad) bool {
 			return l.cores >= s.Cores && l.gpus >= s.Gpus && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, l.machineType)) &&
-				(s.Zone == "" || s.Zone == l.zone) && (s.AllowSpot || !l.standby)
+				(s.Zone == "" || s.Zone == l.zone) && (s.AllowSpot || !l.spot)
 		})
 		waits := accepted && !over && !w.asked[uid] && !s.SingleZone && !s.SpreadZones && s.JobClass != w.Mistaken &&
 			len(w.done[uid])+placed[uid] < s.TaskCount && room && (team.GpusMax == 0 || gpus[s.Team]+s.Gpus <= team.GpusMax)
@@ -277,7 +277,7 @@
 	if k.dead || now.Before(k.hungTill) || now.Before(k.sickTill) || now.Sub(k.born) < k.boot {
 		return hostLoad{}, false
 	}
-	l := hostLoad{machineType: k.MachineType, zone: k.Zone, standby: k.Spot}
+	l := hostLoad{machineType: k.MachineType, zone: k.Zone, spot: k.Spot}
 	for _, r := range k.w.Catalog.MachineTypes {
 		if r.Name == k.MachineType {
 			l.cores, l.gpus = r.Cores, r.Gpus
--- a/internal/simcluster/worker.go
+++ b/internal/simcluster/worker.go
@@ -45,15 +45,15 @@
 }
 
 type workerTask struct {
-	status wire.TaskStatus
-	cause  wire.Cause
-	kept   bool
-	on     bool
-	due    time.Time // of the next change
+	status       wire.TaskStatus
+	cause        wire.Cause
+	checkpointed bool
+	on           bool
+	due          time.Time // of the next change
 }
 
-func newWorker(w *Cluster, host, machineType, zone string, standby bool, boot time.Duration) *Worker {
-	return &Worker{Host: host, MachineType: machineType, Zone: zone, Spot: standby, w: w, born: time.Now(), boot: boot, session: 1,
+func newWorker(w *Cluster, host, machineType, zone string, spot bool, boot time.Duration) *Worker {
+	return &Worker{Host: host, MachineType: machineType, Zone: zone, Spot: spot, w: w, born: time.Now(), boot: boot, session: 1,
 		tasks: map[taskKey]*workerTask{}, images: map[string]bool{}, poke: make(chan struct{}, 1), stop: make(chan struct{})}
 }
 
@@ -178,7 +178,7 @@
 	k.sequence++
 	r := wire.Heartbeat{Host: k.Host, Address: k.Address, MachineType: k.MachineType, Zone: k.Zone, Spot: k.Spot, Incarnation: k.session, Sequence: k.sequence, FencingToken: k.token, Tasks: []wire.TaskReport{}}
 	for key, l := range k.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: key.name, Attempt: key.attempt, Status: l.status, Cause: l.cause, Checkpointed: l.kept})
+		r.Tasks = append(r.Tasks, wire.TaskReport{Task: key.name, Attempt: key.attempt, Status: l.status, Cause: l.cause, Checkpointed: l.checkpointed})
 	}
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -287,7 +287,7 @@
 			}
 		case wire.Acknowledge:
 			if l != nil && l.status == wire.TaskEnded {
-				k.w.checkReap(o.Task, o.Attempt, k.Host)
+				k.w.checkAcknowledge(o.Task, o.Attempt, k.Host)
 				delete(k.tasks, key)
 			}
 		}
@@ -373,7 +373,7 @@
 			case wire.TaskRunning:
 				k.end(key, l, wire.CauseDone)
 			case wire.TaskSaving:
-				l.kept = true
+				l.checkpointed = true
 				k.end(key, l, wire.CauseStopped)
 			}
 		}
--- a/internal/standby/positions.go
+++ b/internal/standby/positions.go
@@ -54,15 +54,15 @@
 func (p *positions) changed(id uint64, keys []string, revision uint64) {
 	p.close(id)
 	p.known = max(p.known, revision)
-	for lost, c := range p.open {
-		if c.unsettled == nil || lost > id {
+	for unknown, c := range p.open {
+		if c.unsettled == nil || unknown > id {
 			continue
 		}
 		for _, key := range keys {
 			delete(c.unsettled, key)
 		}
 		if len(c.unsettled) == 0 {
-			p.close(lost)
+			p.close(unknown)
 		}
 	}
 }
--- a/internal/standby/service_test.go
+++ b/internal/standby/service_test.go
@@ -18,21 +18,21 @@
 const (
 	carriedOut outcome = iota
 	refusedThen
-	lostAnswer  // carried out, and the answer is lost
-	lostRequest // neither
-	lateRequest // the answer is lost, and it is carried out later if its guards still hold
+	droppedAnswer  // carried out, and the answer is lost
+	droppedRequest // neither
+	lateRequest    // the answer is lost, and it is carried out later if its guards still hold
 	outcomes
 )
 
 // service is a fake state service that keeps its whole history.
 type service struct {
-	revision uint64
-	items    map[string]wire.KeyValue
-	log      []wire.WatchEvent
-	kept     uint64 // changes up to here are no longer kept
-	down     error
-	next     outcome // of the next commit
-	late     []wire.Transaction
+	revision    uint64
+	items       map[string]wire.KeyValue
+	log         []wire.WatchEvent
+	oldestKnown uint64 // changes up to here are no longer kept
+	down        error
+	next        outcome // of the next commit
+	late        []wire.Transaction
 }
 
 func newService() *service { return &service{items: map[string]wire.KeyValue{}} }
@@ -78,7 +78,7 @@
 	switch how {
 	case refusedThen:
 		return 0, store.ErrRefused
-	case lostRequest:
+	case droppedRequest:
 		return 0, store.ErrUnknown
 	case lateRequest:
 		s.late = append(s.late, tx)
@@ -87,7 +87,7 @@
 	if !s.apply(tx) {
 		return 0, &store.ConflictError{Failed: []string{"some"}}
 	}
-	if how == lostAnswer {
+	if how == droppedAnswer {
 		return 0, store.ErrUnknown
 	}
 	return s.revision, nil
@@ -112,7 +112,7 @@
 	if s.down != nil {
 		return wire.WatchResponse{}, s.down
 	}
-	if after < s.kept {
+	if after < s.oldestKnown {
 		return wire.WatchResponse{}, store.ErrTooOld
 	}
 	ch := wire.WatchResponse{Revision: s.revision}
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -332,7 +332,7 @@
 		t.Fatal(err)
 	}
 	sameAsListed(t, s, p)
-	s.kept = s.revision - 100
+	s.oldestKnown = s.revision - 100
 	if _, err := g.Prove(context.Background(), s, term); !errors.Is(err, ErrTooFarBehind) {
 		t.Errorf("proven with %v", err)
 	}
--- a/internal/timeralign/grid_test.go
+++ b/internal/timeralign/grid_test.go
@@ -35,7 +35,7 @@
 }
 
 // A period that an operator sets is kept where the grid does not have it.
-func TestOtherPeriodsAreKept(t *testing.T) {
+func TestOtherPeriodsAreNotAligned(t *testing.T) {
 	now := time.Unix(1000, 12345)
 	for _, tc := range []struct{ unit, period time.Duration }{
 		{0, time.Second}, {100 * time.Millisecond, 130 * time.Millisecond}, {time.Second, 100 * time.Millisecond},
--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -18,10 +18,10 @@
 
 // termRecords is a state service of job termRecords with a history.
 type fakeStore struct {
-	revision uint64
-	items    map[string]wire.KeyValue
-	log      []wire.WatchEvent
-	kept     uint64 // changes up to here are forgotten
+	revision    uint64
+	items       map[string]wire.KeyValue
+	log         []wire.WatchEvent
+	oldestKnown uint64 // changes up to here are forgotten
 }
 
 func (s *fakeStore) set(uid string, status wire.JobStatus) {
@@ -47,7 +47,7 @@
 }
 
 func (s *fakeStore) Changes(_ context.Context, _ string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
-	if after < s.kept {
+	if after < s.oldestKnown {
 		return wire.WatchResponse{}, store.ErrTooOld
 	}
 	ch := wire.WatchResponse{Revision: s.revision}
@@ -120,7 +120,7 @@
 				}
 			case 14:
 				if rapid.IntRange(0, 9).Draw(t, "forget") == 0 {
-					s.kept = s.revision
+					s.oldestKnown = s.revision
 				}
 			}
 			history = append(history, then{clock, s.revision, maps.Clone(s.items)})
