--- a/internal/controller/announce.go
+++ b/internal/controller/announce.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"log/slog"
+	"lotusstile.dev/lotusstile/internal/timeralign"
 	"math/rand/v2"
 	"strings"
 	"sync"
@@ -28,7 +29,7 @@
 // deposed leader that still answers them.
 func (c *Controller) announcing(ctx context.Context) {
 	every := c.Config.HeartbeatInterval()
-	for sleep(ctx, c.untilNext(every/2)) {
+	for timeralign.Sleep(ctx, c.untilNext(every/2)) {
 		var wg sync.WaitGroup
 		targets := c.toAnnounce()
 		slots := make(chan struct{}, c.announcements(len(targets)))
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,6 +23,7 @@
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/standby"
 	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/timeralign"
 	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -187,7 +188,7 @@
 			break
 		}
 		slog.Warn("cannot load the picture", "term", c.term, "err", err)
-		if !sleep(ctx, pause) {
+		if !timeralign.Sleep(ctx, pause) {
 			return
 		}
 	}
@@ -208,17 +209,6 @@
 	return c.Config.Grid().Next(time.Now(), period)
 }
 
-func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
-
 // depose ends the term: a newer one is known to exist.
 func (c *Controller) depose(why string) {
 	slog.Info("term is over", "term", c.term, "why", why)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -8,6 +8,7 @@
 
 	"lotusstile.dev/lotusstile/internal/jobdag"
 	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/timeralign"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -113,7 +114,7 @@
 		case <-c.resolveWake:
 		}
 		for !c.resolve(ctx) {
-			if !sleep(ctx, c.untilNext(c.Config.HeartbeatInterval()/3)) {
+			if !timeralign.Sleep(ctx, c.untilNext(c.Config.HeartbeatInterval()/3)) {
 				return
 			}
 		}
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -9,6 +9,7 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/timeralign"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -24,7 +25,7 @@
 // noteImages records which images machines have, so that a new leader knows
 // where starts are quick. It loses nothing but time if it is late or fails.
 func (c *Controller) noteImages(ctx context.Context) {
-	for sleep(ctx, c.untilNext(c.Config.HeartbeatInterval())) {
+	for timeralign.Sleep(ctx, c.untilNext(c.Config.HeartbeatInterval())) {
 		c.noteSomeImages(ctx)
 	}
 }
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -10,6 +10,7 @@
 	"lotusstile.dev/lotusstile/internal/cloud"
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/provision"
+	"lotusstile.dev/lotusstile/internal/timeralign"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -63,7 +64,7 @@
 			c.mu.Unlock()
 			break
 		}
-		sleep(ctx, pause)
+		timeralign.Sleep(ctx, pause)
 		pause *= 2
 	}
 	c.mu.Lock()
@@ -103,7 +104,7 @@
 		} else {
 			c.listed(hosts, asked)
 		}
-		if !sleep(ctx, c.untilNext(max(least, c.Cloud.ListTakes(len(hosts))))) {
+		if !timeralign.Sleep(ctx, c.untilNext(max(least, c.Cloud.ListTakes(len(hosts))))) {
 			return
 		}
 	}
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -8,6 +8,7 @@
 
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/sched"
+	"lotusstile.dev/lotusstile/internal/timeralign"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -22,7 +23,7 @@
 		case <-c.placementWake:
 			// A job came: it need not wait for the interval to pass, only long
 			// enough for others that come with it.
-			if !sleep(ctx, interval/8) {
+			if !timeralign.Sleep(ctx, interval/8) {
 				return
 			}
 		}
--- a/internal/controller/writer.go
+++ b/internal/controller/writer.go
@@ -11,6 +11,7 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/timeralign"
 	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -62,7 +63,7 @@
 			if b.note {
 				break // later, when records leave more room
 			}
-			sleep(ctx, ticker/2)
+			timeralign.Sleep(ctx, ticker/2)
 		}
 	}
 }
@@ -347,7 +348,7 @@
 			if err == nil {
 				return item, found, true
 			}
-			if !sleep(ctx, c.Config.HeartbeatInterval()/4) {
+			if !timeralign.Sleep(ctx, c.Config.HeartbeatInterval()/4) {
 				return wire.KeyValue{}, false, false
 			}
 		}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -133,7 +133,7 @@
 	return e.state
 }
 
-// Saw notes that a term was seen elsewhere: in a worker's report or at another
+// ObserveTerm notes that a term was seen elsewhere: in a worker's report or at another
 // node. A leader of an older term steps down.
 func (e *Elector) ObserveTerm(term uint64, leader string) {
 	e.mu.Lock()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -345,7 +345,7 @@
 	f.watcher.AttemptChanged(a, a.State, "placed")
 }
 
-// Transaction notes that the record of a planned attempt is committed.
+// Commit notes that the record of a planned attempt is committed.
 func (f *Fleet) Commit(a *Attempt, now time.Time) {
 	if a.State == Planned {
 		f.setAttempt(a, Committed, now, "recorded")
@@ -398,7 +398,7 @@
 	}
 }
 
-// Heartbeat takes a check-in into the picture. fresh is false for a copy that is no newer than what is known: it
+// ApplyHeartbeat takes a check-in into the picture. fresh is false for a copy that is no newer than what is known: it
 // changes nothing and gets no orders.
 func (f *Fleet) ApplyHeartbeat(r *wire.Heartbeat, now time.Time) (m *Machine, fresh bool) {
 	m = f.Know(r.Host, now)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// Heartbeat answers a single relayed heartbeat.
+// CheckIn answers a single relayed heartbeat.
 func (s *service) CheckIn(a CheckInArgs, r *CheckInReply) error {
 	*r = s.handler.RelayHeartbeat(a)
 	return nil
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Cancelled learns of a committed cancellation.
+// Withdrawn learns of a committed cancellation.
 func (s *service) Withdrawn(a WithdrawnArgs, _ *WithdrawnReply) error {
 	s.handler.Cancelled(a.cancellation())
 	return nil
--- a/internal/provision/provision.go
+++ b/internal/provision/provision.go
@@ -13,14 +13,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Gang is what a rental asks for.
+// MachineGroup is what a rental asks for.
 type MachineGroup struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Provision asks for machines of one group.
+// Request asks for machines of one group.
 type Request struct {
 	MachineGroup
 	Count int
@@ -31,7 +31,7 @@
 	room  fleet.Res
 }
 
-// Cap is what a machine of a type offers.
+// Capacity is what a machine of a type offers.
 func Capacity(r *wire.MachineType) fleet.Res {
 	return fleet.Res{Cores: r.Cores, Gpus: r.Gpus, RAM: r.RAMGb}
 }
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -78,7 +78,7 @@
 	return &Sender{SenderConfig: cfg, wake: make(chan struct{}, 1), pending: map[string]*pendingReport{}, taken: map[string]*wire.Heartbeat{}}
 }
 
-// Heartbeat relays one report to the leader and waits for the answer. The error is one of
+// Report relays one report to the leader and waits for the answer. The error is one of
 // the package's, or that of the context.
 func (s *Sender) Report(ctx context.Context, to Leader, r *wire.Heartbeat, body []byte, pressure Pressure) (peer.HeartbeatAnswer, error) {
 	p := &pendingReport{report: r, body: body, pressure: pressure, result: make(chan result, 1)}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -149,7 +149,7 @@
 // rank below only when the window is small; order is kept by the pass itself.
 var DefaultPriorities = [5]float64{0, 1, 4, 16, 64}
 
-// Command sorts jobs by whether their team's guarantee covers them, then by rank, then by how long they can still wait, then age,
+// Order sorts jobs by whether their team's guarantee covers them, then by rank, then by how long they can still wait, then age,
 // then id. Work that cannot be in time any more lets the rest of its rank pass,
 // but not for ever. First tasks of jobs that should have begun come first, those
 // of the oldest job before others.
--- a/internal/simcluster/state.go
+++ b/internal/simcluster/state.go
@@ -283,7 +283,7 @@
 	return it, ok
 }
 
-// KeyValueList lists all items under a prefix as they are at one moment, past all faults, for
+// Items lists all items under a prefix as they are at one moment, past all faults, for
 // checks.
 func (s *State) Items(under string) []wire.KeyValue {
 	s.mu.Lock()
--- a/internal/standby/source.go
+++ b/internal/standby/source.go
@@ -274,7 +274,7 @@
 	return item, found, err
 }
 
-// Transaction passes a commit on and takes its outcome into the source.
+// Commit passes a commit on and takes its outcome into the source.
 func (r *Recorder) Commit(ctx context.Context, tx wire.Transaction) (uint64, error) {
 	keys := recordKeys(tx)
 	if len(keys) == 0 {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -313,7 +313,7 @@
 	}
 }
 
-// Transaction applies a guarded transaction and returns its epoch. Its error is a
+// Commit applies a guarded transaction and returns its epoch. Its error is a
 // *ConflictError, *BusyError, *RejectedError, ErrLeaseNotFound, ErrRefused (nothing happened) or
 // ErrUnknown.
 func (c *Client) Commit(ctx context.Context, tx wire.Transaction) (uint64, error) {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -313,7 +313,7 @@
 	Failed   []string `json:"failed"`
 }
 
-// WorkerLease answers POST /holds.
+// Lease answers POST /holds.
 type Lease struct {
 	LeaseID uint64 `json:"Permit"`
 }
@@ -331,7 +331,7 @@
 	ModRevision uint64          `json:"Stamp"`
 }
 
-// Changes answers GET /changes.
+// WatchResponse answers GET /changes.
 type WatchResponse struct {
 	Revision uint64       `json:"Epoch"`
 	Events   []WatchEvent `json:"News"`
