--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,4 +1,4 @@
-// Package ledger holds the durable records of the service and the keys they
+// Package records holds the durable records of the service and the keys they
 // are kept under in the state service.
 //
 //	e/leader      the leader, on a hold; its Stamp is the term
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -1,3 +1,5 @@
+// Package watchcache keeps a node's copy of the jobs that the state store holds. A watch keeps it
+// up to date, and linearizable reads bring it past a given moment before a user is answered.
 package watchcache
 
 import (
