--- a/cmd/fleetsim/takeovers.go
+++ b/cmd/fleetsim/takeovers.go
@@ -86,8 +86,8 @@
 }
 
 // record reads how the takeover went, if it is of a newer term.
-func (t *takeovers) record(term uint64) (rec records.Takeover) {
-	item, ok := t.cluster.State.Get(records.TakeoverKey)
+func (t *takeovers) record(term uint64) (rec records.Failover) {
+	item, ok := t.cluster.State.Get(records.FailoverKey)
 	if !ok {
 		return rec
 	}
@@ -95,7 +95,7 @@
 		fmt.Fprintln(os.Stderr, "fleetsim: record of a takeover:", err)
 	}
 	if rec.Term <= term {
-		return records.Takeover{}
+		return records.Failover{}
 	}
 	return rec
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -32,7 +32,7 @@
 	for i := range 190 {
 		uid := fmt.Sprintf("run-%06d", i)
 		spec := wire.JobSpec{UID: uid, JobClass: "serve", Kind: wire.Service, Priority: wire.High, TaskCount: 8, Cores: 8, Gpus: 1, RAMGb: 40, Image: "image"}
-		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
+		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: 80}, ModRevision: 1})
 		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: fmt.Sprintf("m-%03d", i), MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, now)
 		c.capacity(m)
 		j := c.jobs[uid]
@@ -65,7 +65,7 @@
 		if i%3 == 0 {
 			s.Priority, s.Kind, s.AllowSpot = wire.BestEffort, wire.JobArray, true
 		}
-		c.takeJob(s.UID, watchcache.Entry{Job: &records.Job{Spec: s, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
+		c.takeJob(s.UID, watchcache.Entry{Job: &records.Job{Spec: s, Status: wire.JobQueued, TasksPerPlacement: 80}, ModRevision: 1})
 		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, *now)
 		c.capacity(m)
 		j := c.jobs[s.UID]
@@ -87,7 +87,7 @@
 	for i := range waiting {
 		s := spec(1_000_000+i, wire.Standard, 96) // no machine has room for it
 		s.TaskCount = 30
-		c.takeJob(s.UID, watchcache.Entry{Job: &records.Job{Spec: s, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
+		c.takeJob(s.UID, watchcache.Entry{Job: &records.Job{Spec: s, Status: wire.JobQueued, TasksPerPlacement: 80}, ModRevision: 1})
 	}
 	return c
 }
--- a/internal/controller/checkin.go
+++ b/internal/controller/checkin.go
@@ -72,7 +72,7 @@
 	wake := make(chan struct{})
 	c.waitingAnswers[m.ID] = wake
 	c.mu.Unlock()
-	t := time.NewTimer(c.Config.Grid().Within(time.Now(), c.Config.HeartbeatInterval()/2))
+	t := time.NewTimer(c.Config.TimerGrid().UntilLastWithin(time.Now(), c.Config.HeartbeatInterval()/2))
 	select {
 	case <-wake:
 	case <-t.C:
@@ -89,7 +89,7 @@
 // between the commit of a launch and its answer, another node may have confirmed
 // that the job is cancelled: the launch waits until that would be known.
 func (c *Controller) mayLaunch() bool {
-	return c.now().Sub(c.JobCache.Fresh()) < c.Config.LeaderLeaseTTL()
+	return c.now().Sub(c.JobCache.FreshAsOf()) < c.Config.LeaderLeaseTTL()
 }
 
 // answerNow lets an answer to a machine go that waits for commands.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -81,7 +81,7 @@
 	// Final is told of final statuses that are committed; nil if nobody asks.
 	Final func(uid string, status wire.JobStatus)
 	// Promoted is told once how the takeover went; nil if nobody asks.
-	Promoted func(records.Takeover)
+	Promoted func(records.Failover)
 }
 
 // Controller leads one term.
@@ -179,8 +179,8 @@
 	c.mu.Lock()
 	c.cancel = cancel
 	c.mu.Unlock()
-	c.JobCache.Listen(c.jobEvent)
-	defer c.JobCache.Listen(nil)
+	c.JobCache.SetListener(c.jobEvent)
+	defer c.JobCache.SetListener(nil)
 	pause := c.Config.LeaderLeaseTTL() / 10
 	for {
 		err := c.load(ctx)
@@ -206,7 +206,7 @@
 // untilNext is how long to wait for periodic work, so that works of different
 // periods wake the process together.
 func (c *Controller) untilNext(period time.Duration) time.Duration {
-	return c.Config.Grid().Next(time.Now(), period)
+	return c.Config.TimerGrid().UntilNext(time.Now(), period)
 }
 
 // depose ends the term: a newer one is known to exist.
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -25,7 +25,7 @@
 	spec := &j.rec.Spec
 	vertex := jobdag.Job{Dependencies: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageMs(spec)}
 	if spec.DeadlineS != nil {
-		vertex.DueMs = float64(j.rec.AtMs) + *spec.DeadlineS*1000
+		vertex.DueMs = float64(j.rec.AcceptedAtMs) + *spec.DeadlineS*1000
 	}
 	effects := c.graph.Add(j.uid, vertex)
 	j.level, j.dueMs = c.graph.Urgency(j.uid)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -15,7 +15,7 @@
 	if dueS > 0 {
 		spec.DeadlineS = &dueS
 	}
-	c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, AtMs: at.UnixMilli(), Per: 8}, ModRevision: modRevision})
+	c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, AcceptedAtMs: at.UnixMilli(), TasksPerPlacement: 8}, ModRevision: modRevision})
 }
 
 // A stage stops nobody's work for the rank of the last one while there is time to rent a
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -112,11 +112,11 @@
 // ended takes the end of an attempt into its job.
 func (c *Controller) ended(j *job, p *placement, a *fleet.Attempt) {
 	now := c.now()
-	i := a.Task % j.rec.Per
+	i := a.Task % j.rec.TasksPerPlacement
 	switch a.Cause {
 	case wire.CauseDone:
-		if !p.done.DoneBit(i) {
-			p.done.SetDone(i)
+		if !p.done.IsDone(i) {
+			p.done.MarkDone(i)
 			j.done++
 		}
 		c.evidence.Completed(j.uid, a.Machine.ID)
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -58,7 +58,7 @@
 // add brings a job of some tasks that can be done.
 func (b *broken) add(uid string, tasks int) *job {
 	spec := wire.JobSpec{UID: uid, JobClass: "good", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: 16, RAMGb: 1, Image: "img"}
-	b.c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
+	b.c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: 8}, ModRevision: 1})
 	return b.c.jobs[uid]
 }
 
@@ -165,7 +165,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			placement.SetDone(0)
+			placement.MarkDone(0)
 			services.items[key] = wire.KeyValue{Key: key, Value: records.Encode(placement), ModRevision: services.revision}
 		}
 		next := services.leaderOf(6, &b.now)
--- a/internal/controller/finals_test.go
+++ b/internal/controller/finals_test.go
@@ -20,7 +20,7 @@
 	const jobs, atOnce = 3 * maxFinals, maxFinals / 4
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
-		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
+		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, TasksPerPlacement: 1}, ModRevision: 1})
 	}
 	announced, revision := map[string]wire.JobStatus{}, uint64(0)
 	ask := func() {
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -18,7 +18,7 @@
 	services := &limited{t: t, limits: config.StateLimits{Rps: 250, WriteRps: 100, ValueKb: 8, TxnOps: 24}, items: map[string]wire.KeyValue{}}
 	c := services.leaderOf(5, now)
 	spec := wire.JobSpec{UID: "run-000001", JobClass: "huge", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: need.Cores, RAMGb: need.RAM, Image: "img"}
-	rec := records.Job{Spec: spec, Status: wire.JobQueued, Per: records.TasksPerPlacement(8192, 8192)}
+	rec := records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: records.TasksPerPlacement(8192, 8192)}
 	services.items[records.JobKey(spec.UID)] = wire.KeyValue{Key: records.JobKey(spec.UID), Value: records.Encode(rec), ModRevision: 1}
 	c.takeJob(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
 	var hosts []wire.ListedHost
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -36,7 +36,7 @@
 	if len(tx.Changes) == 0 {
 		return
 	}
-	if _, err := c.Store.Commit(store.Note(ctx), tx); err != nil {
+	if _, err := c.Store.Commit(store.WithBackgroundLane(ctx), tx); err != nil {
 		c.checkDeposed(err)
 		return
 	}
@@ -63,7 +63,7 @@
 		}
 		noted[m.ID] = imageNote{len(m.Images), now}
 		names := slices.Sorted(maps.Keys(m.Images))
-		names = records.FitNames(names[:min(len(names), maxNotedImages)], c.Config.ValueBytes())
+		names = records.FitNames(names[:min(len(names), maxNotedImages)], c.Config.MaxValueBytes())
 		value := records.Encode(records.Images{Names: names})
 		size += len(value)
 		tx.Changes = append(tx.Changes, wire.Change{Set: records.ImagesKey(m.ID), Value: value})
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -56,22 +56,22 @@
 }
 
 func newJob(uid string, e watchcache.Entry, now time.Time) *job {
-	return &job{uid: uid, rec: e.Job, modRevision: e.ModRevision, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), fromMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
+	return &job{uid: uid, rec: e.Job, modRevision: e.ModRevision, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), fromMs: e.Job.AcceptedAtMs, need: fleet.Need(&e.Job.Spec),
 		placements: map[int]*placement{}, waitFrom: now, avoid: map[string]time.Time{}}
 }
 
 // load takes a record of a piece into the job.
-func (j *job) load(n int, row wire.KeyValue) []records.Placed {
+func (j *job) load(n int, row wire.KeyValue) []records.PlacedAttempt {
 	rec, err := records.DecodePlacement(row.Value)
 	if err != nil {
 		slog.Error("placement record cannot be read", "key", row.Key, "err", err)
 		return nil
 	}
-	p := &placement{job: j, n: n, modRevision: row.ModRevision, next: rec.Next, live: map[int]*fleet.Attempt{}}
-	p.done.Done = rec.Done
+	p := &placement{job: j, n: n, modRevision: row.ModRevision, next: rec.NextAttempt, live: map[int]*fleet.Attempt{}}
+	p.done.DoneBits = rec.DoneBits
 	j.placements[n] = p
-	for i := range j.rec.Per {
-		if n*j.rec.Per+i < j.rec.Spec.TaskCount && rec.DoneBit(i) {
+	for i := range j.rec.TasksPerPlacement {
+		if n*j.rec.TasksPerPlacement+i < j.rec.Spec.TaskCount && rec.IsDone(i) {
 			j.done++
 		}
 	}
@@ -112,7 +112,7 @@
 
 // placement finds or makes the placement that a task belongs to.
 func (j *job) placement(task int) *placement {
-	n := task / j.rec.Per
+	n := task / j.rec.TasksPerPlacement
 	p := j.placements[n]
 	if p == nil {
 		p = &placement{job: j, n: n, next: 1, live: map[int]*fleet.Attempt{}}
@@ -122,12 +122,12 @@
 }
 
 func (j *job) isDone(task int) bool {
-	p := j.placements[task/j.rec.Per]
-	return p != nil && p.done.DoneBit(task%j.rec.Per)
+	p := j.placements[task/j.rec.TasksPerPlacement]
+	return p != nil && p.done.IsDone(task%j.rec.TasksPerPlacement)
 }
 
 func (j *job) attempt(task int) *fleet.Attempt {
-	if p := j.placements[task/j.rec.Per]; p != nil {
+	if p := j.placements[task/j.rec.TasksPerPlacement]; p != nil {
 		return p.live[task]
 	}
 	return nil
@@ -207,9 +207,9 @@
 
 // record makes the record of the piece as it stands.
 func (p *placement) record() records.Placement {
-	rec := records.Placement{Next: p.next, Done: p.done.Done}
+	rec := records.Placement{NextAttempt: p.next, DoneBits: p.done.DoneBits}
 	for _, a := range p.live {
-		rec.Live = append(rec.Live, records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation})
+		rec.Live = append(rec.Live, records.PlacedAttempt{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation})
 	}
 	return rec
 }
@@ -217,15 +217,15 @@
 // hasRoom reports whether the record of the piece still fits a value with one more
 // attempt of a task on a machine.
 func (p *placement) hasRoom(task int, m *fleet.Machine, valueBytes int) bool {
-	tasks := p.job.rec.Per
+	tasks := p.job.rec.TasksPerPlacement
 	if records.FitsPlain(tasks, valueBytes) {
 		return true
 	}
-	bytes := records.DenseBytes(records.Placed{Task: task, Attempt: p.next, Host: m.ID, Incarnation: m.Incarnation}, tasks)
+	bytes := records.DenseAttemptBytes(records.PlacedAttempt{Task: task, Attempt: p.next, Host: m.ID, Incarnation: m.Incarnation}, tasks)
 	for _, a := range p.live {
-		bytes += records.DenseBytes(records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}, tasks)
+		bytes += records.DenseAttemptBytes(records.PlacedAttempt{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}, tasks)
 	}
-	return bytes <= records.DenseRoom(valueBytes, tasks)
+	return bytes <= records.DenseAttemptsRoom(valueBytes, tasks)
 }
 
 // touch notes a change that is to be recorded at due or before.
--- a/internal/controller/job_test.go
+++ b/internal/controller/job_test.go
@@ -24,7 +24,7 @@
 func TestPickTakesEachWaitingTaskOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := rapid.IntRange(1, 40).Draw(t, "legs")
-		j := newJob("run-000001", watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{TaskCount: tasks}, Status: wire.JobQueued, Per: 7}, ModRevision: 1}, time.Now())
+		j := newJob("run-000001", watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{TaskCount: tasks}, Status: wire.JobQueued, TasksPerPlacement: 7}, ModRevision: 1}, time.Now())
 		waiting := map[int]bool{}
 		for task := range tasks {
 			waiting[task] = true
@@ -46,7 +46,7 @@
 				}
 			case 1:
 				if p.live[task] == nil && waiting[task] {
-					p.done.SetDone(task % 7)
+					p.done.MarkDone(task % 7)
 					j.done++
 					delete(waiting, task)
 				}
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -11,15 +11,15 @@
 )
 
 // mayWriteDense reports whether all nodes can read densely listed placements.
-func (c *Controller) mayWriteDense() bool { return c.Version.InForce() >= clusterversion.Pipelines }
+func (c *Controller) mayWriteDense() bool { return c.Version.InForce() >= clusterversion.JobDAGs }
 
 // placementBytes is how large the record of a piece may be. The announced limit holds from
 // when records can be written that fit it; the service does not lower its own before.
 func (c *Controller) placementBytes() int {
 	if c.mayWriteDense() {
-		return c.Config.ValueBytes()
+		return c.Config.MaxValueBytes()
 	}
-	return c.Config.CurrentValueBytes()
+	return c.Config.CurrentMaxValueBytes()
 }
 
 // encodePlacement makes the record of a piece, or nil if it fits no value: one that was
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -37,9 +37,9 @@
 		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: host, MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, now)
 		m.Type, m.Cap = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
 	}
-	per := records.TasksPerPlacement(c.Config.CurrentValueBytes(), c.Config.ValueBytes())
+	per := records.TasksPerPlacement(c.Config.CurrentMaxValueBytes(), c.Config.MaxValueBytes())
 	spec := wire.JobSpec{UID: "run-000001", Team: "crew", Kind: wire.JobArray, TaskCount: 2 * per, Cores: 1, RAMGb: 1, Image: "i", Priority: wire.High}
-	c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: per}, ModRevision: 1})
+	c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: per}, ModRevision: 1})
 	c.round(time.Second)
 	j := c.jobs[spec.UID]
 	if j.live == 0 || j.live == spec.TaskCount {
@@ -58,7 +58,7 @@
 				c.fleet.Commit(a, now)
 				a.Cause, a.State = wire.CauseDone, fleet.Ended
 				delete(p.live, task)
-				p.done.SetDone(task % per)
+				p.done.MarkDone(task % per)
 				j.live--
 				j.done++
 			}
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -89,7 +89,7 @@
 	if c.listings == nil {
 		c.listings = map[string][]wire.KeyValue{}
 	}
-	for _, under := range []string{records.JobPrefix, records.PlacementPrefix, records.ReturnsPrefix, records.ImagesPrefix} {
+	for _, under := range []string{records.JobPrefix, records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix} {
 		if _, known := c.listings[under]; known {
 			continue
 		}
@@ -100,7 +100,7 @@
 		c.listings[under] = rows
 	}
 	recs := &termRecords{jobs: c.listings[records.JobPrefix], placements: c.listings[records.PlacementPrefix],
-		returns: c.listings[records.ReturnsPrefix], images: c.listings[records.ImagesPrefix]}
+		returns: c.listings[records.ScaleInPrefix], images: c.listings[records.ImagesPrefix]}
 	return recs, nil
 }
 
@@ -131,7 +131,7 @@
 // takeReturns takes records of returns that an earlier term has attempted. c.mu is held.
 func (c *Controller) takeReturns(rows []wire.KeyValue, now time.Time) error {
 	for _, row := range rows {
-		var rec records.Returns
+		var rec records.ScaleIns
 		if err := wire.Decode(row.Value, &rec); err != nil {
 			return fmt.Errorf("record of returns %s: %w", row.Key, err)
 		}
--- a/internal/controller/lost.go
+++ b/internal/controller/lost.go
@@ -26,7 +26,7 @@
 // every machine behind a cut between zones was returned with all it served.
 func (c *Controller) followRenewedLeases(ctx context.Context) {
 	wait, pause := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
-	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, pause, watchcache.Funcs{Changed: func(n wire.WatchEvent) {
+	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, pause, watchcache.HandlerFuncs{OnChanged: func(n wire.WatchEvent) {
 		var retained records.RenewedLeases
 		if n.Set == "" {
 			return
@@ -58,7 +58,7 @@
 // again the workers come back one after the other. After an outage of a minute a
 // leader had given up 550 of 700 machines.
 func (c *Controller) pauseLiveness(now time.Time) {
-	paused := now.Sub(c.JobCache.Fresh()) > c.Config.KnowledgeLimit()
+	paused := now.Sub(c.JobCache.FreshAsOf()) > c.Config.MaxCancellationAge()
 	if paused != c.answersPaused {
 		slog.Warn("reports are not answered on old knowledge", "term", c.term, "paused", paused)
 	}
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -157,7 +157,7 @@
 				c.JobCache.Reset(nil, 0, now)
 			}
 			// In an outage reports are answered for as long as they may be.
-			if sequence++; reports || !knows && now.Sub(c.JobCache.Fresh()) <= c.Config.KnowledgeLimit() {
+			if sequence++; reports || !knows && now.Sub(c.JobCache.FreshAsOf()) <= c.Config.MaxCancellationAge() {
 				for i := range 40 {
 					c.hearFrom(i, sequence, now)
 				}
@@ -230,11 +230,11 @@
 		for i := range 250 {
 			uid := fmt.Sprintf("run-%06d", i)
 			spec.UID = uid
-			c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: status, Per: 8}, ModRevision: 1})
+			c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: status, TasksPerPlacement: 8}, ModRevision: 1})
 			c.jobs[uid].placement(0).touch(now)
 		}
 		spec.UID, spec.Priority = "run-000250", wire.Critical
-		c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
+		c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: 8}, ModRevision: 1})
 		if status == wire.JobQueued {
 			c.jobs[spec.UID].placement(0).touch(now)
 		}
@@ -256,7 +256,7 @@
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g", Cores: 8, Gpus: 8, RAMGb: 8, BootS: 30, Zones: []string{"a"}}}}
 	array := func(uid string, tasks int, ago time.Duration) *job {
 		spec := wire.JobSpec{UID: uid, JobClass: "batch", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: 1, Gpus: 1, RAMGb: 1}
-		e := watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 16, AtMs: now.Add(-ago).UnixMilli()}, ModRevision: 1}
+		e := watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: 16, AcceptedAtMs: now.Add(-ago).UnixMilli()}, ModRevision: 1}
 		c.takeJob(uid, e)
 		c.jobs[uid].waitFrom = now.Add(-ago)
 		return c.jobs[uid]
--- a/internal/controller/nodes_test.go
+++ b/internal/controller/nodes_test.go
@@ -81,7 +81,7 @@
 				if jobs > 1 && rapid.Bool().Draw(t, "awaits") {
 					spec.Dependencies = []string{fmt.Sprintf("run-%06d", rapid.IntRange(1, jobs-1).Draw(t, "needs"))}
 				}
-				c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8, AtMs: now.UnixMilli()}, ModRevision: 1})
+				c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: 8, AcceptedAtMs: now.UnixMilli()}, ModRevision: 1})
 			},
 			"place": func(t *rapid.T) {
 				m, j := machine(), (*job)(nil)
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -35,7 +35,7 @@
 
 // provisionMachines asks the cloud until it answers, for a while.
 func (c *Controller) provisionMachines(ctx context.Context, r *provisionRequest) {
-	pause := c.Config.ListLag() / 4
+	pause := c.Config.CloudListLag() / 4
 	group := provision.MachineGroup{Type: r.req.MachineType, Zone: r.req.Zone, Spot: r.req.Spot}
 	for attempt := 0; attempt < 4 && ctx.Err() == nil; attempt++ {
 		hosts, err := c.Cloud.Provision(ctx, r.req)
@@ -81,7 +81,7 @@
 // lists reads the machine list and the prices from time to time: the list no more often than
 // its pages can be read without a pause.
 func (c *Controller) lists(ctx context.Context) {
-	least := max(c.Config.ListLag()*2/3, time.Duration(float64(8*time.Second)/c.Config.Cluster.Cloud.Rps))
+	least := max(c.Config.CloudListLag()*2/3, time.Duration(float64(8*time.Second)/c.Config.Cluster.Cloud.Rps))
 	var priced time.Time
 	for ctx.Err() == nil {
 		if now := c.now(); priced.IsZero() || now.Sub(priced) > 3*c.Config.WorkerLease() {
@@ -140,7 +140,7 @@
 		// Once listed, a machine stays listed until it is gone. A list may be
 		// old, but not older than a machine that was listed long ago.
 		// The same goes for one that has been known for that long and never was.
-		if !seen[m.ID] && now.Sub(m.Born) > 4*c.Config.ListLag()+c.Config.WorkerLease() && now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval() {
+		if !seen[m.ID] && now.Sub(m.Born) > 4*c.Config.CloudListLag()+c.Config.WorkerLease() && now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval() {
 			c.failed(m)
 		}
 		if ret := c.returns[m.ID]; ret != nil && m.State == fleet.Gone && seen[m.ID] {
--- a/internal/controller/returns.go
+++ b/internal/controller/returns.go
@@ -71,15 +71,15 @@
 		return false
 	}
 	slices.Sort(hosts)
-	hosts = records.FitNames(hosts, c.Config.ValueBytes())
+	hosts = records.FitNames(hosts, c.Config.MaxValueBytes())
 	// A key is used once: were it written again, a late transaction could put
 	// an older list in the place of a newer one.
 	c.returnKeys++
-	rec := returnsRecord{fmt.Sprintf("%s%d-%d", records.ReturnsPrefix, c.term, c.returnKeys), hosts}
+	rec := returnsRecord{fmt.Sprintf("%s%d-%d", records.ScaleInPrefix, c.term, c.returnKeys), hosts}
 	c.mu.Unlock()
 	_, err := c.Store.Commit(ctx, wire.Transaction{
 		Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}, {Key: rec.key}},
-		Changes:  []wire.Change{{Set: rec.key, Value: records.Encode(records.Returns{Hosts: hosts})}},
+		Changes:  []wire.Change{{Set: rec.key, Value: records.Encode(records.ScaleIns{Hosts: hosts})}},
 	})
 	if err != nil {
 		slog.Warn("returns not recorded", "hosts", hosts, "err", err)
@@ -87,7 +87,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err == nil || errors.Is(err, store.ErrUnknown) {
+	if err == nil || errors.Is(err, store.ErrOutcomeUnknown) {
 		c.returnsRecords = append(c.returnsRecords, rec) // to be dropped in the end
 	}
 	if err != nil {
@@ -133,7 +133,7 @@
 // forgetReturned drops the records of machines that are gone for long enough
 // that no list shows them, those of their images first.
 func (c *Controller) forgetReturned(ctx context.Context) {
-	keep := 6*c.Config.ListLag() + 3*c.Config.WorkerLease()
+	keep := 6*c.Config.CloudListLag() + 3*c.Config.WorkerLease()
 	ops := max(4, c.batchOps()/3)
 	c.mu.Lock()
 	now := c.now()
@@ -168,7 +168,7 @@
 	if len(tx.Changes) == 0 {
 		return
 	}
-	if _, err := c.Store.Commit(store.Note(ctx), tx); err != nil {
+	if _, err := c.Store.Commit(store.WithBackgroundLane(ctx), tx); err != nil {
 		slog.Debug("returned machines not forgotten", "err", err)
 		c.checkDeposed(err)
 		return
--- a/internal/controller/returns_test.go
+++ b/internal/controller/returns_test.go
@@ -55,7 +55,7 @@
 // A record whose outcome is unknown is not written again under its key, and
 // nothing is returned before its record is known to stand.
 func TestReturnsAreRecordedFirst(t *testing.T) {
-	c, st, cl := returner(150, store.ErrUnknown, nil, nil)
+	c, st, cl := returner(150, store.ErrOutcomeUnknown, nil, nil)
 	if c.recordReturns(t.Context()) || c.sendReturns(t.Context()) {
 		t.Fatal("goes on although nothing is known to be recorded")
 	}
@@ -111,7 +111,7 @@
 	c := watched(&now)
 	c.Config.Cluster.State.TxnOps, c.Config.Cluster.State.WriteRps = 24, 100
 	c.hearFrom(0, 1, now)
-	j := newJob("run-000001", watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{TaskCount: 3}, Status: wire.JobQueued, Per: 2}, ModRevision: 7}, now)
+	j := newJob("run-000001", watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{TaskCount: 3}, Status: wire.JobQueued, TasksPerPlacement: 2}, ModRevision: 7}, now)
 	c.jobs[j.uid] = j
 	p := j.placement(0)
 	a := &fleet.Attempt{UID: j.uid, Number: 1}
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -99,7 +99,7 @@
 		services := &limited{t: t, limits: config.StateLimits{Rps: 900, WriteRps: 350, ValueKb: 8, TxnOps: 24}, items: map[string]wire.KeyValue{}, returned: map[string]bool{}}
 		c := services.leaderOf(5, &now)
 		spec := wire.JobSpec{UID: "run-000001", JobClass: "batch", Team: "crew", Kind: wire.JobArray, Priority: wire.High, TaskCount: machines, Cores: 64, Gpus: 8, RAMGb: 512, Image: "img"}
-		rec := records.Job{Spec: spec, Status: wire.JobQueued, Per: records.TasksPerPlacement(8192, 8192)}
+		rec := records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: records.TasksPerPlacement(8192, 8192)}
 		services.items[records.JobKey(spec.UID)] = wire.KeyValue{Key: records.JobKey(spec.UID), Value: records.Encode(rec), ModRevision: 1}
 		c.takeJob(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
 		var hosts []wire.ListedHost
@@ -174,7 +174,7 @@
 	const jobs = 3*countsAtOnce + 1
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
-		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
+		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, TasksPerPlacement: 1}, ModRevision: 1})
 		c.countsChanged(c.jobs[uid])
 	}
 	announced, revision := map[string]bool{}, uint64(0)
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -15,7 +15,7 @@
 
 // takeover notes how a term began, for one line of the log and one record.
 type takeover struct {
-	rec             records.Takeover
+	rec             records.Failover
 	leaderlessSince time.Time // when it was seen that nobody leads
 	ready           bool      // a machine has reported with this term's token
 	done            bool      // the first round that could place tasks has ended
@@ -25,7 +25,7 @@
 	if leaderlessSince.IsZero() || leaderlessSince.After(elected) {
 		leaderlessSince = elected
 	}
-	t := &takeover{leaderlessSince: leaderlessSince, rec: records.Takeover{Term: term, Node: node, Cause: "no warm standby"}}
+	t := &takeover{leaderlessSince: leaderlessSince, rec: records.Failover{Term: term, Node: node, Cause: "no warm standby"}}
 	t.rec.ElectedMs = t.since(elected)
 	return t
 }
@@ -83,12 +83,12 @@
 }
 
 // recordTakeover keeps the record of the takeover. It is not tried twice: the log has it.
-func (c *Controller) recordTakeover(rec records.Takeover) {
+func (c *Controller) recordTakeover(rec records.Failover) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Config.LeaderLeaseTTL())
 	defer cancel()
-	_, err := c.Store.Commit(store.Note(ctx), wire.Transaction{
+	_, err := c.Store.Commit(store.WithBackgroundLane(ctx), wire.Transaction{
 		Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}},
-		Changes:  []wire.Change{{Set: records.TakeoverKey, Value: records.Encode(rec)}},
+		Changes:  []wire.Change{{Set: records.FailoverKey, Value: records.Encode(rec)}},
 	})
 	if err != nil {
 		slog.Info("takeover not recorded", "term", c.term, "err", err)
--- a/internal/controller/writer.go
+++ b/internal/controller/writer.go
@@ -102,7 +102,7 @@
 // holds at once, or the commit would never find room.
 func (c *Controller) batchOps() int {
 	limits := c.Config.StateLimits()
-	return min(limits.TxnOps, max(4, int(limits.WriteRps*store.RecordShare)))
+	return min(limits.TxnOps, max(4, int(limits.WriteRps*store.RecordWriteShare)))
 }
 
 // writes reports whether a piece of the job is to be written now.
@@ -225,7 +225,7 @@
 	if !j.rec.Status.Final() {
 		status := j.outcome()
 		rec := *j.rec
-		rec.Finish(status, c.Config.ValueBytes())
+		rec.SetFinal(status, c.Config.MaxValueBytes())
 		key := records.JobKey(j.uid)
 		b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: j.modRevision})
 		b.tx.Changes = append(b.tx.Changes, wire.Change{Set: key, Value: records.Encode(rec)})
@@ -255,7 +255,7 @@
 func (c *Controller) commit(ctx context.Context, b *batch) bool {
 	sctx := ctx
 	if b.note {
-		sctx = store.Note(ctx)
+		sctx = store.WithBackgroundLane(ctx)
 	}
 	revision, err := c.Store.Commit(sctx, b.tx)
 	var conflict *store.ConflictError
@@ -272,7 +272,7 @@
 		}
 		c.reread(ctx, b)
 		return true
-	case errors.Is(err, store.ErrUnknown):
+	case errors.Is(err, store.ErrOutcomeUnknown):
 		slog.Warn("commit's outcome is unknown", "term", c.term, "err", err)
 		c.reread(ctx, b)
 		return false
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -32,15 +32,15 @@
 	})
 	gauge("lotusstile_term", func() float64 { return float64(n.elector.View().Term) })
 	gauge("lotusstile_lag_seconds", func() float64 { return time.Duration(n.load.lag.Load()).Seconds() })
-	gauge("lotusstile_state_proof_seconds", func() float64 { return min(n.store.ProofAge(), time.Hour).Seconds() })
+	gauge("lotusstile_state_proof_seconds", func() float64 { return min(n.store.SinceLastExecuted(), time.Hour).Seconds() })
 	gauge("lotusstile_cluster_version", func() float64 { return float64(n.version.InForce()) })
-	gauge("lotusstile_rejected_commits_total", func() float64 { return float64(n.store.Rejections()) })
-	gauge("lotusstile_state_throttled_total", func() float64 { return float64(n.store.Throttled()) })
-	gauge(`lotusstile_question_rate{kind="shared"}`, func() float64 { return n.store.SharedReads().Allowed() })
-	gauge(`lotusstile_question_rate{kind="lookup"}`, func() float64 { return n.store.Lookups().Allowed() })
-	gauge(`lotusstile_question_cuts_total{kind="shared"}`, func() float64 { return float64(n.store.SharedReads().Cuts()) })
-	gauge(`lotusstile_question_cuts_total{kind="lookup"}`, func() float64 { return float64(n.store.Lookups().Cuts()) })
-	gauge(`lotusstile_refused_pages_total{from="state"}`, func() float64 { return float64(n.store.RefusedPages()) })
+	gauge("lotusstile_rejected_commits_total", func() float64 { return float64(n.store.RejectedCommits()) })
+	gauge("lotusstile_state_throttled_total", func() float64 { return float64(n.store.ThrottledRequests()) })
+	gauge(`lotusstile_question_rate{kind="shared"}`, func() float64 { return n.store.SharedReadLimiter().Rate() })
+	gauge(`lotusstile_question_rate{kind="lookup"}`, func() float64 { return n.store.LookupLimiter().Rate() })
+	gauge(`lotusstile_question_cuts_total{kind="shared"}`, func() float64 { return float64(n.store.SharedReadLimiter().Cuts()) })
+	gauge(`lotusstile_question_cuts_total{kind="lookup"}`, func() float64 { return float64(n.store.LookupLimiter().Cuts()) })
+	gauge(`lotusstile_refused_pages_total{from="state"}`, func() float64 { return float64(n.store.OutOfOrderPages()) })
 	gauge(`lotusstile_refused_pages_total{from="cloud"}`, func() float64 { return float64(n.cloud.RefusedPages()) })
 	n.refusedBatches = n.meters.NewCounter("lotusstile_refused_batches_total")
 	gauge("lotusstile_connections", func() float64 {
@@ -61,7 +61,7 @@
 		}
 		return 0
 	})
-	gauge("lotusstile_knowledge_seconds", func() float64 { return min(time.Since(n.jobCache.Fresh()), time.Hour).Seconds() })
+	gauge("lotusstile_knowledge_seconds", func() float64 { return min(time.Since(n.jobCache.FreshAsOf()), time.Hour).Seconds() })
 }
 
 func (n *Node) rounded(took time.Duration) { n.rounds.Update(took.Seconds()) }
@@ -108,7 +108,7 @@
 // the whole service does.
 func (n *Node) adminStatus(c echo.Context) error {
 	v := n.elector.View()
-	st := wire.Status{Node: n.cfg.Label, State: n.elector.State().String(), Leader: v.Leader, Term: v.Term, Proof: min(n.store.ProofAge(), time.Hour).Seconds()}
+	st := wire.Status{Node: n.cfg.Label, State: n.elector.State().String(), Leader: v.Leader, Term: v.Term, Proof: min(n.store.SinceLastExecuted(), time.Hour).Seconds()}
 	if l := n.lead.Load(); l != nil {
 		st.Lead = n.leadStatus(l)
 	} else if p := n.leader(); p != nil {
@@ -174,7 +174,7 @@
 	if err := dec.Decode(&next); err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
-	if err := records.CheckSettings(next); err != nil {
+	if err := records.ValidateSettings(next); err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
 	value := records.Encode(next)
--- a/internal/node/cancel.go
+++ b/internal/node/cancel.go
@@ -51,7 +51,7 @@
 			n.finals.put(uid, rec.Status)
 			continue
 		}
-		rec.Finish(wire.JobAborted, n.cfg.ValueBytes())
+		rec.SetFinal(wire.JobAborted, n.cfg.MaxValueBytes())
 		modRevision, err := n.store.Commit(ctx, wire.Transaction{
 			Compares: []wire.Compare{{Key: item.Key, ModRevision: item.ModRevision}},
 			Changes:  []wire.Change{{Set: item.Key, Value: records.Encode(rec)}},
@@ -90,5 +90,5 @@
 // Cancelled takes word of a committed withdrawal.
 func (n *Node) Cancelled(a peer.Cancellation) {
 	n.finals.put(a.UID, a.Record.Status)
-	n.jobCache.Hint(a.UID, a.Record, a.ModRevision)
+	n.jobCache.ApplyFromPeer(a.UID, a.Record, a.ModRevision)
 }
--- a/internal/node/dependencies.go
+++ b/internal/node/dependencies.go
@@ -39,7 +39,7 @@
 	if len(work.Dependencies) == 0 {
 		return wire.JobQueued, nil
 	}
-	if n.version.InForce() < clusterversion.Pipelines {
+	if n.version.InForce() < clusterversion.JobDAGs {
 		return "", errOlderRelease // it would start the job at once
 	}
 	if err := n.jobReader.Refresh(ctx); err != nil {
@@ -143,7 +143,7 @@
 // understands reports whether a peer that a user's request would be passed to reads it
 // as this node does.
 func understands(version clusterversion.Version, method, path string, body []byte) bool {
-	if method != http.MethodPost || path != submitPath || version >= clusterversion.Pipelines {
+	if method != http.MethodPost || path != submitPath || version >= clusterversion.JobDAGs {
 		return true
 	}
 	return !wire.HasDependencies(body)
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -120,10 +120,10 @@
 // ready answers health checks. A node is out only while it cannot serve and
 // another can: in an outage that all share, leaving would help nobody.
 func (n *Node) ready(c echo.Context) error {
-	if !n.jobCache.Synced() || n.catalog.Load() == nil {
+	if !n.jobCache.HasSynced() || n.catalog.Load() == nil {
 		return retryLater(c, "still catching up")
 	}
-	if n.store.ProofAge() > n.cfg.LeaderLeaseTTL()*3/2 && (n.elsewhere() || n.isolated()) {
+	if n.store.SinceLastExecuted() > n.cfg.LeaderLeaseTTL()*3/2 && (n.elsewhere() || n.isolated()) {
 		return retryLater(c, errElsewhere.Error())
 	}
 	return c.NoContent(http.StatusOK)
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -27,7 +27,7 @@
 func (l *load) watch(ctx context.Context, grid timeralign.Grid, period time.Duration) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		wait := grid.Next(began, period)
+		wait := grid.UntilNext(began, period)
 		time.Sleep(wait)
 		late := time.Since(began) - wait
 		lag := time.Duration(l.lag.Load())
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -43,7 +43,7 @@
 	n.cfg = &config.Config{}
 	n.cfg.Cluster.Workers.LeaseS = 10
 	found := always(http.StatusOK)
-	n.store = store.New("state:1", store.Limits{Rps: 10, WriteRps: 10}, time.Second, &found)
+	n.store = store.New("state:1", store.Limits{RequestsPerSecond: 10, WritesPerSecond: 10}, time.Second, &found)
 	if _, _, err := n.store.Get(t.Context(), "e/term"); err != nil { // the state service is reached
 		t.Fatal(err)
 	}
@@ -202,7 +202,7 @@
 		return s.always.RoundTrip(r)
 	}
 	rec := httptest.NewRecorder()
-	rec.Body.Write(encode(wire.KeyValue{Key: "j/run-000001", ModRevision: 7, Value: encode(records.Job{Spec: wire.JobSpec{UID: "run-000001", TaskCount: 1}, Status: wire.JobQueued, Per: 1})}))
+	rec.Body.Write(encode(wire.KeyValue{Key: "j/run-000001", ModRevision: 7, Value: encode(records.Job{Spec: wire.JobSpec{UID: "run-000001", TaskCount: 1}, Status: wire.JobQueued, TasksPerPlacement: 1})}))
 	if s.meanwhile != nil {
 		s.meanwhile()
 	}
@@ -281,7 +281,7 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go n.load.watch(ctx, cfg.Grid(), cfg.HeartbeatInterval()/8)
+	go n.load.watch(ctx, cfg.TimerGrid(), cfg.HeartbeatInterval()/8)
 	until("served", http.StatusOK)
 	var spinning sync.WaitGroup
 	var over atomic.Bool
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -91,7 +91,7 @@
 	st := cfg.StateLimits()
 	n := &Node{
 		cfg:           cfg,
-		store:         store.New(cfg.Services.State, store.Limits{Rps: st.Rps, WriteRps: st.WriteRps, Nodes: len(cfg.Members) + 1}, timeout, nw.State),
+		store:         store.New(cfg.Services.State, store.Limits{RequestsPerSecond: st.Rps, WritesPerSecond: st.WriteRps, Nodes: len(cfg.Members) + 1}, timeout, nw.State),
 		cloud:         cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, timeout, nw.Cloud),
 		jobCache:      watchcache.New(),
 		peers:         peer.Peers(cfg, cfg.LeaderLeaseTTL()/4, nw.DialPeer),
@@ -100,7 +100,7 @@
 		version:       clusterversion.NewTracker(),
 		workers:       &http.Client{Timeout: cfg.HeartbeatInterval(), Transport: nw.Workers},
 	}
-	n.jobReader = watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReads(), timeout)
+	n.jobReader = watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReadLimiter(), timeout)
 	n.finals = newFinals(cfg.Cluster.Limits.MemMb)
 	defaults := records.DefaultSettings(cfg.Cluster.Workers.ReportS)
 	n.settings.Store(&defaults)
@@ -111,7 +111,7 @@
 	n.load.limit, n.load.most = cfg.HeartbeatInterval()/2, int64(cfg.Cluster.Limits.MaxConnections/8)
 	n.echo = n.routes()
 	n.elector = election.New(n.store, cfg.Label, cfg.LeaderLeaseTTL(), n.leadTerm)
-	n.elector.Align(cfg.Grid())
+	n.elector.Align(cfg.TimerGrid())
 	n.elector.Prefer(n.campaignDelay, n.better)
 	n.elector.DeferTo(n.otherStandsBy)
 	return n
@@ -152,12 +152,12 @@
 func (n *Node) Start(ctx context.Context) {
 	watchFor, pause := n.cfg.WorkerLease(), n.cfg.LeaderLeaseTTL()/8
 	go n.jobCache.Run(ctx, n.store, watchFor, pause)
-	go watchcache.Follow(ctx, n.store, records.SettingsPrefix, 3*watchFor, pause, watchcache.Funcs{Listed: n.takeOption, Changed: n.takeOption})
+	go watchcache.Follow(ctx, n.store, records.SettingsPrefix, 3*watchFor, pause, watchcache.HandlerFuncs{OnListed: n.takeOption, OnChanged: n.takeOption})
 	go n.elector.Run(ctx)
 	go n.version.Announce(ctx, n.store, n.cfg.Label, 2*n.cfg.LeaderLeaseTTL())
 	go n.readCatalog(ctx)
 	go n.keepCacheFresh(ctx)
-	go n.load.watch(ctx, n.cfg.Grid(), n.cfg.LeaderLeaseTTL()/8)
+	go n.load.watch(ctx, n.cfg.TimerGrid(), n.cfg.LeaderLeaseTTL()/8)
 	go n.publishRenewedLeases(ctx)
 	go n.relays.sender.Run(ctx)
 	go n.followLeader(ctx)
@@ -192,7 +192,7 @@
 
 // takeOption takes a record of what holds for all nodes.
 func (n *Node) takeOption(event wire.WatchEvent) {
-	n.version.Take(event)
+	n.version.Apply(event)
 	n.takeSettings(event)
 }
 
@@ -206,7 +206,7 @@
 		slog.Error("stored settings cannot be read", "err", err)
 		return
 	}
-	if err := records.CheckSettings(s); err != nil {
+	if err := records.ValidateSettings(s); err != nil {
 		slog.Error("stored settings are not valid", "err", err)
 		return
 	}
@@ -249,7 +249,7 @@
 			n.elector.ObserveTerm(r.Term, p.Label)
 		}
 		n.raiseVersion(ctx)
-		time.Sleep(n.cfg.Grid().Next(time.Now(), n.cfg.LeaderLeaseTTL()/4))
+		time.Sleep(n.cfg.TimerGrid().UntilNext(time.Now(), n.cfg.LeaderLeaseTTL()/4))
 	}
 }
 
@@ -297,7 +297,7 @@
 
 // serving reports whether this node has read the state service lately. The
 // heartbeat reads it often enough that an idle node is not taken for cut off.
-func (n *Node) serving() bool { return n.store.ProofAge() < n.cfg.LeaderLeaseTTL()/2 }
+func (n *Node) serving() bool { return n.store.SinceLastExecuted() < n.cfg.LeaderLeaseTTL()/2 }
 
 // keepCacheFresh brings the mirror of jobs up to date past its watch: an idle node is
 // then not taken for cut off, and what it knows of withdrawals is never older
@@ -305,13 +305,13 @@
 func (n *Node) keepCacheFresh(ctx context.Context) {
 	every := n.cfg.LeaderLeaseTTL() / 8
 	for ctx.Err() == nil {
-		if n.store.ProofAge() > every || time.Since(n.jobCache.Fresh()) > n.cfg.WorkerLease()/10 {
-			rctx, cancel := context.WithTimeout(store.Urgent(ctx), 2*every)
+		if n.store.SinceLastExecuted() > every || time.Since(n.jobCache.FreshAsOf()) > n.cfg.WorkerLease()/10 {
+			rctx, cancel := context.WithTimeout(store.WithUrgentLane(ctx), 2*every)
 			if err := n.jobCache.Refresh(rctx, n.store); err != nil {
 				slog.Debug("state service not reached", "err", err)
 			}
 			cancel()
 		}
-		time.Sleep(n.cfg.Grid().Next(time.Now(), every))
+		time.Sleep(n.cfg.TimerGrid().UntilNext(time.Now(), every))
 	}
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -30,7 +30,7 @@
 	every := n.cfg.HeartbeatInterval()
 	callTimeout := n.cfg.LeaderLeaseTTL() / 4
 	n.relays.sender = relay.NewSender(relay.SenderConfig{
-		Label: n.cfg.Label, Exchange: n.exchangeReports, Grid: n.cfg.Grid(), Period: every / batchesPerReport,
+		Label: n.cfg.Label, Exchange: n.exchangeReports, Grid: n.cfg.TimerGrid(), Period: every / batchesPerReport,
 		Patience: min(every/2+3*every/batchesPerReport+callTimeout, relay.WorkerPatience*7/8),
 		Observe:  n.countRelayed,
 	})
@@ -72,7 +72,7 @@
 // watchFleetSize tells the router how many machines there are, and lets the receiver
 // forget those that are gone, until the term ends.
 func (n *Node) watchFleetSize(ctx context.Context) {
-	for forgotten := time.Now(); ctx.Err() == nil; time.Sleep(n.cfg.Grid().Next(time.Now(), n.cfg.LeaderLeaseTTL()/4)) {
+	for forgotten := time.Now(); ctx.Err() == nil; time.Sleep(n.cfg.TimerGrid().UntilNext(time.Now(), n.cfg.LeaderLeaseTTL()/4)) {
 		c, router, receiver := n.lead.Load(), n.relays.router.Load(), n.relays.receiver.Load()
 		if c == nil || router == nil || receiver == nil {
 			continue
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -95,7 +95,7 @@
 func (n *Node) decide(ctx context.Context, r *wire.Heartbeat, body []byte, from source) decision {
 	stale := decision{status: http.StatusServiceUnavailable, fault: &errStale}
 	// What could not be answered in the end is not taken into the picture.
-	if n.tooOld(n.jobCache.Fresh()) {
+	if n.tooOld(n.jobCache.FreshAsOf()) {
 		return stale
 	}
 	o, to := n.orders(ctx, r, body, from)
@@ -114,7 +114,7 @@
 
 // tooOld reports whether knowledge of all withdrawals up to a time is too old to
 // renew a lease on.
-func (n *Node) tooOld(fresh time.Time) bool { return time.Since(fresh) > n.cfg.KnowledgeLimit() }
+func (n *Node) tooOld(fresh time.Time) bool { return time.Since(fresh) > n.cfg.MaxCancellationAge() }
 
 // renew is passed by every answer that renews a lease, whichever node and path
 // it comes from: this is the one place that decides that it may, and that stops
@@ -136,7 +136,7 @@
 		}
 	}
 	// Both are learned at once: a withdrawal that came between would be lost.
-	cancelled, fresh := n.jobCache.Cancelled(uids)
+	cancelled, fresh := n.jobCache.CancelledAmong(uids)
 	if n.tooOld(fresh) {
 		return false
 	}
@@ -248,20 +248,20 @@
 // fleet from the new leader, which took it for lost.
 func (n *Node) renewForLeader(r *wire.Heartbeat) (*wire.Commands, *wire.Redirect) {
 	v := n.elector.View()
-	if !v.Synced || v.Known == 0 {
+	if !v.Synced || v.ConfirmedTerm == 0 {
 		return nil, nil
 	}
-	if r.FencingToken > v.Known {
+	if r.FencingToken > v.ConfirmedTerm {
 		n.elector.ObserveTerm(r.FencingToken, "")
 		return nil, &wire.Redirect{}
 	}
 	n.mu.Lock()
 	if _, ok := n.renewedLeases[r.Host]; !ok {
-		slog.Info("keeping a lease in the leader's place", "host", r.Host, "term", v.Known)
+		slog.Info("keeping a lease in the leader's place", "host", r.Host, "term", v.ConfirmedTerm)
 	}
 	n.renewedLeases[r.Host] = time.Now()
 	n.mu.Unlock()
-	return &wire.Commands{FencingToken: v.Known, Commands: []wire.Command{}}, nil
+	return &wire.Commands{FencingToken: v.ConfirmedTerm, Commands: []wire.Command{}}, nil
 }
 
 // publishRenewedLeases writes which machines this node answers while it cannot reach
@@ -274,10 +274,10 @@
 			continue
 		}
 		for i := 0; len(ids) > 0; i++ {
-			part := records.FitNames(ids, n.cfg.ValueBytes())
+			part := records.FitNames(ids, n.cfg.MaxValueBytes())
 			ids = ids[len(part):]
 			key := fmt.Sprintf("%s%s/%d", records.RenewedLeasesPrefix, n.cfg.Label, i)
-			if _, err := n.store.Commit(store.User(ctx, 0), wire.Transaction{Changes: []wire.Change{{Set: key, Value: records.Encode(records.RenewedLeases{Hosts: part})}}}); err != nil {
+			if _, err := n.store.Commit(store.WithUserLane(ctx, 0), wire.Transaction{Changes: []wire.Change{{Set: key, Value: records.Encode(records.RenewedLeases{Hosts: part})}}}); err != nil {
 				slog.Debug("kept machines not published", "err", err)
 			}
 		}
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -95,7 +95,7 @@
 }
 
 // promoted takes how the takeover went.
-func (n *Node) promoted(rec records.Takeover) {
+func (n *Node) promoted(rec records.Failover) {
 	if rec.Warm {
 		n.standby.follower.Promote(fmt.Sprintf("decides after %d ms", rec.DecidedMs))
 	}
@@ -152,7 +152,7 @@
 		return
 	}
 	for ctx.Err() == nil {
-		time.Sleep(n.cfg.Grid().Next(time.Now(), n.cfg.LeaderLeaseTTL()/4))
+		time.Sleep(n.cfg.TimerGrid().UntilNext(time.Now(), n.cfg.LeaderLeaseTTL()/4))
 		if n.lead.Load() != nil {
 			continue
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -22,7 +22,7 @@
 		return wire.JobView{UID: uid, Status: s}, true, nil
 	}
 	switch err := n.jobReader.Refresh(ctx); {
-	case errors.Is(err, watchcache.ErrNotListed) || errors.Is(err, store.ErrTooOld):
+	case errors.Is(err, watchcache.ErrNotSynced) || errors.Is(err, store.ErrCompacted):
 		return n.lookup(ctx, uid)
 	case err != nil:
 		return wire.JobView{}, false, err
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -43,10 +43,10 @@
 	if err != nil {
 		return n.refuseDependency(c, w.UID, err)
 	}
-	record := records.Job{Spec: w, Status: status, AtMs: time.Now().UnixMilli(), Per: records.TasksPerPlacement(n.cfg.CurrentValueBytes(), n.cfg.ValueBytes())}
+	record := records.Job{Spec: w, Status: status, AcceptedAtMs: time.Now().UnixMilli(), TasksPerPlacement: records.TasksPerPlacement(n.cfg.CurrentMaxValueBytes(), n.cfg.MaxValueBytes())}
 	value := records.Encode(record)
-	if len(value) > n.cfg.ValueBytes() {
-		return n.refuse(c, w.UID, http.StatusBadRequest, tooLong(&w, len(value), n.cfg.ValueBytes()))
+	if len(value) > n.cfg.MaxValueBytes() {
+		return n.refuse(c, w.UID, http.StatusBadRequest, tooLong(&w, len(value), n.cfg.MaxValueBytes()))
 	}
 	err = n.recordJob(ctx, &w, value)
 	var conflict *store.ConflictError
@@ -73,11 +73,11 @@
 		Compares: []wire.Compare{{Key: records.JobKey(work.UID)}, {Key: records.FinalKey(work.UID)}},
 		Changes:  []wire.Change{{Set: records.JobKey(work.UID), Value: value}},
 	}
-	_, err := n.store.Commit(store.User(ctx, leave), tx)
-	for errors.Is(err, store.ErrUnknown) && ctx.Err() == nil {
+	_, err := n.store.Commit(store.WithUserLane(ctx, leave), tx)
+	for errors.Is(err, store.ErrOutcomeUnknown) && ctx.Err() == nil {
 		// Its answer is lost: once more. If it was carried out, or will be, the
 		// guards let only one of them through.
-		_, err = n.store.Commit(store.User(ctx, leave), tx)
+		_, err = n.store.Commit(store.WithUserLane(ctx, leave), tx)
 	}
 	return err
 }
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -109,7 +109,7 @@
 func notNow(c echo.Context, err error) error {
 	var busy *store.BusyError
 	if errors.As(err, &busy) {
-		return retryAfter(c, busy.After, "too many changes at once")
+		return retryAfter(c, busy.RetryAfter, "too many changes at once")
 	}
 	return errElsewhere
 }
@@ -121,7 +121,7 @@
 	var busy *aimd.BusyError
 	switch {
 	case errors.As(err, &busy):
-		return retryAfter(c, busy.After, "too many questions at once")
+		return retryAfter(c, busy.RetryAfter, "too many questions at once")
 	case errors.Is(err, store.ErrThrottled):
 		return retryLater(c, "too many requests at once")
 	}
@@ -130,7 +130,7 @@
 
 // userContext bounds the work for a user who waits for at most limit.
 func userContext(c echo.Context, limit time.Duration) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(store.User(c.Request().Context(), 0), limit)
+	return context.WithTimeout(store.WithUserLane(c.Request().Context(), 0), limit)
 }
 
 const (
@@ -143,7 +143,7 @@
 	if !wire.ValidUID(uid) {
 		return echo.NewHTTPError(http.StatusNotFound, "no such job")
 	}
-	ctx, cancel := context.WithTimeout(store.Lookup(c.Request().Context()), pollWait)
+	ctx, cancel := context.WithTimeout(store.WithLookupLane(c.Request().Context()), pollWait)
 	defer cancel()
 	view, known, err := n.readStatus(ctx, uid)
 	switch {
--- a/internal/node/version.go
+++ b/internal/node/version.go
@@ -23,7 +23,7 @@
 	for _, p := range n.peers {
 		version := p.Understands()
 		if _, reached := p.Last(n.cfg.LeaderLeaseTTL()); !reached && version < clusterversion.Latest {
-			announced, guard, err := clusterversion.Announced(ctx, n.store, p.Label)
+			announced, guard, err := clusterversion.ReadAnnounced(ctx, n.store, p.Label)
 			if err != nil {
 				slog.Debug("announced version not read", "peer", p.Label, "err", err)
 			}
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -126,7 +126,7 @@
 	ping := PingResult{Term: 7, Leading: true, Serving: true, RenewedHosts: []string{"m-1"}, Counts: []wire.JobView{{UID: "run-000412"}},
 		CountsRevision: 9, CountsMore: true, Version: 2, CanRelay: true, WantsRelays: true, CanFollow: true, Standby: "n1"}
 	cancellation := Cancellation{UID: "run-000412", ModRevision: 12,
-		Record: records.Job{Spec: work, Status: wire.JobAborted, AtMs: 1, Per: 85}}
+		Record: records.Job{Spec: work, Status: wire.JobAborted, AcceptedAtMs: 1, TasksPerPlacement: 85}}
 	batch := HeartbeatBatch{From: "n1", Term: 7, Bodies: []byte("{}"),
 		Heartbeats: []RelayedHeartbeat{{Host: "m-1", Incarnation: 2, Sequence: 3, RepeatOf: 1, Size: 4, Pressure: 5}}}
 	reply := HeartbeatBatchReply{Term: 7, Leading: true, Resend: []string{"m-2"}, Answers: []HeartbeatAnswer{{Host: "m-1",
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -172,7 +172,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(s.Grid.Next(time.Now(), s.Period)):
+			case <-time.After(s.Grid.UntilNext(time.Now(), s.Period)):
 			}
 			for s.exchange() {
 			}
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -154,7 +154,7 @@
 		_, own := guarded[key]
 		switch {
 		case strings.HasPrefix(key, records.PlacementPrefix) && (guarded[records.LeaderKey] == 0 || !own),
-			strings.HasPrefix(key, records.ReturnsPrefix) && guarded[records.LeaderKey] == 0,
+			strings.HasPrefix(key, records.ScaleInPrefix) && guarded[records.LeaderKey] == 0,
 			strings.HasPrefix(key, records.JobPrefix) && !own:
 			w.rule("unguarded", "%s is written with guards %v", key, tx.Compares)
 		}
@@ -195,7 +195,7 @@
 	if wk.gone() >= 0 {
 		return // a repeat
 	}
-	for _, item := range w.State.Items(records.ReturnsPrefix) {
+	for _, item := range w.State.Items(records.ScaleInPrefix) {
 		if bytes.Contains(item.Value, []byte(`"`+wk.Host+`"`)) {
 			return
 		}
@@ -363,7 +363,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := wire.HostList{Hosts: []wire.ListedHost{}}
-	lag := w.Cfg.ListLag()
+	lag := w.Cfg.CloudListLag()
 	for _, wk := range w.workers {
 		age := time.Since(wk.born)
 		if age < lag || wk.gone() > lag || wk.Host <= after {
--- a/internal/simcluster/standby_test.go
+++ b/internal/simcluster/standby_test.go
@@ -215,8 +215,8 @@
 }
 
 // takeover is how the newest change of leader went.
-func (d *day) takeover() (rec records.Takeover) {
-	item, ok := d.w.State.Get(records.TakeoverKey)
+func (d *day) takeover() (rec records.Failover) {
+	item, ok := d.w.State.Get(records.FailoverKey)
 	if !ok {
 		return rec
 	}
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -44,7 +44,7 @@
 		return nil, f.fail(fmt.Errorf("%w at %d", ErrDigest, h.sequence))
 	}
 	events, err := changesSince(ctx, r, h.position)
-	if errors.Is(err, store.ErrTooOld) {
+	if errors.Is(err, store.ErrCompacted) {
 		return nil, f.fail(fmt.Errorf("%w: %d", ErrTooFarBehind, h.position))
 	}
 	if err != nil {
@@ -99,7 +99,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			changes[i], errs[i] = r.Changes(ctx, prefix, position, 0)
+			changes[i], errs[i] = r.Watch(ctx, prefix, position, 0)
 		}()
 	}
 	wg.Wait()
@@ -117,7 +117,7 @@
 		edit.take(&Entry{Key: n.Set + n.Drop, Value: n.Value, ModRevision: n.ModRevision, Dropped: n.Drop != ""})
 	}
 	now := edit.contents()
-	p := &Proven{Placements: now.items(records.PlacementPrefix), Returns: now.items(records.ReturnsPrefix), Images: now.items(records.ImagesPrefix),
+	p := &Proven{Placements: now.items(records.PlacementPrefix), Returns: now.items(records.ScaleInPrefix), Images: now.items(records.ImagesPrefix),
 		FollowedTerm: h.term, Position: h.position, Digest: h.digest, Changes: len(events)}
 	if err := now.views(p); err != nil {
 		return nil, err
--- a/internal/standby/source.go
+++ b/internal/standby/source.go
@@ -285,7 +285,7 @@
 	switch {
 	case err == nil:
 		r.source.committed(id, tx, keys, revision)
-	case errors.Is(err, store.ErrUnknown):
+	case errors.Is(err, store.ErrOutcomeUnknown):
 		r.source.lose(id, guardedKeys(tx, keys))
 	default:
 		r.source.notCarriedOut(id)
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -90,7 +90,7 @@
 
 // sameAsListed compares what is proven with what the state service lists.
 func sameAsListed(t interface{ Fatalf(string, ...any) }, s *service, p *Proven) {
-	for prefix, got := range map[string][]wire.KeyValue{records.PlacementPrefix: p.Placements, records.ReturnsPrefix: p.Returns} {
+	for prefix, got := range map[string][]wire.KeyValue{records.PlacementPrefix: p.Placements, records.ScaleInPrefix: p.Returns} {
 		want, _, _ := s.List(context.Background(), prefix)
 		if len(got) != len(want) {
 			t.Fatalf("%d records under %s are proven, there are %d", len(got), prefix, len(want))
