--- a/internal/controller/announce.go
+++ b/internal/controller/announce.go
@@ -55,7 +55,7 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	every := c.Config.HeartbeatInterval()
-	if now.Sub(c.begun) < 2*every {
+	if now.Sub(c.startedAt) < 2*every {
 		return nil // most report by themselves
 	}
 	var ts []announcement
@@ -92,8 +92,8 @@
 		return
 	}
 	if r.FencingToken > c.term {
-		c.ObserveTerm(r.FencingToken)
-		c.depose("a worker has seen a higher token")
+		c.Observer.TermObserved(r.FencingToken)
+		c.stepDown("a worker has seen a higher token")
 		return
 	}
 	if r.FencingToken == c.term && r.Incarnation == t.session {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -17,8 +17,6 @@
 func benchFleet(now *time.Time) *Controller {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	c := watched(now)
-	c.RenewedByPeers = func() []string { return nil }
-	c.Rounded = func(time.Duration) {}
 	c.JobCache.Reset(nil, 1, *now)
 	c.Config.Cluster.State.WriteRps = 100
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 96, Gpus: 8, RAMGb: 576, Hourly: 20, SpotHourly: 5, BootS: 45, Zones: []string{"a"}}}}
@@ -32,9 +30,9 @@
 	for i := range 190 {
 		uid := fmt.Sprintf("run-%06d", i)
 		spec := wire.JobSpec{UID: uid, JobClass: "serve", Kind: wire.Service, Priority: wire.High, TaskCount: 8, Cores: 8, Gpus: 1, RAMGb: 40, Image: "image"}
-		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
+		c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
 		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: fmt.Sprintf("m-%03d", i), MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, now)
-		c.capacity(m)
+		c.setCapacity(m)
 		j := c.jobs[uid]
 		for task := range 8 {
 			a := &fleet.Attempt{UID: uid, Task: task, Number: 1, Need: j.need, Image: "image"}
@@ -47,15 +45,14 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		c.round(time.Second / 3)
+		c.runRound(time.Second / 3)
 	}
 }
 
 // largeFleet is a leader whose machines run eight tasks each, with so many jobs that wait.
 func largeFleet(machines, waiting int, now *time.Time) *Controller {
 	c := benchFleet(now)
-	c.Deps.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
-	c.Reached = func() []string { return []string{"a"} }
+	c.Options.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 	uid := func(i int) string { return fmt.Sprintf("run-%06d", i) }
 	spec := func(i int, priority wire.Priority, cores float64) wire.JobSpec {
 		return wire.JobSpec{UID: uid(i), JobClass: "serve", Team: "crew", Kind: wire.Service, Priority: priority, TaskCount: 8, Cores: cores, Gpus: 1, RAMGb: 40, Image: fmt.Sprint("image-", i%12)}
@@ -65,9 +62,9 @@
 		if i%3 == 0 {
 			s.Priority, s.Kind, s.AllowSpot = wire.BestEffort, wire.JobArray, true
 		}
-		c.takeJob(s.UID, watchcache.Entry{Job: &records.Job{Spec: s, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
+		c.applyJobEventLocked(s.UID, watchcache.Entry{Job: &records.Job{Spec: s, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
 		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, *now)
-		c.capacity(m)
+		c.setCapacity(m)
 		j := c.jobs[s.UID]
 		tasks := []wire.TaskReport{}
 		for task := range 8 {
@@ -87,7 +84,7 @@
 	for i := range waiting {
 		s := spec(1_000_000+i, wire.Standard, 96) // no machine has room for it
 		s.TaskCount = 30
-		c.takeJob(s.UID, watchcache.Entry{Job: &records.Job{Spec: s, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
+		c.applyJobEventLocked(s.UID, watchcache.Entry{Job: &records.Job{Spec: s, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
 	}
 	return c
 }
@@ -103,7 +100,7 @@
 				b.ReportAllocs()
 				b.ResetTimer()
 				for range b.N {
-					c.round(time.Second / 3)
+					c.runRound(time.Second / 3)
 				}
 			})
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,81 +14,22 @@
 	"sync"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/clusterversion"
-	"lotusstile.dev/lotusstile/internal/config"
 	"lotusstile.dev/lotusstile/internal/faultattribution"
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/jobdag"
 	"lotusstile.dev/lotusstile/internal/provision"
 	"lotusstile.dev/lotusstile/internal/records"
-	"lotusstile.dev/lotusstile/internal/standby"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/internal/timeralign"
 	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Store is what a controller needs of the state service.
-type Store interface {
-	watchcache.Reader
-	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
-	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
-}
-
-// Cloud is what it needs of the cloud.
-type Cloud interface {
-	Catalog(ctx context.Context) (wire.Catalog, error)
-	Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
-	Return(ctx context.Context, hosts []string) error
-	List(ctx context.Context) ([]wire.ListedHost, error)
-	// ListTakes is the least time that a list of so many machines takes.
-	ListTakes(machines int) time.Duration
-}
-
-// Worker is what it needs of workers.
-type Worker interface {
-	// Announce tells a worker the term's token. It returns the worker's
-	// session and the highest token the worker has seen.
-	Announce(ctx context.Context, address string, token, incarnation uint64) (wire.Heartbeat, error)
-}
-
-// VersionTracker tells which formats of records are in use.
-type VersionTracker interface {
-	InForce() clusterversion.Version
-}
-
-// Deps is what a controller works with.
-type Deps struct {
-	Config         *config.Config
-	Store          Store
-	Cloud          Cloud
-	Worker         Worker
-	JobCache       *watchcache.Cache
-	Version        VersionTracker
-	Settings       func() wire.Settings
-	ObserveTerm    func(term uint64)   // a newer term was seen
-	RenewedByPeers func() []string     // machines that peers answer
-	Reached        func() []string     // zones of the controllers that are reached, this one included
-	Rounded        func(time.Duration) // a round took this long
-	// RelayReached reports whether a follower that relays reports answers.
-	RelayReached func(label string) bool
-	// Prove checks what this node has followed as a warm standby; nil if it follows nothing.
-	Prove func(ctx context.Context, term uint64) (*standby.Proven, error)
-	// Source offers what this term knows to a standby; nil if there is none.
-	Source *standby.Source
-	// Vacant is when this node saw that nobody leads.
-	LeaderlessSince time.Time
-	// Final is told of final statuses that are committed; nil if nobody asks.
-	Final func(uid string, status wire.JobStatus)
-	// Promoted is told once how the takeover went; nil if nobody asks.
-	Promoted func(records.Takeover)
-}
-
 // Controller leads one term.
 type Controller struct {
-	Deps
+	Options
 	term          uint64
-	wake          chan struct{} // the writer has work
+	writerWake    chan struct{} // the writer has work
 	placementWake chan struct{} // there is something to place
 	returnsWake   chan struct{} // there is something to return
 	resolveWake   chan struct{} // a job waits for one whose final status is not known
@@ -97,12 +38,12 @@
 	mu sync.Mutex
 
 	// The term: controller.go, load.go, takeover.go.
-	cancel       context.CancelFunc
-	begun        time.Time
-	loaded       bool
-	warmAttempts int                        // checks of what was followed that the state service did not answer
-	listings     map[string][]wire.KeyValue // records that load has listed so far, by prefix
-	takeover     *takeover
+	cancel        context.CancelFunc
+	startedAt     time.Time
+	loaded        bool
+	proofAttempts int                        // checks of what was followed that the state service did not answer
+	listings      map[string][]wire.KeyValue // records that load has listed so far, by prefix
+	failover      *failoverReport
 
 	// Jobs and their attempts: events.go, dependencies.go, status.go.
 	jobs           map[string]*job
@@ -114,9 +55,9 @@
 
 	// Rounds: round.go, picture.go, nodes.go, spare.go.
 	window           int
-	last             wire.RoundStatus
-	lastAt           time.Time
-	arrive           map[string]*arrivals
+	lastRound        wire.RoundStatus
+	lastRoundAt      time.Time
+	arrivalsByClass  map[string]*arrivals
 	headroomMachines map[string]bool // machines kept as spare room by the last round
 	nodes            nodeCache       // nodes.go
 
@@ -142,35 +83,35 @@
 	announced      map[string]time.Time     // when the token was last announced, by machine
 
 	// Records: writer.go, limits.go, images.go.
-	singlesUntil   time.Time            // until when jobs are written one by one
-	recordedImages map[string]imageNote // which images of a machine are recorded
+	singleJobCommitsUntil time.Time            // until when jobs are written one by one
+	recordedImages        map[string]imageNote // which images of a machine are recorded
 
 	// What a standby follows: views.go.
-	views viewChanges
+	views changedViews
 }
 
 // New makes the controller of a term.
-func New(d Deps, term uint64) *Controller {
-	c := &Controller{Deps: d, term: term, wake: make(chan struct{}, 1), placementWake: make(chan struct{}, 1), returnsWake: make(chan struct{}, 1),
+func New(options Options, term uint64) *Controller {
+	c := &Controller{Options: options, term: term, writerWake: make(chan struct{}, 1), placementWake: make(chan struct{}, 1), returnsWake: make(chan struct{}, 1),
 		resolveWake: make(chan struct{}, 1), now: time.Now,
 		jobs: map[string]*job{}, graph: jobdag.New(), pendingRequests: map[string]*provisionRequest{}, refused: map[provision.MachineGroup]refusal{},
-		arrive: map[string]*arrivals{}, cutOff: map[string]time.Time{}, recordedImages: map[string]imageNote{}, announced: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}, relayUnreachableSince: map[string]time.Time{}}
-	c.fleet = fleet.New(term, d.Config.WorkerLease(), c)
-	c.evidence = faultattribution.New(evidenceLeases * d.Config.WorkerLease())
+		arrivalsByClass: map[string]*arrivals{}, cutOff: map[string]time.Time{}, recordedImages: map[string]imageNote{}, announced: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}, relayUnreachableSince: map[string]time.Time{}}
+	c.fleet = fleet.New(term, options.Config.WorkerLease(), c)
+	c.evidence = faultattribution.New(evidenceLeases * options.Config.WorkerLease())
 	c.returns = map[string]*pendingReturn{}
 	c.nodes = newNodeCache()
 	c.countsRevision = 1
-	c.begun = c.now()
-	c.window = d.Settings().Window
-	c.takeover = newTakeover(term, d.Config.Label, d.LeaderlessSince, c.begun)
+	c.startedAt = c.now()
+	c.window = options.Settings().Window
+	c.failover = newFailoverReport(term, options.Config.Label, options.LeaderlessSince, c.startedAt)
 	return c
 }
 
 // Term is the term it leads.
 func (c *Controller) Term() uint64 { return c.term }
 
-// Begun is when the term began here.
-func (c *Controller) Begun() time.Time { return c.begun }
+// StartedAt is when the term began here.
+func (c *Controller) StartedAt() time.Time { return c.startedAt }
 
 // Run leads until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
@@ -179,11 +120,11 @@
 	c.mu.Lock()
 	c.cancel = cancel
 	c.mu.Unlock()
-	c.JobCache.Listen(c.jobEvent)
+	c.JobCache.Listen(c.applyJobEvent)
 	defer c.JobCache.Listen(nil)
 	pause := c.Config.LeaderLeaseTTL() / 10
 	for {
-		err := c.load(ctx)
+		err := c.loadState(ctx)
 		if err == nil {
 			break
 		}
@@ -193,7 +134,7 @@
 		}
 	}
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){c.writer, c.rounds, c.lists, c.returning, c.announcing, c.noteImages, c.followRenewedLeases, c.resolving} {
+	for _, f := range []func(context.Context){c.runWriter, c.runRounds, c.lists, c.returning, c.announcing, c.noteImages, c.followRenewedLeases, c.runResolver} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -209,8 +150,8 @@
 	return c.Config.Grid().Next(time.Now(), period)
 }
 
-// depose ends the term: a newer one is known to exist.
-func (c *Controller) depose(why string) {
+// stepDown ends the term: a newer one is known to exist.
+func (c *Controller) stepDown(why string) {
 	slog.Info("term is over", "term", c.term, "why", why)
 	c.mu.Lock()
 	cancel := c.cancel
@@ -220,7 +161,7 @@
 	}
 }
 
-func (c *Controller) wakeWriter() { notify(c.wake) }
+func (c *Controller) wakeWriter() { notify(c.writerWake) }
 
 // notify wakes whoever waits on ch, now or next.
 func notify(ch chan struct{}) {
@@ -230,16 +171,16 @@
 	}
 }
 
-// stop asks for the end of an attempt.
-func (c *Controller) stop(a *fleet.Attempt, gracePeriodS float64, now time.Time, why string) {
+// stopAttempt asks for the end of an attempt.
+func (c *Controller) stopAttempt(a *fleet.Attempt, gracePeriodS float64, now time.Time, why string) {
 	c.fleet.StopAttempt(a, gracePeriodS, now, why)
 	if a.Live() {
-		c.answerNow(a.Machine)
+		c.endAnswerWait(a.Machine)
 	}
 }
 
-// capacity fills in what a machine of its type offers.
-func (c *Controller) capacity(m *fleet.Machine) {
+// setCapacity fills in what a machine of its type offers.
+func (c *Controller) setCapacity(m *fleet.Machine) {
 	if c.catalog == nil || m.Type == "" {
 		return
 	}
@@ -266,27 +207,27 @@
 // MachineChanged logs a machine's change of state.
 func (c *Controller) MachineChanged(m *fleet.Machine, from fleet.MachineState, why string) {
 	slog.Info("machine", "host", m.ID, "from", from.String(), "to", m.State.String(), "shift", m.Incarnation, "why", why)
-	c.views.machine(m.ID)
-	c.noteReady(m)
+	c.views.markMachine(m.ID)
+	c.recordFirstReady(m)
 	if m.State == fleet.Gone {
 		c.evidence.ForgetMachine(m.ID)
 	}
 }
 
-// refresh takes a job's record, as just read, into the picture.
-func (c *Controller) refresh(uid string, item wire.KeyValue) {
+// applyJobRecord takes a job's record, as just read, into the picture.
+func (c *Controller) applyJobRecord(uid string, item wire.KeyValue) {
 	var rec records.Job
 	if err := wire.Decode(item.Value, &rec); err != nil {
 		slog.Error("job record cannot be read", "uid", uid, "err", err)
 		return
 	}
-	c.jobEvent(uid, watchcache.Entry{Job: &rec, ModRevision: item.ModRevision})
+	c.applyJobEvent(uid, watchcache.Entry{Job: &rec, ModRevision: item.ModRevision})
 }
 
-// checkDeposed ends the term if a commit failed because of the leader's key.
-func (c *Controller) checkDeposed(err error) {
+// stepDownOnLeaderConflict ends the term if a commit failed because of the leader's key.
+func (c *Controller) stepDownOnLeaderConflict(err error) {
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) && slices.Contains(conflict.Failed, records.LeaderKey) {
-		c.depose("the leader's key has changed")
+		c.stepDown("the leader's key has changed")
 	}
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -22,30 +22,30 @@
 // has read the final status. That a job is not among those that are known proves
 // nothing.
 func (c *Controller) addToGraph(j *job, now time.Time) {
-	spec := &j.rec.Spec
-	vertex := jobdag.Job{Dependencies: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageMs(spec)}
+	spec := &j.record.Spec
+	vertex := jobdag.Job{Dependencies: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageDurationMs(spec)}
 	if spec.DeadlineS != nil {
-		vertex.DueMs = float64(j.rec.AtMs) + *spec.DeadlineS*1000
+		vertex.DueMs = float64(j.record.AtMs) + *spec.DeadlineS*1000
 	}
 	effects := c.graph.Add(j.uid, vertex)
 	j.level, j.dueMs = c.graph.Urgency(j.uid)
 	c.applyEffects(effects, now)
-	if j.rec.Status.Final() {
-		c.finished(j.uid, j.rec.Status, now)
+	if j.record.Status.Final() {
+		c.markFinished(j.uid, j.record.Status, now)
 	}
 	if c.graph.Ready(j.uid) {
 		c.release(j, now)
 	}
 }
 
-// stageMs is how long a job is expected to hold up those that need it.
-func (c *Controller) stageMs(spec *wire.JobSpec) float64 {
+// stageDurationMs is how long a job is expected to hold up those that need it.
+func (c *Controller) stageDurationMs(spec *wire.JobSpec) float64 {
 	return 1000 * (runAllowance*spec.ExpectedRunS + 2*c.Config.Cluster.Workers.ReportS)
 }
 
-// finished notes that a job's final status is committed.
-func (c *Controller) finished(uid string, status wire.JobStatus, now time.Time) {
-	c.noteFinal(uid, status)
+// markFinished notes that a job's final status is committed.
+func (c *Controller) markFinished(uid string, status wire.JobStatus, now time.Time) {
+	c.recordFinalStatus(uid, status)
 	state := jobdag.Done
 	if status == wire.JobAborted {
 		state = jobdag.Cancelled
@@ -53,8 +53,8 @@
 	c.applyEffects(c.graph.Finish(uid, state), now)
 }
 
-// archived notes that a job's record is gone.
-func (c *Controller) archived(uid string) {
+// markArchived notes that a job's record is gone.
+func (c *Controller) markArchived(uid string) {
 	c.graph.Archive(uid)
 	c.wakeResolver()
 }
@@ -71,7 +71,7 @@
 	for _, uid := range effects.Urgency {
 		if j := c.jobs[uid]; j != nil {
 			j.level, j.dueMs = c.graph.Urgency(uid)
-			c.touchJob(j)
+			c.markMachinesChanged(j)
 		}
 	}
 	for _, uid := range effects.Released {
@@ -91,29 +91,29 @@
 
 // release lets a job be placed.
 func (c *Controller) release(j *job, now time.Time) {
-	if j.released || j.rec.Status.Final() {
+	if j.released || j.record.Status.Final() {
 		return
 	}
 	j.released = true
-	if len(j.rec.Spec.Dependencies) > 0 {
+	if len(j.record.Spec.Dependencies) > 0 {
 		// What its users expect of it counts from now, but for its deadline.
-		j.fromMs = now.UnixMilli()
-		j.waitFrom = now
+		j.eligibleSinceMs = now.UnixMilli()
+		j.waitingSince = now
 		slog.Info("job released", "uid", j.uid)
 	}
 	c.arrived(j, now)
 	notify(c.placementWake)
 }
 
-// resolving reads what became of jobs that others wait for and that are archived.
-func (c *Controller) resolving(ctx context.Context) {
+// runResolver reads what became of jobs that others wait for and that are archived.
+func (c *Controller) runResolver(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.resolveWake:
 		}
-		for !c.resolve(ctx) {
+		for !c.resolveFinalStatuses(ctx) {
 			if !timeralign.Sleep(ctx, c.untilNext(c.Config.HeartbeatInterval()/3)) {
 				return
 			}
@@ -121,9 +121,9 @@
 	}
 }
 
-// resolve reads the final statuses that are asked for. It reports whether all were
+// resolveFinalStatuses reads the final statuses that are asked for. It reports whether all were
 // found.
-func (c *Controller) resolve(ctx context.Context) bool {
+func (c *Controller) resolveFinalStatuses(ctx context.Context) bool {
 	c.mu.Lock()
 	uids := c.graph.Unresolved()
 	c.mu.Unlock()
@@ -141,7 +141,7 @@
 			continue
 		}
 		c.mu.Lock()
-		c.finished(uid, record.Status, c.now())
+		c.markFinished(uid, record.Status, c.now())
 		c.mu.Unlock()
 	}
 	return complete
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -15,7 +15,7 @@
 	if dueS > 0 {
 		spec.DeadlineS = &dueS
 	}
-	c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, AtMs: at.UnixMilli(), Per: 8}, ModRevision: modRevision})
+	c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, AtMs: at.UnixMilli(), Per: 8}, ModRevision: modRevision})
 }
 
 // A stage stops nobody's work for the rank of the last one while there is time to rent a
@@ -31,18 +31,18 @@
 		after time.Duration
 		want  wire.Priority
 	}{{0, wire.BestEffort}, {100 * time.Second, wire.BestEffort}, {150 * time.Second, wire.High}} {
-		if got := c.levelNow(first, now.Add(tc.after)); got != tc.want.Level() {
+		if got := c.effectiveLevel(first, now.Add(tc.after)); got != tc.want.Level() {
 			t.Errorf("after %v its level is %d, want %d", tc.after, got, tc.want.Level())
 		}
 	}
-	if got := c.levelNow(last, now); got != wire.High.Level() {
+	if got := c.effectiveLevel(last, now); got != wire.High.Level() {
 		t.Errorf("the last stage has level %d", got)
 	}
 	// Once the last stage is cancelled, nothing is inherited from it.
-	rec := *last.rec
+	rec := *last.record
 	rec.Status = wire.JobAborted
-	c.takeJob(last.uid, watchcache.Entry{Job: &rec, ModRevision: 3})
-	if got := c.levelNow(first, now.Add(150*time.Second)); got != wire.BestEffort.Level() {
+	c.applyJobEventLocked(last.uid, watchcache.Entry{Job: &rec, ModRevision: 3})
+	if got := c.effectiveLevel(first, now.Add(150*time.Second)); got != wire.BestEffort.Level() {
 		t.Errorf("after its cancellation the first has level %d", got)
 	}
 }
@@ -55,25 +55,25 @@
 	c.takeStage("run-000001", wire.BestEffort, 0, now, 1)
 	c.takeStage("run-000002", wire.High, 0, now, 2, "run-000001", "run-000009") // the second was archived long ago
 	j := c.jobs["run-000002"]
-	if j.waiting() != 0 {
+	if j.waitingCount() != 0 {
 		t.Fatal("it can be placed at once")
 	}
-	c.takeJob("run-000001", watchcache.Entry{ModRevision: 5}) // archived, by whom is not known
-	c.finished("run-000009", wire.JobDone, now)
-	if j.waiting() != 0 {
+	c.applyJobEventLocked("run-000001", watchcache.Entry{ModRevision: 5}) // archived, by whom is not known
+	c.markFinished("run-000009", wire.JobDone, now)
+	if j.waitingCount() != 0 {
 		t.Error("it can be placed although the end of a job that it needs is not known")
 	}
 	if got := c.graph.Unresolved(); len(got) != 1 || got[0] != "run-000001" {
 		t.Errorf("the final statuses of %v are to be read", got)
 	}
 	later := now.Add(time.Minute)
-	c.finished("run-000001", wire.JobDone, later)
-	if j.waiting() != 1 || j.fromMs != later.UnixMilli() {
-		t.Errorf("%d tasks can be placed, counted from %d", j.waiting(), j.fromMs)
+	c.markFinished("run-000001", wire.JobDone, later)
+	if j.waitingCount() != 1 || j.eligibleSinceMs != later.UnixMilli() {
+		t.Errorf("%d tasks can be placed, counted from %d", j.waitingCount(), j.eligibleSinceMs)
 	}
 	c.takeStage("run-000003", wire.High, 0, now, 6, "run-000008")
-	c.finished("run-000008", wire.JobAborted, now)
-	if other := c.jobs["run-000003"]; other.waiting() != 0 || !c.over(other) || other.outcome() != wire.JobAborted {
+	c.markFinished("run-000008", wire.JobAborted, now)
+	if other := c.jobs["run-000003"]; other.waitingCount() != 0 || !c.isOver(other) || other.finalStatus() != wire.JobAborted {
 		t.Error("a job that needs a cancelled one is not over")
 	}
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -50,7 +50,7 @@
 func (b *broken) step() {
 	b.now = b.now.Add(time.Second)
 	b.sequence++
-	b.c.round(time.Second)
+	b.c.runRound(time.Second)
 	writeAll(b.t, b.c)
 	reportAll(b.t, b.c, b.sequence, b.outcome)
 }
@@ -58,7 +58,7 @@
 // add brings a job of some tasks that can be done.
 func (b *broken) add(uid string, tasks int) *job {
 	spec := wire.JobSpec{UID: uid, JobClass: "good", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: 16, RAMGb: 1, Image: "img"}
-	b.c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
+	b.c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
 	return b.c.jobs[uid]
 }
 
--- a/internal/controller/finals_test.go
+++ b/internal/controller/finalstatus_test.go
@@ -16,11 +16,11 @@
 	now := time.Unix(1000, 0)
 	c := watched(&now)
 	own := map[string]wire.JobStatus{}
-	c.Final = func(uid string, status wire.JobStatus) { own[uid] = status }
-	const jobs, atOnce = 3 * maxFinals, maxFinals / 4
+	c.Observer = fakeObserver{finished: own}
+	const jobs, atOnce = 3 * maxFinalStatuses, maxFinalStatuses / 4
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
-		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
+		c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
 	}
 	announced, revision := map[string]wire.JobStatus{}, uint64(0)
 	ask := func() {
@@ -37,7 +37,7 @@
 	want := map[string]wire.JobStatus{}
 	for i := range jobs / 2 {
 		uid, status := fmt.Sprintf("run-%06d", i), []wire.JobStatus{wire.JobDone, wire.JobAborted}[i%2]
-		c.finished(uid, status, now)
+		c.markFinished(uid, status, now)
 		want[uid] = status
 		if i%atOnce == 0 {
 			ask()
@@ -49,7 +49,7 @@
 			t.Fatalf("%s is %s: a follower was told %q, this node %q", uid, status, announced[uid], own[uid])
 		}
 	}
-	if len(announced) != len(want) || len(c.finals) > maxFinals {
+	if len(announced) != len(want) || len(c.finals) > maxFinalStatuses {
 		t.Errorf("%d statuses of %d jobs are told, %d are kept", len(announced), len(want), len(c.finals))
 	}
 }
--- a/internal/controller/checkin.go
+++ b/internal/controller/heartbeat.go
@@ -29,8 +29,8 @@
 // follower's, and of some 700 machines 170 to 220 lost them just before the cut ended.
 func (c *Controller) Heartbeat(ctx context.Context, r *wire.Heartbeat, opts HeartbeatOptions) (o wire.Commands, ok bool) {
 	if r.FencingToken > c.term {
-		c.ObserveTerm(r.FencingToken)
-		c.depose("a worker has seen a higher token")
+		c.Observer.TermObserved(r.FencingToken)
+		c.stepDown("a worker has seen a higher token")
 		return wire.Commands{}, false
 	}
 	o = wire.Commands{FencingToken: c.term, Commands: []wire.Command{}}
@@ -46,7 +46,7 @@
 	if !fresh {
 		return o, true
 	}
-	c.capacity(m)
+	c.setCapacity(m)
 	m.RelayedBy = opts.Via
 	if opts.Relayed || wasDirect && opts.Via != "" {
 		m.LastRelayedHeartbeat = now // it reported here, and may not reach this node any more
@@ -92,8 +92,8 @@
 	return c.now().Sub(c.JobCache.Fresh()) < c.Config.LeaderLeaseTTL()
 }
 
-// answerNow lets an answer to a machine go that waits for commands.
-func (c *Controller) answerNow(m *fleet.Machine) {
+// endAnswerWait lets an answer to a machine go that waits for commands.
+func (c *Controller) endAnswerWait(m *fleet.Machine) {
 	if wake := c.waitingAnswers[m.ID]; wake != nil {
 		delete(c.waitingAnswers, m.ID)
 		close(wake)
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -20,7 +20,7 @@
 	spec := wire.JobSpec{UID: "run-000001", JobClass: "huge", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: need.Cores, RAMGb: need.RAM, Image: "img"}
 	rec := records.Job{Spec: spec, Status: wire.JobQueued, Per: records.TasksPerPlacement(8192, 8192)}
 	services.items[records.JobKey(spec.UID)] = wire.KeyValue{Key: records.JobKey(spec.UID), Value: records.Encode(rec), ModRevision: 1}
-	c.takeJob(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
+	c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
 	var hosts []wire.ListedHost
 	for i := range machines {
 		hosts = append(hosts, wire.ListedHost{UID: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: "a", Status: "running"})
@@ -58,7 +58,7 @@
 
 // writeAll commits all that is due.
 func writeAll(t *testing.T, c *Controller) {
-	for b := c.collect(); b != nil; b = c.collect() {
+	for b := c.nextBatch(); b != nil; b = c.nextBatch() {
 		c.commit(t.Context(), b)
 	}
 }
@@ -73,7 +73,7 @@
 	sequence := uint64(1)
 	for rounds := 0; j.done < tasks && rounds < 1000; rounds++ {
 		now = now.Add(3 * time.Second)
-		c.round(time.Second)
+		c.runRound(time.Second)
 		writeAll(t, c)
 		reportAll(t, c, sequence+1, always(wire.TaskRunning, ""))
 		reportAll(t, c, sequence+2, always(wire.TaskEnded, wire.CauseDone))
@@ -85,7 +85,7 @@
 	now = now.Add(3 * time.Second)
 	writeAll(t, c)
 	if c.jobs[j.uid] != nil {
-		t.Errorf("the job is still in the picture as %s", j.rec.Status)
+		t.Errorf("the job is still in the picture as %s", j.record.Status)
 	}
 	if left := len(services.items); left != 1 || services.items[records.FinalKey(j.uid)].ModRevision == 0 {
 		t.Errorf("%d records are left", left)
@@ -105,16 +105,16 @@
 func TestReportsOfTinyTasksFitABody(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Res{Cores: 0.02, RAM: 0.1})
-	c.round(time.Second)
+	c.runRound(time.Second)
 	writeAll(t, c)
-	if j.live != maxTasks {
-		t.Fatalf("%d tasks are started, want %d", j.live, maxTasks)
+	if j.live != maxTasksPerMachine {
+		t.Fatalf("%d tasks are started, want %d", j.live, maxTasksPerMachine)
 	}
 	reportAll(t, c, 2, always(wire.TaskEnded, wire.CauseDone))
-	c.round(time.Second) // nothing is reaped yet: the ends are written later
+	c.runRound(time.Second) // nothing is reaped yet: the ends are written later
 	writeAll(t, c)
 	reportAll(t, c, 3, always(wire.TaskEnded, wire.CauseDone))
 	if j.live != 0 {
-		t.Errorf("%d tasks are started beside %d that are not reaped", j.live, maxTasks)
+		t.Errorf("%d tasks are started beside %d that are not reaped", j.live, maxTasksPerMachine)
 	}
 }
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -37,7 +37,7 @@
 		return
 	}
 	if _, err := c.Store.Commit(store.Note(ctx), tx); err != nil {
-		c.checkDeposed(err)
+		c.stepDownOnLeaderConflict(err)
 		return
 	}
 	c.mu.Lock()
@@ -54,11 +54,11 @@
 	noted = map[string]imageNote{}
 	// A commit that is larger than the state service takes would be rejected, and nothing
 	// ever be noted.
-	most := min(max(1, int(c.Config.StateLimits().WriteRps/8)), c.batchOps())
+	most := min(max(1, int(c.Config.StateLimits().WriteRps/8)), c.maxBatchChanges())
 	size := 0
 	c.fleet.Each(func(m *fleet.Machine) {
 		known := c.recordedImages[m.ID]
-		if m.State != fleet.Ready || len(m.Images) <= known.images || now.Sub(known.at) <= c.Config.WorkerLease() || len(tx.Changes) >= most || size > maxTx {
+		if m.State != fleet.Ready || len(m.Images) <= known.images || now.Sub(known.at) <= c.Config.WorkerLease() || len(tx.Changes) >= most || size > maxCommitBytes {
 			return
 		}
 		noted[m.ID] = imageNote{len(m.Images), now}
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -13,76 +13,76 @@
 
 // placement is a part of a job's placement and the stamp of its record.
 type placement struct {
-	job         *job
-	n           int
-	modRevision uint64
-	next        uint64
-	done        records.Placement // only Done is used
-	live        map[int]*fleet.Attempt
-	ended       []*fleet.Attempt // ended, not yet recorded so
-	seq         int              // counts changes
-	dirty       bool             // see setDirty
-	due         time.Time        // when a dirty piece is to be written
-	unsure      bool             // the outcome of a commit is unknown: read before writing
+	job            *job
+	index          int
+	modRevision    uint64
+	nextAttempt    uint64
+	done           records.Placement // only Done is used
+	live           map[int]*fleet.Attempt
+	ended          []*fleet.Attempt // ended, not yet recorded so
+	changes        int              // counts changes
+	dirty          bool             // see setDirty
+	due            time.Time        // when a dirty piece is to be written
+	outcomeUnknown bool             // the outcome of a commit is unknown: read before writing
 }
 
 // job is the leader's picture of a job.
 type job struct {
-	uid             string
-	rec             *records.Job
-	modRevision     uint64
-	level           int     // its own, or the highest of those that need it
-	dueMs           float64 // by its own deadline or theirs; +Inf if there is none
-	released        bool    // all that it needs is done
-	cancelled       bool    // a job that it needs is cancelled
-	fromMs          int64   // when it was accepted or, if later, released
-	need            fleet.Res
-	placements      map[int]*placement
-	dirtyPlacements int // pieces that are to be written
-	done            int
-	live            int
-	freed           []int // tasks that wait again
-	cursor          int   // tasks from here on were never placed
-	begun           bool  // a task of it has run in this term
-	waitFrom        time.Time
-	avoid           map[string]time.Time // machines it failed on
-	fails           int                  // how often in a row it was held back
-	suspect         bool                 // it may be mistaken: failures.go
-	failedAttempts  int                  // tasks that ended against the job's will
-	countsRevision  uint64               // of the last change of its counts of tasks
-	backoffUntil    time.Time            // not placed before
-	unsure          bool                 // the outcome of its archiving is unknown
-	asideUntil      time.Time            // nothing of it is written before: the state service rejected it
+	uid                 string
+	record              *records.Job
+	modRevision         uint64
+	level               int     // its own, or the highest of those that need it
+	dueMs               float64 // by its own deadline or theirs; +Inf if there is none
+	released            bool    // all that it needs is done
+	cancelled           bool    // a job that it needs is cancelled
+	eligibleSinceMs     int64   // when it was accepted or, if later, released
+	need                fleet.Res
+	placements          map[int]*placement
+	dirtyPlacements     int // pieces that are to be written
+	done                int
+	live                int
+	freedTasks          []int // tasks that wait again
+	nextUnplaced        int   // tasks from here on were never placed
+	hasRun              bool  // a task of it has run in this term
+	waitingSince        time.Time
+	failedOn            map[string]time.Time // machines it failed on
+	backoffs            int                  // how often in a row it was held back
+	suspect             bool                 // it may be mistaken: failures.go
+	failedAttempts      int                  // tasks that ended against the job's will
+	countsRevision      uint64               // of the last change of its counts of tasks
+	backoffUntil        time.Time            // not placed before
+	outcomeUnknown      bool                 // the outcome of its archiving is unknown
+	writesDeferredUntil time.Time            // nothing of it is written before: the state service rejected it
 }
 
 func newJob(uid string, e watchcache.Entry, now time.Time) *job {
-	return &job{uid: uid, rec: e.Job, modRevision: e.ModRevision, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), fromMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
-		placements: map[int]*placement{}, waitFrom: now, avoid: map[string]time.Time{}}
+	return &job{uid: uid, record: e.Job, modRevision: e.ModRevision, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), eligibleSinceMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
+		placements: map[int]*placement{}, waitingSince: now, failedOn: map[string]time.Time{}}
 }
 
-// load takes a record of a piece into the job.
-func (j *job) load(n int, row wire.KeyValue) []records.Placed {
+// loadPlacement takes a record of a piece into the job.
+func (j *job) loadPlacement(n int, row wire.KeyValue) []records.Placed {
 	rec, err := records.DecodePlacement(row.Value)
 	if err != nil {
 		slog.Error("placement record cannot be read", "key", row.Key, "err", err)
 		return nil
 	}
-	p := &placement{job: j, n: n, modRevision: row.ModRevision, next: rec.Next, live: map[int]*fleet.Attempt{}}
+	p := &placement{job: j, index: n, modRevision: row.ModRevision, nextAttempt: rec.Next, live: map[int]*fleet.Attempt{}}
 	p.done.Done = rec.Done
 	j.placements[n] = p
-	for i := range j.rec.Per {
-		if n*j.rec.Per+i < j.rec.Spec.TaskCount && rec.DoneBit(i) {
+	for i := range j.record.Per {
+		if n*j.record.Per+i < j.record.Spec.TaskCount && rec.DoneBit(i) {
 			j.done++
 		}
 	}
 	return rec.Live
 }
 
-// outcome is the final status of a job that is over.
-func (j *job) outcome() wire.JobStatus {
+// finalStatus is the final status of a job that is over.
+func (j *job) finalStatus() wire.JobStatus {
 	switch {
-	case j.rec.Status.Final():
-		return j.rec.Status
+	case j.record.Status.Final():
+		return j.record.Status
 	case j.cancelled:
 		return wire.JobAborted
 	}
@@ -100,10 +100,10 @@
 	return stored
 }
 
-// hasUnsurePlacement reports whether the record of some piece has to be read again first.
-func (j *job) hasUnsurePlacement() bool {
+// hasUnknownPlacement reports whether the record of some piece has to be read again first.
+func (j *job) hasUnknownPlacement() bool {
 	for _, p := range j.placements {
-		if p.unsure {
+		if p.outcomeUnknown {
 			return true
 		}
 	}
@@ -112,38 +112,38 @@
 
 // placement finds or makes the placement that a task belongs to.
 func (j *job) placement(task int) *placement {
-	n := task / j.rec.Per
+	n := task / j.record.Per
 	p := j.placements[n]
 	if p == nil {
-		p = &placement{job: j, n: n, next: 1, live: map[int]*fleet.Attempt{}}
+		p = &placement{job: j, index: n, nextAttempt: 1, live: map[int]*fleet.Attempt{}}
 		j.placements[n] = p
 	}
 	return p
 }
 
 func (j *job) isDone(task int) bool {
-	p := j.placements[task/j.rec.Per]
-	return p != nil && p.done.DoneBit(task%j.rec.Per)
+	p := j.placements[task/j.record.Per]
+	return p != nil && p.done.DoneBit(task%j.record.Per)
 }
 
 func (j *job) attempt(task int) *fleet.Attempt {
-	if p := j.placements[task/j.rec.Per]; p != nil {
+	if p := j.placements[task/j.record.Per]; p != nil {
 		return p.live[task]
 	}
 	return nil
 }
 
-func (j *job) waiting() int {
-	if j.rec.Status.Final() || !j.released {
+func (j *job) waitingCount() int {
+	if j.record.Status.Final() || !j.released {
 		return 0
 	}
-	return max(0, j.rec.Spec.TaskCount-j.done-j.live)
+	return max(0, j.record.Spec.TaskCount-j.done-j.live)
 }
 
-// pick takes up to n tasks that wait. A task may be known twice as waiting, by
+// nextWaitingTasks takes up to n tasks that wait. A task may be known twice as waiting, by
 // having been freed and by not having been reached yet: it is taken once.
-func (j *job) pick(n int) []int {
-	tasks := make([]int, 0, min(n, j.waiting()))
+func (j *job) nextWaitingTasks(n int) []int {
+	tasks := make([]int, 0, min(n, j.waitingCount()))
 	taken := map[int]bool{}
 	take := func(task int) {
 		if !taken[task] && !j.isDone(task) && j.attempt(task) == nil {
@@ -151,13 +151,13 @@
 			tasks = append(tasks, task)
 		}
 	}
-	for len(tasks) < n && len(j.freed) > 0 {
-		task := j.freed[len(j.freed)-1]
-		j.freed = j.freed[:len(j.freed)-1]
+	for len(tasks) < n && len(j.freedTasks) > 0 {
+		task := j.freedTasks[len(j.freedTasks)-1]
+		j.freedTasks = j.freedTasks[:len(j.freedTasks)-1]
 		take(task)
 	}
-	for ; len(tasks) < n && j.cursor < j.rec.Spec.TaskCount; j.cursor++ {
-		take(j.cursor)
+	for ; len(tasks) < n && j.nextUnplaced < j.record.Spec.TaskCount; j.nextUnplaced++ {
+		take(j.nextUnplaced)
 	}
 	return tasks
 }
@@ -170,13 +170,13 @@
 		for _, a := range p.live {
 			return a.Number
 		}
-		next = max(next, p.next)
+		next = max(next, p.nextAttempt)
 	}
 	return next
 }
 
-// each calls f for every attempt of the job that may be on its machine.
-func (j *job) each(f func(a *fleet.Attempt)) {
+// eachAttempt calls f for every attempt of the job that may be on its machine.
+func (j *job) eachAttempt(f func(a *fleet.Attempt)) {
 	for _, p := range j.placements {
 		for _, a := range p.live {
 			f(a)
@@ -184,9 +184,9 @@
 	}
 }
 
-func (j *job) running() int {
+func (j *job) runningCount() int {
 	n := 0
-	j.each(func(a *fleet.Attempt) {
+	j.eachAttempt(func(a *fleet.Attempt) {
 		if a.State == fleet.Running || a.State == fleet.Saving {
 			n++
 		}
@@ -194,10 +194,10 @@
 	return n
 }
 
-// stopping is how many attempts are being stopped and may still be on their machines.
-func (j *job) stopping() int {
+// stoppingCount is how many attempts are being stopped and may still be on their machines.
+func (j *job) stoppingCount() int {
 	n := 0
-	j.each(func(a *fleet.Attempt) {
+	j.eachAttempt(func(a *fleet.Attempt) {
 		if a.Stopping || a.State == fleet.Saving {
 			n++
 		}
@@ -207,7 +207,7 @@
 
 // record makes the record of the piece as it stands.
 func (p *placement) record() records.Placement {
-	rec := records.Placement{Next: p.next, Done: p.done.Done}
+	rec := records.Placement{Next: p.nextAttempt, Done: p.done.Done}
 	for _, a := range p.live {
 		rec.Live = append(rec.Live, records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation})
 	}
@@ -217,20 +217,20 @@
 // hasRoom reports whether the record of the piece still fits a value with one more
 // attempt of a task on a machine.
 func (p *placement) hasRoom(task int, m *fleet.Machine, valueBytes int) bool {
-	tasks := p.job.rec.Per
+	tasks := p.job.record.Per
 	if records.FitsPlain(tasks, valueBytes) {
 		return true
 	}
-	bytes := records.DenseBytes(records.Placed{Task: task, Attempt: p.next, Host: m.ID, Incarnation: m.Incarnation}, tasks)
+	bytes := records.DenseBytes(records.Placed{Task: task, Attempt: p.nextAttempt, Host: m.ID, Incarnation: m.Incarnation}, tasks)
 	for _, a := range p.live {
 		bytes += records.DenseBytes(records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}, tasks)
 	}
 	return bytes <= records.DenseRoom(valueBytes, tasks)
 }
 
-// touch notes a change that is to be recorded at due or before.
-func (p *placement) touch(due time.Time) {
-	p.seq++
+// markChanged notes a change that is to be recorded at due or before.
+func (p *placement) markChanged(due time.Time) {
+	p.changes++
 	if !p.dirty || due.Before(p.due) {
 		p.due = due
 	}
@@ -249,8 +249,8 @@
 	p.dirty = dirty
 }
 
-// planned lists the attempts whose launch is decided and not recorded yet.
-func (p *placement) planned() []*fleet.Attempt {
+// plannedAttempts lists the attempts whose launch is decided and not recorded yet.
+func (p *placement) plannedAttempts() []*fleet.Attempt {
 	var as []*fleet.Attempt
 	for _, a := range p.live {
 		if a.State == fleet.Planned {
--- a/internal/controller/job_test.go
+++ b/internal/controller/job_test.go
@@ -41,7 +41,7 @@
 				} else if p.live[task] != nil {
 					delete(p.live, task)
 					j.live--
-					j.freed = append(j.freed, task)
+					j.freedTasks = append(j.freedTasks, task)
 					waiting[task] = true
 				}
 			case 1:
@@ -52,7 +52,7 @@
 				}
 			case 2:
 				n := rapid.IntRange(0, tasks).Draw(t, "n")
-				got := j.pick(n)
+				got := j.nextWaitingTasks(n)
 				if want := min(n, len(waiting)); len(got) != want {
 					t.Fatalf("picked %v of %d waiting, want %d", got, len(waiting), want)
 				}
--- a/internal/controller/events.go
+++ b/internal/controller/jobevents.go
@@ -9,14 +9,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// jobEvent takes a change of a job's record into the picture.
-func (c *Controller) jobEvent(uid string, e watchcache.Entry) {
+// applyJobEvent takes a change of a job's record into the picture.
+func (c *Controller) applyJobEvent(uid string, e watchcache.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.takeJob(uid, e)
+	c.applyJobEventLocked(uid, e)
 }
 
-func (c *Controller) takeJob(uid string, e watchcache.Entry) {
+func (c *Controller) applyJobEventLocked(uid string, e watchcache.Entry) {
 	now := c.now()
 	j := c.jobs[uid]
 	switch {
@@ -30,26 +30,26 @@
 		slog.Info("job", "uid", uid, "berth", e.Job.Spec.JobClass, "legs", e.Job.Spec.TaskCount, "gpus", e.Job.Spec.Gpus, "image", e.Job.Spec.Image, "status", string(e.Job.Status))
 		c.addToGraph(j, now)
 	case e.ModRevision > j.modRevision:
-		wasFinal := j.rec.Status.Final()
-		j.rec, j.modRevision = e.Job, e.ModRevision
+		wasFinal := j.record.Status.Final()
+		j.record, j.modRevision = e.Job, e.ModRevision
 		if !wasFinal && e.Job.Status == wire.JobAborted {
 			slog.Info("job withdrawn", "uid", uid)
-			j.each(func(a *fleet.Attempt) { c.stop(a, 0, now, "withdrawn") })
+			j.eachAttempt(func(a *fleet.Attempt) { c.stopAttempt(a, 0, now, "withdrawn") })
 			c.wakeWriter()
 		}
 		if !wasFinal && e.Job.Status.Final() {
-			c.finished(uid, e.Job.Status, now)
+			c.markFinished(uid, e.Job.Status, now)
 		}
 	}
 }
 
 // dropJob forgets a job that is archived.
 func (c *Controller) dropJob(j *job, now time.Time) {
-	c.touchJob(j)
+	c.markMachinesChanged(j)
 	delete(c.jobs, j.uid)
-	c.views.job(j.uid)
-	c.archived(j.uid)
-	j.each(func(a *fleet.Attempt) { c.stop(a, 0, now, "job is archived") })
+	c.views.markJob(j.uid)
+	c.markArchived(j.uid)
+	j.eachAttempt(func(a *fleet.Attempt) { c.stopAttempt(a, 0, now, "job is archived") })
 	c.recordEnds(j, now)
 }
 
@@ -67,11 +67,11 @@
 func (c *Controller) AttemptChanged(a *fleet.Attempt, from fleet.AttemptState, why string) {
 	slog.Info("attempt", "leg", a.Name(), "try", a.Number, "host", a.Machine.ID, "from", from.String(), "to", a.State.String(), "why", why)
 	if a.State == fleet.Committed {
-		c.answerNow(a.Machine)
+		c.endAnswerWait(a.Machine)
 	}
-	c.views.job(a.UID)
+	c.views.markJob(a.UID)
 	if a.State == fleet.Running {
-		c.views.machine(a.Machine.ID) // it has the image now
+		c.views.markMachine(a.Machine.ID) // it has the image now
 	}
 	j := c.jobs[a.UID]
 	if j == nil {
@@ -80,39 +80,39 @@
 		}
 		return
 	}
-	j.begun = j.begun || a.State == fleet.Running
-	c.countsChanged(j)
+	j.hasRun = j.hasRun || a.State == fleet.Running
+	c.markCountsChanged(j)
 	p := j.placement(a.Task)
 	if from < fleet.Ended && !a.Live() && p.live[a.Task] == a {
 		delete(p.live, a.Task)
 		j.live--
-		j.freed = append(j.freed, a.Task)
+		j.freedTasks = append(j.freedTasks, a.Task)
 		if a.Cause != wire.CauseDone {
 			j.failedAttempts++
 		}
 		if j.live == 0 {
-			j.waitFrom = c.now()
+			j.waitingSince = c.now()
 		}
-		p.touch(c.now().Add(c.endsWait()))
+		p.markChanged(c.now().Add(c.endRecordDelay()))
 	}
 	if a.State == fleet.Ended {
-		c.ended(j, p, a)
+		c.applyAttemptEnd(j, p, a)
 	}
-	if !a.Live() && c.over(j) {
+	if !a.Live() && c.isOver(j) {
 		c.wakeWriter()
 	}
 }
 
-// endsWait is how long the record of an end may wait for more of its piece.
+// endRecordDelay is how long the record of an end may wait for more of its piece.
 // Until then the task is reported as ended, and a new leader would learn of it
 // from there. Each end written at once took more of the state service's budget
 // of changes than all launches.
-func (c *Controller) endsWait() time.Duration { return 2 * c.Config.HeartbeatInterval() }
+func (c *Controller) endRecordDelay() time.Duration { return 2 * c.Config.HeartbeatInterval() }
 
-// ended takes the end of an attempt into its job.
-func (c *Controller) ended(j *job, p *placement, a *fleet.Attempt) {
+// applyAttemptEnd takes the end of an attempt into its job.
+func (c *Controller) applyAttemptEnd(j *job, p *placement, a *fleet.Attempt) {
 	now := c.now()
-	i := a.Task % j.rec.Per
+	i := a.Task % j.record.Per
 	switch a.Cause {
 	case wire.CauseDone:
 		if !p.done.DoneBit(i) {
@@ -120,13 +120,13 @@
 			j.done++
 		}
 		c.evidence.Completed(j.uid, a.Machine.ID)
-		j.trust()
+		j.clearSuspicion()
 	case wire.CauseError:
 		c.attributeFailure(j, a.Machine, now)
 	case wire.CauseNoRoom, wire.CauseInUse, wire.CauseNoSuch:
-		j.avoid[a.Machine.ID] = now
+		j.failedOn[a.Machine.ID] = now
 	}
-	if j.rec.Status.Final() {
+	if j.record.Status.Final() {
 		// Nothing of a withdrawn job is ever launched again, so its end need
 		// not be recorded before it is reaped.
 		c.fleet.Record(a, now)
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -13,9 +13,9 @@
 // mayWriteDense reports whether all nodes can read densely listed placements.
 func (c *Controller) mayWriteDense() bool { return c.Version.InForce() >= clusterversion.Pipelines }
 
-// placementBytes is how large the record of a piece may be. The announced limit holds from
+// maxPlacementBytes is how large the record of a piece may be. The announced limit holds from
 // when records can be written that fit it; the service does not lower its own before.
-func (c *Controller) placementBytes() int {
+func (c *Controller) maxPlacementBytes() int {
 	if c.mayWriteDense() {
 		return c.Config.ValueBytes()
 	}
@@ -25,38 +25,38 @@
 // encodePlacement makes the record of a piece, or nil if it fits no value: one that was
 // written under a higher limit is written again once enough of its tasks have ended.
 func (c *Controller) encodePlacement(p *placement, now time.Time) json.RawMessage {
-	value := records.EncodePlacement(p.record(), c.placementBytes(), c.mayWriteDense())
-	if len(value) > c.placementBytes() {
-		slog.Warn("placement does not fit a record yet", "uid", p.job.uid, "piece", p.n, "bytes", len(value))
-		p.due = now.Add(c.endsWait())
+	value := records.EncodePlacement(p.record(), c.maxPlacementBytes(), c.mayWriteDense())
+	if len(value) > c.maxPlacementBytes() {
+		slog.Warn("placement does not fit a record yet", "uid", p.job.uid, "piece", p.index, "bytes", len(value))
+		p.due = now.Add(c.endRecordDelay())
 		return nil
 	}
 	return value
 }
 
-// setAside deals with a batch that the state service rejects: some record of it is
+// deferRejected deals with a batch that the state service rejects: some record of it is
 // malformed or too large to it. Jobs are then written one by one for a while, so that
 // the one concerned holds up no other; it is itself left alone for a lease.
-func (c *Controller) setAside(b *batch, rejected *store.RejectedError) {
+func (c *Controller) deferRejected(b *batch, rejected *store.RejectedError) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	until := c.now().Add(c.Config.WorkerLease())
 	slog.Error("commit rejected", "term", c.term, "keys", rejected.Keys, "detail", rejected.Detail)
-	jobs := b.touched()
+	jobs := b.writtenJobs()
 	if len(jobs) > 1 {
-		c.singlesUntil = until
+		c.singleJobCommitsUntil = until
 		return
 	}
 	for j := range jobs {
-		j.asideUntil = until
+		j.writesDeferredUntil = until
 	}
 }
 
-// touched is the jobs that a batch writes anything of.
-func (b *batch) touched() map[*job]bool {
+// writtenJobs is the jobs that a batch writes anything of.
+func (b *batch) writtenJobs() map[*job]bool {
 	jobs := map[*job]bool{}
 	for _, write := range b.placements {
-		jobs[write.p.job] = true
+		jobs[write.placement.job] = true
 	}
 	for _, write := range b.jobs {
 		jobs[write.job] = true
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -30,7 +30,6 @@
 	c.Config.Cluster.State.WriteRps, c.Config.Cluster.State.Next = 1000, &config.NextStateLimits{ValueKb: &kb}
 	c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 1, Gpus: 8, RAMGb: 512, Zones: []string{"a"}}}}
-	c.RenewedByPeers, c.Rounded = func() []string { return nil }, func(time.Duration) {}
 	c.JobCache.Reset(nil, 0, now)
 	for i := range 170 {
 		host := fmt.Sprintf("m-%03d-%s", i, strings.Repeat("x", 40))
@@ -39,8 +38,8 @@
 	}
 	per := records.TasksPerPlacement(c.Config.CurrentValueBytes(), c.Config.ValueBytes())
 	spec := wire.JobSpec{UID: "run-000001", Team: "crew", Kind: wire.JobArray, TaskCount: 2 * per, Cores: 1, RAMGb: 1, Image: "i", Priority: wire.High}
-	c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: per}, ModRevision: 1})
-	c.round(time.Second)
+	c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: per}, ModRevision: 1})
+	c.runRound(time.Second)
 	j := c.jobs[spec.UID]
 	if j.live == 0 || j.live == spec.TaskCount {
 		t.Fatalf("%d of %d tasks are placed", j.live, spec.TaskCount)
@@ -64,7 +63,7 @@
 			}
 		}
 	}
-	c.round(time.Second)
+	c.runRound(time.Second)
 	if j.live <= placed/2+1 {
 		t.Errorf("%d tasks are placed after the end of half of %d", j.live, placed)
 	}
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -16,9 +16,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// warmAttempts is how often a warm standby's copy is checked before all records are listed
+// maxProofAttempts is how often a warm standby's copy is checked before all records are listed
 // instead, if the state service does not answer.
-const warmAttempts = 3
+const maxProofAttempts = 3
 
 // termRecords is what a term begins with.
 type termRecords struct {
@@ -26,9 +26,9 @@
 	hints                             *standby.Proven // nil if all records were listed
 }
 
-// load rebuilds the picture from the records. Until it is loaded, reports keep
+// loadState rebuilds the picture from the records. Until it is loaded, reports keep
 // their leases and get no orders.
-func (c *Controller) load(ctx context.Context) error {
+func (c *Controller) loadState(ctx context.Context) error {
 	recs, err := c.readRecords(ctx)
 	if err != nil {
 		return err
@@ -38,23 +38,23 @@
 		if err := wire.Decode(row.Value, &rec); err != nil {
 			return fmt.Errorf("job record %s: %w", row.Key, err)
 		}
-		c.jobEvent(strings.TrimPrefix(row.Key, records.JobPrefix), watchcache.Entry{Job: &rec, ModRevision: row.ModRevision})
+		c.applyJobEvent(strings.TrimPrefix(row.Key, records.JobPrefix), watchcache.Entry{Job: &rec, ModRevision: row.ModRevision})
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if err := c.takeReturns(recs.returns, now); err != nil {
+	if err := c.applyReturnRecords(recs.returns, now); err != nil {
 		return err
 	}
-	c.takeImages(recs.images, now)
-	c.hintMachines(recs.hints, now)
-	inherited := c.takePlacements(recs.placements, now)
-	c.hintJobs(recs.hints, now)
+	c.applyImageRecords(recs.images, now)
+	c.applyMachineHints(recs.hints, now)
+	inherited := c.applyPlacementRecords(recs.placements, now)
+	c.applyJobHints(recs.hints, now)
 	for _, j := range c.jobs {
-		c.countsChanged(j)
-		j.suspectByRecords()
-		if j.rec.Status == wire.JobAborted {
-			j.each(func(a *fleet.Attempt) { c.stop(a, 0, now, "withdrawn") })
+		c.markCountsChanged(j)
+		j.suspectFromRecords()
+		if j.record.Status == wire.JobAborted {
+			j.eachAttempt(func(a *fleet.Attempt) { c.stopAttempt(a, 0, now, "withdrawn") })
 		}
 	}
 	if c.Source != nil {
@@ -63,7 +63,7 @@
 	c.loaded = true
 	c.listings = nil
 	c.steady = now
-	c.takeover.loaded(now, c.fleet.Len(), inherited)
+	c.failover.recordLoaded(now, c.fleet.Len(), inherited)
 	slog.Info("picture loaded", "term", c.term, "jobs", len(c.jobs), "attempts", inherited, "returning", len(c.returns), "warm", recs.hints != nil)
 	return nil
 }
@@ -73,17 +73,17 @@
 // term changes what it lists, but for jobs, whose changes the mirror tells. When a service that
 // got too many requests refused one of four listings in turn, all four were read anew for 12 s.
 func (c *Controller) readRecords(ctx context.Context) (*termRecords, error) {
-	if c.Prove != nil && c.warmAttempts < warmAttempts {
+	if c.Prove != nil && c.proofAttempts < maxProofAttempts {
 		recs, err := c.provenRecords(ctx)
 		if err == nil {
 			return recs, nil
 		}
-		c.takeover.cold(err)
-		if !finalProof(err) {
-			c.warmAttempts++
+		c.failover.recordCold(err)
+		if !isFinalProofError(err) {
+			c.proofAttempts++
 			return nil, err
 		}
-		c.warmAttempts = warmAttempts
+		c.proofAttempts = maxProofAttempts
 		slog.Info("all records are listed", "term", c.term, "why", err)
 	}
 	if c.listings == nil {
@@ -104,8 +104,8 @@
 	return recs, nil
 }
 
-// finalProof reports whether trying the proof again is of no use.
-func finalProof(err error) bool {
+// isFinalProofError reports whether trying the proof again is of no use.
+func isFinalProofError(err error) bool {
 	for _, final := range []error{standby.ErrNothingHeld, standby.ErrDigest, standby.ErrTooFarBehind, standby.ErrUndecodable} {
 		if errors.Is(err, final) {
 			return true
@@ -124,12 +124,12 @@
 	if err := c.JobCache.Refresh(ctx, c.Store); err != nil {
 		return nil, err
 	}
-	c.takeover.proven(proven)
+	c.failover.recordWarm(proven)
 	return &termRecords{placements: proven.Placements, returns: proven.Returns, images: proven.Images, hints: proven}, nil
 }
 
-// takeReturns takes records of returns that an earlier term has attempted. c.mu is held.
-func (c *Controller) takeReturns(rows []wire.KeyValue, now time.Time) error {
+// applyReturnRecords takes records of returns that an earlier term has attempted. c.mu is held.
+func (c *Controller) applyReturnRecords(rows []wire.KeyValue, now time.Time) error {
 	for _, row := range rows {
 		var rec records.Returns
 		if err := wire.Decode(row.Value, &rec); err != nil {
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// takeImages takes records of machines' images. c.mu is held.
-func (c *Controller) takeImages(rows []wire.KeyValue, now time.Time) {
+// applyImageRecords takes records of machines' images. c.mu is held.
+func (c *Controller) applyImageRecords(rows []wire.KeyValue, now time.Time) {
 	for _, row := range rows {
 		id := strings.TrimPrefix(row.Key, records.ImagesPrefix)
 		var rec records.Images
@@ -164,9 +164,9 @@
 	}
 }
 
-// takePlacements takes records of placements and returns how many attempts they list. c.mu is
+// applyPlacementRecords takes records of placements and returns how many attempts they list. c.mu is
 // held.
-func (c *Controller) takePlacements(rows []wire.KeyValue, now time.Time) (inherited int) {
+func (c *Controller) applyPlacementRecords(rows []wire.KeyValue, now time.Time) (inherited int) {
 	for _, row := range rows {
 		uid, n, ok := records.SplitPlacementKey(row.Key)
 		j := c.jobs[uid]
@@ -177,10 +177,10 @@
 		if j.placements[n] != nil {
 			continue // an earlier try at loading got this far
 		}
-		for _, pl := range j.load(n, row) {
+		for _, pl := range j.loadPlacement(n, row) {
 			m := c.fleet.Know(pl.Host, now)
 			a := &fleet.Attempt{UID: uid, Task: pl.Task, Number: pl.Attempt, Incarnation: pl.Incarnation, Need: j.need,
-				Image: j.rec.Spec.Image, Inherited: true}
+				Image: j.record.Spec.Image, Inherited: true}
 			j.placements[n].live[pl.Task] = a
 			j.live++
 			c.fleet.Place(m, a, now)
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -14,19 +14,19 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// listing is a state service that only lists.
-type listing struct {
+// listOnlyStore is a state service that only lists.
+type listOnlyStore struct {
 	Store
 	rows   map[string][]wire.KeyValue
 	listed int
 }
 
-func (l *listing) List(_ context.Context, under string) ([]wire.KeyValue, uint64, error) {
+func (l *listOnlyStore) List(_ context.Context, under string) ([]wire.KeyValue, uint64, error) {
 	l.listed++
 	return l.rows[under], 4, nil
 }
 
-func (l *listing) Changes(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
+func (l *listOnlyStore) Changes(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
 	return wire.WatchResponse{Revision: 4}, nil
 }
 
@@ -68,22 +68,22 @@
 		now := time.Unix(1000, 0)
 		c := watched(&now)
 		c.loaded = false
-		store := &listing{rows: rows}
+		store := &listOnlyStore{rows: rows}
 		c.Store = store
 		c.JobCache.Reset(rows[records.JobPrefix], 4, time.Now().Add(-time.Second))
-		c.JobCache.Listen(c.jobEvent)
+		c.JobCache.Listen(c.applyJobEvent)
 		c.Prove = func(context.Context, uint64) (*standby.Proven, error) { return misleading(t, rows), proof.err }
-		if err := c.load(context.Background()); err != nil {
+		if err := c.loadState(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if store.listed != proof.listed || c.takeover.rec.Warm != (proof.err == nil) {
-			t.Errorf("%s: %d listings, the takeover is %+v", proof.name, store.listed, c.takeover.rec)
+		if store.listed != proof.listed || c.failover.record.Warm != (proof.err == nil) {
+			t.Errorf("%s: %d listings, the takeover is %+v", proof.name, store.listed, c.failover.record)
 		}
 		j := c.jobs["run-000001"]
 		if j.live != 2 || c.fleet.Get("m-3").State != fleet.Returning {
 			t.Errorf("%s: %d attempts, the returned machine is %s", proof.name, j.live, c.fleet.Get("m-3").State)
 		}
-		j.each(func(a *fleet.Attempt) {
+		j.eachAttempt(func(a *fleet.Attempt) {
 			if a.State != fleet.Committed || !a.Inherited || a.Machine.State != fleet.Booting {
 				t.Errorf("%s: %s is %s on a machine that is %s", proof.name, a.Name(), a.State, a.Machine.State)
 			}
@@ -102,16 +102,16 @@
 	now := time.Unix(1000, 0)
 	c := watched(&now)
 	c.loaded = false
-	store := &listing{rows: recordsOfTwoTasks()}
+	store := &listOnlyStore{rows: recordsOfTwoTasks()}
 	c.Store = store
 	attempts := 0
 	c.Prove = func(context.Context, uint64) (*standby.Proven, error) { attempts++; return nil, errors.New("503") }
-	for range warmAttempts {
-		if err := c.load(context.Background()); err == nil || store.listed > 0 {
+	for range maxProofAttempts {
+		if err := c.loadState(context.Background()); err == nil || store.listed > 0 {
 			t.Fatalf("after %d tries: loaded with %v, %d listings", attempts, err, store.listed)
 		}
 	}
-	if err := c.load(context.Background()); err != nil || attempts != warmAttempts || !c.loaded {
+	if err := c.loadState(context.Background()); err != nil || attempts != maxProofAttempts || !c.loaded {
 		t.Errorf("after %d tries: %v", attempts, err)
 	}
 }
@@ -148,8 +148,8 @@
 		t.Errorf("changed views are %s", keys)
 	}
 	now = now.Add(time.Minute)
-	c.stopIdleViews(now)
-	if c.views.on {
+	c.stopIdleViewTracking(now)
+	if c.views.enabled {
 		t.Error("changes are noted although nobody asks")
 	}
 	if keys := take(); len(keys) != 601 {
--- a/internal/controller/lost.go
+++ b/internal/controller/lost.go
@@ -14,7 +14,7 @@
 
 // noteRenewedByPeers notes the machines that other nodes answer: they are not silent.
 func (c *Controller) noteRenewedByPeers(now time.Time) {
-	for _, id := range c.RenewedByPeers() {
+	for _, id := range c.Peers.RenewedHosts() {
 		if m := c.fleet.Get(id); m != nil {
 			m.LastHeartbeat = now
 		}
@@ -168,7 +168,7 @@
 		return
 	}
 	for via, reported := range l.newest {
-		if now.Sub(reported) > c.Config.HeartbeatInterval()/2 || via != "" && !c.RelayReached(via) {
+		if now.Sub(reported) > c.Config.HeartbeatInterval()/2 || via != "" && !c.Peers.RelayReached(via) {
 			c.relayUnreachableSince[via] = now
 		}
 	}
@@ -198,7 +198,7 @@
 // together are cut off rather than lost, if no controller there is reached either: what they
 // run may go on, and they will be back. Where a controller is reached, they are lost.
 func (c *Controller) noteCutOffZones(around *liveness, now time.Time) {
-	reached := c.Reached()
+	reached := c.Peers.ReachedZones()
 	for zone, z := range around.zones {
 		if zone != "" && z.longSilent > 2 && 2*z.longSilent > z.total && !slices.Contains(reached, zone) {
 			c.cutOff[zone] = now
@@ -226,7 +226,7 @@
 	d := &doubts{c: c, now: now, around: around, part: 2, patience: 3 * every}
 	// It learns with its next report that one is gone, and each that does not answer costs
 	// it one try.
-	notReached := len(c.Config.Members) + 1 - len(c.Reached())
+	notReached := len(c.Config.Members) + 1 - len(c.Peers.ReachedZones())
 	d.search = every*5/4 + time.Duration(max(1, notReached))*workerAttempt
 	if around.manyRelayed() {
 		// It may be this node's own links: a leader that had lost the workers
@@ -321,7 +321,7 @@
 func (c *Controller) saveTasks(m *fleet.Machine, now time.Time) {
 	m.Each(func(a *fleet.Attempt) {
 		if j := c.jobs[a.UID]; j != nil && a.Live() && !a.Stopping {
-			c.stop(a, j.rec.Spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
+			c.stopAttempt(a, j.record.Spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
 		}
 	})
 }
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -22,8 +22,14 @@
 	cfg := &config.Config{}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS, cfg.Cluster.Cloud.Rps = 1, 10, 40, 6
 	cfg.Cluster.State.ValueKb = 8
-	c := New(Deps{Config: cfg, JobCache: watchcache.New(), Settings: func() wire.Settings { return records.DefaultSettings(1) }, Version: clusterversion.NewTracker(),
-		Reached: func() []string { return []string{"a"} }}, 5)
+	c := New(Options{
+		Config:   cfg,
+		Settings: func() wire.Settings { return records.DefaultSettings(1) },
+		Peers:    fakePeers{zones: []string{"a"}},
+		Observer: fakeObserver{finished: map[string]wire.JobStatus{}},
+		Version:  clusterversion.NewTracker(),
+		JobCache: watchcache.New(),
+	}, 5)
 	c.now = func() time.Time { return *now }
 	c.loaded, c.steady = true, now.Add(-time.Hour)
 	return c
@@ -105,7 +111,7 @@
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, Zones: []string{"a", "b"}}, {Name: "g1", Cores: 8, Gpus: 1, RAMGb: 32, Zones: []string{"a"}}}}
 	w := &wire.JobSpec{Cores: 16, Gpus: 2, RAMGb: 64, AllowSpot: true}
 	spent := func(want bool, when string) {
-		if got := c.spotSpent(w, now); got != want {
+		if got := c.isSpotExhausted(w, now); got != want {
 			t.Errorf("%s: spent is %v", when, got)
 		}
 	}
@@ -140,7 +146,6 @@
 		now := time.Unix(1000, 0)
 		c := watched(&now)
 		c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, Zones: []string{"a", "b"}}}}
-		c.RenewedByPeers, c.Rounded = func() []string { return nil }, func(time.Duration) {}
 		dead := func() int {
 			n := 0
 			c.fleet.Each(func(m *fleet.Machine) {
@@ -162,7 +167,7 @@
 					c.hearFrom(i, sequence, now)
 				}
 			}
-			c.round(time.Second)
+			c.runRound(time.Second)
 		}
 		round(0, true, true)
 		for over := now.Add(tc.silent); now.Before(over); {
@@ -219,7 +224,6 @@
 		c.Config.Cluster.State.WriteRps, c.Config.Cluster.State.TxnOps = 100, 24
 		c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 		c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, Zones: []string{"a", "b"}}}}
-		c.RenewedByPeers, c.Rounded = func() []string { return nil }, func(time.Duration) {}
 		c.JobCache.Reset(nil, 0, now)
 		for i := range 40 {
 			c.hearFrom(i, 1, now)
@@ -230,15 +234,15 @@
 		for i := range 250 {
 			uid := fmt.Sprintf("run-%06d", i)
 			spec.UID = uid
-			c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: status, Per: 8}, ModRevision: 1})
-			c.jobs[uid].placement(0).touch(now)
+			c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: status, Per: 8}, ModRevision: 1})
+			c.jobs[uid].placement(0).markChanged(now)
 		}
 		spec.UID, spec.Priority = "run-000250", wire.Critical
-		c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
+		c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
 		if status == wire.JobQueued {
-			c.jobs[spec.UID].placement(0).touch(now)
+			c.jobs[spec.UID].placement(0).markChanged(now)
 		}
-		c.round(time.Second)
+		c.runRound(time.Second)
 		if c.jobs[spec.UID].live != 1 {
 			t.Errorf("with 250 jobs that are %s, nothing is started", status)
 		}
@@ -252,13 +256,13 @@
 func TestLargeArraysBegin(t *testing.T) {
 	now := time.Now()
 	c := watched(&now)
-	c.Deps.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
+	c.Options.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g", Cores: 8, Gpus: 8, RAMGb: 8, BootS: 30, Zones: []string{"a"}}}}
 	array := func(uid string, tasks int, ago time.Duration) *job {
 		spec := wire.JobSpec{UID: uid, JobClass: "batch", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: 1, Gpus: 1, RAMGb: 1}
 		e := watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 16, AtMs: now.Add(-ago).UnixMilli()}, ModRevision: 1}
-		c.takeJob(uid, e)
-		c.jobs[uid].waitFrom = now.Add(-ago)
+		c.applyJobEventLocked(uid, e)
+		c.jobs[uid].waitingSince = now.Add(-ago)
 		return c.jobs[uid]
 	}
 	for i := range 12 {
@@ -302,7 +306,6 @@
 	cut := time.Unix(1000, 0)
 	now := cut
 	c := watched(&now)
-	c.RelayReached = func(string) bool { return true }
 	report := func(i int, via string, at time.Time) {
 		host := fmt.Sprintf("m-%03d", i)
 		c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: host, Zone: "a", Incarnation: 1, Sequence: uint64(at.UnixMilli()), FencingToken: 5}, at)
--- a/internal/controller/nodes.go
+++ b/internal/controller/nodecache.go
@@ -16,70 +16,70 @@
 // anew when the fleet says that it may have changed, when time alone changes it, and all of
 // them now and then, so that a change that nobody told of is found.
 type nodeCache struct {
-	view    *sched.View
-	timed   map[string]time.Time // machines that time alone changes, and when
-	checked time.Time            // when all machines were last made anew
-	missed  uint64               // machines that had changed and nobody had told
+	view       *sched.View
+	changesAt  map[string]time.Time // machines that time alone changes, and when
+	verifiedAt time.Time            // when all machines were last made anew
+	staleNodes uint64               // machines that had changed and nobody had told
 }
 
 func newNodeCache() nodeCache {
-	return nodeCache{view: sched.NewView(), timed: map[string]time.Time{}}
+	return nodeCache{view: sched.NewView(), changesAt: map[string]time.Time{}}
 }
 
 // StaleNodes counts the machines that had changed without the rounds' view of them being told.
 func (c *Controller) StaleNodes() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nodes.missed
+	return c.nodes.staleNodes
 }
 
 // refreshNodes brings the rounds' view of the machines up to date. c.mu is held.
 func (c *Controller) refreshNodes(now time.Time) {
-	c.fleet.TakeChanged(func(id string, m *fleet.Machine) { c.putNode(id, m, now) })
-	for id, at := range c.nodes.timed {
+	c.fleet.TakeChanged(func(id string, m *fleet.Machine) { c.rebuildNode(id, m, now) })
+	for id, at := range c.nodes.changesAt {
 		if !now.Before(at) {
-			c.putNode(id, c.fleet.Get(id), now)
+			c.rebuildNode(id, c.fleet.Get(id), now)
 		}
 	}
-	if now.Sub(c.nodes.checked) > c.Config.WorkerLease() {
-		c.checkNodes(now)
+	if now.Sub(c.nodes.verifiedAt) > c.Config.WorkerLease() {
+		c.verifyNodes(now)
 	}
 }
 
-// checkNodes makes all machines anew. None should have changed since it was last told.
-func (c *Controller) checkNodes(now time.Time) {
-	first := c.nodes.checked.IsZero()
-	c.nodes.checked = now
+// verifyNodes makes all machines anew. None should have changed since it was last told.
+func (c *Controller) verifyNodes(now time.Time) {
+	first := c.nodes.verifiedAt.IsZero()
+	c.nodes.verifiedAt = now
 	c.fleet.Each(func(m *fleet.Machine) {
-		if c.putNode(m.ID, m, now) && !first {
-			c.nodes.missed++
+		if c.rebuildNode(m.ID, m, now) && !first {
+			c.nodes.staleNodes++
 			slog.Error("a machine has changed and its node has not", "host", m.ID, "state", m.State.String())
 		}
 	})
 }
 
-// putNode makes a machine's node anew, and reports whether it has changed. m is nil for a
+// rebuildNode makes a machine's node anew, and reports whether it has changed. m is nil for a
 // machine that is no longer known.
-func (c *Controller) putNode(id string, m *fleet.Machine, now time.Time) (changed bool) {
-	delete(c.nodes.timed, id)
+func (c *Controller) rebuildNode(id string, m *fleet.Machine, now time.Time) (changed bool) {
+	delete(c.nodes.changesAt, id)
 	if m == nil {
 		c.nodes.view.Drop(id)
 		return false
 	}
-	if until := c.nodeChanges(m, now); !until.IsZero() {
-		c.nodes.timed[id] = until
+	if until := c.nextTimedChange(m, now); !until.IsZero() {
+		c.nodes.changesAt[id] = until
 	}
-	node, ok := c.node(m, now)
+	node, ok := c.schedulerNode(m, now)
 	if !ok {
 		return c.nodes.view.Drop(id)
 	}
 	return c.nodes.view.Put(&node)
 }
 
-// nodeChanges is when time alone will change a machine's node next; zero if it will not.
-func (c *Controller) nodeChanges(m *fleet.Machine, now time.Time) time.Time {
+// nextTimedChange is when time alone will change a machine's node next; zero if it will not.
+func (c *Controller) nextTimedChange(m *fleet.Machine, now time.Time) time.Time {
 	var next time.Time
-	for _, at := range [...]time.Time{m.AvoidUntil, c.countedOnUntil(m)} {
+	for _, at := range [...]time.Time{m.AvoidUntil, c.expectedUntil(m)} {
 		if at.After(now) && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
@@ -87,14 +87,14 @@
 	return next
 }
 
-// node is a machine as a round sees it; ok is false if it takes no launches now or soon.
-func (c *Controller) node(m *fleet.Machine, now time.Time) (n sched.Node, ok bool) {
-	n = sched.Node{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap, Price: c.price(m.Type, m.Spot)}
+// schedulerNode is a machine as a round sees it; ok is false if it takes no launches now or soon.
+func (c *Controller) schedulerNode(m *fleet.Machine, now time.Time) (n sched.Node, ok bool) {
+	n = sched.Node{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap, Price: c.hourlyPrice(m.Type, m.Spot)}
 	switch {
 	case m.Takes(now) && m.Orphans() == 0:
 		c.fillPresent(&n, m)
 		return n, true
-	case c.comes(m, now):
+	case c.isExpectedSoon(m, now):
 		n.Later = m.Free()
 		return n, true
 	}
@@ -114,7 +114,7 @@
 			n.Images = append(n.Images, a.Image)
 		}
 		j := c.jobs[a.UID]
-		if j != nil && !j.rec.Spec.AllowSpot {
+		if j != nil && !j.record.Spec.AllowSpot {
 			n.Leaving, n.Fixed = false, true
 		}
 		switch {
@@ -131,12 +131,12 @@
 // replica that has not run yet serves nobody: it can be displaced like batch,
 // and loses what it has fetched.
 func victim(j *job, a *fleet.Attempt) sched.Victim {
-	v := sched.Victim{ID: a.Serial, UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, Need: a.Need}
-	switch serves := j.rec.Spec.Kind == wire.Service; {
+	v := sched.Victim{ID: a.Serial, UID: j.uid, Team: j.record.Spec.Team, Level: j.level, Need: a.Need}
+	switch serves := j.record.Spec.Kind == wire.Service; {
 	case !a.RunAt.IsZero():
 		v.Serve, v.Since, v.Loss = serves, a.RunAt, math.Inf(1)
-		if j.rec.Spec.CheckpointIntervalS > 0 {
-			v.Loss = j.rec.Spec.CheckpointOnStopS
+		if j.record.Spec.CheckpointIntervalS > 0 {
+			v.Loss = j.record.Spec.CheckpointOnStopS
 		}
 	case serves:
 		v.Since, v.Loss = a.Since, math.Inf(1)
@@ -144,13 +144,13 @@
 	return v
 }
 
-// touchJob notes that the nodes of a job's machines may have changed.
-func (c *Controller) touchJob(j *job) {
-	j.each(func(a *fleet.Attempt) { c.fleet.Touch(a.Machine) })
+// markMachinesChanged notes that the nodes of a job's machines may have changed.
+func (c *Controller) markMachinesChanged(j *job) {
+	j.eachAttempt(func(a *fleet.Attempt) { c.fleet.Touch(a.Machine) })
 }
 
-// keepAsHeadroom takes which machines are kept as spare room.
-func (c *Controller) keepAsHeadroom(retained map[string]bool) {
+// setHeadroomMachines takes which machines are kept as spare room.
+func (c *Controller) setHeadroomMachines(retained map[string]bool) {
 	for _, lists := range [...][2]map[string]bool{{retained, c.headroomMachines}, {c.headroomMachines, retained}} {
 		for id := range lists[0] {
 			if m := c.fleet.Get(id); m != nil && !lists[1][id] {
@@ -161,9 +161,9 @@
 	c.headroomMachines = retained
 }
 
-// comes reports whether a machine is expected to take launches soon. One that
+// isExpectedSoon reports whether a machine is expected to take launches soon. One that
 // boots for much longer than usual is no longer counted on.
-func (c *Controller) comes(m *fleet.Machine, now time.Time) bool {
+func (c *Controller) isExpectedSoon(m *fleet.Machine, now time.Time) bool {
 	if m.Warned || m.Failed || m.Cap.Cores == 0 {
 		return false
 	}
@@ -171,13 +171,13 @@
 	case fleet.Confirming:
 		return !now.Before(m.AvoidUntil)
 	case fleet.Booting:
-		return now.Before(c.countedOnUntil(m))
+		return now.Before(c.expectedUntil(m))
 	}
 	return false
 }
 
-// countedOnUntil is until when a machine that boots is expected to come up.
-func (c *Controller) countedOnUntil(m *fleet.Machine) time.Time {
+// expectedUntil is until when a machine that boots is expected to come up.
+func (c *Controller) expectedUntil(m *fleet.Machine) time.Time {
 	r := c.machineType(m.Type)
 	if m.State != fleet.Booting || r == nil {
 		return time.Time{}
--- a/internal/controller/nodes_test.go
+++ b/internal/controller/nodecache_test.go
@@ -22,9 +22,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		c := watched(&now)
-		c.Rounded, c.RenewedByPeers = func(time.Duration) {}, func() []string { return nil }
 		c.JobCache.Reset(nil, 1, now)
-		c.Deps.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
+		c.Options.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 		c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, BootS: 30, Hourly: 20, SpotHourly: 5, Zones: []string{"a", "b"}}}}
 		machine := func() *fleet.Machine {
 			return c.fleet.Get(fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(t, "machine")))
@@ -42,10 +41,10 @@
 			c.refreshNodes(now)
 			present := 0
 			c.fleet.Each(func(m *fleet.Machine) {
-				if _, ok := c.node(m, now); ok {
+				if _, ok := c.schedulerNode(m, now); ok {
 					present++
 				}
-				if c.putNode(m.ID, m, now) {
+				if c.rebuildNode(m.ID, m, now) {
 					t.Fatalf("after %s the node of %s is out of date", what, m.ID)
 				}
 			})
@@ -81,22 +80,22 @@
 				if jobs > 1 && rapid.Bool().Draw(t, "awaits") {
 					spec.Dependencies = []string{fmt.Sprintf("run-%06d", rapid.IntRange(1, jobs-1).Draw(t, "needs"))}
 				}
-				c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8, AtMs: now.UnixMilli()}, ModRevision: 1})
+				c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8, AtMs: now.UnixMilli()}, ModRevision: 1})
 			},
 			"place": func(t *rapid.T) {
 				m, j := machine(), (*job)(nil)
 				for i := range jobs {
-					if known := c.jobs[fmt.Sprintf("run-%06d", i+1)]; known != nil && known.waiting() > 0 {
+					if known := c.jobs[fmt.Sprintf("run-%06d", i+1)]; known != nil && known.waitingCount() > 0 {
 						j = known
 					}
 				}
 				if j == nil || m == nil {
 					return
 				}
-				for _, task := range j.pick(1) {
+				for _, task := range j.nextWaitingTasks(1) {
 					p := j.placement(task)
-					a := &fleet.Attempt{UID: j.uid, Task: task, Number: p.next, Need: j.need, Image: j.rec.Spec.Image}
-					p.next++
+					a := &fleet.Attempt{UID: j.uid, Task: task, Number: p.nextAttempt, Need: j.need, Image: j.record.Spec.Image}
+					p.nextAttempt++
 					p.live[task] = a
 					j.live++
 					c.fleet.Place(m, a, now)
@@ -105,12 +104,12 @@
 			},
 			"stop": func(t *rapid.T) {
 				if m := machine(); m != nil {
-					m.Each(func(a *fleet.Attempt) { c.stop(a, 0, now, "test") })
+					m.Each(func(a *fleet.Attempt) { c.stopAttempt(a, 0, now, "test") })
 				}
 			},
 			"archive": func(t *rapid.T) {
 				if j := c.jobs[fmt.Sprintf("run-%06d", rapid.IntRange(1, max(1, jobs)).Draw(t, "job"))]; j != nil {
-					c.takeJob(j.uid, watchcache.Entry{ModRevision: ^uint64(0)})
+					c.applyJobEventLocked(j.uid, watchcache.Entry{ModRevision: ^uint64(0)})
 				}
 			},
 			"list": func(t *rapid.T) {
@@ -128,7 +127,7 @@
 					c.fleet.Forget(m.ID)
 				}
 			},
-			"round": func(t *rapid.T) { c.round(time.Second) },
+			"round": func(t *rapid.T) { c.runRound(time.Second) },
 			"time":  func(t *rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 30).Draw(t, "seconds")) * time.Second) },
 		}
 		names := slices.Sorted(maps.Keys(actions))
@@ -137,8 +136,8 @@
 			actions[name](t)
 			check(name)
 		}
-		if c.nodes.missed > 0 {
-			t.Fatalf("%d machines had changed and nobody had told", c.nodes.missed)
+		if c.nodes.staleNodes > 0 {
+			t.Fatalf("%d machines had changed and nobody had told", c.nodes.staleNodes)
 		}
 	})
 }
--- a/internal/controller/writer.go
+++ b/internal/controller/placementwriter.go
@@ -19,7 +19,7 @@
 // batch is one commit of the writer and what follows from it.
 type batch struct {
 	tx         wire.Transaction
-	note       bool // nothing waits for it
+	background bool // nothing waits for it
 	placements []placementWrite
 	jobs       []jobWrite
 }
@@ -32,35 +32,35 @@
 }
 
 type placementWrite struct {
-	p       *placement
-	seq     int
-	planned []*fleet.Attempt
-	ended   []*fleet.Attempt
-	dropped bool
+	placement *placement
+	changes   int
+	planned   []*fleet.Attempt
+	ended     []*fleet.Attempt
+	dropped   bool
 }
 
-// maxTx leaves room for the frame of a commit in the largest body.
-const maxTx = wire.MaxBody * 3 / 4
+// maxCommitBytes leaves room for the frame of a commit in the largest body.
+const maxCommitBytes = wire.MaxBody * 3 / 4
 
-// writer commits what changed, batch by batch.
-func (c *Controller) writer(ctx context.Context) {
+// runWriter commits what changed, batch by batch.
+func (c *Controller) runWriter(ctx context.Context) {
 	ticker := c.Config.HeartbeatInterval() / 3
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.wake:
+		case <-c.writerWake:
 		case <-time.After(c.untilNext(ticker)):
 		}
 		for ctx.Err() == nil {
-			b := c.collect()
+			b := c.nextBatch()
 			if b == nil {
 				break
 			}
 			if c.commit(ctx, b) {
 				continue
 			}
-			if b.note {
+			if b.background {
 				break // later, when records leave more room
 			}
 			timeralign.Sleep(ctx, ticker/2)
@@ -68,29 +68,29 @@
 	}
 }
 
-// collect makes the next batch: what launches, ends and archives jobs that are
+// nextBatch makes the next batch: what launches, ends and archives jobs that are
 // done, of the highest ranks first; if there is nothing of that, it archives
 // withdrawn jobs, whose status is recorded already. It returns nil if there is
 // nothing to write.
-func (c *Controller) collect() *batch {
+func (c *Controller) nextBatch() *batch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	var jobs, cancelled []*job
 	for _, j := range c.jobs {
 		switch {
-		case j.unsure || now.Before(j.asideUntil):
-		case c.over(j) && (j.rec.Status.Final() || j.cancelled):
+		case j.outcomeUnknown || now.Before(j.writesDeferredUntil):
+		case c.isOver(j) && (j.record.Status.Final() || j.cancelled):
 			cancelled = append(cancelled, j)
-		case c.over(j) || !j.rec.Status.Final() && j.writes(now):
+		case c.isOver(j) || !j.record.Status.Final() && j.hasDuePlacement(now):
 			jobs = append(jobs, j)
 		}
 	}
-	ops := c.batchOps()
-	b := c.batch(jobs, now, ops)
+	ops := c.maxBatchChanges()
+	b := c.buildBatch(jobs, now, ops)
 	if len(b.tx.Changes) == 0 {
-		b = c.batch(cancelled, now, max(4, ops/2))
-		b.note = true
+		b = c.buildBatch(cancelled, now, max(4, ops/2))
+		b.background = true
 	}
 	if len(b.tx.Changes) == 0 {
 		return nil
@@ -98,32 +98,32 @@
 	return b
 }
 
-// batchOps is how many changes go into one commit: no more than the budget
+// maxBatchChanges is how many changes go into one commit: no more than the budget
 // holds at once, or the commit would never find room.
-func (c *Controller) batchOps() int {
+func (c *Controller) maxBatchChanges() int {
 	limits := c.Config.StateLimits()
 	return min(limits.TxnOps, max(4, int(limits.WriteRps*store.RecordShare)))
 }
 
-// writes reports whether a piece of the job is to be written now.
-func (j *job) writes(now time.Time) bool {
+// hasDuePlacement reports whether a piece of the job is to be written now.
+func (j *job) hasDuePlacement(now time.Time) bool {
 	if j.dirtyPlacements == 0 {
 		return false
 	}
 	for _, p := range j.placements {
-		if p.dirty && !p.unsure && !p.due.After(now) {
+		if p.dirty && !p.outcomeUnknown && !p.due.After(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// batch puts into one commit of at most ops changes what has room of what jobs
+// buildBatch puts into one commit of at most ops changes what has room of what jobs
 // have to write.
-func (c *Controller) batch(jobs []*job, now time.Time, ops int) *batch {
+func (c *Controller) buildBatch(jobs []*job, now time.Time, ops int) *batch {
 	b := &batch{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
 	// Ends that others wait for go first: they hold up whole pipelines.
-	holdsUp := func(j *job) bool { return c.over(j) && c.graph.Awaited(j.uid) }
+	holdsUp := func(j *job) bool { return c.isOver(j) && c.graph.Awaited(j.uid) }
 	slices.SortFunc(jobs, func(x, y *job) int {
 		if holds := holdsUp(x); holds != holdsUp(y) {
 			if holds {
@@ -135,25 +135,25 @@
 	})
 	size := 0
 	for _, j := range jobs {
-		if now.Before(c.singlesUntil) && len(b.tx.Changes) > 0 {
+		if now.Before(c.singleJobCommitsUntil) && len(b.tx.Changes) > 0 {
 			break
 		}
-		if c.over(j) {
+		if c.isOver(j) {
 			c.archive(b, j, ops)
 			continue
 		}
 		needsJob := false
 		for _, p := range j.placements {
-			if !p.dirty || p.unsure || p.due.After(now) || len(b.tx.Changes) >= ops || size > maxTx || len(b.tx.Compares)+2 > maxGuards(ops) {
+			if !p.dirty || p.outcomeUnknown || p.due.After(now) || len(b.tx.Changes) >= ops || size > maxCommitBytes || len(b.tx.Compares)+2 > maxCompares(ops) {
 				continue
 			}
-			w := placementWrite{p: p, seq: p.seq, planned: p.planned(), ended: slices.Clone(p.ended)}
+			w := placementWrite{placement: p, changes: p.changes, planned: p.plannedAttempts(), ended: slices.Clone(p.ended)}
 			value := c.encodePlacement(p, now)
 			if value == nil {
 				continue
 			}
 			size += len(value)
-			key := records.PlacementKey(j.uid, p.n)
+			key := records.PlacementKey(j.uid, p.index)
 			b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: p.modRevision})
 			b.tx.Changes = append(b.tx.Changes, wire.Change{Set: key, Value: value})
 			b.placements = append(b.placements, w)
@@ -170,20 +170,20 @@
 	return b
 }
 
-// over reports whether a job can be archived: all its tasks are done, or it is
+// isOver reports whether a job can be archived: all its tasks are done, or it is
 // final and nothing of it may be on a machine.
-func (c *Controller) over(j *job) bool {
-	if j.rec.Status.Final() || j.cancelled {
+func (c *Controller) isOver(j *job) bool {
+	if j.record.Status.Final() || j.cancelled {
 		return j.live == 0
 	}
-	return j.done >= j.rec.Spec.TaskCount && j.live == 0
+	return j.done >= j.record.Spec.TaskCount && j.live == 0
 }
 
 // archive adds to a batch what brings a job nearer to its end: its pieces are dropped and
 // its final status takes the place of its record, in one commit if a commit holds that, else
 // over several.
 func (c *Controller) archive(b *batch, j *job, ops int) {
-	if j.hasUnsurePlacement() {
+	if j.hasUnknownPlacement() {
 		return
 	}
 	const recordChanges = 2 // the record is dropped, the final status set
@@ -192,21 +192,21 @@
 	switch {
 	case changes > ops:
 		c.archiveInParts(b, j, ops)
-	case changes <= room && len(b.tx.Compares)+changes <= maxGuards(ops):
+	case changes <= room && len(b.tx.Compares)+changes <= maxCompares(ops):
 		c.archiveWhole(b, j)
 	}
 }
 
 // archiveWhole adds to a batch all that is left to do for a job that is over.
 func (c *Controller) archiveWhole(b *batch, j *job) {
-	status := j.outcome()
+	status := j.finalStatus()
 	jobGuard := wire.Compare{Key: records.JobKey(j.uid), ModRevision: j.modRevision}
 	b.tx.Compares = append(b.tx.Compares, jobGuard, wire.Compare{Key: records.FinalKey(j.uid), ModRevision: 0})
 	b.tx.Changes = append(b.tx.Changes, wire.Change{Drop: jobGuard.Key},
 		wire.Change{Set: records.FinalKey(j.uid), Value: records.Encode(records.Final{Status: status})})
 	for _, p := range j.placements {
 		if p.modRevision != 0 {
-			b.drop(p)
+			b.dropPlacement(p)
 		}
 	}
 	b.jobs = append(b.jobs, jobWrite{j, status, true})
@@ -218,13 +218,13 @@
 // batch really writes counts against its room: an array of 25,000 tasks whose 295 pieces were
 // all counted, in a service that takes 96 conditions, was never called done.
 func (c *Controller) archiveInParts(b *batch, j *job, ops int) {
-	hasRoom := func() bool { return len(b.tx.Changes) < ops && len(b.tx.Compares) < maxGuards(ops) }
+	hasRoom := func() bool { return len(b.tx.Changes) < ops && len(b.tx.Compares) < maxCompares(ops) }
 	if !hasRoom() {
 		return
 	}
-	if !j.rec.Status.Final() {
-		status := j.outcome()
-		rec := *j.rec
+	if !j.record.Status.Final() {
+		status := j.finalStatus()
+		rec := *j.record
 		rec.Finish(status, c.Config.ValueBytes())
 		key := records.JobKey(j.uid)
 		b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: j.modRevision})
@@ -234,27 +234,27 @@
 	}
 	for _, p := range j.placements {
 		if p.modRevision != 0 && hasRoom() {
-			b.drop(p)
+			b.dropPlacement(p)
 		}
 	}
 }
 
-// maxGuards is how many conditions a commit of so many changes may have: the state service
+// maxCompares is how many conditions a commit of so many changes may have: the state service
 // takes four times as many as changes.
-func maxGuards(ops int) int { return 4 * ops }
+func maxCompares(ops int) int { return 4 * ops }
 
-func (b *batch) drop(p *placement) {
-	key := records.PlacementKey(p.job.uid, p.n)
+func (b *batch) dropPlacement(p *placement) {
+	key := records.PlacementKey(p.job.uid, p.index)
 	b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: p.modRevision})
 	b.tx.Changes = append(b.tx.Changes, wire.Change{Drop: key})
-	b.placements = append(b.placements, placementWrite{p: p, seq: p.seq, dropped: true})
+	b.placements = append(b.placements, placementWrite{placement: p, changes: p.changes, dropped: true})
 }
 
 // commit sends a batch and takes its outcome into the picture. It returns
 // false if the writer should pause.
 func (c *Controller) commit(ctx context.Context, b *batch) bool {
 	sctx := ctx
-	if b.note {
+	if b.background {
 		sctx = store.Note(ctx)
 	}
 	revision, err := c.Store.Commit(sctx, b.tx)
@@ -262,24 +262,24 @@
 	var rejected *store.RejectedError
 	switch {
 	case err == nil:
-		c.committed(b, revision)
+		c.applyCommit(b, revision)
 		return true
 	case errors.As(err, &conflict):
 		slog.Info("commit conflicts", "term", c.term, "failed", conflict.Failed)
 		if slices.Contains(conflict.Failed, records.LeaderKey) {
-			c.depose("the leader's key has changed")
+			c.stepDown("the leader's key has changed")
 			return false
 		}
-		c.reread(ctx, b)
+		c.rereadRecords(ctx, b)
 		return true
 	case errors.Is(err, store.ErrUnknown):
 		slog.Warn("commit's outcome is unknown", "term", c.term, "err", err)
-		c.reread(ctx, b)
+		c.rereadRecords(ctx, b)
 		return false
 	case errors.As(err, &rejected):
-		c.setAside(b, rejected)
+		c.deferRejected(b, rejected)
 		return true
-	case b.note:
+	case b.background:
 		slog.Debug("left for later", "term", c.term, "err", err)
 		return false
 	default:
@@ -288,32 +288,32 @@
 	}
 }
 
-func (c *Controller) committed(b *batch, revision uint64) {
+func (c *Controller) applyCommit(b *batch, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	for _, w := range b.placements {
-		w.p.modRevision = revision
+		w.placement.modRevision = revision
 		if w.dropped {
-			w.p.modRevision = 0
+			w.placement.modRevision = 0
 			continue
 		}
 		for _, a := range w.planned {
 			c.fleet.Commit(a, now)
 		}
-		if w.p.seq == w.seq {
-			w.p.setDirty(false)
-		} else if len(w.p.planned()) == 0 {
-			w.p.due = now.Add(c.endsWait()) // only ends came meanwhile
+		if w.placement.changes == w.changes {
+			w.placement.setDirty(false)
+		} else if len(w.placement.plannedAttempts()) == 0 {
+			w.placement.due = now.Add(c.endRecordDelay()) // only ends came meanwhile
 		}
-		w.p.ended = slices.DeleteFunc(w.p.ended, func(a *fleet.Attempt) bool { return slices.Contains(w.ended, a) })
+		w.placement.ended = slices.DeleteFunc(w.placement.ended, func(a *fleet.Attempt) bool { return slices.Contains(w.ended, a) })
 		for _, a := range w.ended {
 			c.fleet.Record(a, now)
 		}
 	}
 	for _, w := range b.jobs {
 		j := w.job
-		c.finished(j.uid, w.status, now)
+		c.markFinished(j.uid, w.status, now)
 		if w.archived {
 			slog.Info("job archived", "uid", j.uid)
 			if c.jobs[j.uid] == j {
@@ -321,25 +321,25 @@
 			}
 			continue
 		}
-		rec := *j.rec
+		rec := *j.record
 		rec.Status = w.status
-		j.rec, j.modRevision = &rec, revision
+		j.record, j.modRevision = &rec, revision
 		c.recordEnds(j, now) // the record says that it is over: nothing of it is launched again
 	}
 }
 
-// reread learns how the keys of a batch stand after a conflict or an unknown
+// rereadRecords learns how the keys of a batch stand after a conflict or an unknown
 // outcome. The pieces' records are this term's own: only their stamps are
 // taken, and the picture, which is newer, is written again. What a late commit
 // of this term may still do, the stamps guard against.
-func (c *Controller) reread(ctx context.Context, b *batch) {
+func (c *Controller) rereadRecords(ctx context.Context, b *batch) {
 	c.mu.Lock()
 	for _, w := range b.placements {
-		w.p.unsure = true
+		w.placement.outcomeUnknown = true
 	}
-	jobs := b.touched()
+	jobs := b.writtenJobs()
 	for j := range jobs {
-		j.unsure = true
+		j.outcomeUnknown = true
 	}
 	c.mu.Unlock()
 	get := func(key string) (wire.KeyValue, bool, bool) {
@@ -354,7 +354,7 @@
 		}
 	}
 	for _, w := range b.placements {
-		item, found, ok := get(records.PlacementKey(w.p.job.uid, w.p.n))
+		item, found, ok := get(records.PlacementKey(w.placement.job.uid, w.placement.index))
 		if !ok {
 			return
 		}
@@ -362,8 +362,8 @@
 		if !found {
 			item.ModRevision = 0
 		}
-		w.p.modRevision, w.p.unsure = item.ModRevision, false
-		w.p.setDirty(true)
+		w.placement.modRevision, w.placement.outcomeUnknown = item.ModRevision, false
+		w.placement.setDirty(true)
 		c.mu.Unlock()
 	}
 	for j := range jobs {
@@ -372,12 +372,12 @@
 			return
 		}
 		c.mu.Lock()
-		j.unsure = false
+		j.outcomeUnknown = false
 		c.mu.Unlock()
 		if !found {
-			c.jobEvent(j.uid, watchcache.Entry{ModRevision: ^uint64(0)})
+			c.applyJobEvent(j.uid, watchcache.Entry{ModRevision: ^uint64(0)})
 			continue
 		}
-		c.refresh(j.uid, item)
+		c.applyJobRecord(j.uid, item)
 	}
 }
--- a/internal/controller/guarantees.go
+++ b/internal/controller/quotas.go
@@ -16,11 +16,11 @@
 	}
 	jobs := make([]quota.Job, 0, len(c.jobs))
 	for _, j := range c.jobs {
-		if j.rec.Status.Final() || !j.released {
+		if j.record.Status.Final() || !j.released {
 			continue
 		}
-		unfinished := float64(j.rec.Spec.TaskCount - j.done)
-		jobs = append(jobs, quota.Job{UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, AtMs: j.rec.AtMs,
+		unfinished := float64(j.record.Spec.TaskCount - j.done)
+		jobs = append(jobs, quota.Job{UID: j.uid, Team: j.record.Spec.Team, Level: j.level, AtMs: j.record.AtMs,
 			Needs: quota.Amount{Cores: unfinished * j.need.Cores, Gpus: unfinished * j.need.Gpus}})
 	}
 	return quota.Within(quotas, jobs)
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -52,7 +52,7 @@
 				m := c.fleet.Know(h, now)
 				m.Type, m.Zone, m.Spot = r.req.MachineType, r.req.Zone, r.req.Spot
 				c.fleet.Touch(m)
-				c.capacity(m)
+				c.setCapacity(m)
 			}
 			c.mu.Unlock()
 			return
@@ -92,7 +92,7 @@
 				priced = now
 				c.mu.Lock()
 				c.catalog = &cat
-				c.fleet.Each(c.capacity)
+				c.fleet.Each(c.setCapacity)
 				c.fleet.Each(c.fleet.Touch) // prices
 				c.mu.Unlock()
 			}
@@ -130,7 +130,7 @@
 				m.Born = born
 			}
 			c.fleet.Touch(m)
-			c.capacity(m)
+			c.setCapacity(m)
 		}
 		if h.Status == wire.HostFailed {
 			c.failed(m)
--- a/internal/controller/returns.go
+++ b/internal/controller/returns.go
@@ -83,7 +83,7 @@
 	})
 	if err != nil {
 		slog.Warn("returns not recorded", "hosts", hosts, "err", err)
-		c.checkDeposed(err) // takes the lock itself
+		c.stepDownOnLeaderConflict(err) // takes the lock itself
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,7 +134,7 @@
 // that no list shows them, those of their images first.
 func (c *Controller) forgetReturned(ctx context.Context) {
 	keep := 6*c.Config.ListLag() + 3*c.Config.WorkerLease()
-	ops := max(4, c.batchOps()/3)
+	ops := max(4, c.maxBatchChanges()/3)
 	c.mu.Lock()
 	now := c.now()
 	over := func(id string) bool {
@@ -170,7 +170,7 @@
 	}
 	if _, err := c.Store.Commit(store.Note(ctx), tx); err != nil {
 		slog.Debug("returned machines not forgotten", "err", err)
-		c.checkDeposed(err)
+		c.stepDownOnLeaderConflict(err)
 		return
 	}
 	c.mu.Lock()
--- a/internal/controller/returns_test.go
+++ b/internal/controller/returns_test.go
@@ -115,13 +115,13 @@
 	c.jobs[j.uid] = j
 	p := j.placement(0)
 	a := &fleet.Attempt{UID: j.uid, Number: 1}
-	p.live[0], p.next = a, 2
+	p.live[0], p.nextAttempt = a, 2
 	j.live++
-	p.touch(now)
+	p.markChanged(now)
 	c.fleet.Place(c.fleet.Get("m-000"), a, now)
 	c.fleet.StopAttempt(a, 0, now, "its machine has a new session") // before it was recorded
-	now = now.Add(c.endsWait())
-	b := c.collect()
+	now = now.Add(c.endRecordDelay())
+	b := c.nextBatch()
 	if b == nil || len(b.placements) != 1 || len(b.placements[0].planned) != 0 {
 		t.Fatalf("the batch is %+v", b)
 	}
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -12,8 +12,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// rounds runs a round every interval.
-func (c *Controller) rounds(ctx context.Context) {
+// runRounds runs a round every interval.
+func (c *Controller) runRounds(ctx context.Context) {
 	for {
 		interval := time.Duration(c.Settings().IntervalS * float64(time.Second))
 		select {
@@ -27,19 +27,19 @@
 				return
 			}
 		}
-		for _, r := range c.round(interval) {
+		for _, r := range c.runRound(interval) {
 			go c.provisionMachines(ctx, r)
 		}
 	}
 }
 
-// round looks over the window once. It returns the rentals to ask for.
-func (c *Controller) round(interval time.Duration) []*provisionRequest {
+// runRound looks over the window once. It returns the rentals to ask for.
+func (c *Controller) runRound(interval time.Duration) []*provisionRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if !c.lastAt.IsZero() && now.Sub(c.lastAt) > max(interval, c.Config.HeartbeatInterval())*2 {
-		slog.Warn("stood still", "term", c.term, "for", now.Sub(c.lastAt).String())
+	if !c.lastRoundAt.IsZero() && now.Sub(c.lastRoundAt) > max(interval, c.Config.HeartbeatInterval())*2 {
+		slog.Warn("stood still", "term", c.term, "for", now.Sub(c.lastRoundAt).String())
 		c.resetLiveness(now)
 	}
 	c.pauseLiveness(now)
@@ -49,27 +49,27 @@
 	if c.catalog == nil {
 		return nil
 	}
-	c.lastAt = now
+	c.lastRoundAt = now
 	p := c.snapshot(now, interval)
 	plan := sched.Run(p.in)
 	info := wire.RoundStatus{Waiting: len(p.in.Jobs), Objective: plan.Objective, Reserved: plan.Reserved, Short: len(plan.Shorts)}
 	took := c.now().Sub(now)
 	info.TookMs = float64(took.Microseconds()) / 1000
-	c.Rounded(took)
+	c.Observer.CycleFinished(took)
 	most := c.Settings().Window
 	switch {
 	case took > interval:
 		// As in the paper: an overrun starts nothing and halves the window.
 		info.Overrun = true
 		c.window = max(1, min(c.window, most)/2)
-		c.last = info
+		c.lastRound = info
 		slog.Warn("round overran", "term", c.term, "took", took.String(), "window", c.window)
 		return nil
 	case took < interval/2:
 		c.window = min(most, c.window*2)
 	}
 	c.window = min(c.window, most)
-	info.Started = c.start(plan, p, now)
+	info.Started = c.planLaunches(plan, p, now)
 	info.Stopped = len(plan.Stops)
 	for _, s := range plan.Stops {
 		a := p.victim(s)
@@ -77,15 +77,15 @@
 			continue
 		}
 		gracePeriod := 0.0
-		if v := c.jobs[a.UID].rec.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.SlackS {
+		if v := c.jobs[a.UID].record.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.SlackS {
 			gracePeriod = v.CheckpointOnStopS + c.Config.Cluster.Workers.ReportS
 		}
 		slog.Info("preempted", "leg", a.Name(), "host", a.Machine.ID)
-		c.stop(a, gracePeriod, now, "preempted")
+		c.stopAttempt(a, gracePeriod, now, "preempted")
 	}
-	c.last = info
-	c.noteDecision(c.now())
-	c.stopIdleViews(now)
+	c.lastRound = info
+	c.reportFailover(c.now())
+	c.stopIdleViewTracking(now)
 	if info.Waiting > 0 {
 		slog.Info("round", "term", c.term, "window", plan.Window, "waiting", info.Waiting, "started", info.Started,
 			"stopped", info.Stopped, "short", info.Short, "objective", math.Round(plan.Objective*100)/100, "reserved", plan.Reserved, "ms", info.TookMs)
@@ -93,31 +93,31 @@
 	return c.provision(p, plan, now)
 }
 
-// maxTasks is how many tasks a machine may have: a hundred bytes each is what a
+// maxTasksPerMachine is how many tasks a machine may have: a hundred bytes each is what a
 // report takes for one.
-const maxTasks = wire.MaxBody / 100
+const maxTasksPerMachine = wire.MaxBody / 100
 
 // reportableTasks is how many tasks of a place its machine can report beside those that it
 // has, ended ones that it has not been told to reap included: a worker whose report does not
 // fit a body is answered by nobody, and its lease ends with all its tasks. Of an array as many start
 // as fit; a gang starts whole or not at all.
 func reportableTasks(m *fleet.Machine, place sched.Place) int {
-	room := max(0, maxTasks-m.AttemptCount())
+	room := max(0, maxTasksPerMachine-m.AttemptCount())
 	if place.Job.Spec.Kind == wire.Gang && place.Count > room {
 		return 0
 	}
 	return min(place.Count, room)
 }
 
-// start turns the places of a plan into planned attempts, within the write
+// planLaunches turns the places of a plan into planned attempts, within the write
 // budget; what overflows waits for a later round. Only what is going to be
 // written counts against it: pieces of withdrawn jobs are not written again, and
 // those called off at the end of an outage kept 400 other jobs waiting, with nothing
 // placed for 12 s. What a piece that is to be written anyway takes on costs nothing.
-func (c *Controller) start(plan *sched.Plan, snapshot *snapshot, now time.Time) int {
+func (c *Controller) planLaunches(plan *sched.Plan, snapshot *snapshot, now time.Time) int {
 	budget := max(1, int(c.Config.StateLimits().WriteRps))
 	for _, j := range c.jobs {
-		if j.dirtyPlacements == 0 || j.rec.Status.Final() {
+		if j.dirtyPlacements == 0 || j.record.Status.Final() {
 			continue
 		}
 		for _, p := range j.placements {
@@ -130,26 +130,26 @@
 	for _, pl := range plan.Places {
 		j := c.jobs[pl.Job.Spec.UID]
 		m := snapshot.machine(pl.Node)
-		if m == nil || budget <= 0 && !j.writes(now) {
+		if m == nil || budget <= 0 && !j.hasDuePlacement(now) {
 			continue
 		}
-		for _, task := range j.pick(reportableTasks(m, pl)) {
+		for _, task := range j.nextWaitingTasks(reportableTasks(m, pl)) {
 			p := j.placement(task)
-			if !p.hasRoom(task, m, c.placementBytes()) {
-				j.freed = append(j.freed, task)
+			if !p.hasRoom(task, m, c.maxPlacementBytes()) {
+				j.freedTasks = append(j.freedTasks, task)
 				continue // until others of its piece have ended
 			}
 			if !p.dirty || p.due.After(now) {
 				budget--
 			}
-			a := &fleet.Attempt{UID: j.uid, Task: task, Number: p.next, Need: j.need, Image: j.rec.Spec.Image}
-			if j.rec.Spec.Kind == wire.Gang {
+			a := &fleet.Attempt{UID: j.uid, Task: task, Number: p.nextAttempt, Need: j.need, Image: j.record.Spec.Image}
+			if j.record.Spec.Kind == wire.Gang {
 				a.Number = j.gangAttempt()
 			}
-			p.next = max(p.next, a.Number+1)
+			p.nextAttempt = max(p.nextAttempt, a.Number+1)
 			p.live[task] = a
 			j.live++
-			p.touch(now)
+			p.markChanged(now)
 			c.fleet.Place(m, a, now)
 			started++
 		}
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -80,11 +80,10 @@
 	c := watched(now)
 	c.term, c.Store, c.Cloud, c.loaded = term, l, limitedCloud{limited: l}, false
 	c.fleet = fleet.New(term, c.Config.WorkerLease(), c)
-	c.Rounded, c.RenewedByPeers = func(time.Duration) {}, func() []string { return nil }
 	c.Config.Cluster.State, c.Config.Cluster.Teams = l.limits, []config.Team{{Name: "crew"}}
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, BootS: 30, Zones: []string{"a", "b"}}}}
 	c.JobCache.Reset(nil, 1, *now)
-	if err := c.load(context.Background()); err != nil {
+	if err := c.loadState(context.Background()); err != nil {
 		l.t.Fatal(err)
 	}
 	return c
@@ -101,7 +100,7 @@
 		spec := wire.JobSpec{UID: "run-000001", JobClass: "batch", Team: "crew", Kind: wire.JobArray, Priority: wire.High, TaskCount: machines, Cores: 64, Gpus: 8, RAMGb: 512, Image: "img"}
 		rec := records.Job{Spec: spec, Status: wire.JobQueued, Per: records.TasksPerPlacement(8192, 8192)}
 		services.items[records.JobKey(spec.UID)] = wire.KeyValue{Key: records.JobKey(spec.UID), Value: records.Encode(rec), ModRevision: 1}
-		c.takeJob(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
+		c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
 		var hosts []wire.ListedHost
 		for i := range machines {
 			hosts = append(hosts, wire.ListedHost{UID: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: []string{"a", "b"}[i%2], Status: "running"})
@@ -124,15 +123,15 @@
 		launches, sequence := 0, uint64(1)
 		for ; launches < machines && sequence < 20; sequence++ {
 			now = now.Add(time.Second)
-			c.round(time.Second)
-			for b := c.collect(); b != nil; b = c.collect() {
+			c.runRound(time.Second)
+			for b := c.nextBatch(); b != nil; b = c.nextBatch() {
 				c.commit(t.Context(), b)
 			}
 			launches += report(c, sequence+1)
 		}
 		report(c, sequence+1)
-		if j := c.jobs[spec.UID]; launches != machines || j.running() != machines {
-			t.Fatalf("%d machines: %d launches, %d running", machines, launches, j.running())
+		if j := c.jobs[spec.UID]; launches != machines || j.runningCount() != machines {
+			t.Fatalf("%d machines: %d launches, %d running", machines, launches, j.runningCount())
 		}
 		now = now.Add(time.Minute)
 		for range machines/services.limits.TxnOps + 1 {
@@ -142,9 +141,9 @@
 			t.Errorf("the images of %d of %d machines are recorded", len(images), machines)
 		}
 		next := services.leaderOf(6, &now)
-		next.takeJob(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
+		next.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
 		next.loaded = false
-		if err := next.load(t.Context()); err != nil {
+		if err := next.loadState(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if j := next.jobs[spec.UID]; j.live != machines || next.fleet.Len() != machines {
@@ -171,16 +170,16 @@
 func TestCountsOfManyJobs(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := watched(&now)
-	const jobs = 3*countsAtOnce + 1
+	const jobs = 3*maxCountsPerReply + 1
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
-		c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
-		c.countsChanged(c.jobs[uid])
+		c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
+		c.markCountsChanged(c.jobs[uid])
 	}
 	announced, revision := map[string]bool{}, uint64(0)
 	for pings, more := 0, true; more; pings++ {
 		var views []wire.JobView
-		if views, revision, more = c.CountsSince(revision); len(views) > countsAtOnce || pings > jobs/countsAtOnce {
+		if views, revision, more = c.CountsSince(revision); len(views) > maxCountsPerReply || pings > jobs/maxCountsPerReply {
 			t.Fatalf("%d counts by ping %d", len(views), pings)
 		}
 		for _, v := range views {
--- a/internal/controller/picture.go
+++ b/internal/controller/snapshot.go
@@ -51,18 +51,18 @@
 	in.WithinQuota = c.withinQuotas()
 	in.VictimsBelow = 1 // nothing is displaced while nothing waits
 	for _, j := range c.jobs {
-		if t := in.Teams[j.rec.Spec.Team]; t != nil {
+		if t := in.Teams[j.record.Spec.Team]; t != nil {
 			t.Used.Cores += float64(j.live) * j.need.Cores
 			t.Used.Gpus += float64(j.live) * j.need.Gpus
 			if in.WithinQuota != nil {
-				stopping := float64(j.stopping())
+				stopping := float64(j.stoppingCount())
 				t.Stopping.Cores += stopping * j.need.Cores
 				t.Stopping.Gpus += stopping * j.need.Gpus
 			}
 		}
 		if sj := c.waitingJob(j, in.WithinQuota[j.uid], now); sj != nil {
 			in.VictimsBelow = max(in.VictimsBelow, sj.Level)
-			if c.overdueToBegin(j, now) {
+			if c.isOverdueToStart(j, now) {
 				// It begins; the rest of its tasks wait their turn.
 				first := *sj
 				first.First, first.Waiting = true, 1
@@ -84,7 +84,7 @@
 	for _, r := range c.pendingRequests {
 		room := provision.Capacity(c.machineType(r.req.MachineType))
 		n := sched.Node{ID: r.req.RequestID, Type: r.req.MachineType, Zone: r.req.Zone, Spot: r.req.Spot,
-			Cap: room, Later: room, Price: c.price(r.req.MachineType, r.req.Spot)}
+			Cap: room, Later: room, Price: c.hourlyPrice(r.req.MachineType, r.req.Spot)}
 		for range r.req.Count {
 			nodes = append(nodes, n)
 		}
@@ -95,21 +95,21 @@
 // waitingJob is a job as a round sees it, or nil if nothing of it can be placed
 // now. guaranteed tells whether it lies within its team's guarantee.
 func (c *Controller) waitingJob(j *job, withinQuota bool, now time.Time) *sched.Job {
-	spec := &j.rec.Spec
-	waiting := c.mayPlace(j, now)
+	spec := &j.record.Spec
+	waiting := c.placeableTasks(j, now)
 	if waiting == 0 {
 		return nil
 	}
 	if spec.Kind == wire.Gang && j.live > 0 {
 		// A gang runs whole or not at all: the rest ends, and it starts anew.
-		j.each(func(a *fleet.Attempt) {
-			c.stop(a, spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "its gang is not whole")
+		j.eachAttempt(func(a *fleet.Attempt) {
+			c.stopAttempt(a, spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "its gang is not whole")
 		})
 		return nil
 	}
 	byZone, known := map[string]int{}, true
 	if j.live > 0 && (spec.SingleZone || spec.SpreadZones) {
-		j.each(func(a *fleet.Attempt) {
+		j.eachAttempt(func(a *fleet.Attempt) {
 			byZone[a.Machine.Zone]++
 			known = known && a.Machine.Zone != ""
 		})
@@ -117,57 +117,57 @@
 	if !known {
 		return nil // a zone that a task may be in is not known yet
 	}
-	sj := &sched.Job{Spec: spec, WithinQuota: withinQuota, Level: c.levelNow(j, now), AtMs: j.fromMs, Waiting: waiting, Live: j.live, ByZone: byZone,
-		WaitedS: now.Sub(j.waitFrom).Seconds(), SlackS: c.slackS(spec), LaxS: c.laxS(j, now), Avoid: c.avoids(j, now)}
+	sj := &sched.Job{Spec: spec, WithinQuota: withinQuota, Level: c.effectiveLevel(j, now), AtMs: j.eligibleSinceMs, Waiting: waiting, Live: j.live, ByZone: byZone,
+		WaitedS: now.Sub(j.waitingSince).Seconds(), SlackS: c.slackSeconds(spec), LaxS: c.laxitySeconds(j, now), Avoid: c.avoidedMachine(j, now)}
 	// What a service has lost is down until it has its image again.
 	sj.Fetch = sj.SlackS < 0 || j.failedAttempts > 0 && spec.Kind == wire.Service
-	sj.Dear = spec.AllowSpot && c.spotSpent(spec, now)
-	boot := c.bootS(spec)
+	sj.Dear = spec.AllowSpot && c.isSpotExhausted(spec, now)
+	boot := c.bootSeconds(spec)
 	sj.WaitedPastBoot = sj.WaitedS > boot
 	sj.Overdue = sj.WaitedPastBoot || sj.LaxS < boot
 	return sj
 }
 
-// levelNow is the level at which a job competes for room. That of a job which needs it
+// effectiveLevel is the level at which a job competes for room. That of a job which needs it
 // counts once what is left of the time that the users give either is no longer than a
 // new machine takes: until then its stages can wait for room like others of their own
 // rank, and stop nobody's work.
-func (c *Controller) levelNow(j *job, now time.Time) int {
-	spec := &j.rec.Spec
+func (c *Controller) effectiveLevel(j *job, now time.Time) int {
+	spec := &j.record.Spec
 	own := spec.Priority.Level()
 	if j.level <= own {
 		return own
 	}
-	left := min(c.laxS(j, now), c.slackS(spec)-now.Sub(j.waitFrom).Seconds())
-	if left > c.bootS(spec) {
+	left := min(c.laxitySeconds(j, now), c.slackSeconds(spec)-now.Sub(j.waitingSince).Seconds())
+	if left > c.bootSeconds(spec) {
 		return own
 	}
 	return j.level
 }
 
-// beginLeases is after how many leases the first task of a large array goes before
+// overdueStartLeases is after how many leases the first task of a large array goes before
 // the tasks of others of its rank.
-const beginLeases = 10
+const overdueStartLeases = 10
 
-// overdueToBegin reports whether nothing of an array has run yet although it came
+// isOverdueToStart reports whether nothing of an array has run yet although it came
 // long ago, and it is larger than its class usually is. Users look for a beginning
 // of these, too, after four minutes, and they have the most left to do once they
 // have begun; in a queue of minutes at their team's limit, one of nine began in time.
 // An array that starts whole has no first task.
-func (c *Controller) overdueToBegin(j *job, now time.Time) bool {
-	s := &j.rec.Spec
-	usual := c.arrive[s.JobClass]
-	return s.Kind == wire.JobArray && !s.SingleZone && !j.begun && j.done == 0 && j.live == 0 &&
-		now.Sub(time.UnixMilli(j.fromMs)) > beginLeases*c.Config.WorkerLease() &&
+func (c *Controller) isOverdueToStart(j *job, now time.Time) bool {
+	s := &j.record.Spec
+	usual := c.arrivalsByClass[s.JobClass]
+	return s.Kind == wire.JobArray && !s.SingleZone && !j.hasRun && j.done == 0 && j.live == 0 &&
+		now.Sub(time.UnixMilli(j.eligibleSinceMs)) > overdueStartLeases*c.Config.WorkerLease() &&
 		usual != nil && float64(s.TaskCount*s.TaskCount) >= usual.tasksSquared
 }
 
-// avoids names the machine that a job failed on lately. A job that failed on
+// avoidedMachine names the machine that a job failed on lately. A job that failed on
 // several machines is at fault itself. If it went on avoiding machines, new
 // ones would be rented for it.
-func (c *Controller) avoids(j *job, now time.Time) string {
-	if len(j.avoid) == 1 {
-		for id, at := range j.avoid {
+func (c *Controller) avoidedMachine(j *job, now time.Time) string {
+	if len(j.failedOn) == 1 {
+		for id, at := range j.failedOn {
 			if now.Sub(at) < 6*c.Config.WorkerLease() {
 				return id
 			}
@@ -176,10 +176,10 @@
 	return ""
 }
 
-// spotSpent reports whether the cloud had no spot machine left that may run the
+// isSpotExhausted reports whether the cloud had no spot machine left that may run the
 // job when it was last asked: work that waited for one was only late. From time
 // to time the refusals run out, and it is asked again.
-func (c *Controller) spotSpent(w *wire.JobSpec, now time.Time) bool {
+func (c *Controller) isSpotExhausted(w *wire.JobSpec, now time.Time) bool {
 	for i := range c.catalog.MachineTypes {
 		r := &c.catalog.MachineTypes[i]
 		if !provision.Capacity(r).Holds(fleet.Need(w)) {
@@ -194,8 +194,8 @@
 	return true
 }
 
-// price is what a machine costs per hour.
-func (c *Controller) price(machineType string, spot bool) float64 {
+// hourlyPrice is what a machine costs per hour.
+func (c *Controller) hourlyPrice(machineType string, spot bool) float64 {
 	r := c.machineType(machineType)
 	switch {
 	case r == nil:
@@ -206,15 +206,15 @@
 	return r.Hourly
 }
 
-// laxS is how long a job can still wait and be done by its deadline, or by the
+// laxitySeconds is how long a job can still wait and be done by its deadline, or by the
 // next time that the users set for its class, if it runs half as long again as
 // its owner expects. Work without either counts as due a few boots after nothing of
 // it ran any more, so that age decides among its like. An array past the last of its
 // times gives way to those in time when it loses its last task: counted by its whole
 // age, it went before them, and at a team's limit fewer were in time.
-func (c *Controller) laxS(j *job, now time.Time) float64 {
-	s := &j.rec.Spec
-	age := float64(now.UnixMilli()-j.fromMs) / 1000
+func (c *Controller) laxitySeconds(j *job, now time.Time) float64 {
+	s := &j.record.Spec
+	age := float64(now.UnixMilli()-j.eligibleSinceMs) / 1000
 	left := (j.dueMs - float64(now.UnixMilli())) / 1000
 	for _, o := range c.Config.Cluster.Objectives {
 		if o.Kind == "finished" && o.Class == s.JobClass && o.WithinS > age {
@@ -222,7 +222,7 @@
 		}
 	}
 	if math.IsInf(left, 1) || s.Kind != wire.JobArray {
-		return 4*c.bootS(s) - now.Sub(j.waitFrom).Seconds()
+		return 4*c.bootSeconds(s) - now.Sub(j.waitingSince).Seconds()
 	}
 	fetch := 0.0
 	for i := range c.catalog.MachineTypes {
@@ -233,8 +233,8 @@
 	return left - fetch - runAllowance*s.ExpectedRunS
 }
 
-// bootS is how long the quickest machine that may run a task of the job boots.
-func (c *Controller) bootS(w *wire.JobSpec) float64 {
+// bootSeconds is how long the quickest machine that may run a task of the job boots.
+func (c *Controller) bootSeconds(w *wire.JobSpec) float64 {
 	boot := math.Inf(1)
 	for i := range c.catalog.MachineTypes {
 		if r := &c.catalog.MachineTypes[i]; provision.Capacity(r).Holds(fleet.Need(w)) && (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, r.Name)) {
@@ -244,10 +244,10 @@
 	return boot
 }
 
-// slackS is how long after a launch is decided a start is still within the time
+// slackSeconds is how long after a launch is decided a start is still within the time
 // that the users set for the job's class, if the machine must fetch the image
 // first. The rate that the catalog gives is met give or take a third.
-func (c *Controller) slackS(w *wire.JobSpec) float64 {
+func (c *Controller) slackSeconds(w *wire.JobSpec) float64 {
 	slack := math.Inf(1)
 	for _, o := range c.Config.Cluster.Objectives {
 		if o.Kind != "wait" || o.Class != w.JobClass {
--- a/internal/controller/spare.go
+++ b/internal/controller/spare.go
@@ -35,11 +35,11 @@
 
 // arrived notes a new job.
 func (c *Controller) arrived(j *job, now time.Time) {
-	s, tasks := &j.rec.Spec, float64(j.rec.Spec.TaskCount)
-	a := c.arrive[s.JobClass]
+	s, tasks := &j.record.Spec, float64(j.record.Spec.TaskCount)
+	a := c.arrivalsByClass[s.JobClass]
 	if a == nil {
 		a = &arrivals{at: now, tasksSquared: tasks * tasks}
-		c.arrive[s.JobClass] = a
+		c.arrivalsByClass[s.JobClass] = a
 	}
 	a.spec, a.level = s, s.Priority.Level()
 	a.tasksSquared += (tasks*tasks - a.tasksSquared) / 8
@@ -52,16 +52,16 @@
 func (c *Controller) headroom(now time.Time) []*sched.Job {
 	var jobs []*sched.Job
 	factor := c.Settings().Headroom
-	for _, a := range c.arrive {
+	for _, a := range c.arrivalsByClass {
 		if a.level < wire.High.Level() || factor == 0 {
 			continue
 		}
 		a.fade(now, c.fadeS())
 		perS := a.count / c.fadeS()
-		n := int(math.Ceil(factor * float64(provision.Headroom(perS, a.tasksSquared, c.bootS(a.spec)))))
+		n := int(math.Ceil(factor * float64(provision.Headroom(perS, a.tasksSquared, c.bootSeconds(a.spec)))))
 		spec := *a.spec // of all phantoms of the class
 		spec.UID, spec.TaskCount, spec.Kind, spec.SingleZone, spec.SpreadZones = "", 1, wire.JobArray, false, false
-		fetch := c.slackS(a.spec) < 0
+		fetch := c.slackSeconds(a.spec) < 0
 		for i := range n {
 			jobs = append(jobs, &sched.Job{Spec: &spec, Level: a.level, AtMs: int64(i), Waiting: 1, ByZone: map[string]int{}, Fetch: fetch})
 		}
@@ -110,7 +110,7 @@
 			retained[m.ID] = true
 		}
 	}
-	c.keepAsHeadroom(retained)
+	c.setHeadroomMachines(retained)
 	return headroom
 }
 
@@ -157,7 +157,7 @@
 		idle = append(idle, m)
 	})
 	slices.SortFunc(idle, func(a, b *fleet.Machine) int {
-		return cmp.Or(cmp.Compare(c.price(b.Type, b.Spot), c.price(a.Type, a.Spot)), cmp.Compare(b.ID, a.ID))
+		return cmp.Or(cmp.Compare(c.hourlyPrice(b.Type, b.Spot), c.hourlyPrice(a.Type, a.Spot)), cmp.Compare(b.ID, a.ID))
 	})
 	for _, m := range idle[:(len(idle)+3)/4] {
 		c.startReturn(m, now, "idle")
--- a/internal/controller/views.go
+++ b/internal/controller/standbyviews.go
@@ -12,26 +12,26 @@
 	"lotusstile.dev/lotusstile/internal/standby"
 )
 
-// viewChanges notes of which machines and jobs the standby's views are out of date. While no
+// changedViews notes of which machines and jobs the standby's views are out of date. While no
 // standby asks, nothing is noted.
-type viewChanges struct {
-	on       bool
-	taken    time.Time // when they were last taken
-	machines map[string]bool
-	jobs     map[string]bool
+type changedViews struct {
+	enabled     bool
+	collectedAt time.Time // when they were last taken
+	machines    map[string]bool
+	jobs        map[string]bool
 }
 
-// viewsFor is for how many of the hold's times changes are noted after a standby has asked.
-const viewsFor = 4
+// trackedLeaderLeases is for how many of the hold's times changes are noted after a standby has asked.
+const trackedLeaderLeases = 4
 
-func (v *viewChanges) machine(host string) {
-	if v.on {
+func (v *changedViews) markMachine(host string) {
+	if v.enabled {
 		v.machines[host] = true
 	}
 }
 
-func (v *viewChanges) job(uid string) {
-	if v.on {
+func (v *changedViews) markJob(uid string) {
+	if v.enabled {
 		v.jobs[uid] = true
 	}
 }
@@ -42,10 +42,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if !c.views.on || now.Sub(c.views.taken) > viewsFor*c.Config.LeaderLeaseTTL() {
-		c.noteAllViews()
+	if !c.views.enabled || now.Sub(c.views.collectedAt) > trackedLeaderLeases*c.Config.LeaderLeaseTTL() {
+		c.trackAllViews()
 	}
-	c.views.taken = now
+	c.views.collectedAt = now
 	add := func(e *standby.Entry, err error) {
 		if err != nil {
 			slog.Error("view not made", "err", err)
@@ -71,31 +71,31 @@
 	return entries, false
 }
 
-// noteAllViews begins to note changes, with everything. c.mu is held.
-func (c *Controller) noteAllViews() {
-	c.views = viewChanges{on: true, machines: map[string]bool{}, jobs: map[string]bool{}}
+// trackAllViews begins to note changes, with everything. c.mu is held.
+func (c *Controller) trackAllViews() {
+	c.views = changedViews{enabled: true, machines: map[string]bool{}, jobs: map[string]bool{}}
 	c.fleet.Each(func(m *fleet.Machine) { c.views.machines[m.ID] = true })
 	for uid := range c.jobs {
 		c.views.jobs[uid] = true
 	}
 }
 
-// stopIdleViews ends the noting of changes once no standby has asked for a while. c.mu is
+// stopIdleViewTracking ends the noting of changes once no standby has asked for a while. c.mu is
 // held.
-func (c *Controller) stopIdleViews(now time.Time) {
-	if c.views.on && now.Sub(c.views.taken) > viewsFor*c.Config.LeaderLeaseTTL() {
-		c.views = viewChanges{}
+func (c *Controller) stopIdleViewTracking(now time.Time) {
+	if c.views.enabled && now.Sub(c.views.collectedAt) > trackedLeaderLeases*c.Config.LeaderLeaseTTL() {
+		c.views = changedViews{}
 	}
 }
 
-func milliseconds(t time.Time) int64 {
+func unixMilli(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixMilli()
 }
 
-func fromMilliseconds(ms int64) time.Time {
+func fromUnixMilli(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
@@ -108,7 +108,7 @@
 		return standby.NoMachine(host), nil
 	}
 	v := standby.MachineView{Host: host, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation,
-		BornMs: milliseconds(m.Born), AvoidMs: milliseconds(m.AvoidUntil), SpotNotice: m.Warned,
+		BornMs: unixMilli(m.Born), AvoidMs: unixMilli(m.AvoidUntil), SpotNotice: m.Warned,
 		Images: slices.Sorted(maps.Keys(m.Images))}
 	if m.State == fleet.Ready {
 		v.FencingToken = c.term
@@ -121,9 +121,9 @@
 	if j == nil {
 		return standby.NoJob(uid), nil
 	}
-	v := standby.JobView{UID: uid, Begun: j.begun, Fails: j.fails, NotBeforeMs: milliseconds(j.backoffUntil), WaitMs: milliseconds(j.waitFrom)}
+	v := standby.JobView{UID: uid, Begun: j.hasRun, Fails: j.backoffs, NotBeforeMs: unixMilli(j.backoffUntil), WaitMs: unixMilli(j.waitingSince)}
 	var running []standby.RunningTask
-	j.each(func(a *fleet.Attempt) {
+	j.eachAttempt(func(a *fleet.Attempt) {
 		if !a.RunAt.IsZero() {
 			running = append(running, standby.RunningTask{Task: a.Task, Attempt: a.Number, SinceS: a.RunAt.Unix()})
 		}
@@ -138,18 +138,18 @@
 func (c *Controller) leaderView() *standby.LeaderView {
 	v := &standby.LeaderView{Window: c.window}
 	for g, r := range c.refused {
-		v.Refusals = append(v.Refusals, standby.Refusal{Type: g.Type, Zone: g.Zone, Spot: g.Spot, UntilMs: milliseconds(r.until), PauseMs: r.pause.Milliseconds()})
+		v.Refusals = append(v.Refusals, standby.Refusal{Type: g.Type, Zone: g.Zone, Spot: g.Spot, UntilMs: unixMilli(r.until), PauseMs: r.pause.Milliseconds()})
 	}
-	for class, a := range c.arrive {
-		v.Arrivals = append(v.Arrivals, standby.Arrival{Class: class, Job: *a.spec, Count: a.count, TasksSquare: a.tasksSquared, AtMs: milliseconds(a.at)})
+	for class, a := range c.arrivalsByClass {
+		v.Arrivals = append(v.Arrivals, standby.Arrival{Class: class, Job: *a.spec, Count: a.count, TasksSquare: a.tasksSquared, AtMs: unixMilli(a.at)})
 	}
 	return v
 }
 
-// hintMachines takes what the leader before knew of machines. Nothing of it says that a
+// applyMachineHints takes what the leader before knew of machines. Nothing of it says that a
 // machine is there, reports, or may be launched on: only its reports in this term do. c.mu
 // is held.
-func (c *Controller) hintMachines(p *standby.Proven, now time.Time) {
+func (c *Controller) applyMachineHints(p *standby.Proven, now time.Time) {
 	if p == nil {
 		return
 	}
@@ -160,30 +160,30 @@
 			continue
 		}
 		m.Address, m.Type, m.Zone, m.Spot = v.Address, v.Type, v.Zone, v.Spot
-		m.IncarnationHint, m.Warned, m.AvoidUntil = v.Incarnation, v.SpotNotice, fromMilliseconds(v.AvoidMs)
-		if born := fromMilliseconds(v.BornMs); !born.IsZero() && born.Before(m.Born) {
+		m.IncarnationHint, m.Warned, m.AvoidUntil = v.Incarnation, v.SpotNotice, fromUnixMilli(v.AvoidMs)
+		if born := fromUnixMilli(v.BornMs); !born.IsZero() && born.Before(m.Born) {
 			m.Born = born
 		}
 		for _, image := range v.Images {
 			m.Images[image] = now
 		}
 		c.fleet.Touch(m)
-		c.capacity(m)
+		c.setCapacity(m)
 	}
 	for _, r := range p.Leader.Refusals {
-		c.refused[provision.MachineGroup{Type: r.Type, Zone: r.Zone, Spot: r.Spot}] = refusal{fromMilliseconds(r.UntilMs), time.Duration(r.PauseMs) * time.Millisecond}
+		c.refused[provision.MachineGroup{Type: r.Type, Zone: r.Zone, Spot: r.Spot}] = refusal{fromUnixMilli(r.UntilMs), time.Duration(r.PauseMs) * time.Millisecond}
 	}
 	for _, a := range p.Leader.Arrivals {
 		job := a.Job
-		c.arrive[a.Class] = &arrivals{spec: &job, level: job.Priority.Level(), count: a.Count, tasksSquared: a.TasksSquare, at: fromMilliseconds(a.AtMs)}
+		c.arrivalsByClass[a.Class] = &arrivals{spec: &job, level: job.Priority.Level(), count: a.Count, tasksSquared: a.TasksSquare, at: fromUnixMilli(a.AtMs)}
 	}
 	if w := p.Leader.Window; w > 0 {
 		c.window = min(w, c.Settings().Window)
 	}
 }
 
-// hintJobs takes what the leader before knew of jobs. c.mu is held.
-func (c *Controller) hintJobs(p *standby.Proven, now time.Time) {
+// applyJobHints takes what the leader before knew of jobs. c.mu is held.
+func (c *Controller) applyJobHints(p *standby.Proven, now time.Time) {
 	if p == nil {
 		return
 	}
@@ -198,13 +198,13 @@
 			slog.Warn("running tasks are not known", "err", err)
 			continue
 		}
-		j.begun, j.fails, j.backoffUntil = j.begun || v.Begun, max(j.fails, v.Fails), fromMilliseconds(v.NotBeforeMs)
-		j.suspect = j.suspect || j.fails > 0
-		if from := fromMilliseconds(v.WaitMs); !from.IsZero() && from.Before(j.waitFrom) {
-			j.waitFrom = from
+		j.hasRun, j.backoffs, j.backoffUntil = j.hasRun || v.Begun, max(j.backoffs, v.Fails), fromUnixMilli(v.NotBeforeMs)
+		j.suspect = j.suspect || j.backoffs > 0
+		if from := fromUnixMilli(v.WaitMs); !from.IsZero() && from.Before(j.waitingSince) {
+			j.waitingSince = from
 		}
 		for _, t := range tasks {
-			if t.Task >= j.rec.Spec.TaskCount {
+			if t.Task >= j.record.Spec.TaskCount {
 				continue
 			}
 			if a := j.attempt(t.Task); a != nil && a.Number == t.Attempt {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,9 +8,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// countsAtOnce is how many jobs' counts are told at once: the answer to a ping must not take
+// maxCountsPerReply is how many jobs' counts are told at once: the answer to a ping must not take
 // longer the more jobs there are.
-const countsAtOnce = 2000
+const maxCountsPerReply = 2000
 
 // CountsSince tells which jobs' counts of tasks have changed since a revision, and
 // the revision that they lead to: 0 until all is loaded. Of many, those that changed first are
@@ -29,21 +29,21 @@
 		}
 	}
 	upTo = c.countsRevision
-	if more = len(changed) > countsAtOnce; more {
+	if more = len(changed) > maxCountsPerReply; more {
 		slices.SortFunc(changed, func(a, b *job) int { return cmp.Compare(a.countsRevision, b.countsRevision) })
-		changed = changed[:countsAtOnce]
-		upTo = changed[countsAtOnce-1].countsRevision
+		changed = changed[:maxCountsPerReply]
+		upTo = changed[maxCountsPerReply-1].countsRevision
 	}
 	views = make([]wire.JobView, 0, len(changed))
 	for _, j := range changed {
-		views = append(views, wire.JobView{UID: j.uid, Done: j.done, Running: j.running()})
+		views = append(views, wire.JobView{UID: j.uid, Done: j.done, Running: j.runningCount()})
 	}
-	views = append(views, c.finalsBetween(revision, upTo)...)
+	views = append(views, c.finalStatusesBetween(revision, upTo)...)
 	return views, upTo, more
 }
 
-// countsChanged notes that a job's counts of tasks may have changed.
-func (c *Controller) countsChanged(j *job) {
+// markCountsChanged notes that a job's counts of tasks may have changed.
+func (c *Controller) markCountsChanged(j *job) {
 	c.countsRevision++
 	j.countsRevision = c.countsRevision
 }
@@ -56,7 +56,7 @@
 	if j == nil || !c.loaded {
 		return 0, 0, false
 	}
-	return j.done, j.running(), true
+	return j.done, j.runningCount(), true
 }
 
 // Machines is the number of machines that are not gone; known is false until all is
@@ -79,9 +79,9 @@
 func (c *Controller) Status() wire.LeadStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	st := wire.LeadStatus{Term: c.term, Loaded: c.loaded, Window: c.window, Round: c.last, Machines: map[string]int{}, Classes: map[string]wire.ClassStatus{}}
-	if !c.lastAt.IsZero() {
-		st.Round.AgoS = c.now().Sub(c.lastAt).Seconds()
+	st := wire.LeadStatus{Term: c.term, Loaded: c.loaded, Window: c.window, Round: c.lastRound, Machines: map[string]int{}, Classes: map[string]wire.ClassStatus{}}
+	if !c.lastRoundAt.IsZero() {
+		st.Round.AgoS = c.now().Sub(c.lastRoundAt).Seconds()
 	}
 	now := c.now()
 	c.fleet.Each(func(m *fleet.Machine) {
@@ -94,11 +94,11 @@
 		if j.suspect {
 			st.SuspectJobs++
 		}
-		cl := st.Classes[j.rec.Spec.JobClass]
+		cl := st.Classes[j.record.Spec.JobClass]
 		cl.Jobs++
-		cl.Waiting += j.waiting()
+		cl.Waiting += j.waitingCount()
 		cl.Placed += j.live
-		st.Classes[j.rec.Spec.JobClass] = cl
+		st.Classes[j.record.Spec.JobClass] = cl
 	}
 	return st
 }
--- /dev/null
+++ b/internal/node/controlleroptions.go
@@ -0,0 +1,29 @@
+package node
+
+import (
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// controllerPeers is the controller.Peers of a node.
+type controllerPeers struct{ node *Node }
+
+func (p controllerPeers) RenewedHosts() []string         { return p.node.renewedByPeers() }
+func (p controllerPeers) ReachedZones() []string         { return p.node.reached() }
+func (p controllerPeers) RelayReached(label string) bool { return p.node.relayReached(label) }
+
+// termObserver is the controller.Observer of a node.
+type termObserver struct{ node *Node }
+
+func (o termObserver) TermObserved(term uint64)         { o.node.elector.ObserveTerm(term, "") }
+func (o termObserver) CycleFinished(took time.Duration) { o.node.rounded(took) }
+
+func (o termObserver) JobFinished(uid string, status wire.JobStatus) { o.node.finals.put(uid, status) }
+
+func (o termObserver) FailoverFinished(report records.Takeover) {
+	if o.node.cfg.WarmStandby {
+		o.node.promoted(report)
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -175,14 +175,21 @@
 func (n *Node) leadTerm(ctx context.Context, term uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	deps := controller.Deps{Config: n.cfg, Store: n.store, Cloud: n.cloud, Worker: n, JobCache: n.jobCache,
-		Settings: func() wire.Settings { return *n.settings.Load() }, Rounded: n.rounded,
-		Version:     n.version,
-		ObserveTerm: func(t uint64) { n.elector.ObserveTerm(t, "") }, RenewedByPeers: n.renewedByPeers, Reached: n.reached, RelayReached: n.relayReached,
-		LeaderlessSince: n.elector.LeaderlessSince(), Final: n.finals.put}
-	n.beginStandby(&deps, term)
+	options := controller.Options{
+		Config:          n.cfg,
+		Settings:        func() wire.Settings { return *n.settings.Load() },
+		Store:           n.store,
+		Cloud:           n.cloud,
+		Worker:          n,
+		Peers:           controllerPeers{n},
+		Observer:        termObserver{n},
+		Version:         n.version,
+		JobCache:        n.jobCache,
+		LeaderlessSince: n.elector.LeaderlessSince(),
+	}
+	n.beginStandby(&options, term)
 	defer n.endStandby()
-	c := controller.New(deps, term)
+	c := controller.New(options, term)
 	n.lead.Store(c)
 	defer n.lead.Store(nil)
 	n.beginRelays(ctx, term)
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -50,7 +50,7 @@
 func (n *Node) better() bool {
 	c := n.lead.Load()
 	enough := handoverLeases * n.cfg.WorkerLease()
-	if c == nil || time.Since(c.Begun()) < enough {
+	if c == nil || time.Since(c.StartedAt()) < enough {
 		return false
 	}
 	unreachable := func(label string) bool { return !n.relayMode() && n.unreachableFor(label, n.cfg.WorkerLease()) }
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -77,7 +77,7 @@
 }
 
 // beginStandby lets a term take over what this node has followed, and offer what it knows.
-func (n *Node) beginStandby(deps *controller.Deps, term uint64) {
+func (n *Node) beginStandby(options *controller.Options, term uint64) {
 	if !n.cfg.WarmStandby {
 		return
 	}
@@ -86,11 +86,10 @@
 		members = append(members, p.Label)
 	}
 	source := standby.NewSource(term, members, 2*n.cfg.LeaderLeaseTTL())
-	deps.Source, deps.Store = source, standby.NewRecorder(n.store, source)
-	deps.Prove = func(ctx context.Context, term uint64) (*standby.Proven, error) {
+	options.Source, options.Store = source, standby.NewRecorder(n.store, source)
+	options.Prove = func(ctx context.Context, term uint64) (*standby.Proven, error) {
 		return n.standby.follower.Prove(ctx, n.store, term)
 	}
-	deps.Promoted = n.promoted
 	n.standby.source.Store(source)
 }
 
