--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -23,7 +23,7 @@
 // nothing.
 func (c *Controller) addToGraph(j *job, now time.Time) {
 	spec := &j.rec.Spec
-	vertex := jobdag.Job{Dependencies: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageMs(spec)}
+	vertex := jobdag.Job{Dependencies: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), ExpectedRunMs: c.stageMs(spec)}
 	if spec.DeadlineS != nil {
 		vertex.DueMs = float64(j.rec.AtMs) + *spec.DeadlineS*1000
 	}
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -119,7 +119,7 @@
 			p.done.SetDone(i)
 			j.done++
 		}
-		c.evidence.Completed(j.uid, a.Machine.ID)
+		c.evidence.RecordSuccess(j.uid, a.Machine.ID)
 		j.trust()
 	case wire.CauseError:
 		c.attributeFailure(j, a.Machine, now)
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -28,15 +28,15 @@
 
 // attributeFailure takes the failure of a task into the evidence, and acts on what that says.
 func (c *Controller) attributeFailure(j *job, m *fleet.Machine, now time.Time) {
-	c.evidence.Failed(j.uid, m.ID, j.done > 0, now)
+	c.evidence.RecordFailure(j.uid, m.ID, j.done > 0, now)
 	maps.DeleteFunc(j.avoid, func(_ string, at time.Time) bool { return now.Sub(at) > evidenceLeases*c.Config.WorkerLease() })
 	j.avoid[m.ID] = now
-	if c.evidence.SurelyMistaken(j.uid) {
+	if c.evidence.IsJobFaulty(j.uid) {
 		c.backOff(j, now)
 		c.clearMachines(j)
 	}
 	switch {
-	case c.evidence.SurelyFaulty(m.ID):
+	case c.evidence.IsMachineFaulty(m.ID):
 		c.passOver(m, faultyLeases*c.Config.WorkerLease(), now)
 	case !j.suspect:
 		c.passOver(m, suspectLeases*c.Config.WorkerLease(), now)
@@ -55,7 +55,7 @@
 	j.fails++
 	j.suspect, j.backoffUntil = true, now.Add(wait)
 	c.views.job(j.uid)
-	slog.Info("job is held back", "uid", j.uid, "times", j.fails, "for", wait.String(), "mistaken", c.evidence.Mistaken(j.uid))
+	slog.Info("job is held back", "uid", j.uid, "times", j.fails, "for", wait.String(), "mistaken", c.evidence.JobFaultProbability(j.uid))
 }
 
 // trust ends the suspicion against a job: a task of it works.
@@ -66,16 +66,16 @@
 	if until := now.Add(rest); until.After(m.AvoidUntil) {
 		m.AvoidUntil, m.Quarantined = until, true
 		c.fleet.Touch(m)
-		slog.Info("machine passed over", "host", m.ID, "for", rest.String(), "faulty", c.evidence.Faulty(m.ID))
+		slog.Info("machine passed over", "host", m.ID, "for", rest.String(), "faulty", c.evidence.MachineFaultProbability(m.ID))
 	}
 }
 
 // clearMachines takes back machines that were passed over for the failures of a job which is
 // at fault itself.
 func (c *Controller) clearMachines(j *job) {
-	for _, id := range c.evidence.Machines(j.uid) {
+	for _, id := range c.evidence.MachinesFailedOn(j.uid) {
 		m := c.fleet.Get(id)
-		if m == nil || !m.Quarantined || c.evidence.SurelyFaulty(id) {
+		if m == nil || !m.Quarantined || c.evidence.IsMachineFaulty(id) {
 			continue
 		}
 		m.AvoidUntil, m.Quarantined = time.Time{}, false
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -82,7 +82,7 @@
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
 			if i > 5 && !m.Takes(b.now) {
-				t.Fatalf("%s is passed over, faulty with %.2f", m.ID, b.c.evidence.Faulty(m.ID))
+				t.Fatalf("%s is passed over, faulty with %.2f", m.ID, b.c.evidence.MachineFaultProbability(m.ID))
 			}
 		})
 	}
@@ -113,7 +113,7 @@
 			quarantined++
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
-			if m.ID != b.faulty && b.c.evidence.SurelyFaulty(m.ID) {
+			if m.ID != b.faulty && b.c.evidence.IsMachineFaulty(m.ID) {
 				t.Errorf("%s is taken for faulty", m.ID)
 			}
 		})
@@ -143,7 +143,7 @@
 	for range 20 {
 		b.step()
 	}
-	if m := b.c.fleet.Get("m-000002"); !m.Takes(b.now) || b.c.evidence.SurelyFaulty(m.ID) || b.c.jobs[late.uid] != nil && late.done < 48 {
+	if m := b.c.fleet.Get("m-000002"); !m.Takes(b.now) || b.c.evidence.IsMachineFaulty(m.ID) || b.c.jobs[late.uid] != nil && late.done < 48 {
 		t.Errorf("a machine that has recovered takes work: %v, %d tasks are done", m.Takes(b.now), late.done)
 	}
 }
--- a/internal/controller/guarantees.go
+++ b/internal/controller/guarantees.go
@@ -20,8 +20,8 @@
 			continue
 		}
 		unfinished := float64(j.rec.Spec.TaskCount - j.done)
-		jobs = append(jobs, quota.Job{UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, AtMs: j.rec.AtMs,
+		jobs = append(jobs, quota.Job{UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, AcceptedMs: j.rec.AtMs,
 			Needs: quota.Amount{Cores: unfinished * j.need.Cores, Gpus: unfinished * j.need.Gpus}})
 	}
-	return quota.Within(quotas, jobs)
+	return quota.JobsWithinQuota(quotas, jobs)
 }
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -268,9 +268,9 @@
 	young := array("run-000101", 9, time.Minute)
 	order := func() (uids []string, waiting []int) {
 		p := c.snapshot(now, time.Second)
-		sched.Order(p.in.Jobs, 40)
+		sched.SortQueue(p.in.Jobs, 40)
 		for _, j := range p.in.Jobs {
-			uids, waiting = append(uids, j.Spec.UID), append(waiting, j.Waiting)
+			uids, waiting = append(uids, j.Spec.UID), append(waiting, j.PendingTasks)
 		}
 		return uids, waiting
 	}
--- a/internal/controller/nodes.go
+++ b/internal/controller/nodes.go
@@ -63,7 +63,7 @@
 func (c *Controller) putNode(id string, m *fleet.Machine, now time.Time) (changed bool) {
 	delete(c.nodes.timed, id)
 	if m == nil {
-		c.nodes.view.Drop(id)
+		c.nodes.view.Remove(id)
 		return false
 	}
 	if until := c.nodeChanges(m, now); !until.IsZero() {
@@ -71,9 +71,9 @@
 	}
 	node, ok := c.node(m, now)
 	if !ok {
-		return c.nodes.view.Drop(id)
+		return c.nodes.view.Remove(id)
 	}
-	return c.nodes.view.Put(&node)
+	return c.nodes.view.Upsert(&node)
 }
 
 // nodeChanges is when time alone will change a machine's node next; zero if it will not.
@@ -89,13 +89,13 @@
 
 // node is a machine as a round sees it; ok is false if it takes no launches now or soon.
 func (c *Controller) node(m *fleet.Machine, now time.Time) (n sched.Node, ok bool) {
-	n = sched.Node{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap, Price: c.price(m.Type, m.Spot)}
+	n = sched.Node{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: m.Cap, HourlyPrice: c.price(m.Type, m.Spot)}
 	switch {
 	case m.Takes(now) && m.Orphans() == 0:
 		c.fillPresent(&n, m)
 		return n, true
 	case c.comes(m, now):
-		n.Later = m.Free()
+		n.FreeAfterBoot = m.Free()
 		return n, true
 	}
 	return n, false
@@ -103,9 +103,9 @@
 
 // fillPresent fills in what a machine has and runs that takes launches.
 func (c *Controller) fillPresent(n *sched.Node, m *fleet.Machine) {
-	n.Free, n.Soon, n.Present, n.Pulling = m.Free(), m.Free(), true, m.Pulling()
+	n.Free, n.FreeAfterStops, n.Registered, n.ActiveFetches = m.Free(), m.Free(), true, m.Pulling()
 	n.Images = slices.AppendSeq(make([]string, 0, len(m.Images)), maps.Keys(m.Images))
-	n.Leaving = !m.Spot && !c.headroomMachines[m.ID]
+	n.ScaleInCandidate = !m.Spot && !c.headroomMachines[m.ID]
 	m.Each(func(a *fleet.Attempt) {
 		if !a.Live() {
 			return
@@ -115,31 +115,31 @@
 		}
 		j := c.jobs[a.UID]
 		if j != nil && !j.rec.Spec.AllowSpot {
-			n.Leaving, n.Fixed = false, true
+			n.ScaleInCandidate, n.RunsOnDemandWork = false, true
 		}
 		switch {
 		case a.Stopping || a.State == fleet.Saving:
-			n.Soon = n.Soon.Add(a.Need)
+			n.FreeAfterStops = n.FreeAfterStops.Add(a.Need)
 		case j != nil && (a.State == fleet.Running || a.State == fleet.Fetching):
 			n.Victims = append(n.Victims, victim(j, a))
 		}
 	})
-	n.Later = n.Soon
+	n.FreeAfterBoot = n.FreeAfterStops
 }
 
 // victim is an attempt as one that work of a higher level may displace. A
 // replica that has not run yet serves nobody: it can be displaced like batch,
 // and loses what it has fetched.
 func victim(j *job, a *fleet.Attempt) sched.Victim {
-	v := sched.Victim{ID: a.Serial, UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, Need: a.Need}
+	v := sched.Victim{Serial: a.Serial, JobUID: j.uid, Team: j.rec.Spec.Team, Level: j.level, Need: a.Need}
 	switch serves := j.rec.Spec.Kind == wire.Service; {
 	case !a.RunAt.IsZero():
-		v.Serve, v.Since, v.Loss = serves, a.RunAt, math.Inf(1)
+		v.IsReplica, v.LossGrowsFrom, v.MaxLossS = serves, a.RunAt, math.Inf(1)
 		if j.rec.Spec.CheckpointIntervalS > 0 {
-			v.Loss = j.rec.Spec.CheckpointOnStopS
+			v.MaxLossS = j.rec.Spec.CheckpointOnStopS
 		}
 	case serves:
-		v.Since, v.Loss = a.Since, math.Inf(1)
+		v.LossGrowsFrom, v.MaxLossS = a.Since, math.Inf(1)
 	}
 	return v
 }
--- a/internal/controller/nodes_test.go
+++ b/internal/controller/nodes_test.go
@@ -49,7 +49,7 @@
 					t.Fatalf("after %s the node of %s is out of date", what, m.ID)
 				}
 			})
-			if n := c.nodes.view.Machines(); n != present {
+			if n := c.nodes.view.MachineCount(); n != present {
 				t.Fatalf("after %s there are %d nodes of %d machines", what, n, present)
 			}
 		}
--- a/internal/controller/picture.go
+++ b/internal/controller/picture.go
@@ -20,17 +20,17 @@
 // machine is the machine that a node of the round stands for; nil for a rental that is not
 // answered yet.
 func (p *snapshot) machine(node int) *fleet.Machine {
-	if node >= p.in.View.Len() {
+	if node >= p.in.View.SlotCount() {
 		return nil
 	}
-	return p.c.fleet.Get(p.in.View.ID(node))
+	return p.c.fleet.Get(p.in.View.MachineID(node))
 }
 
 // victim is the attempt that a round stops; nil if there is none.
-func (p *snapshot) victim(s sched.Stop) (found *fleet.Attempt) {
+func (p *snapshot) victim(s sched.Preemption) (found *fleet.Attempt) {
 	if m := p.machine(s.Node); m != nil {
 		m.Each(func(a *fleet.Attempt) {
-			if a.Serial == s.ID {
+			if a.Serial == s.Serial {
 				found = a
 			}
 		})
@@ -41,7 +41,7 @@
 // snapshot makes the snapshot of a round.
 func (c *Controller) snapshot(now time.Time, interval time.Duration) *snapshot {
 	c.refreshNodes(now)
-	in := &sched.Input{Now: now, View: c.nodes.view, Window: c.window, ReserveS: 10 * interval.Seconds(), Priorities: sched.DefaultPriorities, Teams: map[string]*sched.Team{}}
+	in := &sched.Input{Now: now, View: c.nodes.view, Window: c.window, ReserveAfterS: 10 * interval.Seconds(), PriorityWeights: sched.DefaultPriorityWeights, Teams: map[string]*sched.Team{}}
 	for _, t := range c.Config.Cluster.Teams {
 		team := &sched.Team{}
 		team.Limit.Cores, team.Limit.Gpus = t.CpusMax, t.GpusMax
@@ -49,7 +49,7 @@
 		in.Teams[t.Name] = team
 	}
 	in.WithinQuota = c.withinQuotas()
-	in.VictimsBelow = 1 // nothing is displaced while nothing waits
+	in.PreemptOnlyBelow = 1 // nothing is displaced while nothing waits
 	for _, j := range c.jobs {
 		if t := in.Teams[j.rec.Spec.Team]; t != nil {
 			t.Used.Cores += float64(j.live) * j.need.Cores
@@ -61,13 +61,13 @@
 			}
 		}
 		if sj := c.waitingJob(j, in.WithinQuota[j.uid], now); sj != nil {
-			in.VictimsBelow = max(in.VictimsBelow, sj.Level)
+			in.PreemptOnlyBelow = max(in.PreemptOnlyBelow, sj.Level)
 			if c.overdueToBegin(j, now) {
 				// It begins; the rest of its tasks wait their turn.
 				first := *sj
-				first.First, first.Waiting = true, 1
+				first.FirstTaskOverdue, first.PendingTasks = true, 1
 				in.Jobs = append(in.Jobs, &first)
-				if sj.Waiting--; sj.Waiting == 0 {
+				if sj.PendingTasks--; sj.PendingTasks == 0 {
 					continue
 				}
 			}
@@ -84,7 +84,7 @@
 	for _, r := range c.pendingRequests {
 		room := provision.Capacity(c.machineType(r.req.MachineType))
 		n := sched.Node{ID: r.req.RequestID, Type: r.req.MachineType, Zone: r.req.Zone, Spot: r.req.Spot,
-			Cap: room, Later: room, Price: c.price(r.req.MachineType, r.req.Spot)}
+			Capacity: room, FreeAfterBoot: room, HourlyPrice: c.price(r.req.MachineType, r.req.Spot)}
 		for range r.req.Count {
 			nodes = append(nodes, n)
 		}
@@ -117,14 +117,14 @@
 	if !known {
 		return nil // a zone that a task may be in is not known yet
 	}
-	sj := &sched.Job{Spec: spec, WithinQuota: withinQuota, Level: c.levelNow(j, now), AtMs: j.fromMs, Waiting: waiting, Live: j.live, ByZone: byZone,
-		WaitedS: now.Sub(j.waitFrom).Seconds(), SlackS: c.slackS(spec), LaxS: c.laxS(j, now), Avoid: c.avoids(j, now)}
+	sj := &sched.Job{Spec: spec, WithinQuota: withinQuota, Level: c.levelNow(j, now), QueuedSinceMs: j.fromMs, PendingTasks: waiting, LiveAttempts: j.live, LiveByZone: byZone,
+		WaitedS: now.Sub(j.waitFrom).Seconds(), StartSlackS: c.slackS(spec), LaxityS: c.laxS(j, now), AvoidedMachine: c.avoids(j, now)}
 	// What a service has lost is down until it has its image again.
-	sj.Fetch = sj.SlackS < 0 || j.failedAttempts > 0 && spec.Kind == wire.Service
-	sj.Dear = spec.AllowSpot && c.spotSpent(spec, now)
+	sj.FetchDelaysStart = sj.StartSlackS < 0 || j.failedAttempts > 0 && spec.Kind == wire.Service
+	sj.SpotUnavailable = spec.AllowSpot && c.spotSpent(spec, now)
 	boot := c.bootS(spec)
 	sj.WaitedPastBoot = sj.WaitedS > boot
-	sj.Overdue = sj.WaitedPastBoot || sj.LaxS < boot
+	sj.CannotAwaitBoot = sj.WaitedPastBoot || sj.LaxityS < boot
 	return sj
 }
 
@@ -186,7 +186,7 @@
 			continue
 		}
 		for _, zone := range r.Zones {
-			if sched.Allowed(w, r.Name, zone, true) && !now.Before(c.refused[provision.MachineGroup{Type: r.Name, Zone: zone, Spot: true}].until) {
+			if sched.IsEligible(w, r.Name, zone, true) && !now.Before(c.refused[provision.MachineGroup{Type: r.Name, Zone: zone, Spot: true}].until) {
 				return false
 			}
 		}
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -52,7 +52,7 @@
 	c.lastAt = now
 	p := c.snapshot(now, interval)
 	plan := sched.Run(p.in)
-	info := wire.RoundStatus{Waiting: len(p.in.Jobs), Objective: plan.Objective, Reserved: plan.Reserved, Short: len(plan.Shorts)}
+	info := wire.RoundStatus{Waiting: len(p.in.Jobs), Objective: plan.Objective, Reserved: plan.ReservedFor, Short: len(plan.Shortfalls)}
 	took := c.now().Sub(now)
 	info.TookMs = float64(took.Microseconds()) / 1000
 	c.Rounded(took)
@@ -70,14 +70,14 @@
 	}
 	c.window = min(c.window, most)
 	info.Started = c.start(plan, p, now)
-	info.Stopped = len(plan.Stops)
-	for _, s := range plan.Stops {
+	info.Stopped = len(plan.Preemptions)
+	for _, s := range plan.Preemptions {
 		a := p.victim(s)
 		if a == nil {
 			continue
 		}
 		gracePeriod := 0.0
-		if v := c.jobs[a.UID].rec.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.SlackS {
+		if v := c.jobs[a.UID].rec.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.StartSlackS {
 			gracePeriod = v.CheckpointOnStopS + c.Config.Cluster.Workers.ReportS
 		}
 		slog.Info("preempted", "leg", a.Name(), "host", a.Machine.ID)
@@ -87,8 +87,8 @@
 	c.noteDecision(c.now())
 	c.stopIdleViews(now)
 	if info.Waiting > 0 {
-		slog.Info("round", "term", c.term, "window", plan.Window, "waiting", info.Waiting, "started", info.Started,
-			"stopped", info.Stopped, "short", info.Short, "objective", math.Round(plan.Objective*100)/100, "reserved", plan.Reserved, "ms", info.TookMs)
+		slog.Info("round", "term", c.term, "window", plan.JobsConsidered, "waiting", info.Waiting, "started", info.Started,
+			"stopped", info.Stopped, "short", info.Short, "objective", math.Round(plan.Objective*100)/100, "reserved", plan.ReservedFor, "ms", info.TookMs)
 	}
 	return c.provision(p, plan, now)
 }
@@ -101,7 +101,7 @@
 // has, ended ones that it has not been told to reap included: a worker whose report does not
 // fit a body is answered by nobody, and its lease ends with all its tasks. Of an array as many start
 // as fit; a gang starts whole or not at all.
-func reportableTasks(m *fleet.Machine, place sched.Place) int {
+func reportableTasks(m *fleet.Machine, place sched.Placement) int {
 	room := max(0, maxTasks-m.AttemptCount())
 	if place.Job.Spec.Kind == wire.Gang && place.Count > room {
 		return 0
@@ -127,7 +127,7 @@
 		}
 	}
 	started := 0
-	for _, pl := range plan.Places {
+	for _, pl := range plan.Placements {
 		j := c.jobs[pl.Job.Spec.UID]
 		m := snapshot.machine(pl.Node)
 		if m == nil || budget <= 0 && !j.writes(now) {
--- a/internal/controller/spare.go
+++ b/internal/controller/spare.go
@@ -63,7 +63,7 @@
 		spec.UID, spec.TaskCount, spec.Kind, spec.SingleZone, spec.SpreadZones = "", 1, wire.JobArray, false, false
 		fetch := c.slackS(a.spec) < 0
 		for i := range n {
-			jobs = append(jobs, &sched.Job{Spec: &spec, Level: a.level, AtMs: int64(i), Waiting: 1, ByZone: map[string]int{}, Fetch: fetch})
+			jobs = append(jobs, &sched.Job{Spec: &spec, Level: a.level, QueuedSinceMs: int64(i), PendingTasks: 1, LiveByZone: map[string]int{}, FetchDelaysStart: fetch})
 		}
 	}
 	return jobs
@@ -80,7 +80,7 @@
 	}
 	population := map[string]int{}
 	c.fleet.Each(func(m *fleet.Machine) { population[m.Zone]++ })
-	shorts := append(append([]sched.Short{}, plan.Shorts...), headroom.Shorts...)
+	shorts := append(append([]sched.Shortfall{}, plan.Shortfalls...), headroom.Shortfalls...)
 	provisionRequests := provision.Plan(c.catalog, provision.Demand{Shorts: shorts, Population: population, Calls: c.provisionCalls(),
 		Refused: func(g provision.MachineGroup) bool { return now.Before(c.refused[g].until) }})
 	var out []*provisionRequest
@@ -88,7 +88,7 @@
 		out = append(out, c.book(r))
 	}
 	if settled {
-		c.idle(plan.Shorts, now)
+		c.idle(plan.Shortfalls, now)
 	}
 	return out
 }
@@ -96,8 +96,8 @@
 // planHeadroom plans for the work that must start at once when it comes, with the room that a
 // round has left, and keeps the machines that it would use.
 func (c *Controller) planHeadroom(p *snapshot, plan *sched.Plan, now time.Time) *sched.Plan {
-	in := &sched.Input{Now: now, View: p.in.View, Nodes: p.in.Nodes, After: plan, VictimsBelow: p.in.VictimsBelow,
-		Window: math.MaxInt, ReserveS: math.Inf(1), Jobs: c.headroom(now), Teams: map[string]*sched.Team{}}
+	in := &sched.Input{Now: now, View: p.in.View, Nodes: p.in.Nodes, Previous: plan, PreemptOnlyBelow: p.in.PreemptOnlyBelow,
+		Window: math.MaxInt, ReserveAfterS: math.Inf(1), Jobs: c.headroom(now), Teams: map[string]*sched.Team{}}
 	for name := range p.in.Teams {
 		in.Teams[name] = &sched.Team{}
 	}
@@ -105,7 +105,7 @@
 	if len(in.Jobs) > 0 {
 		headroom = sched.Run(in)
 	}
-	for _, place := range headroom.Places {
+	for _, place := range headroom.Placements {
 		if m := p.machine(place.Node); m != nil {
 			retained[m.ID] = true
 		}
@@ -135,12 +135,12 @@
 // not kept as spare room, the dearest first. A part of them at a time: the next
 // round sees what is left. It is a part and not a number, or what a large fleet
 // no longer needs stays for minutes: one machine a round left 250 of 450 idle.
-func (c *Controller) idle(shorts []sched.Short, now time.Time) {
+func (c *Controller) idle(shorts []sched.Shortfall, now time.Time) {
 	// Machines that what waits cannot use are returned even while work waits:
 	// else they could hold the last capacity that the cloud has, for ever.
 	wanted := func(m *fleet.Machine) bool {
-		return slices.ContainsFunc(shorts, func(s sched.Short) bool {
-			return sched.Allowed(s.Job.Spec, m.Type, m.Zone, m.Spot) && m.Cap.Holds(fleet.Need(s.Job.Spec))
+		return slices.ContainsFunc(shorts, func(s sched.Shortfall) bool {
+			return sched.IsEligible(s.Job.Spec, m.Type, m.Zone, m.Spot) && m.Cap.Holds(fleet.Need(s.Job.Spec))
 		})
 	}
 	var idle []*fleet.Machine
--- a/internal/controller/writer.go
+++ b/internal/controller/writer.go
@@ -123,7 +123,7 @@
 func (c *Controller) batch(jobs []*job, now time.Time, ops int) *batch {
 	b := &batch{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
 	// Ends that others wait for go first: they hold up whole pipelines.
-	holdsUp := func(j *job) bool { return c.over(j) && c.graph.Awaited(j.uid) }
+	holdsUp := func(j *job) bool { return c.over(j) && c.graph.HasOpenDependents(j.uid) }
 	slices.SortFunc(jobs, func(x, y *job) int {
 		if holds := holdsUp(x); holds != holdsUp(y) {
 			if holds {
--- a/internal/faultattribution/evidence.go
+++ b/internal/faultattribution/evidence.go
@@ -74,9 +74,9 @@
 	return &Evidence{keep: keep, failures: map[pair]*failure{}, jobs: map[string]*party{}, machines: map[string]*party{}}
 }
 
-// Failed notes that a task of a job failed on a machine. works tells whether the job has
+// RecordFailure notes that a task of a job failed on a machine. works tells whether the job has
 // completed other tasks.
-func (e *Evidence) Failed(job, machine string, succeeds bool, now time.Time) {
+func (e *Evidence) RecordFailure(job, machine string, succeeds bool, now time.Time) {
 	e.forgetOld(now)
 	key := pair{job, machine}
 	f := e.failures[key]
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// Completed notes that a task of a job completed on a machine.
-func (e *Evidence) Completed(job, machine string) {
+// RecordSuccess notes that a task of a job completed on a machine.
+func (e *Evidence) RecordSuccess(job, machine string) {
 	if p := e.jobs[job]; p != nil {
 		p.prior = logOdds(priorIfSucceeds)
 		e.stale = true
@@ -166,20 +166,26 @@
 // Len is how many pairs of a job and a machine are known.
 func (e *Evidence) Len() int { return len(e.failures) }
 
-// Mistaken is the probability that a job was submitted with a mistake.
-func (e *Evidence) Mistaken(job string) float64 { return e.belief(e.jobs, job, priorMistaken) }
+// JobFaultProbability is the probability that a job was submitted with a mistake.
+func (e *Evidence) JobFaultProbability(job string) float64 {
+	return e.belief(e.jobs, job, priorMistaken)
+}
 
-// Faulty is the probability that a machine is faulty.
-func (e *Evidence) Faulty(machine string) float64 { return e.belief(e.machines, machine, priorFaulty) }
+// MachineFaultProbability is the probability that a machine is faulty.
+func (e *Evidence) MachineFaultProbability(machine string) float64 {
+	return e.belief(e.machines, machine, priorFaulty)
+}
 
-// SurelyMistaken reports whether a job is to be held back.
-func (e *Evidence) SurelyMistaken(job string) bool { return e.Mistaken(job) >= surely }
+// IsJobFaulty reports whether a job is to be held back.
+func (e *Evidence) IsJobFaulty(job string) bool { return e.JobFaultProbability(job) >= surely }
 
-// SurelyFaulty reports whether a machine is to be passed over.
-func (e *Evidence) SurelyFaulty(machine string) bool { return e.Faulty(machine) >= surely }
+// IsMachineFaulty reports whether a machine is to be passed over.
+func (e *Evidence) IsMachineFaulty(machine string) bool {
+	return e.MachineFaultProbability(machine) >= surely
+}
 
-// Machines lists the machines that a job failed on, in order of their names.
-func (e *Evidence) Machines(job string) []string {
+// MachinesFailedOn lists the machines that a job failed on, in order of their names.
+func (e *Evidence) MachinesFailedOn(job string) []string {
 	return slices.Sorted(maps.Keys(failuresOf(e.jobs, job)))
 }
 
--- a/internal/faultattribution/evidence_test.go
+++ b/internal/faultattribution/evidence_test.go
@@ -18,23 +18,23 @@
 func TestTwoFailuresTell(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := New(keep)
-	e.Failed("job", "m1", false, now)
-	if e.SurelyMistaken("job") || e.SurelyFaulty("m1") {
-		t.Errorf("after one failure: job %.2f, machine %.2f", e.Mistaken("job"), e.Faulty("m1"))
+	e.RecordFailure("job", "m1", false, now)
+	if e.IsJobFaulty("job") || e.IsMachineFaulty("m1") {
+		t.Errorf("after one failure: job %.2f, machine %.2f", e.JobFaultProbability("job"), e.MachineFaultProbability("m1"))
 	}
-	e.Failed("job", "m2", false, now)
-	if !e.SurelyMistaken("job") || e.Faulty("m1") > 0.1 || e.Faulty("m2") > 0.1 {
-		t.Errorf("on two machines: job %.2f, machines %.2f %.2f", e.Mistaken("job"), e.Faulty("m1"), e.Faulty("m2"))
+	e.RecordFailure("job", "m2", false, now)
+	if !e.IsJobFaulty("job") || e.MachineFaultProbability("m1") > 0.1 || e.MachineFaultProbability("m2") > 0.1 {
+		t.Errorf("on two machines: job %.2f, machines %.2f %.2f", e.JobFaultProbability("job"), e.MachineFaultProbability("m1"), e.MachineFaultProbability("m2"))
 	}
 	e = New(keep)
-	e.Failed("a", "m1", false, now)
-	e.Failed("b", "m1", false, now)
-	if !e.SurelyFaulty("m1") || e.Mistaken("a") > 0.5 || e.Mistaken("b") > 0.5 {
-		t.Errorf("two jobs: machine %.2f, jobs %.2f %.2f", e.Faulty("m1"), e.Mistaken("a"), e.Mistaken("b"))
+	e.RecordFailure("a", "m1", false, now)
+	e.RecordFailure("b", "m1", false, now)
+	if !e.IsMachineFaulty("m1") || e.JobFaultProbability("a") > 0.5 || e.JobFaultProbability("b") > 0.5 {
+		t.Errorf("two jobs: machine %.2f, jobs %.2f %.2f", e.MachineFaultProbability("m1"), e.JobFaultProbability("a"), e.JobFaultProbability("b"))
 	}
-	e.Completed("c", "m1")
-	if e.SurelyFaulty("m1") {
-		t.Errorf("a machine that has recovered: %.2f", e.Faulty("m1"))
+	e.RecordSuccess("c", "m1")
+	if e.IsMachineFaulty("m1") {
+		t.Errorf("a machine that has recovered: %.2f", e.MachineFaultProbability("m1"))
 	}
 }
 
@@ -62,11 +62,11 @@
 			now = now.Add(100 * time.Millisecond)
 			job, machine := fmt.Sprintf("job-%d", rapid.IntRange(0, jobs-1).Draw(t, "job")), fmt.Sprintf("m-%d", rapid.IntRange(0, machines-1).Draw(t, "machine"))
 			if !mistaken[job] && !faulty[machine] {
-				e.Completed(job, machine)
+				e.RecordSuccess(job, machine)
 				delete(met, machine)
 				continue
 			}
-			if e.Failed(job, machine, false, now); mistaken[job] && !faulty[machine] {
+			if e.RecordFailure(job, machine, false, now); mistaken[job] && !faulty[machine] {
 				meet(job, machine)
 			}
 			if faulty[machine] && !mistaken[job] {
@@ -77,17 +77,17 @@
 		// what they do at somebody else's door: nobody is wronged while there is but one.
 		for i := range jobs {
 			job := fmt.Sprintf("job-%d", i)
-			if e.SurelyMistaken(job) && !mistaken[job] && len(faulty) < 2 {
-				t.Fatalf("%s is taken for mistaken: %.3f", job, e.Mistaken(job))
+			if e.IsJobFaulty(job) && !mistaken[job] && len(faulty) < 2 {
+				t.Fatalf("%s is taken for mistaken: %.3f", job, e.JobFaultProbability(job))
 			}
-			if mistaken[job] && len(met[job]) >= 4 && !e.SurelyMistaken(job) {
-				t.Fatalf("%s failed on %d machines, and is mistaken with %.3f", job, len(met[job]), e.Mistaken(job))
+			if mistaken[job] && len(met[job]) >= 4 && !e.IsJobFaulty(job) {
+				t.Fatalf("%s failed on %d machines, and is mistaken with %.3f", job, len(met[job]), e.JobFaultProbability(job))
 			}
 		}
 		for i := range machines {
 			machine := fmt.Sprintf("m-%d", i)
-			if e.SurelyFaulty(machine) && !faulty[machine] && len(mistaken) < 2 {
-				t.Fatalf("%s is taken for faulty: %.3f", machine, e.Faulty(machine))
+			if e.IsMachineFaulty(machine) && !faulty[machine] && len(mistaken) < 2 {
+				t.Fatalf("%s is taken for faulty: %.3f", machine, e.MachineFaultProbability(machine))
 			}
 		}
 	})
@@ -98,12 +98,12 @@
 	e, now := New(keep), time.Unix(1000, 0)
 	for i := range 2 * mostFailures {
 		now = now.Add(time.Millisecond)
-		e.Failed(fmt.Sprintf("job-%d", i), fmt.Sprintf("m-%d", i%100), false, now)
+		e.RecordFailure(fmt.Sprintf("job-%d", i), fmt.Sprintf("m-%d", i%100), false, now)
 	}
 	if e.Len() > mostFailures {
 		t.Errorf("%d failures are kept", e.Len())
 	}
-	e.Failed("job", "m", false, now.Add(2*keep))
+	e.RecordFailure("job", "m", false, now.Add(2*keep))
 	if e.Len() != 1 || len(e.jobs) != 1 || len(e.machines) != 1 {
 		t.Errorf("%d failures are left after a long time", e.Len())
 	}
@@ -117,7 +117,7 @@
 func BenchmarkPropagate(b *testing.B) {
 	e, now := New(keep), time.Unix(1000, 0)
 	for i := range mostFailures {
-		e.Failed(fmt.Sprintf("job-%d", i%40), fmt.Sprintf("m-%d", i%101), false, now)
+		e.RecordFailure(fmt.Sprintf("job-%d", i%40), fmt.Sprintf("m-%d", i%101), false, now)
 	}
 	for b.Loop() {
 		e.stale = true
--- a/internal/jobdag/graph.go
+++ b/internal/jobdag/graph.go
@@ -29,10 +29,10 @@
 
 // Job is what the graph needs to know of a job.
 type Job struct {
-	Dependencies []string // the jobs that have to be done first
-	Level        int      // its own priority
-	DueMs        float64  // its own due time; +Inf if it has none
-	RunMs        float64  // how long it is expected to take once nothing holds it up
+	Dependencies  []string // the jobs that have to be done first
+	Level         int      // its own priority
+	DueMs         float64  // its own due time; +Inf if it has none
+	ExpectedRunMs float64  // how long it is expected to take once nothing holds it up
 }
 
 // Effects is what a change of the graph means for other jobs.
@@ -70,7 +70,7 @@
 	var effects Effects
 	n := g.nodes[uid]
 	if n == nil {
-		n = g.make(uid)
+		n = g.newNode(uid)
 	} else if n.state != Unresolved {
 		return effects
 	}
@@ -79,7 +79,7 @@
 	for _, name := range job.Dependencies {
 		predecessor := g.nodes[name]
 		if predecessor == nil {
-			predecessor = g.make(name)
+			predecessor = g.newNode(name)
 			g.unresolved[name] = predecessor
 		}
 		predecessor.successors[uid] = n
@@ -89,7 +89,7 @@
 		}
 	}
 	if slices.ContainsFunc(n.predecessors, func(p *node) bool { return p.state == Cancelled }) {
-		g.set(n, Cancelled, &effects)
+		g.transition(n, Cancelled, &effects)
 		effects.Cancelled = append(effects.Cancelled, uid)
 	}
 	g.updateUrgency(n, &effects)
@@ -100,8 +100,8 @@
 	return effects
 }
 
-// make adds a node of which nothing is known yet.
-func (g *Graph) make(uid string) *node {
+// newNode adds a node of which nothing is known yet.
+func (g *Graph) newNode(uid string) *node {
 	n := &node{uid: uid, archived: true, successors: map[string]*node{}, dueMs: math.Inf(1)}
 	n.DueMs = math.Inf(1)
 	g.nodes[uid] = n
@@ -113,13 +113,13 @@
 func (g *Graph) Finish(uid string, state State) Effects {
 	var effects Effects
 	if n := g.nodes[uid]; n != nil && state.Final() {
-		g.set(n, state, &effects)
+		g.transition(n, state, &effects)
 	}
 	return effects
 }
 
 // set is the one function that changes a job's state.
-func (g *Graph) set(n *node, to State, effects *Effects) {
+func (g *Graph) transition(n *node, to State, effects *Effects) {
 	if n.state == to || n.state.Final() {
 		return
 	}
@@ -135,7 +135,7 @@
 				effects.Released = append(effects.Released, successor.uid)
 			}
 		case Cancelled:
-			g.set(successor, Cancelled, effects)
+			g.transition(successor, Cancelled, effects)
 			effects.Cancelled = append(effects.Cancelled, successor.uid)
 		}
 	}
@@ -153,7 +153,7 @@
 			continue
 		}
 		level = max(level, successor.level)
-		dueMs = min(dueMs, successor.dueMs-successor.RunMs)
+		dueMs = min(dueMs, successor.dueMs-successor.ExpectedRunMs)
 	}
 	if level == n.level && dueMs == n.dueMs {
 		return
@@ -180,11 +180,11 @@
 		n.state = Unresolved
 		g.unresolved[uid] = n
 	}
-	g.drop(n)
+	g.removeIfUnused(n)
 }
 
-// drop forgets an archived job that no other names any more.
-func (g *Graph) drop(n *node) {
+// removeIfUnused forgets an archived job that no other names any more.
+func (g *Graph) removeIfUnused(n *node) {
 	if !n.archived || len(n.successors) > 0 {
 		return
 	}
@@ -192,7 +192,7 @@
 	delete(g.unresolved, n.uid)
 	for _, predecessor := range n.predecessors {
 		delete(predecessor.successors, n.uid)
-		g.drop(predecessor)
+		g.removeIfUnused(predecessor)
 	}
 }
 
@@ -210,8 +210,8 @@
 	return n != nil && n.state == Open && n.pending == 0
 }
 
-// Awaited reports whether an open job waits for this one.
-func (g *Graph) Awaited(uid string) bool {
+// HasOpenDependents reports whether an open job waits for this one.
+func (g *Graph) HasOpenDependents(uid string) bool {
 	n := g.nodes[uid]
 	if n == nil {
 		return false
--- a/internal/jobdag/graph_test.go
+++ b/internal/jobdag/graph_test.go
@@ -46,7 +46,7 @@
 	for _, other := range m.order {
 		if m.state(other) == Open && slices.Contains(m.jobs[other].Dependencies, uid) {
 			otherLevel, otherDueMs := m.urgency(other)
-			level, dueMs = max(level, otherLevel), min(dueMs, otherDueMs-m.jobs[other].RunMs)
+			level, dueMs = max(level, otherLevel), min(dueMs, otherDueMs-m.jobs[other].ExpectedRunMs)
 		}
 	}
 	return level, dueMs
@@ -92,7 +92,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0, 1:
 				uid := fmt.Sprintf("j%d", step)
-				job := Job{Level: rapid.IntRange(1, 4).Draw(t, "level"), DueMs: math.Inf(1), RunMs: float64(rapid.IntRange(0, 50).Draw(t, "run"))}
+				job := Job{Level: rapid.IntRange(1, 4).Draw(t, "level"), DueMs: math.Inf(1), ExpectedRunMs: float64(rapid.IntRange(0, 50).Draw(t, "run"))}
 				if rapid.Bool().Draw(t, "due") {
 					job.DueMs = float64(rapid.IntRange(0, 1000).Draw(t, "dueMs"))
 				}
@@ -184,10 +184,10 @@
 	g := New()
 	g.Add("j0", Job{Level: 1, DueMs: math.Inf(1)})
 	for i := 1; i < size; i++ {
-		g.Add(fmt.Sprintf("j%d", i), Job{Dependencies: []string{fmt.Sprintf("j%d", i-1)}, Level: 1, DueMs: math.Inf(1), RunMs: 1})
+		g.Add(fmt.Sprintf("j%d", i), Job{Dependencies: []string{fmt.Sprintf("j%d", i-1)}, Level: 1, DueMs: math.Inf(1), ExpectedRunMs: 1})
 		g.Add(fmt.Sprintf("fan%d", i), Job{Dependencies: []string{"j0"}, Level: 1, DueMs: math.Inf(1)})
 	}
-	g.Add("last", Job{Dependencies: []string{fmt.Sprintf("j%d", size-1)}, Level: 4, DueMs: 10000, RunMs: 1})
+	g.Add("last", Job{Dependencies: []string{fmt.Sprintf("j%d", size-1)}, Level: 4, DueMs: 10000, ExpectedRunMs: 1})
 	if level, dueMs := g.Urgency("j0"); level != 4 || dueMs != 10000-size {
 		t.Errorf("the first of a chain has level %d and due time %v", level, dueMs)
 	}
@@ -203,9 +203,9 @@
 // first, whichever of them is known first.
 func TestUrgencyReachesTheFirstInAnyOrder(t *testing.T) {
 	jobs := map[string]Job{
-		"first":  {Level: 1, DueMs: math.Inf(1), RunMs: 10},
-		"middle": {Dependencies: []string{"first"}, Level: 1, DueMs: math.Inf(1), RunMs: 20},
-		"last":   {Dependencies: []string{"middle"}, Level: 3, DueMs: 100, RunMs: 30},
+		"first":  {Level: 1, DueMs: math.Inf(1), ExpectedRunMs: 10},
+		"middle": {Dependencies: []string{"first"}, Level: 1, DueMs: math.Inf(1), ExpectedRunMs: 20},
+		"last":   {Dependencies: []string{"middle"}, Level: 3, DueMs: 100, ExpectedRunMs: 30},
 	}
 	for _, order := range [][]string{{"first", "middle", "last"}, {"last", "first", "middle"}, {"first", "last", "middle"}, {"last", "middle", "first"}} {
 		g := New()
--- a/internal/provision/provision.go
+++ b/internal/provision/provision.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		for _, y := range r.Zones {
-			if sched.Allowed(w, r.Name, y, false) {
+			if sched.IsEligible(w, r.Name, y, false) {
 				return true
 			}
 		}
@@ -54,7 +54,7 @@
 
 // Demand is what is to be rented for, and what bounds it.
 type Demand struct {
-	Shorts     []sched.Short
+	Shorts     []sched.Shortfall
 	Population map[string]int          // machines of each zone
 	Refused    func(MachineGroup) bool // groups that are passed over
 	// Calls is how many rentals may be asked for at once, of wire.MaxProvision machines each at
@@ -119,7 +119,7 @@
 }
 
 // leastNeed is the least of each resource that any task that is short needs.
-func leastNeed(shorts []sched.Short) fleet.Res {
+func leastNeed(shorts []sched.Shortfall) fleet.Res {
 	least := fleet.Res{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
 	for _, s := range shorts {
 		n := fleet.Need(s.Job.Spec)
@@ -131,16 +131,16 @@
 // pack finds room for what a job is short of, in machines of the packing or new ones. Bins
 // that are full are passed over for good: at thousands of tasks, looking at each bin for each
 // task took longer than a round may.
-func (p *packing) pack(s sched.Short) {
+func (p *packing) pack(s sched.Shortfall) {
 	need := fleet.Need(s.Job.Spec)
-	zones := maps.Clone(s.Job.ByZone)
+	zones := maps.Clone(s.Job.LiveByZone)
 	if zones == nil {
 		zones = map[string]int{}
 	}
 	left := s.Count
 	p.open = slices.DeleteFunc(p.open, func(i int) bool {
 		b := &p.bins[i]
-		for left > 0 && b.room.Holds(need) && sched.Allowed(s.Job.Spec, b.group.Type, b.group.Zone, b.group.Spot) && zoneOK(s.Job, zones, b.group.Zone) {
+		for left > 0 && b.room.Holds(need) && sched.IsEligible(s.Job.Spec, b.group.Type, b.group.Zone, b.group.Spot) && zoneOK(s.Job, zones, b.group.Zone) {
 			b.room = b.room.Sub(need)
 			zones[b.group.Zone]++
 			left--
@@ -205,10 +205,10 @@
 			}
 			for _, spot := range []bool{true, false} {
 				g := MachineGroup{r.Name, y, spot}
-				if !sched.Allowed(j.Spec, r.Name, y, spot) || refused(g) {
+				if !sched.IsEligible(j.Spec, r.Name, y, spot) || refused(g) {
 					continue
 				}
-				if j.Spec.AllowSpot && !spot && !j.WaitedPastBoot && !j.Dear {
+				if j.Spec.AllowSpot && !spot && !j.WaitedPastBoot && !j.SpotUnavailable {
 					continue // spot machines are many times cheaper: worth a wait
 				}
 				price := r.Hourly
--- a/internal/provision/provision_test.go
+++ b/internal/provision/provision_test.go
@@ -15,10 +15,10 @@
 func TestDeadFleetIsProvisionedAgain(t *testing.T) {
 	cat := &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 96, Gpus: 8, RAMGb: 576, Hourly: 20, SpotHourly: 5, Zones: []string{"a", "b", "c", "d"}}}}
 	for _, machines := range []int{4096, 6000} {
-		var shorts []sched.Short
+		var shorts []sched.Shortfall
 		for i := range machines {
 			w := &wire.JobSpec{UID: fmt.Sprintf("run-%06d", i), TaskCount: 8, Cores: float64(8 + i%5), Gpus: 1, RAMGb: 40}
-			shorts = append(shorts, sched.Short{Job: &sched.Job{Spec: w}, Count: 8})
+			shorts = append(shorts, sched.Shortfall{Job: &sched.Job{Spec: w}, Count: 8})
 		}
 		const calls = 10
 		population, provisioned, began := map[string]int{}, 0, time.Now()
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -23,11 +23,11 @@
 		total := map[string]Amount{}
 		for i := range rapid.IntRange(0, 25).Draw(t, "jobs") {
 			j := Job{UID: fmt.Sprint(i), Team: rapid.SampledFrom([]string{"a", "b", "guest"}).Draw(t, "team"), Level: rapid.IntRange(1, 4).Draw(t, "level"),
-				AtMs: int64(rapid.IntRange(0, 9).Draw(t, "at")), Needs: Amount{float64(rapid.IntRange(1, 9).Draw(t, "needs")), float64(rapid.IntRange(0, 3).Draw(t, "needsGpus"))}}
+				AcceptedMs: int64(rapid.IntRange(0, 9).Draw(t, "at")), Needs: Amount{float64(rapid.IntRange(1, 9).Draw(t, "needs")), float64(rapid.IntRange(0, 3).Draw(t, "needsGpus"))}}
 			jobs = append(jobs, j)
 			total[j.Team] = Amount{total[j.Team].Cores + j.Needs.Cores, total[j.Team].Gpus + j.Needs.Gpus}
 		}
-		within := Within(quotas, jobs)
+		within := JobsWithinQuota(quotas, jobs)
 		used := map[string]Amount{}
 		for _, j := range jobs {
 			if within[j.UID] {
@@ -38,7 +38,7 @@
 			t.Fatalf("a team without a guarantee has %v within", used["guest"])
 		}
 		for team, amount := range used {
-			if !amount.within(quotas[team]) {
+			if !amount.fitsIn(quotas[team]) {
 				t.Fatalf("%v of %s is within %v", amount, team, quotas[team])
 			}
 		}
@@ -46,17 +46,17 @@
 			if within[j.UID] || j.Team == "guest" {
 				continue
 			}
-			if total[j.Team].within(quotas[j.Team]) && quotas[j.Team] != (Amount{}) {
+			if total[j.Team].fitsIn(quotas[j.Team]) && quotas[j.Team] != (Amount{}) {
 				t.Fatalf("%v is not within, though all of %s fits", j, j.Team)
 			}
 			// With all that goes before it, it does not fit.
 			before := j.Needs
 			for _, o := range jobs {
-				if within[o.UID] && o.Team == j.Team && (o.Level > j.Level || o.Level == j.Level && o.AtMs <= j.AtMs) {
+				if within[o.UID] && o.Team == j.Team && (o.Level > j.Level || o.Level == j.Level && o.AcceptedMs <= j.AcceptedMs) {
 					before = Amount{before.Cores + o.Needs.Cores, before.Gpus + o.Needs.Gpus}
 				}
 			}
-			if before.within(quotas[j.Team]) {
+			if before.fitsIn(quotas[j.Team]) {
 				t.Fatalf("%v is left out for one that comes later", j)
 			}
 		}
--- a/internal/sched/bounds.go
+++ b/internal/sched/bounds.go
@@ -34,8 +34,8 @@
 	r.job = j
 	r.holders = r.view.images[s.Image]
 	r.imageKnown = r.holders != nil || len(r.in.Nodes) > 0
-	r.bounded = !s.SingleZone && !s.SpreadZones && j.Avoid == ""
-	r.jobBound = bound{need: fleet.Need(s), types: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.Overdue, waitedPastBoot: j.WaitedPastBoot, dear: j.Dear}
+	r.bounded = !s.SingleZone && !s.SpreadZones && j.AvoidedMachine == ""
+	r.jobBound = bound{need: fleet.Need(s), types: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.CannotAwaitBoot, waitedPastBoot: j.WaitedPastBoot, dear: j.SpotUnavailable}
 }
 
 // boundIn names the kind of the job that is looked at, in a layer.
@@ -57,5 +57,5 @@
 		return false
 	}
 	most, known := r.bounds[b]
-	return known && (most == 0 || whole(j) && most < j.Waiting)
+	return known && (most == 0 || whole(j) && most < j.PendingTasks)
 }
--- a/internal/sched/classes.go
+++ b/internal/sched/classes.go
@@ -62,7 +62,7 @@
 
 // takeNodes takes the nodes of the input into the round.
 func (r *round) takeNodes() {
-	view, n := r.view, r.view.Len()+len(r.in.Nodes)
+	view, n := r.view, r.view.SlotCount()+len(r.in.Nodes)
 	m := &view.memory
 	m.kind, m.pulling, m.class, m.reserved = resized(m.kind, n), resized(m.pulling, n), resized(m.class, n), resized(m.reserved, n)
 	m.room[now] = resized(m.room[now], n)
@@ -84,18 +84,18 @@
 	}
 	r.lowest = view.lowestVictim()
 	for i := range r.in.Nodes {
-		node, slot := &r.in.Nodes[i], view.Len()+i
-		m.kind[slot], m.pulling[slot] = view.kinds.number(kindOf(node)), int32(node.Pulling)
-		r.room[now][slot], r.room[soon][slot], r.room[later][slot] = node.Free, node.Soon, node.Later
+		node, slot := &r.in.Nodes[i], view.SlotCount()+i
+		m.kind[slot], m.pulling[slot] = view.kinds.number(kindOf(node)), int32(node.ActiveFetches)
+		r.room[now][slot], r.room[soon][slot], r.room[later][slot] = node.Free, node.FreeAfterStops, node.FreeAfterBoot
 		for k := range node.Victims {
 			r.lowest = min(r.lowest, node.Victims[k].Level)
 		}
 	}
 	r.kinds = view.kinds.list
-	if after := r.in.After; after != nil {
-		copy(r.room[now], after.LeftSoon)
-		copy(r.room[soon], after.LeftSoon)
-		copy(r.room[later], after.LeftLater)
+	if after := r.in.Previous; after != nil {
+		copy(r.room[now], after.FreeAfterStops)
+		copy(r.room[soon], after.FreeAfterStops)
+		copy(r.room[later], after.FreeAfterBoot)
 	}
 }
 
@@ -239,7 +239,7 @@
 
 // has reports whether a node has the image of the job that is looked at.
 func (r *round) has(slot int32) bool {
-	if retained := int32(r.view.Len()); slot >= retained {
+	if retained := int32(r.view.SlotCount()); slot >= retained {
 		return slices.Contains(r.in.Nodes[slot-retained].Images, r.job.Spec.Image)
 	}
 	return r.holders != nil && r.holders.Test(uint(slot))
@@ -249,7 +249,7 @@
 // those that need the fewest machines, then the tightest fit. The image goes first where its
 // fetch alone would make the start late. CPU-only work goes where the fewest GPUs are free.
 func better(j *Job, a, b *group) int {
-	if !j.Fetch && !j.Spec.AllowSpot {
+	if !j.FetchDelaysStart && !j.Spec.AllowSpot {
 		if order := cmp.Compare(a.price, b.price); order != 0 {
 			return order
 		}
@@ -257,16 +257,16 @@
 			cmp.Compare(b2i(b.image), b2i(a.image)), cmp.Compare(a.pulling, b.pulling))
 	}
 	price, image := cmp.Compare(a.price, b.price), cmp.Compare(b2i(b.image), b2i(a.image))
-	if j.Fetch {
+	if j.FetchDelaysStart {
 		price, image = image, price
 	}
 	return cmp.Or(price, image, cmp.Compare(a.pulling, b.pulling), cmp.Compare(b.count, a.count), cmp.Compare(a.headroom, b.headroom))
 }
 
 // choose picks nodes for up to want tasks, the best first.
-func (r *round) choose(j *Job, want int, l layer, zone string) []Place {
+func (r *round) choose(j *Job, want int, l layer, zone string) []Placement {
 	groups := newHeap(r.weigh(j, want, l, zone), func(a, b *group) bool { return better(j, a, b) < 0 })
-	var places []Place
+	var places []Placement
 	var taken map[string]int // by zone
 	if j.Spec.SpreadZones {
 		taken = map[string]int{}
@@ -288,7 +288,7 @@
 				}
 				taken[z] += c
 			}
-			places = append(places, Place{j, int(slot), c})
+			places = append(places, Placement{j, int(slot), c})
 			want -= c
 		}
 	}
@@ -346,10 +346,12 @@
 }
 
 // avoided reports whether a job is not to be placed on a node that it may use otherwise.
-func (r *round) avoided(j *Job, slot int32) bool { return j.Avoid != "" && r.id(slot) == j.Avoid }
+func (r *round) avoided(j *Job, slot int32) bool {
+	return j.AvoidedMachine != "" && r.id(slot) == j.AvoidedMachine
+}
 
 func (r *round) id(slot int32) string {
-	if retained := int32(r.view.Len()); slot >= retained {
+	if retained := int32(r.view.SlotCount()); slot >= retained {
 		return r.in.Nodes[slot-retained].ID
 	}
 	return r.view.nodes[slot].id
--- a/internal/sched/guarantee_test.go
+++ b/internal/sched/guarantee_test.go
@@ -13,23 +13,23 @@
 // teamsInput is a round of three teams of which two have guarantees, with machines that are full
 // of their work, and one job that waits.
 func teamsInput(t *rapid.T) *Input {
-	in := &Input{Window: 200, ReserveS: 30, Priorities: DefaultPriorities, Teams: map[string]*Team{"owner": {}, "other": {}, "guest": {}}, WithinQuota: map[string]bool{}}
+	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"owner": {}, "other": {}, "guest": {}}, WithinQuota: map[string]bool{}}
 	in.Teams["other"].Quota.Cores, in.Teams["other"].Quota.Gpus = float64(rapid.IntRange(1, 12).Draw(t, "cores")), float64(rapid.IntRange(0, 4).Draw(t, "gpus"))
 	id := 0
 	for i := range rapid.IntRange(1, 4).Draw(t, "machines") {
 		n := node(fmt.Sprint("m", i), 8, 4)
-		for n.Soon.Cores > 0 {
-			v := Victim{ID: id, UID: fmt.Sprintf("run-%06d", id), Team: rapid.SampledFrom([]string{"owner", "other", "guest"}).Draw(t, "team"),
-				Level: rapid.IntRange(1, 4).Draw(t, "level"), Need: fleet.Res{Cores: float64(rapid.IntRange(1, int(n.Soon.Cores)).Draw(t, "need"))}, Serve: rapid.Bool().Draw(t, "serves")}
-			v.Need.Gpus = min(n.Soon.Gpus, float64(rapid.IntRange(0, 2).Draw(t, "needGpus")))
-			in.WithinQuota[v.UID] = v.Team != "guest" && rapid.IntRange(0, 2).Draw(t, "within") == 0
+		for n.FreeAfterStops.Cores > 0 {
+			v := Victim{Serial: id, JobUID: fmt.Sprintf("run-%06d", id), Team: rapid.SampledFrom([]string{"owner", "other", "guest"}).Draw(t, "team"),
+				Level: rapid.IntRange(1, 4).Draw(t, "level"), Need: fleet.Res{Cores: float64(rapid.IntRange(1, int(n.FreeAfterStops.Cores)).Draw(t, "need"))}, IsReplica: rapid.Bool().Draw(t, "serves")}
+			v.Need.Gpus = min(n.FreeAfterStops.Gpus, float64(rapid.IntRange(0, 2).Draw(t, "needGpus")))
+			in.WithinQuota[v.JobUID] = v.Team != "guest" && rapid.IntRange(0, 2).Draw(t, "within") == 0
 			if rapid.IntRange(0, 3).Draw(t, "stopping") == 0 { // its room comes by itself
 				in.Teams[v.Team].Stopping.Cores += v.Need.Cores
 				in.Teams[v.Team].Stopping.Gpus += v.Need.Gpus
 			} else {
 				n.Victims = append(n.Victims, v)
 			}
-			n.Soon, n.Free, n.Later = n.Soon.Sub(v.Need), n.Free.Sub(v.Need), n.Later.Sub(v.Need)
+			n.FreeAfterStops, n.Free, n.FreeAfterBoot = n.FreeAfterStops.Sub(v.Need), n.Free.Sub(v.Need), n.FreeAfterBoot.Sub(v.Need)
 			in.Teams[v.Team].Used.Cores += v.Need.Cores
 			in.Teams[v.Team].Used.Gpus += v.Need.Gpus
 			id++
@@ -54,20 +54,20 @@
 			used[name], beyond[name] = *team, team.beyond(fleet.Res{})
 		}
 		j := in.Jobs[0]
-		want := j.Waiting
+		want := j.PendingTasks
 		plan := Run(in)
-		for _, s := range plan.Stops {
+		for _, s := range plan.Preemptions {
 			for _, v := range in.Nodes[s.Node].Victims {
-				if v.ID != s.ID {
+				if v.Serial != s.Serial {
 					continue
 				}
-				if v.Team != "owner" && in.WithinQuota[v.UID] {
+				if v.Team != "owner" && in.WithinQuota[v.JobUID] {
 					t.Fatalf("%+v, within its team's guarantee, is stopped for %+v", v, j)
 				}
 				if v.Level < j.Level {
 					continue
 				}
-				if !j.WithinQuota || v.Team == "owner" || in.WithinQuota[v.UID] {
+				if !j.WithinQuota || v.Team == "owner" || in.WithinQuota[v.JobUID] {
 					t.Fatalf("%+v is stopped for %+v", v, j)
 				}
 				beyond[v.Team] = beyond[v.Team].Sub(v.Need)
@@ -81,7 +81,7 @@
 				t.Fatalf("%s counts as using %+v, it uses %+v", name, team.Used, used[name].Used)
 			}
 		}
-		if len(plan.Stops) > 0 && j.Waiting == want {
+		if len(plan.Preemptions) > 0 && j.PendingTasks == want {
 			t.Fatalf("work is stopped for nothing")
 		}
 	})
@@ -92,21 +92,21 @@
 func TestWithinQuotaJobDoesNotWaitForTeamsWithoutQuota(t *testing.T) {
 	for _, withinQuota := range []bool{true, false} {
 		full := node("m1", 8, 4)
-		full.Victims = []Victim{{ID: 1, UID: "run-000001", Team: "guest", Level: 4, Need: fleet.Res{Cores: 8, Gpus: 4}, Serve: true}}
-		full.Free, full.Soon, full.Later = fleet.Res{RAM: 1}, fleet.Res{RAM: 1}, fleet.Res{RAM: 1}
-		in := &Input{Window: 1, ReserveS: 30, Priorities: DefaultPriorities, Teams: map[string]*Team{"owner": {}, "guest": {}}, Nodes: []Node{full}, WithinQuota: map[string]bool{"run-000002": withinQuota}}
+		full.Victims = []Victim{{Serial: 1, JobUID: "run-000001", Team: "guest", Level: 4, Need: fleet.Res{Cores: 8, Gpus: 4}, IsReplica: true}}
+		full.Free, full.FreeAfterStops, full.FreeAfterBoot = fleet.Res{RAM: 1}, fleet.Res{RAM: 1}, fleet.Res{RAM: 1}
+		in := &Input{Window: 1, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"owner": {}, "guest": {}}, Nodes: []Node{full}, WithinQuota: map[string]bool{"run-000002": withinQuota}}
 		in.Teams["guest"].Used.Cores, in.Teams["guest"].Used.Gpus = 8, 4
 		mine, teamsWithoutQuota := job("run-000002", 1, 1, 8, 4), job("run-000003", 4, 1, 8, 4)
 		mine.Spec.Team, mine.WithinQuota, teamsWithoutQuota.Spec.Team = "owner", withinQuota, "guest"
 		in.Jobs = []*Job{teamsWithoutQuota, mine}
-		if stops := len(Run(in).Stops); (stops == 1) != withinQuota {
+		if stops := len(Run(in).Preemptions); (stops == 1) != withinQuota {
 			t.Errorf("guaranteed %v: %d stops", withinQuota, stops)
 		}
 	}
 	// Without guarantees in a deployment nothing of this changes what a round does.
 	a, b := &wire.JobSpec{UID: "run-000001", Team: "owner"}, &wire.JobSpec{UID: "run-000002", Team: "guest"}
 	jobs := []*Job{{Spec: a, Level: 1}, {Spec: b, Level: 2}}
-	Order(jobs, 1)
+	SortQueue(jobs, 1)
 	if jobs[0].Spec != b {
 		t.Error("a job of a lower rank goes first")
 	}
--- a/internal/sched/large_test.go
+++ b/internal/sched/large_test.go
@@ -12,22 +12,22 @@
 // large makes the picture of a fleet that is mostly full.
 func large(machines, waiting int) *Input {
 	r := rand.New(rand.NewPCG(1, 1))
-	in := &Input{Window: 200, ReserveS: 10, Priorities: DefaultPriorities, Teams: map[string]*Team{"t": {}}}
+	in := &Input{Window: 200, ReserveAfterS: 10, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"t": {}}}
 	caps := fleet.Res{Cores: 96, Gpus: 8, RAM: 576}
 	for i := range machines {
-		n := Node{ID: fmt.Sprintf("m-%06d", i), Type: "g8", Zone: []string{"a", "b"}[i%2], Cap: caps, Price: 24.9, Fixed: true, Spot: i%4 == 0}
+		n := Node{ID: fmt.Sprintf("m-%06d", i), Type: "g8", Zone: []string{"a", "b"}[i%2], Capacity: caps, HourlyPrice: 24.9, RunsOnDemandWork: true, Spot: i%4 == 0}
 		if n.Spot {
-			n.Price, n.Fixed = 5.9, false
+			n.HourlyPrice, n.RunsOnDemandWork = 5.9, false
 		}
 		used := r.IntN(9)
 		if i%16 != 0 {
 			used = 8
 		}
 		n.Free = caps.Sub(fleet.Res{Cores: 8 * float64(used), Gpus: float64(used), RAM: 40 * float64(used)})
-		n.Soon, n.Later = n.Free, n.Free
-		n.Present, n.Images = true, []string{fmt.Sprint(r.IntN(20)), fmt.Sprint(r.IntN(20))}
+		n.FreeAfterStops, n.FreeAfterBoot = n.Free, n.Free
+		n.Registered, n.Images = true, []string{fmt.Sprint(r.IntN(20)), fmt.Sprint(r.IntN(20))}
 		for range used {
-			n.Victims = append(n.Victims, Victim{ID: i*8 + len(n.Victims), Level: 1 + r.IntN(3), Need: fleet.Res{Cores: 8, Gpus: 1, RAM: 40}, Loss: 20, Serve: r.IntN(2) == 0})
+			n.Victims = append(n.Victims, Victim{Serial: i*8 + len(n.Victims), Level: 1 + r.IntN(3), Need: fleet.Res{Cores: 8, Gpus: 1, RAM: 40}, MaxLossS: 20, IsReplica: r.IntN(2) == 0})
 		}
 		in.Nodes = append(in.Nodes, n)
 	}
@@ -36,7 +36,7 @@
 		if i%4 == 0 {
 			w.Kind, w.Priority, w.TaskCount, w.AllowSpot = wire.JobArray, wire.BestEffort, 30, true
 		}
-		in.Jobs = append(in.Jobs, &Job{Spec: w, Level: w.Priority.Level(), Waiting: w.TaskCount, ByZone: map[string]int{}, Fetch: i%8 == 1, LaxS: 50})
+		in.Jobs = append(in.Jobs, &Job{Spec: w, Level: w.Priority.Level(), PendingTasks: w.TaskCount, LiveByZone: map[string]int{}, FetchDelaysStart: i%8 == 1, LaxityS: 50})
 	}
 	return in
 }
@@ -45,7 +45,7 @@
 func viewOf(nodes []Node) *View {
 	view := NewView()
 	for i := range nodes {
-		view.Put(&nodes[i])
+		view.Upsert(&nodes[i])
 	}
 	return view
 }
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -36,7 +36,7 @@
 	if r.bounded && len(places) < want {
 		r.bounds[b] = len(places)
 	}
-	if len(places) == 0 || (whole(j) && len(places) < j.Waiting) {
+	if len(places) == 0 || (whole(j) && len(places) < j.PendingTasks) {
 		return 0
 	}
 	r.stopVictims(j, chosen)
@@ -46,7 +46,7 @@
 
 // preemptsBelow is the level below which a job may displace work.
 func (r *round) preemptsBelow(j *Job) int {
-	if most := r.in.VictimsBelow; most > 0 {
+	if most := r.in.PreemptOnlyBelow; most > 0 {
 		return min(j.Level, most)
 	}
 	return j.Level
@@ -61,7 +61,7 @@
 }
 
 func (r *round) preemptorOf(j *Job) preemptor {
-	d := preemptor{below: r.preemptsBelow(j), overdue: j.Overdue}
+	d := preemptor{below: r.preemptsBelow(j), overdue: j.CannotAwaitBoot}
 	if r.in.WithinQuota != nil {
 		d.team, d.reclaims = j.Spec.Team, j.WithinQuota
 	}
@@ -72,14 +72,16 @@
 // guarantee stays, whatever its rank: displaced, it would be taken back in the next round. What
 // it runs beyond may be taken back, and who does need not wait for a machine to boot.
 func (d preemptor) preempts(v *Victim, withinQuota map[string]bool) bool {
-	if d.team != "" && v.Team != d.team && withinQuota[v.UID] {
+	if d.team != "" && v.Team != d.team && withinQuota[v.JobUID] {
 		return false
 	}
 	return d.byPriority(v) || d.reclaims && v.Team != d.team
 }
 
 // byPriority reports whether running work may be displaced for its rank alone.
-func (d preemptor) byPriority(v *Victim) bool { return v.Level < d.below && (!v.Serve || d.overdue) }
+func (d preemptor) byPriority(v *Victim) bool {
+	return v.Level < d.below && (!v.IsReplica || d.overdue)
+}
 
 // mayPreempt reports whether a job may displace running work.
 func (r *round) mayPreempt(j *Job, v *Victim) bool {
@@ -125,7 +127,7 @@
 		v := &victims[i]
 		if d.by.preempts(v, r.in.WithinQuota) {
 			gain = gain.Add(v.Need)
-			loss = min(loss, v.lossAt(r.in.Now)+1)
+			loss = min(loss, v.lossS(r.in.Now)+1)
 		}
 	}
 	d.gain[slot], d.loss[slot] = gain, loss
@@ -136,7 +138,7 @@
 	if sorted, known := r.victims[slot]; known {
 		return sorted
 	}
-	if retained := int32(r.view.Len()); slot >= retained {
+	if retained := int32(r.view.SlotCount()); slot >= retained {
 		return r.in.Nodes[slot-retained].Victims
 	}
 	return r.view.nodes[slot].victims
@@ -152,7 +154,7 @@
 		m.victims = append(m.victims, r.running(slot)...)
 		sorted = m.victims[begin:len(m.victims):len(m.victims)]
 		slices.SortFunc(sorted, func(a, b Victim) int {
-			return cmp.Or(cmp.Compare(a.Level, b.Level), cmp.Compare(a.lossAt(now), b.lossAt(now)), cmp.Compare(a.ID, b.ID))
+			return cmp.Or(cmp.Compare(a.Level, b.Level), cmp.Compare(a.lossS(now), b.lossS(now)), cmp.Compare(a.Serial, b.Serial))
 		})
 		r.victims[slot] = sorted
 	}
@@ -210,7 +212,7 @@
 		}
 		room = room.Add(v.Need)
 		c.to = k + 1
-		c.loss += v.lossAt(r.in.Now) + 1
+		c.loss += v.lossS(r.in.Now) + 1
 		if room.Holds(need) {
 			add(c)
 			c = choice{node: slot, from: c.to}
@@ -221,10 +223,10 @@
 
 // leastHarm takes the choices with the least loss that the job's zones allow, for up to want
 // tasks.
-func (r *round) leastHarm(j *Job, want int, choices []choice) (places []Place, chosen []choice) {
+func (r *round) leastHarm(j *Job, want int, choices []choice) (places []Placement, chosen []choice) {
 	order := newHeap(choices, (*choice).before)
 	zone := ""
-	for z, n := range j.ByZone {
+	for z, n := range j.LiveByZone {
 		if j.Spec.SingleZone && n > 0 {
 			zone = z
 		}
@@ -243,7 +245,7 @@
 			continue
 		}
 		taken[z]++
-		places = append(places, Place{j, int(c.node), 1})
+		places = append(places, Placement{j, int(c.node), 1})
 		chosen = append(chosen, c)
 	}
 	return places, chosen
@@ -295,12 +297,12 @@
 		victims := r.victims[c.node]
 		for k := c.from; k < c.to; k++ {
 			if v := &victims[k]; r.mayPreempt(j, v) {
-				stopped[v.ID] = true
+				stopped[v.Serial] = true
 				if t := r.in.Teams[v.Team]; t != nil {
 					t.Stopping.Cores += v.Need.Cores
 					t.Stopping.Gpus += v.Need.Gpus
 				}
-				r.plan.Stops = append(r.plan.Stops, Stop{int(c.node), v.ID, j.SlackS})
+				r.plan.Preemptions = append(r.plan.Preemptions, Preemption{int(c.node), v.Serial, j.StartSlackS})
 				r.grow(c.node, v.Need)
 			}
 		}
@@ -309,7 +311,7 @@
 		if c.to == 0 {
 			continue
 		}
-		r.victims[c.node] = slices.DeleteFunc(r.victims[c.node], func(v Victim) bool { return stopped[v.ID] })
+		r.victims[c.node] = slices.DeleteFunc(r.victims[c.node], func(v Victim) bool { return stopped[v.Serial] })
 		for i := range r.memory.preempted {
 			r.memory.preempted[i].sum(r, c.node)
 		}
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -42,21 +42,21 @@
 	}
 	for i := range in.Nodes {
 		n := &in.Nodes[i]
-		r.room[now][i], r.room[soon][i], r.room[later][i] = n.Free, n.Soon, n.Later
+		r.room[now][i], r.room[soon][i], r.room[later][i] = n.Free, n.FreeAfterStops, n.FreeAfterBoot
 		for _, v := range n.Victims {
 			r.lowest = min(r.lowest, v.Level)
 		}
 	}
 	window := slices.Clone(in.Jobs)
-	Order(window, 4*in.ReserveS)
+	SortQueue(window, 4*in.ReserveAfterS)
 	if len(window) > in.Window {
 		window = window[:in.Window]
 	}
-	r.plan.Window = len(window)
+	r.plan.JobsConsidered = len(window)
 	r.index(window)
 	// GPU work first, CPU-only work on what is left; one that waited long
 	// keeps its turn.
-	cpuOnly := func(j *Job) bool { return j.Spec.Gpus == 0 && j.WaitedS <= in.ReserveS }
+	cpuOnly := func(j *Job) bool { return j.Spec.Gpus == 0 && j.WaitedS <= in.ReserveAfterS }
 	top := true
 	for pass := range 2 {
 		for _, j := range window {
@@ -67,7 +67,7 @@
 			top = false
 		}
 	}
-	r.plan.LeftSoon, r.plan.LeftLater = r.room[soon], r.room[later]
+	r.plan.FreeAfterStops, r.plan.FreeAfterBoot = r.room[soon], r.room[later]
 	return r.plan
 }
 
@@ -78,7 +78,7 @@
 		return
 	}
 	left := want
-	if j.Fetch {
+	if j.FetchDelaysStart {
 		// Its start would be late on a machine without its image: machines
 		// that have it come first, even if lesser work must leave them.
 		r.warm = true
@@ -107,15 +107,15 @@
 	if left -= r.fit(j, left, later, false); left == 0 {
 		return // a machine that boots will take it
 	}
-	if top && nothing && j.WaitedS > r.in.ReserveS {
+	if top && nothing && j.WaitedS > r.in.ReserveAfterS {
 		r.reserve(j, left)
 	}
-	r.plan.Shorts = append(r.plan.Shorts, Short{j, left})
+	r.plan.Shortfalls = append(r.plan.Shortfalls, Shortfall{j, left})
 }
 
 // quota is how many waiting tasks the limit of the job's team allows.
 func (r *refRound) quota(j *Job) int {
-	want := j.Waiting
+	want := j.PendingTasks
 	t := r.in.Teams[j.Spec.Team]
 	if t == nil {
 		return 0
@@ -125,7 +125,7 @@
 			want = min(want, int((q[0]-q[1]+1e-6)/q[2]))
 		}
 	}
-	if want < j.Waiting && whole(j) {
+	if want < j.PendingTasks && whole(j) {
 		return 0
 	}
 	return max(want, 0)
@@ -144,10 +144,10 @@
 // set the tasks are launched; otherwise the room is only kept for them.
 func (r *refRound) fit(j *Job, want int, l layer, start bool) int {
 	b, bounded := r.bound(j, l)
-	if most, ok := r.bounds[b]; bounded && ok && (most == 0 || whole(j) && most < j.Waiting) {
+	if most, ok := r.bounds[b]; bounded && ok && (most == 0 || whole(j) && most < j.PendingTasks) {
 		return 0 // one of its like has found no room
 	}
-	var places []Place
+	var places []Placement
 	if j.Spec.SingleZone {
 		places = r.singleZone(j, want, l)
 	} else {
@@ -157,7 +157,7 @@
 	if bounded && n < want {
 		r.bounds[b] = n
 	}
-	if n == 0 || (whole(j) && n < j.Waiting) {
+	if n == 0 || (whole(j) && n < j.PendingTasks) {
 		return 0
 	}
 	r.take(j, places, start)
@@ -166,13 +166,13 @@
 
 // singleZone tries each zone and takes the one that holds most, on the fewest
 // machines. A job that has tasks in a zone stays there.
-func (r *refRound) singleZone(j *Job, want int, l layer) []Place {
-	for zone, n := range j.ByZone {
+func (r *refRound) singleZone(j *Job, want int, l layer) []Placement {
+	for zone, n := range j.LiveByZone {
 		if n > 0 {
 			return r.choose(j, want, l, zone)
 		}
 	}
-	var best []Place
+	var best []Placement
 	for _, zone := range r.zones() {
 		p := r.choose(j, want, l, zone)
 		if count(p) > count(best) || (count(p) == count(best) && len(p) < len(best)) {
@@ -198,33 +198,33 @@
 	if !j.Spec.SpreadZones {
 		return j.Spec.TaskCount
 	}
-	return (j.Spec.TaskCount+1)/2 - j.ByZone[zone]
+	return (j.Spec.TaskCount+1)/2 - j.LiveByZone[zone]
 }
 
 func (r *refRound) usable(j *Job, i int, zone string) bool {
 	n := &r.in.Nodes[i]
-	if !n.Spot && !n.Fixed && j.Spec.AllowSpot && !j.Dear && (!j.Overdue || n.Leaving && !j.WaitedPastBoot) || r.warm && (!n.Present || !slices.Contains(n.Images, j.Spec.Image)) {
+	if !n.Spot && !n.RunsOnDemandWork && j.Spec.AllowSpot && !j.SpotUnavailable && (!j.CannotAwaitBoot || n.ScaleInCandidate && !j.WaitedPastBoot) || r.warm && (!n.Registered || !slices.Contains(n.Images, j.Spec.Image)) {
 		return false
 	}
 	return !r.reserved[i] && (zone == "" || n.Zone == zone) &&
-		Allowed(j.Spec, n.Type, n.Zone, n.Spot) && (j.Avoid == "" || n.ID != j.Avoid)
+		IsEligible(j.Spec, n.Type, n.Zone, n.Spot) && (j.AvoidedMachine == "" || n.ID != j.AvoidedMachine)
 }
 
 // taskPrice is what a task's share of the machine costs.
 func refTaskPrice(n *Node, need fleet.Res) float64 {
 	share := 0.0
-	for _, p := range [...][2]float64{{need.Cores, n.Cap.Cores}, {need.Gpus, n.Cap.Gpus}, {need.RAM, n.Cap.RAM}} {
+	for _, p := range [...][2]float64{{need.Cores, n.Capacity.Cores}, {need.Gpus, n.Capacity.Gpus}, {need.RAM, n.Capacity.RAM}} {
 		if p[1] > 0 {
 			share = max(share, p[0]/p[1])
 		}
 	}
-	return n.Price * share
+	return n.HourlyPrice * share
 }
 
 // price is what placing a task there costs: nothing for work that may be stopped
 // and fills the gaps of a machine that stays anyway.
 func (r *refRound) price(j *Job, n *Node) float64 {
-	if j.Spec.AllowSpot && n.Fixed {
+	if j.Spec.AllowSpot && n.RunsOnDemandWork {
 		return 0
 	}
 	return refTaskPrice(n, fleet.Need(j.Spec))
@@ -242,13 +242,13 @@
 			continue
 		}
 		n := &r.in.Nodes[i]
-		headroom := free.Gpus - float64(c)*need.Gpus + (free.Cores-float64(c)*need.Cores)/max(n.Cap.Cores, 1)
+		headroom := free.Gpus - float64(c)*need.Gpus + (free.Cores-float64(c)*need.Cores)/max(n.Capacity.Cores, 1)
 		if need.Gpus == 0 {
 			headroom = free.Gpus
 		}
 		o := refOption{node: i, count: c, price: r.price(j, n), headroom: headroom}
-		if n.Present {
-			o.image, o.pulling = slices.Contains(n.Images, j.Spec.Image), n.Pulling
+		if n.Registered {
+			o.image, o.pulling = slices.Contains(n.Images, j.Spec.Image), n.ActiveFetches
 		}
 		opts = append(opts, o)
 	}
@@ -264,16 +264,16 @@
 	return func(a, b refOption) int {
 		na, nb := &r.in.Nodes[a.node], &r.in.Nodes[b.node]
 		price, image := cmp.Compare(a.price, b.price), cmp.Compare(b2i(b.image), b2i(a.image))
-		if j.Fetch {
+		if j.FetchDelaysStart {
 			price, image = image, price
 		}
 		pulls := 0
 		if image == 0 && !a.image {
 			pulls = cmp.Compare(a.pulling, b.pulling)
 		}
-		stays, count, headroom := cmp.Compare(b2i(nb.Fixed), b2i(na.Fixed)), cmp.Compare(b.count, a.count), cmp.Compare(a.headroom, b.headroom)
+		stays, count, headroom := cmp.Compare(b2i(nb.RunsOnDemandWork), b2i(na.RunsOnDemandWork)), cmp.Compare(b.count, a.count), cmp.Compare(a.headroom, b.headroom)
 		last := cmp.Or(cmp.Compare(na.ID, nb.ID), cmp.Compare(a.node, b.node))
-		if j.Fetch || j.Spec.AllowSpot {
+		if j.FetchDelaysStart || j.Spec.AllowSpot {
 			return cmp.Or(price, image, pulls, count, headroom, last)
 		}
 		return cmp.Or(price, count, stays, headroom, image, pulls, last)
@@ -281,9 +281,9 @@
 }
 
 // choose picks nodes for up to want tasks, the best first.
-func (r *refRound) choose(j *Job, want int, l layer, zone string) []Place {
+func (r *refRound) choose(j *Job, want int, l layer, zone string) []Placement {
 	order := refLeast[refOption]{items: r.options(j, want, l, zone), cmp: r.better(j)}
-	var places []Place
+	var places []Placement
 	taken := map[string]int{}
 	for o := range order.all() {
 		y := r.in.Nodes[o.node].Zone
@@ -291,7 +291,7 @@
 		if c <= 0 {
 			continue
 		}
-		places = append(places, Place{j, o.node, c})
+		places = append(places, Placement{j, o.node, c})
 		taken[y] += c
 		if want -= c; want == 0 {
 			break
@@ -302,7 +302,7 @@
 
 // take books the places against every layer, so that nobody later in the
 // window uses the room, and against the limit of the team.
-func (r *refRound) take(j *Job, places []Place, start bool) {
+func (r *refRound) take(j *Job, places []Placement, start bool) {
 	need := fleet.Need(j.Spec)
 	n := 0
 	for _, p := range places {
@@ -312,17 +312,17 @@
 			}
 		}
 		n += p.Count
-		j.ByZone[r.in.Nodes[p.Node].Zone] += p.Count
+		j.LiveByZone[r.in.Nodes[p.Node].Zone] += p.Count
 	}
-	j.Live += n
-	j.Waiting -= n
+	j.LiveAttempts += n
+	j.PendingTasks -= n
 	t := r.in.Teams[j.Spec.Team]
 	t.Used.Cores += float64(n) * need.Cores
 	t.Used.Gpus += float64(n) * need.Gpus
 	if start {
-		r.plan.Places = append(r.plan.Places, places...)
+		r.plan.Placements = append(r.plan.Placements, places...)
 		c := float64(len(places)) / float64(2*max(1, len(r.in.Nodes)))
-		r.plan.Objective += r.in.Priorities[j.Level] * (1 - c)
+		r.plan.Objective += r.in.PriorityWeights[j.Level] * (1 - c)
 	}
 }
 
@@ -332,7 +332,7 @@
 	need := fleet.Need(j.Spec)
 	var nodes []int
 	for i := range r.in.Nodes {
-		if r.usable(j, i, "") && r.in.Nodes[i].Cap.Count(need, 1) > 0 {
+		if r.usable(j, i, "") && r.in.Nodes[i].Capacity.Count(need, 1) > 0 {
 			nodes = append(nodes, i)
 		}
 	}
@@ -349,7 +349,7 @@
 		if j.Spec.SingleZone && zone != "" && y != zone {
 			continue
 		}
-		c := min(r.in.Nodes[i].Cap.Count(need, want), refZoneCap(j, y)-taken[y])
+		c := min(r.in.Nodes[i].Capacity.Count(need, want), refZoneCap(j, y)-taken[y])
 		if c <= 0 {
 			continue
 		}
@@ -358,7 +358,7 @@
 		want -= c
 		r.reserved[i] = true
 	}
-	r.plan.Reserved = j.Spec.UID
+	r.plan.ReservedFor = j.Spec.UID
 }
 
 // refOpenNodes are the nodes of a layer that may have room for a task of the
@@ -419,7 +419,7 @@
 		r.victims = make([][]Victim, len(r.in.Nodes))
 		for i := range r.in.Nodes {
 			r.victims[i] = slices.SortedFunc(slices.Values(r.in.Nodes[i].Victims), func(a, b Victim) int {
-				return cmp.Or(cmp.Compare(a.Level, b.Level), cmp.Compare(a.lossAt(r.in.Now), b.lossAt(r.in.Now)), cmp.Compare(a.ID, b.ID))
+				return cmp.Or(cmp.Compare(a.Level, b.Level), cmp.Compare(a.lossS(r.in.Now), b.lossS(r.in.Now)), cmp.Compare(a.Serial, b.Serial))
 			})
 		}
 	}
@@ -442,10 +442,10 @@
 // bound names the job's kind. ok is false if what fits depends on more.
 func (r *refRound) bound(j *Job, l layer) (b refBound, ok bool) {
 	s := j.Spec
-	if s.SingleZone || s.SpreadZones || j.Avoid != "" {
+	if s.SingleZone || s.SpreadZones || j.AvoidedMachine != "" {
 		return b, false
 	}
-	b = refBound{layer: l, need: fleet.Need(s), machineTypes: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.Overdue, waitedPastBoot: j.WaitedPastBoot, dear: j.Dear}
+	b = refBound{layer: l, need: fleet.Need(s), machineTypes: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.CannotAwaitBoot, waitedPastBoot: j.WaitedPastBoot, dear: j.SpotUnavailable}
 	if r.warm {
 		b.image = s.Image
 	}
@@ -504,7 +504,7 @@
 		return 0
 	}
 	b, bounded := r.bound(j, preempted)
-	if most, ok := r.bounds[b]; bounded && ok && (most == 0 || whole(j) && most < j.Waiting) {
+	if most, ok := r.bounds[b]; bounded && ok && (most == 0 || whole(j) && most < j.PendingTasks) {
 		return 0
 	}
 	choices := r.preemptions(j, want)
@@ -512,7 +512,7 @@
 	if bounded && len(places) < want {
 		r.bounds[b] = len(places)
 	}
-	if len(places) == 0 || (whole(j) && len(places) < j.Waiting) {
+	if len(places) == 0 || (whole(j) && len(places) < j.PendingTasks) {
 		return 0
 	}
 	r.stopVictims(j, chosen)
@@ -521,7 +521,9 @@
 }
 
 // mayPreempt reports whether a job may displace running work.
-func refMayPreempt(j *Job, v *Victim) bool { return v.Level < j.Level && (!v.Serve || j.Overdue) }
+func refMayPreempt(j *Job, v *Victim) bool {
+	return v.Level < j.Level && (!v.IsReplica || j.CannotAwaitBoot)
+}
 
 // preemptions lists, by node, the room that there is for tasks of a job, and that there
 // would be if work that it may displace were stopped, what loses least first.
@@ -545,7 +547,7 @@
 			}
 			room = room.Add(v.Need)
 			c.to = k + 1
-			c.loss += v.lossAt(r.in.Now) + 1
+			c.loss += v.lossS(r.in.Now) + 1
 			if room.Holds(need) {
 				choices = append(choices, c)
 				c = refChoice{node: i, from: c.to}
@@ -574,12 +576,12 @@
 
 // leastHarm takes the choices with the least loss that the job's zones allow, for up to want
 // tasks.
-func (r *refRound) leastHarm(j *Job, want int, choices []refChoice) (places []Place, chosen []refChoice) {
+func (r *refRound) leastHarm(j *Job, want int, choices []refChoice) (places []Placement, chosen []refChoice) {
 	order := refLeast[refChoice]{items: choices, cmp: func(a, b refChoice) int {
 		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.node, b.node), cmp.Compare(a.from, b.from))
 	}}
 	zone := ""
-	for z, n := range j.ByZone {
+	for z, n := range j.LiveByZone {
 		if j.Spec.SingleZone && n > 0 {
 			zone = z
 		}
@@ -594,7 +596,7 @@
 			zone = z
 		}
 		taken[z]++
-		places = append(places, Place{j, c.node, 1})
+		places = append(places, Placement{j, c.node, 1})
 		chosen = append(chosen, c)
 		if len(places) == want {
 			break
@@ -609,13 +611,13 @@
 	for _, c := range chosen {
 		for _, v := range r.victims[c.node][c.from:c.to] {
 			if refMayPreempt(j, &v) {
-				stopped[v.ID] = true
-				r.plan.Stops = append(r.plan.Stops, Stop{c.node, v.ID, j.SlackS})
+				stopped[v.Serial] = true
+				r.plan.Preemptions = append(r.plan.Preemptions, Preemption{c.node, v.Serial, j.StartSlackS})
 				r.grow(c.node, v.Need)
 			}
 		}
 	}
 	for _, c := range chosen {
-		r.victims[c.node] = slices.DeleteFunc(r.victims[c.node], func(v Victim) bool { return stopped[v.ID] })
+		r.victims[c.node] = slices.DeleteFunc(r.victims[c.node], func(v Victim) bool { return stopped[v.Serial] })
 	}
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -21,42 +21,42 @@
 
 // Node is a machine as a round sees it.
 type Node struct {
-	ID      string
-	Type    string
-	Zone    string
-	Spot    bool
-	Cap     fleet.Res
-	Free    fleet.Res // usable now; zero for a machine that takes no launches
-	Soon    fleet.Res // usable once what is being stopped has ended
-	Later   fleet.Res // usable once it is up
-	Present bool      // it is there: it has images, or fetches them
-	Images  []string  // images that it has or fetches
-	Pulling int       // images that it fetches now; they share its rate
-	Victims []Victim  // running work that may be stopped, in any order
-	Price   float64   // per hour; 0 if unknown
-	Leaving bool      // will be returned unless work that may not use spot machines needs it
-	Fixed   bool      // stays for work that may not use spot machines
+	ID               string
+	Type             string
+	Zone             string
+	Spot             bool
+	Capacity         fleet.Res
+	Free             fleet.Res // usable now; zero for a machine that takes no launches
+	FreeAfterStops   fleet.Res // usable once what is being stopped has ended
+	FreeAfterBoot    fleet.Res // usable once it is up
+	Registered       bool      // it is there: it has images, or fetches them
+	Images           []string  // images that it has or fetches
+	ActiveFetches    int       // images that it fetches now; they share its rate
+	Victims          []Victim  // running work that may be stopped, in any order
+	HourlyPrice      float64   // per hour; 0 if unknown
+	ScaleInCandidate bool      // will be returned unless work that may not use spot machines needs it
+	RunsOnDemandWork bool      // stays for work that may not use spot machines
 }
 
 // Victim is a task that a job of a higher level may displace, or one within the guarantee of
 // another team if this one is beyond that of its own.
 type Victim struct {
-	ID    int    // the caller's handle
-	UID   string // its job's id
-	Team  string // its job's team
-	Level int    // below maxLevels
-	Need  fleet.Res
-	Loss  float64   // seconds of work lost if it is stopped; the most, if Since is set
-	Since time.Time // if set, the loss grows from then on
-	Serve bool      // a replica: stopping it is felt at once
+	Serial        int    // the caller's handle
+	JobUID        string // its job's id
+	Team          string // its job's team
+	Level         int    // below maxLevels
+	Need          fleet.Res
+	MaxLossS      float64   // seconds of work lost if it is stopped; the most, if Since is set
+	LossGrowsFrom time.Time // if set, the loss grows from then on
+	IsReplica     bool      // a replica: stopping it is felt at once
 }
 
-// lossAt is how many seconds of work are lost if a victim is stopped.
-func (v *Victim) lossAt(now time.Time) float64 {
-	if v.Since.IsZero() {
-		return v.Loss
+// lossS is how many seconds of work are lost if a victim is stopped.
+func (v *Victim) lossS(now time.Time) float64 {
+	if v.LossGrowsFrom.IsZero() {
+		return v.MaxLossS
 	}
-	return min(now.Sub(v.Since).Seconds(), v.Loss)
+	return min(now.Sub(v.LossGrowsFrom).Seconds(), v.MaxLossS)
 }
 
 // Job is a job with tasks that wait.
@@ -64,20 +64,20 @@
 	Spec  *wire.JobSpec
 	Level int
 	// Guaranteed: it lies within its team's guarantee, and does not wait for other teams.
-	WithinQuota    bool
-	AtMs           int64
-	Waiting        int            // tasks without an attempt
-	Live           int            // attempts that are not provably off
-	ByZone         map[string]int // the same by zone
-	WaitedS        float64
-	Fetch          bool    // the fetch of its image may make a start late
-	SlackS         float64 // what is left of the time to start after fetch and delivery
-	LaxS           float64 // how long it can still wait and be in time
-	Overdue        bool    // could not wait for a new machine: dearer ones that stay anyway will do
-	WaitedPastBoot bool    // waited as long as a new machine takes: any machine will do
-	Dear           bool    // no cheaper machine can be had: waiting for one is in vain
-	First          bool    // the first task of a job that should have begun by now
-	Avoid          string  // a machine that it is not placed on
+	WithinQuota      bool
+	QueuedSinceMs    int64
+	PendingTasks     int            // tasks without an attempt
+	LiveAttempts     int            // attempts that are not provably off
+	LiveByZone       map[string]int // the same by zone
+	WaitedS          float64
+	FetchDelaysStart bool    // the fetch of its image may make a start late
+	StartSlackS      float64 // what is left of the time to start after fetch and delivery
+	LaxityS          float64 // how long it can still wait and be in time
+	CannotAwaitBoot  bool    // could not wait for a new machine: dearer ones that stay anyway will do
+	WaitedPastBoot   bool    // waited as long as a new machine takes: any machine will do
+	SpotUnavailable  bool    // no cheaper machine can be had: waiting for one is in vain
+	FirstTaskOverdue bool    // the first task of a job that should have begun by now
+	AvoidedMachine   string  // a machine that it is not placed on
 }
 
 // Team is what a team uses, may use and is guaranteed; a limit or a guarantee of 0 is none.
@@ -96,72 +96,72 @@
 // Input is the picture of one round. Its nodes are the machines of View, by slot, and then
 // Nodes.
 type Input struct {
-	Now        time.Time
-	View       *View  // machines that are kept from round to round; nil if there are none
-	Nodes      []Node // of this round only
-	Jobs       []*Job // in any order
-	Teams      map[string]*Team
-	Window     int
-	ReserveS   float64 // a top job that waited longer than this gets a reservation
-	Priorities [5]float64
-	After      *Plan // if set, the round begins with the room that this plan has left
+	Now             time.Time
+	View            *View  // machines that are kept from round to round; nil if there are none
+	Nodes           []Node // of this round only
+	Jobs            []*Job // in any order
+	Teams           map[string]*Team
+	Window          int
+	ReserveAfterS   float64 // a top job that waited longer than this gets a reservation
+	PriorityWeights [5]float64
+	Previous        *Plan // if set, the round begins with the room that this plan has left
 	// Guaranteed is the jobs within the guarantees of their teams, by id, those that wait for
 	// nothing included; nil if no team has a guarantee.
 	WithinQuota map[string]bool
-	// VictimsBelow: work of this level or above is not displaced by any job; 0 leaves it to
+	// PreemptOnlyBelow: work of this level or above is not displaced by any job; 0 leaves it to
 	// the levels of the jobs.
-	VictimsBelow int
+	PreemptOnlyBelow int
 }
 
-// Place puts Count tasks of a job on a node.
-type Place struct {
+// Placement puts Count tasks of a job on a node.
+type Placement struct {
 	Job   *Job
 	Node  int
 	Count int
 }
 
-// Stop is a victim and how long the job that displaces it can wait for it.
-type Stop struct {
-	Node   int
-	ID     int
-	SlackS float64
+// Preemption is a victim and how long the job that displaces it can wait for it.
+type Preemption struct {
+	Node        int
+	Serial      int
+	StartSlackS float64
 }
 
-// Short is demand that no machine, present or booting, has room for.
-type Short struct {
+// Shortfall is demand that no machine, present or booting, has room for.
+type Shortfall struct {
 	Job   *Job
 	Count int
 }
 
 // Plan is the outcome of a round.
 type Plan struct {
-	Places    []Place
-	Stops     []Stop
-	Shorts    []Short
-	Objective float64
-	Window    int // jobs looked at
-	Reserved  string
-	LeftSoon  []fleet.Res // what the round leaves of each node, by layer
-	LeftLater []fleet.Res
+	Placements     []Placement
+	Preemptions    []Preemption
+	Shortfalls     []Shortfall
+	Objective      float64
+	JobsConsidered int // jobs looked at
+	ReservedFor    string
+	FreeAfterStops []fleet.Res // what the round leaves of each node, by layer
+	FreeAfterBoot  []fleet.Res
 }
 
-// DefaultPriorities is p_j by level: each rank outweighs a window full of the
+// DefaultPriorityWeights is p_j by level: each rank outweighs a window full of the
 // rank below only when the window is small; order is kept by the pass itself.
-var DefaultPriorities = [5]float64{0, 1, 4, 16, 64}
+var DefaultPriorityWeights = [5]float64{0, 1, 4, 16, 64}
 
-// Order sorts jobs by whether their team's guarantee covers them, then by rank, then by how long they can still wait, then age,
+// SortQueue sorts jobs by whether their team's guarantee covers them, then by rank, then by how long they can still wait, then age,
 // then id. Work that cannot be in time any more lets the rest of its rank pass,
 // but not for ever. First tasks of jobs that should have begun come first, those
 // of the oldest job before others.
-func Order(jobs []*Job, patienceS float64) {
-	late := func(j *Job) int { return b2i(j.LaxS < 0 && j.Spec.Kind == wire.JobArray && j.WaitedS < patienceS) }
+func SortQueue(jobs []*Job, patienceS float64) {
+	late := func(j *Job) int { return b2i(j.LaxityS < 0 && j.Spec.Kind == wire.JobArray && j.WaitedS < patienceS) }
 	slices.SortFunc(jobs, func(a, b *Job) int {
-		if a.First && b.First {
-			return cmp.Or(cmp.Compare(b2i(b.WithinQuota), b2i(a.WithinQuota)), cmp.Compare(b.Level, a.Level), cmp.Compare(a.AtMs, b.AtMs), cmp.Compare(a.Spec.UID, b.Spec.UID))
+		if a.FirstTaskOverdue && b.FirstTaskOverdue {
+			return cmp.Or(cmp.Compare(b2i(b.WithinQuota), b2i(a.WithinQuota)), cmp.Compare(b.Level, a.Level), cmp.Compare(a.QueuedSinceMs, b.QueuedSinceMs), cmp.Compare(a.Spec.UID, b.Spec.UID))
 		}
-		return cmp.Or(cmp.Compare(b2i(b.WithinQuota), b2i(a.WithinQuota)), cmp.Compare(b.Level, a.Level), cmp.Compare(b2i(b.First), b2i(a.First)),
-			cmp.Compare(late(a), late(b)), cmp.Compare(a.LaxS, b.LaxS),
-			cmp.Compare(a.AtMs, b.AtMs), cmp.Compare(a.Spec.UID, b.Spec.UID))
+		return cmp.Or(cmp.Compare(b2i(b.WithinQuota), b2i(a.WithinQuota)), cmp.Compare(b.Level, a.Level), cmp.Compare(b2i(b.FirstTaskOverdue), b2i(a.FirstTaskOverdue)),
+			cmp.Compare(late(a), late(b)), cmp.Compare(a.LaxityS, b.LaxityS),
+			cmp.Compare(a.QueuedSinceMs, b.QueuedSinceMs), cmp.Compare(a.Spec.UID, b.Spec.UID))
 	})
 }
 
@@ -202,22 +202,22 @@
 	if r.view == nil {
 		r.view = NewView()
 	}
-	if in.After == nil { // the slots of a plan are those of its round
+	if in.Previous == nil { // the slots of a plan are those of its round
 		r.view.prepare()
 	}
 	r.takeNodes()
 	window := slices.Clone(in.Jobs)
-	Order(window, 4*in.ReserveS)
+	SortQueue(window, 4*in.ReserveAfterS)
 	if len(window) > in.Window {
 		window = window[:in.Window]
 	}
-	r.plan.Window = len(window)
+	r.plan.JobsConsidered = len(window)
 	if len(window) > 0 {
 		r.makeClasses(leastNeed(window))
 	}
 	// GPU work first, CPU-only work on what is left; one that waited long
 	// keeps its turn.
-	cpuOnly := func(j *Job) bool { return j.Spec.Gpus == 0 && j.WaitedS <= in.ReserveS }
+	cpuOnly := func(j *Job) bool { return j.Spec.Gpus == 0 && j.WaitedS <= in.ReserveAfterS }
 	top := true
 	for pass := range 2 {
 		for _, j := range window {
@@ -228,7 +228,7 @@
 			top = false
 		}
 	}
-	r.plan.LeftSoon, r.plan.LeftLater = r.room[soon], r.room[later]
+	r.plan.FreeAfterStops, r.plan.FreeAfterBoot = r.room[soon], r.room[later]
 	return r.plan
 }
 
@@ -250,7 +250,7 @@
 	}
 	r.consider(j)
 	left := want
-	if j.Fetch {
+	if j.FetchDelaysStart {
 		// Its start would be late on a machine without its image: machines
 		// that have it come first, even if lesser work must leave them.
 		r.warm = true
@@ -279,15 +279,15 @@
 	if left -= r.fit(j, left, later, false); left == 0 {
 		return // a machine that boots will take it
 	}
-	if top && nothing && j.WaitedS > r.in.ReserveS {
+	if top && nothing && j.WaitedS > r.in.ReserveAfterS {
 		r.reserve(j, left)
 	}
-	r.plan.Shorts = append(r.plan.Shorts, Short{j, left})
+	r.plan.Shortfalls = append(r.plan.Shortfalls, Shortfall{j, left})
 }
 
 // quota is how many waiting tasks the limit of the job's team allows.
 func (r *round) quota(j *Job) int {
-	want := j.Waiting
+	want := j.PendingTasks
 	t := r.in.Teams[j.Spec.Team]
 	if t == nil {
 		return 0
@@ -297,7 +297,7 @@
 			want = min(want, int((q[0]-q[1]+1e-6)/q[2]))
 		}
 	}
-	if want < j.Waiting && whole(j) {
+	if want < j.PendingTasks && whole(j) {
 		return 0
 	}
 	return max(want, 0)
@@ -306,11 +306,11 @@
 // whole reports whether the job starts with all its tasks or not at all. A job
 // that runs already only gets back what it lost.
 func whole(j *Job) bool {
-	return (j.Spec.Kind != wire.JobArray || j.Spec.SingleZone) && j.Live == 0
+	return (j.Spec.Kind != wire.JobArray || j.Spec.SingleZone) && j.LiveAttempts == 0
 }
 
-// Allowed reports whether a job may use a machine of this kind at all.
-func Allowed(w *wire.JobSpec, machineType, zone string, spot bool) bool {
+// IsEligible reports whether a job may use a machine of this kind at all.
+func IsEligible(w *wire.JobSpec, machineType, zone string, spot bool) bool {
 	return (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, machineType)) && (w.Zone == "" || w.Zone == zone) && (!spot || w.AllowSpot)
 }
 
@@ -321,7 +321,7 @@
 	if r.foundNoRoom(j, b) {
 		return 0
 	}
-	var places []Place
+	var places []Placement
 	if j.Spec.SingleZone {
 		places = r.singleZone(j, want, l)
 	} else {
@@ -331,14 +331,14 @@
 	if r.bounded && n < want {
 		r.bounds[b] = n
 	}
-	if n == 0 || (whole(j) && n < j.Waiting) {
+	if n == 0 || (whole(j) && n < j.PendingTasks) {
 		return 0
 	}
 	r.take(j, places, start)
 	return n
 }
 
-func count(places []Place) int {
+func count(places []Placement) int {
 	n := 0
 	for _, p := range places {
 		n += p.Count
@@ -348,13 +348,13 @@
 
 // singleZone tries each zone and takes the one that holds most, on the fewest
 // machines. A job that has tasks in a zone stays there.
-func (r *round) singleZone(j *Job, want int, l layer) []Place {
-	for zone, n := range j.ByZone {
+func (r *round) singleZone(j *Job, want int, l layer) []Placement {
+	for zone, n := range j.LiveByZone {
 		if n > 0 {
 			return r.choose(j, want, l, zone)
 		}
 	}
-	var best []Place
+	var best []Placement
 	for _, zone := range r.zones() {
 		p := r.choose(j, want, l, zone)
 		if count(p) > count(best) || (count(p) == count(best) && len(p) < len(best)) {
@@ -380,15 +380,15 @@
 	if !j.Spec.SpreadZones {
 		return j.Spec.TaskCount
 	}
-	return (j.Spec.TaskCount+1)/2 - j.ByZone[zone]
+	return (j.Spec.TaskCount+1)/2 - j.LiveByZone[zone]
 }
 
 // mayUse reports whether a job may use machines of a kind.
 func mayUse(j *Job, k *kind) bool {
-	if !k.spot && !k.fixed && j.Spec.AllowSpot && !j.Dear && (!j.Overdue || k.leaving && !j.WaitedPastBoot) {
+	if !k.spot && !k.fixed && j.Spec.AllowSpot && !j.SpotUnavailable && (!j.CannotAwaitBoot || k.leaving && !j.WaitedPastBoot) {
 		return false
 	}
-	return Allowed(j.Spec, k.machineType, k.zone, k.spot)
+	return IsEligible(j.Spec, k.machineType, k.zone, k.spot)
 }
 
 // usable reports whether a job may use a node, whatever room it has.
@@ -429,7 +429,7 @@
 
 // take books the places against every layer, so that nobody later in the
 // window uses the room, and against the limit of the team.
-func (r *round) take(j *Job, places []Place, start bool) {
+func (r *round) take(j *Job, places []Placement, start bool) {
 	need := fleet.Need(j.Spec)
 	n := 0
 	for _, p := range places {
@@ -440,18 +440,18 @@
 		}
 		r.move(int32(p.Node))
 		n += p.Count
-		j.ByZone[r.zone(int32(p.Node))] += p.Count
+		j.LiveByZone[r.zone(int32(p.Node))] += p.Count
 	}
-	j.Live += n
-	j.Waiting -= n
+	j.LiveAttempts += n
+	j.PendingTasks -= n
 	t := r.in.Teams[j.Spec.Team]
 	t.Used.Cores += float64(n) * need.Cores
 	t.Used.Gpus += float64(n) * need.Gpus
 	if start {
-		r.plan.Places = append(r.plan.Places, places...)
-		machines := r.view.Machines() + len(r.in.Nodes)
+		r.plan.Placements = append(r.plan.Placements, places...)
+		machines := r.view.MachineCount() + len(r.in.Nodes)
 		c := float64(len(places)) / float64(2*max(1, machines))
-		r.plan.Objective += r.in.Priorities[j.Level] * (1 - c)
+		r.plan.Objective += r.in.PriorityWeights[j.Level] * (1 - c)
 	}
 }
 
@@ -490,10 +490,10 @@
 		r.memory.reserved[slot] = true
 		r.move(slot)
 	}
-	r.plan.Reserved = j.Spec.UID
+	r.plan.ReservedFor = j.Spec.UID
 }
 
 // empty reports whether there is no machine in a slot.
 func (r *round) empty(slot int) bool {
-	return slot < r.view.Len() && r.view.nodes[slot].id == ""
+	return slot < r.view.SlotCount() && r.view.nodes[slot].id == ""
 }
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -16,14 +16,14 @@
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func genInput(t *rapid.T, maxNodes, maxJobs int) *Input {
-	in := &Input{Window: 200, ReserveS: 30, Priorities: DefaultPriorities, Teams: map[string]*Team{"crew": {}}}
+	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}}}
 	if rapid.Bool().Draw(t, "limited") {
 		in.Teams["crew"].Limit.Gpus = float64(rapid.IntRange(1, 20).Draw(t, "limit"))
 	}
 	for i := range rapid.IntRange(1, maxNodes).Draw(t, "nodes") {
 		c := fleet.Res{Cores: float64(rapid.IntRange(1, 16).Draw(t, "cores")), Gpus: float64(rapid.IntRange(0, 4).Draw(t, "gpus")), RAM: 100}
 		in.Nodes = append(in.Nodes, Node{ID: fmt.Sprint("m", i), Type: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "rig"),
-			Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "yard"), Spot: rapid.Bool().Draw(t, "spot"), Cap: c, Free: c, Soon: c, Later: c})
+			Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "yard"), Spot: rapid.Bool().Draw(t, "spot"), Capacity: c, Free: c, FreeAfterStops: c, FreeAfterBoot: c})
 	}
 	for i := range rapid.IntRange(1, maxJobs).Draw(t, "jobs") {
 		w := &wire.JobSpec{UID: fmt.Sprintf("run-%06d", i), Team: "crew", TaskCount: rapid.IntRange(1, 4).Draw(t, "legs"),
@@ -33,7 +33,7 @@
 		if rapid.IntRange(0, 3).Draw(t, "picky") == 0 {
 			w.MachineTypes = []string{"x"}
 		}
-		in.Jobs = append(in.Jobs, &Job{Spec: w, Level: rapid.IntRange(1, 4).Draw(t, "level"), AtMs: int64(i), Waiting: w.TaskCount, Overdue: true, WaitedPastBoot: true, ByZone: map[string]int{}})
+		in.Jobs = append(in.Jobs, &Job{Spec: w, Level: rapid.IntRange(1, 4).Draw(t, "level"), QueuedSinceMs: int64(i), PendingTasks: w.TaskCount, CannotAwaitBoot: true, WaitedPastBoot: true, LiveByZone: map[string]int{}})
 	}
 	return in
 }
@@ -50,9 +50,9 @@
 		}
 		placed, gpus := map[string]int{}, 0.0
 		zones := map[string]map[string]int{}
-		for _, p := range plan.Places {
+		for _, p := range plan.Placements {
 			s, n := p.Job.Spec, &in.Nodes[p.Node]
-			if !Allowed(s, n.Type, n.Zone, n.Spot) {
+			if !IsEligible(s, n.Type, n.Zone, n.Spot) {
 				t.Fatalf("%s may not be on %s", s.UID, n.ID)
 			}
 			for range p.Count {
@@ -99,7 +99,7 @@
 	var place func(node, left, used int)
 	place = func(node, left, used int) {
 		if left == 0 {
-			v := in.Priorities[j.Level]*(1-float64(used)/float64(2*len(in.Nodes))) + best(in, i+1, free)
+			v := in.PriorityWeights[j.Level]*(1-float64(used)/float64(2*len(in.Nodes))) + best(in, i+1, free)
 			top = max(top, v)
 			return
 		}
@@ -108,7 +108,7 @@
 		}
 		place(node+1, left, used)
 		n := &in.Nodes[node]
-		if !Allowed(j.Spec, n.Type, n.Zone, n.Spot) {
+		if !IsEligible(j.Spec, n.Type, n.Zone, n.Spot) {
 			return
 		}
 		was := free[node]
@@ -132,7 +132,7 @@
 		in.Teams["crew"].Limit.Gpus = 0
 		for _, j := range in.Jobs {
 			j.Spec.Kind, j.Spec.SingleZone, j.Spec.SpreadZones, j.Spec.TaskCount = wire.Service, false, false, min(j.Spec.TaskCount, 3)
-			j.Waiting = j.Spec.TaskCount
+			j.PendingTasks = j.Spec.TaskCount
 		}
 		free := make([]fleet.Res, len(in.Nodes))
 		for i := range in.Nodes {
@@ -157,26 +157,26 @@
 
 func job(uid string, level, tasks int, cores, gpus float64) *Job {
 	w := &wire.JobSpec{UID: uid, Team: "crew", Kind: wire.Service, TaskCount: tasks, Cores: cores, Gpus: gpus}
-	return &Job{Spec: w, Level: level, Waiting: tasks, ByZone: map[string]int{}}
+	return &Job{Spec: w, Level: level, PendingTasks: tasks, LiveByZone: map[string]int{}}
 }
 
 func node(id string, cores, gpus float64) Node {
 	r := fleet.Res{Cores: cores, Gpus: gpus, RAM: 1}
-	return Node{ID: id, Type: "x", Zone: "a", Cap: r, Free: r, Soon: r, Later: r}
+	return Node{ID: id, Type: "x", Zone: "a", Capacity: r, Free: r, FreeAfterStops: r, FreeAfterBoot: r}
 }
 
 // The paper's first table: CPU-only work must not take the cores that keep GPU
 // work from the GPUs, even if it came first.
 func TestCpuOnlyWorkLeavesGpus(t *testing.T) {
-	in := &Input{Window: 200, ReserveS: 30, Priorities: DefaultPriorities, Teams: map[string]*Team{"crew": {}},
+	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 2), node("m2", 8, 2), node("m3", 8, 0)}}
 	in.Jobs = []*Job{job("run-000001", 2, 1, 8, 0), job("run-000002", 2, 2, 4, 2)}
-	in.Jobs[1].AtMs = 1
+	in.Jobs[1].QueuedSinceMs = 1
 	plan := Run(in)
-	if len(plan.Places) != 3 {
-		t.Fatalf("not all started: %+v", plan.Places)
+	if len(plan.Placements) != 3 {
+		t.Fatalf("not all started: %+v", plan.Placements)
 	}
-	for _, p := range plan.Places {
+	for _, p := range plan.Placements {
 		if p.Job == in.Jobs[0] && in.Nodes[p.Node].ID != "m3" {
 			t.Errorf("CPU-only work is on %s", in.Nodes[p.Node].ID)
 		}
@@ -186,43 +186,43 @@
 // Room is made for a job only by stopping work of lower levels, and only if it
 // then fits.
 func TestPreemption(t *testing.T) {
-	in := &Input{Window: 200, ReserveS: 30, Priorities: DefaultPriorities, Teams: map[string]*Team{"crew": {}},
+	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 4)}}
 	n := &in.Nodes[0]
-	n.Free, n.Soon, n.Later = fleet.Res{}, fleet.Res{}, fleet.Res{}
+	n.Free, n.FreeAfterStops, n.FreeAfterBoot = fleet.Res{}, fleet.Res{}, fleet.Res{}
 	two := fleet.Res{Cores: 4, Gpus: 2}
-	n.Victims = []Victim{{ID: 0, Level: 1, Need: two, Loss: 50}, {ID: 1, Level: 2, Need: two, Loss: 1}}
+	n.Victims = []Victim{{Serial: 0, Level: 1, Need: two, MaxLossS: 50}, {Serial: 1, Level: 2, Need: two, MaxLossS: 1}}
 	in.Jobs = []*Job{job("run-000001", 2, 2, 4, 2)}
-	if p := Run(in); len(p.Stops) != 0 || len(p.Shorts) != 1 {
+	if p := Run(in); len(p.Preemptions) != 0 || len(p.Shortfalls) != 1 {
 		t.Fatalf("work was stopped for a job that does not fit: %+v", p)
 	}
 	in.Jobs = []*Job{job("run-000001", 2, 1, 4, 2)}
-	if p := Run(in); len(p.Stops) != 1 || p.Stops[0].ID != 0 || len(p.Places) != 0 {
+	if p := Run(in); len(p.Preemptions) != 1 || p.Preemptions[0].Serial != 0 || len(p.Placements) != 0 {
 		t.Fatalf("%+v", p)
 	}
 }
 
 // A top job that has waited long keeps later jobs off the machines it needs.
 func TestReservation(t *testing.T) {
-	in := &Input{Window: 200, ReserveS: 30, Priorities: DefaultPriorities, Teams: map[string]*Team{"crew": {}},
+	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 4), node("m2", 2, 1)}}
 	in.Nodes[0].Free = fleet.Res{Cores: 4, Gpus: 2, RAM: 1}
-	in.Nodes[0].Soon, in.Nodes[0].Later = in.Nodes[0].Free, in.Nodes[0].Free
+	in.Nodes[0].FreeAfterStops, in.Nodes[0].FreeAfterBoot = in.Nodes[0].Free, in.Nodes[0].Free
 	big, small := job("run-000001", 2, 1, 8, 4), job("run-000002", 2, 3, 1, 0.5)
-	small.Spec.Kind, small.AtMs = wire.JobArray, 1
+	small.Spec.Kind, small.QueuedSinceMs = wire.JobArray, 1
 	in.Jobs = []*Job{big, small}
 	big.WaitedS = 31
 	p := Run(in)
-	if p.Reserved != big.Spec.UID {
-		t.Fatalf("reserved for %q", p.Reserved)
+	if p.ReservedFor != big.Spec.UID {
+		t.Fatalf("reserved for %q", p.ReservedFor)
 	}
-	for _, pl := range p.Places {
+	for _, pl := range p.Placements {
 		if in.Nodes[pl.Node].ID == "m1" {
 			t.Errorf("%s took reserved room", pl.Job.Spec.UID)
 		}
 	}
-	if len(p.Places) != 1 {
-		t.Errorf("room that the top job cannot use stays empty: %+v", p.Places)
+	if len(p.Placements) != 1 {
+		t.Errorf("room that the top job cannot use stays empty: %+v", p.Placements)
 	}
 }
 
@@ -239,17 +239,17 @@
 			j.Level = 1 + i%2
 		}
 		plan := Run(in)
-		if plan.Reserved != "" {
+		if plan.ReservedFor != "" {
 			return // nodes are kept from the others
 		}
-		for _, s := range plan.Shorts {
-			if s.Job.Spec.Kind == wire.Service && s.Job.Live == 0 && s.Job.Waiting > 1 {
+		for _, s := range plan.Shortfalls {
+			if s.Job.Spec.Kind == wire.Service && s.Job.LiveAttempts == 0 && s.Job.PendingTasks > 1 {
 				continue // room for one task is not enough for these
 			}
 			shorts++
-			for i, room := range plan.LeftLater {
+			for i, room := range plan.FreeAfterBoot {
 				n := &in.Nodes[i]
-				if Allowed(s.Job.Spec, n.Type, n.Zone, n.Spot) && room.Holds(fleet.Need(s.Job.Spec)) {
+				if IsEligible(s.Job.Spec, n.Type, n.Zone, n.Spot) && room.Holds(fleet.Need(s.Job.Spec)) {
 					t.Fatalf("%s is short, but %s has room", s.Job.Spec.UID, n.ID)
 				}
 			}
--- a/internal/sched/view.go
+++ b/internal/sched/view.go
@@ -48,7 +48,7 @@
 }
 
 func kindOf(n *Node) kind {
-	return kind{n.Type, n.Zone, n.Spot, n.Fixed, n.Leaving, n.Present, n.Cap, n.Price}
+	return kind{n.Type, n.Zone, n.Spot, n.RunsOnDemandWork, n.ScaleInCandidate, n.Registered, n.Capacity, n.HourlyPrice}
 }
 
 // kinds numbers kinds.
@@ -76,17 +76,17 @@
 }
 
 // Len is the number of slots: nodes of a plan below it are machines of the view.
-func (v *View) Len() int { return len(v.nodes) }
+func (v *View) SlotCount() int { return len(v.nodes) }
 
-// Machines is the number of machines.
-func (v *View) Machines() int { return len(v.slots) }
+// MachineCount is the number of machines.
+func (v *View) MachineCount() int { return len(v.slots) }
 
 // ID is the ID of the machine in a slot, "" if there is none.
-func (v *View) ID(slot int) string { return v.nodes[slot].id }
+func (v *View) MachineID(slot int) string { return v.nodes[slot].id }
 
 // Put takes a machine in, or what has changed of it, and reports whether anything has. The
 // node's slices must not be changed afterwards.
-func (v *View) Put(n *Node) (changed bool) {
+func (v *View) Upsert(n *Node) (changed bool) {
 	slot, known := v.slots[n.ID]
 	if !known {
 		slot = v.append(n.ID)
@@ -95,8 +95,8 @@
 		slices.Sort(n.Images)
 	}
 	old := &v.nodes[slot]
-	next := retainedNode{id: n.ID, kind: v.kinds.number(kindOf(n)), pulling: int32(n.Pulling),
-		room: [layers]fleet.Res{n.Free, n.Soon, n.Later}, victims: n.Victims, images: n.Images}
+	next := retainedNode{id: n.ID, kind: v.kinds.number(kindOf(n)), pulling: int32(n.ActiveFetches),
+		room: [layers]fleet.Res{n.Free, n.FreeAfterStops, n.FreeAfterBoot}, victims: n.Victims, images: n.Images}
 	if known && old.equal(&next) {
 		return false
 	}
@@ -132,8 +132,8 @@
 	return slot
 }
 
-// Drop takes a machine out, and reports whether it was there.
-func (v *View) Drop(id string) (known bool) {
+// Remove takes a machine out, and reports whether it was there.
+func (v *View) Remove(id string) (known bool) {
 	slot, known := v.slots[id]
 	if !known {
 		return false
--- a/internal/sched/view_test.go
+++ b/internal/sched/view_test.go
@@ -19,31 +19,31 @@
 // overbooked.
 func genNode(t *rapid.T, id string, victims *int) Node {
 	size := rapid.SampledFrom([]fleet.Res{{Cores: 16, Gpus: 4, RAM: 100}, {Cores: 8, Gpus: 0, RAM: 60}}).Draw(t, "size")
-	n := Node{ID: id, Type: fmt.Sprint("t", size.Gpus), Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"), Cap: size,
-		Fixed: rapid.IntRange(0, 3).Draw(t, "fixed") == 0, Price: size.Cores}
-	n.Leaving = !n.Fixed && rapid.Bool().Draw(t, "leaving")
-	n.Later = size
+	n := Node{ID: id, Type: fmt.Sprint("t", size.Gpus), Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"), Capacity: size,
+		RunsOnDemandWork: rapid.IntRange(0, 3).Draw(t, "fixed") == 0, HourlyPrice: size.Cores}
+	n.ScaleInCandidate = !n.RunsOnDemandWork && rapid.Bool().Draw(t, "leaving")
+	n.FreeAfterBoot = size
 	if rapid.IntRange(0, 5).Draw(t, "absent") == 0 {
 		return n
 	}
-	n.Present, n.Pulling = true, rapid.IntRange(0, 1).Draw(t, "pulling")
+	n.Registered, n.ActiveFetches = true, rapid.IntRange(0, 1).Draw(t, "pulling")
 	n.Images = slices.Compact(slices.Sorted(slices.Values(rapid.SliceOfN(rapid.SampledFrom([]string{"i", "j", "k"}), 0, 2).Draw(t, "images"))))
 	n.Free = size
 	for range rapid.IntRange(0, 5).Draw(t, "tasks") {
 		*victims++
-		v := Victim{ID: *victims, Level: rapid.IntRange(1, 4).Draw(t, "level"), Need: fleet.Res{Cores: float64(rapid.IntRange(1, 4).Draw(t, "cores")), Gpus: size.Gpus / 4, RAM: 10},
-			Loss: float64(rapid.IntRange(0, 3).Draw(t, "loss")), Serve: rapid.Bool().Draw(t, "serve")}
+		v := Victim{Serial: *victims, Level: rapid.IntRange(1, 4).Draw(t, "level"), Need: fleet.Res{Cores: float64(rapid.IntRange(1, 4).Draw(t, "cores")), Gpus: size.Gpus / 4, RAM: 10},
+			MaxLossS: float64(rapid.IntRange(0, 3).Draw(t, "loss")), IsReplica: rapid.Bool().Draw(t, "serve")}
 		if rapid.Bool().Draw(t, "grows") {
-			v.Since = testNow.Add(-time.Duration(rapid.IntRange(0, 3).Draw(t, "since")) * time.Second)
+			v.LossGrowsFrom = testNow.Add(-time.Duration(rapid.IntRange(0, 3).Draw(t, "since")) * time.Second)
 		}
 		n.Free = n.Free.Sub(v.Need)
 		n.Victims = append(n.Victims, v)
 	}
-	n.Soon = n.Free
+	n.FreeAfterStops = n.Free
 	if rapid.Bool().Draw(t, "ending") {
-		n.Soon = n.Soon.Add(fleet.Res{Cores: 2, Gpus: 1, RAM: 10})
+		n.FreeAfterStops = n.FreeAfterStops.Add(fleet.Res{Cores: 2, Gpus: 1, RAM: 10})
 	}
-	n.Later = n.Soon
+	n.FreeAfterBoot = n.FreeAfterStops
 	return n
 }
 
@@ -57,13 +57,13 @@
 		if rapid.IntRange(0, 4).Draw(t, "picky") == 0 {
 			w.MachineTypes, w.Zone = []string{"t4"}, "b"
 		}
-		j := &Job{Spec: w, Level: rapid.IntRange(1, 4).Draw(t, "level"), AtMs: int64(i), Waiting: w.TaskCount, ByZone: map[string]int{}, WaitedS: float64(rapid.SampledFrom([]int{0, 40}).Draw(t, "waited")),
-			Fetch: rapid.Bool().Draw(t, "fetch"), Overdue: rapid.Bool().Draw(t, "overdue"), WaitedPastBoot: rapid.Bool().Draw(t, "tired"), Dear: rapid.Bool().Draw(t, "dear")}
+		j := &Job{Spec: w, Level: rapid.IntRange(1, 4).Draw(t, "level"), QueuedSinceMs: int64(i), PendingTasks: w.TaskCount, LiveByZone: map[string]int{}, WaitedS: float64(rapid.SampledFrom([]int{0, 40}).Draw(t, "waited")),
+			FetchDelaysStart: rapid.Bool().Draw(t, "fetch"), CannotAwaitBoot: rapid.Bool().Draw(t, "overdue"), WaitedPastBoot: rapid.Bool().Draw(t, "tired"), SpotUnavailable: rapid.Bool().Draw(t, "dear")}
 		if rapid.IntRange(0, 4).Draw(t, "avoids") == 0 {
-			j.Avoid = "m-005"
+			j.AvoidedMachine = "m-005"
 		}
 		if rapid.IntRange(0, 4).Draw(t, "runs") == 0 {
-			j.Live, j.ByZone["b"] = 1, 1
+			j.LiveAttempts, j.LiveByZone["b"] = 1, 1
 		}
 		jobs = append(jobs, j)
 	}
@@ -75,7 +75,7 @@
 	var jobs []*Job
 	for _, j := range in.Jobs {
 		next := *j
-		next.ByZone = maps.Clone(j.ByZone)
+		next.LiveByZone = maps.Clone(j.LiveByZone)
 		jobs = append(jobs, &next)
 	}
 	in.Jobs, in.Teams = jobs, map[string]*Team{"crew": {}}
@@ -85,14 +85,14 @@
 
 // described is a plan in terms of IDs.
 func described(plan *Plan, id func(node int) string) string {
-	out := fmt.Sprintf("reserved %q, objective %.9f, window %d\n", plan.Reserved, plan.Objective, plan.Window)
-	for _, p := range plan.Places {
+	out := fmt.Sprintf("reserved %q, objective %.9f, window %d\n", plan.ReservedFor, plan.Objective, plan.JobsConsidered)
+	for _, p := range plan.Placements {
 		out += fmt.Sprintf("%s on %s: %d\n", p.Job.Spec.UID, id(p.Node), p.Count)
 	}
-	for _, s := range plan.Stops {
-		out += fmt.Sprintf("stop %d on %s\n", s.ID, id(s.Node))
+	for _, s := range plan.Preemptions {
+		out += fmt.Sprintf("stop %d on %s\n", s.Serial, id(s.Node))
 	}
-	for _, s := range plan.Shorts {
+	for _, s := range plan.Shortfalls {
 		out += fmt.Sprintf("%s is short of %d\n", s.Job.Spec.UID, s.Count)
 	}
 	return out
@@ -109,22 +109,22 @@
 			for range rapid.IntRange(1, 5).Draw(t, "changes") {
 				id := fmt.Sprintf("m-%03d", rapid.IntRange(0, 12).Draw(t, "machine"))
 				if rapid.IntRange(0, 5).Draw(t, "gone") == 0 {
-					view.Drop(id)
+					view.Remove(id)
 					delete(fleetNow, id)
 					continue
 				}
 				n := genNode(t, id, &victims)
-				view.Put(&n)
+				view.Upsert(&n)
 				fleetNow[id] = n
 			}
-			in := Input{Now: testNow, Jobs: genJobs(t), Window: rapid.SampledFrom([]int{3, 200}).Draw(t, "window"), ReserveS: 30, Priorities: DefaultPriorities}
+			in := Input{Now: testNow, Jobs: genJobs(t), Window: rapid.SampledFrom([]int{3, 200}).Draw(t, "window"), ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights}
 			for i := range rapid.IntRange(0, 2).Draw(t, "rentals") {
 				n := genNode(t, fmt.Sprintf("rental-%d", i), &victims)
 				in.Nodes = append(in.Nodes, n)
 			}
 			limit := float64(rapid.SampledFrom([]int{0, 0, 5}).Draw(t, "limit"))
 			after := compare(t, view, in, fleetNow, limit, nil)
-			rounds, placed, stopped = rounds+1, placed+len(after.Places), stopped+len(after.Stops)
+			rounds, placed, stopped = rounds+1, placed+len(after.Placements), stopped+len(after.Preemptions)
 			in.Jobs = genJobs(t)
 			compare(t, view, in, fleetNow, limit, after)
 		}
@@ -136,18 +136,18 @@
 
 // compare lets both rounds decide and returns the plan of the one over classes.
 func compare(t *rapid.T, view *View, in Input, machines map[string]Node, limit float64, after *Plan) *Plan {
-	in.View, in.After = view, after
+	in.View, in.Previous = view, after
 	plan := Run(forBoth(in, limit))
 	id := func(node int) string {
-		if node < view.Len() {
-			return view.ID(node)
+		if node < view.SlotCount() {
+			return view.MachineID(node)
 		}
-		return in.Nodes[node-view.Len()].ID
+		return in.Nodes[node-view.SlotCount()].ID
 	}
 	reference := in
-	reference.View, reference.After, reference.Nodes = nil, nil, nil
+	reference.View, reference.Previous, reference.Nodes = nil, nil, nil
 	slotOf := map[string]int{}
-	for node := range view.Len() + len(in.Nodes) {
+	for node := range view.SlotCount() + len(in.Nodes) {
 		slotOf[id(node)] = node
 	}
 	for _, name := range slices.Sorted(maps.Keys(machines)) {
@@ -159,7 +159,7 @@
 		for i := range reference.Nodes {
 			n := &reference.Nodes[i]
 			slot := slotOf[n.ID]
-			n.Free, n.Soon, n.Later = after.LeftSoon[slot], after.LeftSoon[slot], after.LeftLater[slot]
+			n.Free, n.FreeAfterStops, n.FreeAfterBoot = after.FreeAfterStops[slot], after.FreeAfterStops[slot], after.FreeAfterBoot[slot]
 		}
 	}
 	want := refRun(forBoth(reference, limit))
@@ -169,8 +169,8 @@
 	}
 	for i := range reference.Nodes {
 		slot := slotOf[reference.Nodes[i].ID]
-		if plan.LeftSoon[slot] != want.LeftSoon[i] || plan.LeftLater[slot] != want.LeftLater[i] {
-			t.Fatalf("%s has %v and %v left, not %v and %v", id(slot), plan.LeftSoon[slot], plan.LeftLater[slot], want.LeftSoon[i], want.LeftLater[i])
+		if plan.FreeAfterStops[slot] != want.FreeAfterStops[i] || plan.FreeAfterBoot[slot] != want.FreeAfterBoot[i] {
+			t.Fatalf("%s has %v and %v left, not %v and %v", id(slot), plan.FreeAfterStops[slot], plan.FreeAfterBoot[slot], want.FreeAfterStops[i], want.FreeAfterBoot[i])
 		}
 	}
 	return plan
@@ -184,16 +184,16 @@
 		retained, all := large(machines, 300), large(machines, 300)
 		retained.Window, all.Window = 300, 300
 		retained.View, retained.Nodes = viewOf(retained.Nodes), nil
-		if n := retained.View.Machines(); n != machines {
+		if n := retained.View.MachineCount(); n != machines {
 			t.Fatalf("%d of %d machines are kept", n, machines)
 		}
 		plan, want := Run(retained), refRun(all)
-		got, wanted := described(plan, retained.View.ID), described(want, func(node int) string { return all.Nodes[node].ID })
+		got, wanted := described(plan, retained.View.MachineID), described(want, func(node int) string { return all.Nodes[node].ID })
 		if got != wanted {
 			t.Errorf("with %d machines the rounds differ", machines)
 		}
-		if len(plan.Places) == 0 || len(plan.Stops) == 0 {
-			t.Errorf("with %d machines there are %d places and %d stops", machines, len(plan.Places), len(plan.Stops))
+		if len(plan.Placements) == 0 || len(plan.Preemptions) == 0 {
+			t.Errorf("with %d machines there are %d places and %d stops", machines, len(plan.Placements), len(plan.Preemptions))
 		}
 	}
 }
