--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -46,10 +46,10 @@
 // workerConnections is how many workers can keep their connection.
 func workerConnections(cfg *config.Config) Limit {
 	connections := cfg.Cluster.Limits.MaxConnections
-	l := Limit{Setting: "cluster.machine_limits.max_connections", Machines: (len(cfg.Members) + 1) * relay.MostWorkers(connections),
+	l := Limit{Setting: "cluster.machine_limits.max_connections", Machines: (len(cfg.Members) + 1) * relay.MaxWorkers(connections),
 		Beyond: "workers are served in turn, each report on a connection of its own"}
 	if !cfg.RelayHeartbeats {
-		l.Machines = relay.MostWorkers(connections)
+		l.Machines = relay.MaxWorkers(connections)
 		l.Beyond += "; with --relay-check-ins, every controller would take some"
 	}
 	return l
@@ -59,7 +59,7 @@
 // first is too old to tell that machines are gone.
 func machineList(cfg *config.Config) Limit {
 	age := 4*cfg.ListLag() + cfg.WorkerLease()
-	return Limit{Setting: "cluster.cloud.rps", Machines: cloud.MostListed(cfg.Cluster.Cloud.Rps, age),
+	return Limit{Setting: "cluster.cloud.rps", Machines: cloud.MaxListable(cfg.Cluster.Cloud.Rps, age),
 		Beyond: fmt.Sprintf("reading the machine list takes longer than %s, so machines that are gone are found late", age.Round(time.Second))}
 }
 
@@ -83,7 +83,7 @@
 		machineBytes    = 10 << 10 // with eight attempts, its node in rounds and its entry for the standby
 	)
 	room := programShare*cfg.Cluster.Limits.MemMb*bytesPerMiB - baseBytes
-	room -= float64(relay.MostWorkers(cfg.Cluster.Limits.MaxConnections)) * connectionBytes
+	room -= float64(relay.MaxWorkers(cfg.Cluster.Limits.MaxConnections)) * connectionBytes
 	return Limit{Setting: "cluster.machine_limits.mem_mb", Machines: max(0, int(room/machineBytes)),
 		Beyond: "computed: memory is collected more and more often, and the leader may be ended for it"}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -23,9 +23,9 @@
 var (
 	// ErrNoCapacity means that none of the machines asked for can be had now.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrPage means that a page of the machine list does not follow on the one before: a list
+	// ErrPageOutOfOrder means that a page of the machine list does not follow on the one before: a list
 	// that is put together with it could lack machines.
-	ErrPage = errors.New("page of the machine list is not in order")
+	ErrPageOutOfOrder = errors.New("page of the machine list is not in order")
 )
 
 // Client is a client of the cloud. It is safe for concurrent use.
@@ -102,7 +102,7 @@
 	return resp.StatusCode, nil
 }
 
-func (c *Client) must(ctx context.Context, method, path string, body, out any) error {
+func (c *Client) callOK(ctx context.Context, method, path string, body, out any) error {
 	status, err := c.call(ctx, method, path, body, out)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 // Catalog reads the machine types and their current prices.
 func (c *Client) Catalog(ctx context.Context) (wire.Catalog, error) {
 	var cat wire.Catalog
-	if err := c.must(ctx, http.MethodGet, "/catalog", nil, &cat); err != nil {
+	if err := c.callOK(ctx, http.MethodGet, "/catalog", nil, &cat); err != nil {
 		return cat, fmt.Errorf("catalog: %w", err)
 	}
 	return cat, nil
@@ -125,7 +125,7 @@
 // Provision asks for machines. The same Booking may be sent again: it rents once.
 func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
 	var names wire.HostNames
-	if err := c.must(ctx, http.MethodPost, "/machines", r, &names); err != nil {
+	if err := c.callOK(ctx, http.MethodPost, "/machines", r, &names); err != nil {
 		return nil, fmt.Errorf("rent %s: %w", r.RequestID, err)
 	}
 	return names.Hosts, nil
@@ -134,7 +134,7 @@
 // Return gives machines back. A nil error proves that they and all on them are
 // gone.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
-	if err := c.must(ctx, http.MethodPost, "/machines/return", wire.HostNames{Hosts: hosts}, nil); err != nil {
+	if err := c.callOK(ctx, http.MethodPost, "/machines/return", wire.HostNames{Hosts: hosts}, nil); err != nil {
 		return fmt.Errorf("return %d machines: %w", len(hosts), err)
 	}
 	return nil
@@ -146,9 +146,9 @@
 	var all []wire.ListedHost
 	after := ""
 	for {
-		page, err := c.page(ctx, after)
+		page, err := c.readPage(ctx, after)
 		for attempt := 1; err != nil && attempt < pageAttempts && ctx.Err() == nil; attempt++ {
-			page, err = c.page(ctx, after)
+			page, err = c.readPage(ctx, after)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("list machines after %q: %w", after, err)
@@ -161,21 +161,21 @@
 	}
 }
 
-// ListTakes is the least time that a list of so many machines takes within the calls that
+// MinListDuration is the least time that a list of so many machines takes within the calls that
 // lists may use.
-func (c *Client) ListTakes(machines int) time.Duration {
+func (c *Client) MinListDuration(machines int) time.Duration {
 	pages := machines/pageSize + 1
 	return time.Duration(float64(pages) / float64(c.lists.Limit()) * float64(time.Second))
 }
 
-// MostListed is of how many machines a list can be read in a time, within the calls that lists
+// MaxListable is of how many machines a list can be read in a time, within the calls that lists
 // may use of a limit of rps.
-func MostListed(rps float64, within time.Duration) int {
+func MaxListable(rps float64, within time.Duration) int {
 	return int(rps*callShare*listShare*within.Seconds()) * pageSize
 }
 
-// page reads one page of the machine list.
-func (c *Client) page(ctx context.Context, after string) (wire.HostList, error) {
+// readPage reads one page of the machine list.
+func (c *Client) readPage(ctx context.Context, after string) (wire.HostList, error) {
 	if err := c.lists.Wait(ctx); err != nil {
 		return wire.HostList{}, fmt.Errorf("over the budget of lists: %w", err)
 	}
@@ -184,7 +184,7 @@
 		query.Set("After", after)
 	}
 	var page wire.HostList
-	if err := c.must(ctx, http.MethodGet, "/machines?"+query.Encode(), nil, &page); err != nil {
+	if err := c.callOK(ctx, http.MethodGet, "/machines?"+query.Encode(), nil, &page); err != nil {
 		return page, err
 	}
 	err := checkPage(&page, after)
@@ -200,23 +200,23 @@
 // checkPage refuses a page that repeats or leaves out machines, as far as it tells.
 func checkPage(page *wire.HostList, after string) error {
 	if len(page.Hosts) > pageSize {
-		return fmt.Errorf("%w: %d machines", ErrPage, len(page.Hosts))
+		return fmt.Errorf("%w: %d machines", ErrPageOutOfOrder, len(page.Hosts))
 	}
 	if page.More && len(page.Hosts) == 0 {
-		return fmt.Errorf("%w: it is empty, and there are more", ErrPage)
+		return fmt.Errorf("%w: it is empty, and there are more", ErrPageOutOfOrder)
 	}
 	for i := range page.Hosts {
 		id := page.Hosts[i].UID
-		if !created(after, id) {
-			return fmt.Errorf("%w: %q follows on %q", ErrPage, id, after)
+		if !isCreatedAfter(after, id) {
+			return fmt.Errorf("%w: %q follows on %q", ErrPageOutOfOrder, id, after)
 		}
 		after = id
 	}
 	return nil
 }
 
-// created reports whether a machine was created after another one, by their names: a longer
+// isCreatedAfter reports whether a machine was created after another one, by their names: a longer
 // name is newer, since numbers grow.
-func created(earlier, later string) bool {
+func isCreatedAfter(earlier, later string) bool {
 	return earlier < later || len(earlier) < len(later)
 }
--- a/internal/cloud/list_test.go
+++ b/internal/cloud/list_test.go
@@ -88,7 +88,7 @@
 					t.Fatalf("%s is not listed among %d", name, len(names))
 				}
 			}
-			if l.calls < machines/pageSize || time.Since(began) < c.ListTakes(machines)/2 {
+			if l.calls < machines/pageSize || time.Since(began) < c.MinListDuration(machines)/2 {
 				t.Errorf("%d calls in %s", l.calls, time.Since(began))
 			}
 		})
@@ -120,7 +120,7 @@
 					}
 				}
 				hosts, err := New("cloud", 8, time.Second, l).List(t.Context())
-				if lasting && !errors.Is(err, ErrPage) || !lasting && (err != nil || len(hosts) != 1200) {
+				if lasting && !errors.Is(err, ErrPageOutOfOrder) || !lasting && (err != nil || len(hosts) != 1200) {
 					t.Errorf("%s, lasting %v: %d machines, %v", name, lasting, len(hosts), err)
 				}
 				if lasting && !strings.Contains(err.Error(), "m-000499") {
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -18,11 +18,11 @@
 
 // Limits bounds a listener's connections.
 type Limits struct {
-	Places  int           // connections that are kept from request to request
+	MaxOpen int           // connections that are kept from request to request
 	Reserve int           // connections for one request beyond these
 	MinIdle time.Duration // a connection that is idle for this long gives way to a new one
 	// Patience is how long a connection of the reserve may take to send its request.
-	Patience time.Duration
+	ReserveTimeout time.Duration
 }
 
 // pressureShare is the share of the places from which on a listener is crowded.
@@ -35,12 +35,12 @@
 	limits Limits
 	freed  chan struct{} // a place has come free
 
-	mu       sync.Mutex
-	open     map[*conn]struct{} // that have a place
-	reserved int                // that have one of the reserve
-	closed   atomic.Bool
-	evicts   atomic.Uint64
-	taken    atomic.Int64 // len(open)
+	mu        sync.Mutex
+	open      map[*conn]struct{} // that have a place
+	reserved  int                // that have one of the reserve
+	closed    atomic.Bool
+	evicted   atomic.Uint64
+	openCount atomic.Int64 // len(open)
 }
 
 // conn is a connection that counts against the limits of its listener.
@@ -55,7 +55,7 @@
 
 // New bounds the connections of a listener.
 func New(l net.Listener, limits Limits) *Listener {
-	limits.Places = max(1, limits.Places)
+	limits.MaxOpen = max(1, limits.MaxOpen)
 	return &Listener{Listener: l, limits: limits, freed: make(chan struct{}, 1), open: map[*conn]struct{}{}}
 }
 
@@ -71,9 +71,9 @@
 		return nil, err
 	}
 	now := time.Now()
-	c := &conn{Conn: accepted, listener: l, deadline: now.Add(l.limits.Patience)}
+	c := &conn{Conn: accepted, listener: l, deadline: now.Add(l.limits.ReserveTimeout)}
 	c.idleSince.Store(now.UnixNano())
-	for !l.take(c) {
+	for !l.admit(c) {
 		if l.closed.Load() {
 			accepted.Close()
 			return nil, net.ErrClosed
@@ -90,14 +90,14 @@
 func (l *Listener) hasPlace() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.open) < l.limits.Places || l.reserved < l.limits.Reserve || l.longestIdle(time.Now()) != nil
+	return len(l.open) < l.limits.MaxOpen || l.reserved < l.limits.Reserve || l.longestIdle(time.Now()) != nil
 }
 
-// take gives a connection a place: if need be that of an idle one, else one of the reserve.
-func (l *Listener) take(c *conn) bool {
+// admit gives a connection a place: if need be that of an idle one, else one of the reserve.
+func (l *Listener) admit(c *conn) bool {
 	l.mu.Lock()
-	if len(l.open) < l.limits.Places {
-		l.place(c)
+	if len(l.open) < l.limits.MaxOpen {
+		l.addOpen(c)
 		l.mu.Unlock()
 		return true
 	}
@@ -110,16 +110,16 @@
 	}
 	l.mu.Unlock()
 	if idle != nil {
-		l.evicts.Add(1)
+		l.evicted.Add(1)
 		idle.Close()
 	}
 	return false
 }
 
-// place gives a connection a place. l.mu is held.
-func (l *Listener) place(c *conn) {
+// addOpen gives a connection a place. l.mu is held.
+func (l *Listener) addOpen(c *conn) {
 	l.open[c] = struct{}{}
-	l.taken.Store(int64(len(l.open)))
+	l.openCount.Store(int64(len(l.open)))
 }
 
 // longestIdle is the connection that has been idle for longest, if that is long enough.
@@ -147,8 +147,8 @@
 	}
 }
 
-// Track follows the state of the listener's connections.
-func (l *Listener) Track(c net.Conn, state http.ConnState) {
+// ConnState follows the state of the listener's connections.
+func (l *Listener) ConnState(c net.Conn, state http.ConnState) {
 	tracked, ok := c.(*conn)
 	if !ok {
 		return
@@ -164,8 +164,8 @@
 // connKey is the context key of the connection of a request.
 type connKey struct{}
 
-// Context lets OnReserve tell how a request's connection was accepted.
-func (l *Listener) Context(ctx context.Context, c net.Conn) context.Context {
+// ConnContext lets OnReserve tell how a request's connection was accepted.
+func (l *Listener) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
@@ -179,11 +179,11 @@
 // UnderPressure reports whether nearly all places are taken: a connection whose request is answered
 // should then be closed, so that its place serves others in turn.
 func (l *Listener) UnderPressure() bool {
-	return float64(l.taken.Load()) >= pressureShare*float64(l.limits.Places)
+	return float64(l.openCount.Load()) >= pressureShare*float64(l.limits.MaxOpen)
 }
 
 // Open is the number of connections that have a place.
-func (l *Listener) Open() int { return int(l.taken.Load()) }
+func (l *Listener) Open() int { return int(l.openCount.Load()) }
 
 // Reserved is the number of connections of the reserve.
 func (l *Listener) Reserved() int {
@@ -193,12 +193,12 @@
 }
 
 // Evicted counts the idle connections that were closed for new ones.
-func (l *Listener) Evicted() uint64 { return l.evicts.Load() }
+func (l *Listener) Evicted() uint64 { return l.evicted.Load() }
 
 // Close ends the listener.
 func (l *Listener) Close() error {
 	l.closed.Store(true)
-	l.free()
+	l.signalFreed()
 	return l.Listener.Close()
 }
 
@@ -213,12 +213,12 @@
 
 // Close ends the connection and gives its place free.
 func (c *conn) Close() error {
-	c.listener.leave(c)
+	c.listener.release(c)
 	return c.Conn.Close()
 }
 
-// leave gives a connection's place free, once.
-func (l *Listener) leave(c *conn) {
+// release gives a connection's place free, once.
+func (l *Listener) release(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.closed {
@@ -229,12 +229,12 @@
 		l.reserved--
 	} else {
 		delete(l.open, c)
-		l.taken.Store(int64(len(l.open)))
+		l.openCount.Store(int64(len(l.open)))
 	}
-	l.free()
+	l.signalFreed()
 }
 
-func (l *Listener) free() {
+func (l *Listener) signalFreed() {
 	select {
 	case l.freed <- struct{}{}:
 	default:
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, release = New(inner, Limits{Places: most, MinIdle: minIdle, Reserve: reserve, Patience: minIdle}), make(chan struct{})
+	l, release = New(inner, Limits{MaxOpen: most, MinIdle: minIdle, Reserve: reserve, ReserveTimeout: minIdle}), make(chan struct{})
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if OnReserve(r.Context()) {
 			w.Header().Set("Connection", "close")
@@ -31,7 +31,7 @@
 			<-release
 		}
 	})
-	srv := &http.Server{Handler: handler, ConnState: l.Track, ConnContext: l.Context}
+	srv := &http.Server{Handler: handler, ConnState: l.ConnState, ConnContext: l.ConnContext}
 	served := make(chan error, 1)
 	go func() { served <- srv.Serve(l) }()
 	t.Cleanup(func() {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -37,11 +37,11 @@
 		c.capacity(m)
 		j := c.jobs[uid]
 		for task := range 8 {
-			a := &fleet.Attempt{UID: uid, Task: task, Number: 1, Need: j.need, Image: "image"}
+			a := &fleet.Attempt{JobUID: uid, TaskIndex: task, Number: 1, Resources: j.need, Image: "image"}
 			j.placement(task).live[task] = a
 			j.live++
-			c.fleet.Place(m, a, now)
-			c.fleet.Commit(a, now)
+			c.fleet.AddAttempt(m, a, now)
+			c.fleet.MarkCommitted(a, now)
 		}
 	}
 	b.ReportAllocs()
@@ -74,13 +74,13 @@
 			if task == 7 && i%10 == 0 {
 				continue
 			}
-			a := &fleet.Attempt{UID: s.UID, Task: task, Number: 1, Need: j.need, Image: s.Image}
+			a := &fleet.Attempt{JobUID: s.UID, TaskIndex: task, Number: 1, Resources: j.need, Image: s.Image}
 			j.placement(task).live[task] = a
 			j.live++
-			c.fleet.Place(m, a, *now)
-			c.fleet.Commit(a, *now)
+			c.fleet.AddAttempt(m, a, *now)
+			c.fleet.MarkCommitted(a, *now)
 			c.fleet.Commands(m, *now, true)
-			tasks = append(tasks, wire.TaskReport{Task: a.Name(), Attempt: 1, Status: wire.TaskRunning})
+			tasks = append(tasks, wire.TaskReport{Task: a.TaskName(), Attempt: 1, Status: wire.TaskRunning})
 		}
 		c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: m.ID, MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 2, FencingToken: c.term, Tasks: tasks}, *now)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -41,8 +41,8 @@
 	Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
 	Return(ctx context.Context, hosts []string) error
 	List(ctx context.Context) ([]wire.ListedHost, error)
-	// ListTakes is the least time that a list of so many machines takes.
-	ListTakes(machines int) time.Duration
+	// MinListDuration is the least time that a list of so many machines takes.
+	MinListDuration(machines int) time.Duration
 }
 
 // Worker is what it needs of workers.
@@ -245,8 +245,8 @@
 	}
 	for i := range c.catalog.MachineTypes {
 		if c.catalog.MachineTypes[i].Name == m.Type {
-			m.Cap = provision.Capacity(&c.catalog.MachineTypes[i])
-			c.fleet.Touch(m)
+			m.Capacity = provision.Capacity(&c.catalog.MachineTypes[i])
+			c.fleet.MarkChanged(m)
 		}
 	}
 }
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -57,7 +57,7 @@
 func (c *Controller) recordEnds(j *job, now time.Time) {
 	for _, p := range j.placements {
 		for _, a := range p.ended {
-			c.fleet.Record(a, now)
+			c.fleet.MarkEndRecorded(a, now)
 		}
 		p.ended = nil
 	}
@@ -65,28 +65,28 @@
 
 // AttemptChanged keeps the jobs in step with their attempts.
 func (c *Controller) AttemptChanged(a *fleet.Attempt, from fleet.AttemptState, why string) {
-	slog.Info("attempt", "leg", a.Name(), "try", a.Number, "host", a.Machine.ID, "from", from.String(), "to", a.State.String(), "why", why)
+	slog.Info("attempt", "leg", a.TaskName(), "try", a.Number, "host", a.Machine.ID, "from", from.String(), "to", a.State.String(), "why", why)
 	if a.State == fleet.Committed {
 		c.answerNow(a.Machine)
 	}
-	c.views.job(a.UID)
+	c.views.job(a.JobUID)
 	if a.State == fleet.Running {
 		c.views.machine(a.Machine.ID) // it has the image now
 	}
-	j := c.jobs[a.UID]
+	j := c.jobs[a.JobUID]
 	if j == nil {
 		if a.State == fleet.Ended {
-			c.fleet.Record(a, c.now()) // its job is archived: nothing to record
+			c.fleet.MarkEndRecorded(a, c.now()) // its job is archived: nothing to record
 		}
 		return
 	}
 	j.begun = j.begun || a.State == fleet.Running
 	c.countsChanged(j)
-	p := j.placement(a.Task)
-	if from < fleet.Ended && !a.Live() && p.live[a.Task] == a {
-		delete(p.live, a.Task)
+	p := j.placement(a.TaskIndex)
+	if from < fleet.Ended && !a.Live() && p.live[a.TaskIndex] == a {
+		delete(p.live, a.TaskIndex)
 		j.live--
-		j.freed = append(j.freed, a.Task)
+		j.freed = append(j.freed, a.TaskIndex)
 		if a.Cause != wire.CauseDone {
 			j.failedAttempts++
 		}
@@ -112,7 +112,7 @@
 // ended takes the end of an attempt into its job.
 func (c *Controller) ended(j *job, p *placement, a *fleet.Attempt) {
 	now := c.now()
-	i := a.Task % j.rec.Per
+	i := a.TaskIndex % j.rec.Per
 	switch a.Cause {
 	case wire.CauseDone:
 		if !p.done.DoneBit(i) {
@@ -129,7 +129,7 @@
 	if j.rec.Status.Final() {
 		// Nothing of a withdrawn job is ever launched again, so its end need
 		// not be recorded before it is reaped.
-		c.fleet.Record(a, now)
+		c.fleet.MarkEndRecorded(a, now)
 		return
 	}
 	p.ended = append(p.ended, a)
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -65,7 +65,7 @@
 func (c *Controller) passOver(m *fleet.Machine, rest time.Duration, now time.Time) {
 	if until := now.Add(rest); until.After(m.AvoidUntil) {
 		m.AvoidUntil, m.Quarantined = until, true
-		c.fleet.Touch(m)
+		c.fleet.MarkChanged(m)
 		slog.Info("machine passed over", "host", m.ID, "for", rest.String(), "faulty", c.evidence.Faulty(m.ID))
 	}
 }
@@ -79,7 +79,7 @@
 			continue
 		}
 		m.AvoidUntil, m.Quarantined = time.Time{}, false
-		c.fleet.Touch(m)
+		c.fleet.MarkChanged(m)
 	}
 }
 
@@ -94,7 +94,7 @@
 func (c *Controller) completed(j *job, now time.Time) bool {
 	completed := false
 	j.each(func(a *fleet.Attempt) {
-		completed = completed || a.State == fleet.Running && !a.RunAt.IsZero() && now.Sub(a.RunAt) > c.Config.WorkerLease()
+		completed = completed || a.State == fleet.Running && !a.RunningSince.IsZero() && now.Sub(a.RunningSince) > c.Config.WorkerLease()
 	})
 	return completed
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -24,7 +24,7 @@
 
 func newBroken(t *testing.T, machines, tasks int) (*broken, *limited, *job) {
 	b := &broken{t: t, now: time.Unix(10_000, 0), sequence: 1, mistaken: map[string]bool{}, failed: map[string]int{}}
-	services, c, j := leaderWithArray(t, &b.now, machines, tasks, fleet.Res{Cores: 16, RAM: 1})
+	services, c, j := leaderWithArray(t, &b.now, machines, tasks, fleet.Resources{Cores: 16, RAM: 1})
 	b.c = c
 	b.c.now = func() time.Time { return b.now }
 	b.c.steady = b.now.Add(time.Hour) // idle machines stay
@@ -37,8 +37,8 @@
 	switch {
 	case a.State >= fleet.Ended:
 		return wire.TaskEnded, a.Cause
-	case b.mistaken[a.UID] || a.Machine.ID == b.faulty:
-		b.failed[a.UID]++
+	case b.mistaken[a.JobUID] || a.Machine.ID == b.faulty:
+		b.failed[a.JobUID]++
 		return wire.TaskEnded, wire.CauseError
 	case a.State == fleet.Running:
 		return wire.TaskEnded, wire.CauseDone
@@ -81,7 +81,7 @@
 			t.Fatalf("%d tasks are tried at once", j.live)
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
-			if i > 5 && !m.Takes(b.now) {
+			if i > 5 && !m.AcceptsAttempts(b.now) {
 				t.Fatalf("%s is passed over, faulty with %.2f", m.ID, b.c.evidence.Faulty(m.ID))
 			}
 		})
@@ -109,7 +109,7 @@
 	quarantined := 0
 	watch := func() {
 		b.step()
-		if m := b.c.fleet.Get(b.faulty); !m.Takes(b.now) {
+		if m := b.c.fleet.Get(b.faulty); !m.AcceptsAttempts(b.now) {
 			quarantined++
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
@@ -143,8 +143,8 @@
 	for range 20 {
 		b.step()
 	}
-	if m := b.c.fleet.Get("m-000002"); !m.Takes(b.now) || b.c.evidence.SurelyFaulty(m.ID) || b.c.jobs[late.uid] != nil && late.done < 48 {
-		t.Errorf("a machine that has recovered takes work: %v, %d tasks are done", m.Takes(b.now), late.done)
+	if m := b.c.fleet.Get("m-000002"); !m.AcceptsAttempts(b.now) || b.c.evidence.SurelyFaulty(m.ID) || b.c.jobs[late.uid] != nil && late.done < 48 {
+		t.Errorf("a machine that has recovered takes work: %v, %d tasks are done", m.AcceptsAttempts(b.now), late.done)
 	}
 }
 
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -14,7 +14,7 @@
 
 // leaderWithArray is a leader beside services with usual limits, with machines that have reported
 // and an array.
-func leaderWithArray(t *testing.T, now *time.Time, machines, tasks int, need fleet.Res) (*limited, *Controller, *job) {
+func leaderWithArray(t *testing.T, now *time.Time, machines, tasks int, need fleet.Resources) (*limited, *Controller, *job) {
 	services := &limited{t: t, limits: config.StateLimits{Rps: 250, WriteRps: 100, ValueKb: 8, TxnOps: 24}, items: map[string]wire.KeyValue{}}
 	c := services.leaderOf(5, now)
 	spec := wire.JobSpec{UID: "run-000001", JobClass: "huge", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: need.Cores, RAMGb: need.RAM, Image: "img"}
@@ -44,9 +44,9 @@
 	c.fleet.Each(func(m *fleet.Machine) {
 		r := wire.Heartbeat{Host: m.ID, MachineType: "g8", Zone: m.Zone, Incarnation: 1, Sequence: sequence, FencingToken: c.term}
 		m.Each(func(a *fleet.Attempt) {
-			if a.State > fleet.Committed && a.State != fleet.Recorded {
+			if a.State > fleet.Committed && a.State != fleet.EndRecorded {
 				status, cause := how(a)
-				r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.Name(), Attempt: a.Number, Status: status, Cause: cause})
+				r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.TaskName(), Attempt: a.Number, Status: status, Cause: cause})
 			}
 		})
 		if body := len(records.Encode(r)); body > wire.MaxBody {
@@ -69,7 +69,7 @@
 func TestHugeArrayIsFinished(t *testing.T) {
 	const tasks = 25_000
 	now := time.Unix(10_000, 0)
-	services, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Res{Cores: 0.25, RAM: 1})
+	services, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Resources{Cores: 0.25, RAM: 1})
 	sequence := uint64(1)
 	for rounds := 0; j.done < tasks && rounds < 1000; rounds++ {
 		now = now.Add(3 * time.Second)
@@ -92,8 +92,8 @@
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
 		m.Each(func(a *fleet.Attempt) {
-			if a.State != fleet.Recorded {
-				t.Fatalf("%s is %s", a.Name(), a.State)
+			if a.State != fleet.EndRecorded {
+				t.Fatalf("%s is %s", a.TaskName(), a.State)
 			}
 		})
 	})
@@ -104,7 +104,7 @@
 // started nothing at all.
 func TestReportsOfTinyTasksFitABody(t *testing.T) {
 	now := time.Unix(10_000, 0)
-	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Res{Cores: 0.02, RAM: 0.1})
+	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Resources{Cores: 0.02, RAM: 0.1})
 	c.round(time.Second)
 	writeAll(t, c)
 	if j.live != maxTasks {
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -36,7 +36,7 @@
 	released        bool    // all that it needs is done
 	cancelled       bool    // a job that it needs is cancelled
 	fromMs          int64   // when it was accepted or, if later, released
-	need            fleet.Res
+	need            fleet.Resources
 	placements      map[int]*placement
 	dirtyPlacements int // pieces that are to be written
 	done            int
@@ -56,7 +56,7 @@
 }
 
 func newJob(uid string, e watchcache.Entry, now time.Time) *job {
-	return &job{uid: uid, rec: e.Job, modRevision: e.ModRevision, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), fromMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
+	return &job{uid: uid, rec: e.Job, modRevision: e.ModRevision, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), fromMs: e.Job.AtMs, need: fleet.TaskResources(&e.Job.Spec),
 		placements: map[int]*placement{}, waitFrom: now, avoid: map[string]time.Time{}}
 }
 
@@ -209,7 +209,7 @@
 func (p *placement) record() records.Placement {
 	rec := records.Placement{Next: p.next, Done: p.done.Done}
 	for _, a := range p.live {
-		rec.Live = append(rec.Live, records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation})
+		rec.Live = append(rec.Live, records.Placed{Task: a.TaskIndex, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation})
 	}
 	return rec
 }
@@ -223,7 +223,7 @@
 	}
 	bytes := records.DenseBytes(records.Placed{Task: task, Attempt: p.next, Host: m.ID, Incarnation: m.Incarnation}, tasks)
 	for _, a := range p.live {
-		bytes += records.DenseBytes(records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}, tasks)
+		bytes += records.DenseBytes(records.Placed{Task: a.TaskIndex, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}, tasks)
 	}
 	return bytes <= records.DenseRoom(valueBytes, tasks)
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -35,7 +35,7 @@
 	for i := range 170 {
 		host := fmt.Sprintf("m-%03d-%s", i, strings.Repeat("x", 40))
 		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: host, MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, now)
-		m.Type, m.Cap = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
+		m.Type, m.Capacity = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
 	}
 	per := records.TasksPerPlacement(c.Config.CurrentValueBytes(), c.Config.ValueBytes())
 	spec := wire.JobSpec{UID: "run-000001", Team: "crew", Kind: wire.JobArray, TaskCount: 2 * per, Cores: 1, RAMGb: 1, Image: "i", Priority: wire.High}
@@ -55,7 +55,7 @@
 	for _, p := range j.placements {
 		for task, a := range p.live {
 			if task%2 == 0 {
-				c.fleet.Commit(a, now)
+				c.fleet.MarkCommitted(a, now)
 				a.Cause, a.State = wire.CauseDone, fleet.Ended
 				delete(p.live, task)
 				p.done.SetDone(task % per)
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -106,7 +106,7 @@
 
 // finalProof reports whether trying the proof again is of no use.
 func finalProof(err error) bool {
-	for _, final := range []error{standby.ErrNothingHeld, standby.ErrDigest, standby.ErrTooFarBehind, standby.ErrUndecodable} {
+	for _, final := range []error{standby.ErrNoCopy, standby.ErrDigest, standby.ErrTooFarBehind, standby.ErrUndecodable} {
 		if errors.Is(err, final) {
 			return true
 		}
@@ -136,7 +136,7 @@
 			return fmt.Errorf("record of returns %s: %w", row.Key, err)
 		}
 		for _, id := range rec.Hosts {
-			c.fleet.Return(c.fleet.Know(id, now), now, "return was attempted in an earlier term")
+			c.fleet.MarkReturning(c.fleet.GetOrAdd(id, now), now, "return was attempted in an earlier term")
 			c.returns[id] = &pendingReturn{recorded: true}
 		}
 		if !slices.ContainsFunc(c.returnsRecords, func(r returnsRecord) bool { return r.key == row.Key }) {
@@ -155,11 +155,11 @@
 			slog.Warn("images cannot be read", "host", id, "err", err)
 			continue
 		}
-		m := c.fleet.Know(id, now)
+		m := c.fleet.GetOrAdd(id, now)
 		for _, name := range rec.Names {
 			m.Images[name] = now
 		}
-		c.fleet.Touch(m)
+		c.fleet.MarkChanged(m)
 		c.recordedImages[id] = imageNote{len(rec.Names), now}
 	}
 }
@@ -178,12 +178,12 @@
 			continue // an earlier try at loading got this far
 		}
 		for _, pl := range j.load(n, row) {
-			m := c.fleet.Know(pl.Host, now)
-			a := &fleet.Attempt{UID: uid, Task: pl.Task, Number: pl.Attempt, Incarnation: pl.Incarnation, Need: j.need,
+			m := c.fleet.GetOrAdd(pl.Host, now)
+			a := &fleet.Attempt{JobUID: uid, TaskIndex: pl.Task, Number: pl.Attempt, Incarnation: pl.Incarnation, Resources: j.need,
 				Image: j.rec.Spec.Image, Inherited: true}
 			j.placements[n].live[pl.Task] = a
 			j.live++
-			c.fleet.Place(m, a, now)
+			c.fleet.AddAttempt(m, a, now)
 			inherited++
 		}
 	}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -44,7 +44,7 @@
 // misleading is a proof whose views say what is not so: that a machine is in a later session,
 // that another one which was returned takes work, and that nothing of the job runs.
 func misleading(t *testing.T, rows map[string][]wire.KeyValue) *standby.Proven {
-	job := standby.JobView{UID: "run-000001", Begun: true}
+	job := standby.JobView{UID: "run-000001", HasRun: true}
 	if err := job.SetRunning([]standby.RunningTask{{Task: 0, Attempt: 1, SinceS: 900}, {Task: 1, Attempt: 9, SinceS: 900}, {Task: 7, Attempt: 1, SinceS: 900}}); err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 		}
 		j.each(func(a *fleet.Attempt) {
 			if a.State != fleet.Committed || !a.Inherited || a.Machine.State != fleet.Booting {
-				t.Errorf("%s: %s is %s on a machine that is %s", proof.name, a.Name(), a.State, a.Machine.State)
+				t.Errorf("%s: %s is %s on a machine that is %s", proof.name, a.TaskName(), a.State, a.Machine.State)
 			}
 		})
 		// The machine is in the session that its task is known from, whatever the view says.
@@ -126,7 +126,7 @@
 	take := func() (keys []string) {
 		for more := true; more; {
 			var entries []*standby.Entry
-			entries, more = c.TakeChangedViews(256)
+			entries, more = c.DrainChangedViews(256)
 			if len(entries) > 257 {
 				t.Fatalf("%d views at once", len(entries))
 			}
@@ -141,7 +141,7 @@
 		t.Errorf("%d views at first", len(keys))
 	}
 	m := c.fleet.Get("m-007")
-	c.fleet.Place(m, &fleet.Attempt{UID: "run-000001", Number: 1, Incarnation: 1, Inherited: true}, now)
+	c.fleet.AddAttempt(m, &fleet.Attempt{JobUID: "run-000001", Number: 1, Incarnation: 1, Inherited: true}, now)
 	c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m-007", Zone: "b", Incarnation: 1, Sequence: 2, FencingToken: 5,
 		Tasks: []wire.TaskReport{{Task: "run-000001/0", Attempt: 1, Status: wire.TaskRunning}}}, now)
 	if keys := fmt.Sprint(take()); keys != "[view/job/run-000001 view/leader view/machine/m-007]" {
--- a/internal/controller/lost.go
+++ b/internal/controller/lost.go
@@ -188,7 +188,7 @@
 		if why := d.causeOfDeath(m); why != "" {
 			c.startReturn(m, now, why)
 		}
-		if m.Warned {
+		if m.SpotNotice {
 			c.saveTasks(m, now)
 		}
 	})
@@ -271,13 +271,13 @@
 		return ""
 	case m.Failed:
 		return "failed"
-	case m.State == fleet.Silent && (!d.cutOff(m) || silent > d.tasksEndWithin()):
+	case m.State == fleet.Suspected && (!d.cutOff(m) || silent > d.tasksEndWithin()):
 		return "silent"
 	case d.silentAlone(m, silent):
 		return "silent while others report"
 	case d.neverCameUp(m):
 		return "never came up"
-	case m.Warned && m.LiveCount() == 0 && m.State == fleet.Ready:
+	case m.SpotNotice && m.LiveCount() == 0 && m.State == fleet.Ready:
 		return "is being taken back"
 	}
 	return ""
@@ -314,13 +314,13 @@
 		boot = r.BootS
 	}
 	settled := d.now.Sub(d.c.steady) > 2*d.c.Config.WorkerLease()
-	return settled && d.now.Sub(m.Born).Seconds() > boots*boot
+	return settled && d.now.Sub(m.FirstSeen).Seconds() > boots*boot
 }
 
 // saveTasks stops the tasks of a machine that the cloud takes back.
 func (c *Controller) saveTasks(m *fleet.Machine, now time.Time) {
 	m.Each(func(a *fleet.Attempt) {
-		if j := c.jobs[a.UID]; j != nil && a.Live() && !a.Stopping {
+		if j := c.jobs[a.JobUID]; j != nil && a.Live() && !a.Stopping {
 			c.stop(a, j.rec.Spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
 		}
 	})
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -80,7 +80,7 @@
 					c.fleet.Get(fmt.Sprintf("m-%03d", i)).LastHeartbeat = now
 				}
 			}
-			c.fleet.SuspectSilent(now)
+			c.fleet.MarkSuspected(now)
 			c.declareDead(now)
 			now = now.Add(step)
 		}
@@ -187,14 +187,14 @@
 	c := watched(&now)
 	c.steady = now
 	for i := range 20 {
-		m := c.fleet.Know(fmt.Sprintf("x-%03d", i), now)
-		c.fleet.Place(m, &fleet.Attempt{UID: "run-000001", Task: i, Number: 1, Incarnation: 1, Inherited: true}, now)
+		m := c.fleet.GetOrAdd(fmt.Sprintf("x-%03d", i), now)
+		c.fleet.AddAttempt(m, &fleet.Attempt{JobUID: "run-000001", TaskIndex: i, Number: 1, Incarnation: 1, Inherited: true}, now)
 	}
 	for sequence := uint64(1); sequence <= 12; sequence++ {
 		for i := range 100 {
 			c.hearFrom(i, sequence, now)
 		}
-		c.fleet.SuspectSilent(now)
+		c.fleet.MarkSuspected(now)
 		c.declareDead(now)
 		now = now.Add(time.Second)
 	}
@@ -224,7 +224,7 @@
 		for i := range 40 {
 			c.hearFrom(i, 1, now)
 			m := c.fleet.Get(fmt.Sprintf("m-%03d", i))
-			m.Type, m.Cap = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
+			m.Type, m.Capacity = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
 		}
 		spec := wire.JobSpec{Team: "crew", Kind: wire.Service, TaskCount: 1, Cores: 1, Gpus: 1, RAMGb: 1, Image: "i", Priority: wire.High}
 		for i := range 250 {
@@ -279,15 +279,15 @@
 		t.Errorf("the order is %v, with %v tasks", uids, waiting)
 	}
 	// Once it has run, it waits its turn, also when its task has ended.
-	a := &fleet.Attempt{UID: large.uid, Task: 0, Number: 1, Need: large.need}
+	a := &fleet.Attempt{JobUID: large.uid, TaskIndex: 0, Number: 1, Resources: large.need}
 	large.placement(0).live[0] = a
 	large.live++
 	c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m", MachineType: "g", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 5}, now)
-	c.fleet.Place(c.fleet.Get("m"), a, now)
-	c.fleet.Commit(a, now)
+	c.fleet.AddAttempt(c.fleet.Get("m"), a, now)
+	c.fleet.MarkCommitted(a, now)
 	for sequence, status := range []wire.TaskStatus{wire.TaskRunning, wire.TaskEnded} {
 		c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m", MachineType: "g", Zone: "a", Incarnation: 1, Sequence: uint64(2 + sequence), FencingToken: 5,
-			Tasks: []wire.TaskReport{{Task: a.Name(), Attempt: 1, Status: status, Cause: wire.CauseStopped}}}, now)
+			Tasks: []wire.TaskReport{{Task: a.TaskName(), Attempt: 1, Status: status, Cause: wire.CauseStopped}}}, now)
 	}
 	if uids, _ := order(); len(uids) != 14 || uids[0] == large.uid || large.live != 0 {
 		t.Errorf("after it has begun, the order is %v", uids)
@@ -319,7 +319,7 @@
 		for i := own; i < 5*own; i++ {
 			report(i, "follower", now)
 		}
-		c.fleet.SuspectSilent(now)
+		c.fleet.MarkSuspected(now)
 		c.declareDead(now)
 		now = now.Add(step)
 	}
--- a/internal/controller/nodes.go
+++ b/internal/controller/nodes.go
@@ -35,7 +35,7 @@
 
 // refreshNodes brings the rounds' view of the machines up to date. c.mu is held.
 func (c *Controller) refreshNodes(now time.Time) {
-	c.fleet.TakeChanged(func(id string, m *fleet.Machine) { c.putNode(id, m, now) })
+	c.fleet.DrainChanged(func(id string, m *fleet.Machine) { c.putNode(id, m, now) })
 	for id, at := range c.nodes.timed {
 		if !now.Before(at) {
 			c.putNode(id, c.fleet.Get(id), now)
@@ -89,9 +89,9 @@
 
 // node is a machine as a round sees it; ok is false if it takes no launches now or soon.
 func (c *Controller) node(m *fleet.Machine, now time.Time) (n sched.Node, ok bool) {
-	n = sched.Node{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap, Price: c.price(m.Type, m.Spot)}
+	n = sched.Node{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Capacity, Price: c.price(m.Type, m.Spot)}
 	switch {
-	case m.Takes(now) && m.Orphans() == 0:
+	case m.AcceptsAttempts(now) && m.UnknownTasks() == 0:
 		c.fillPresent(&n, m)
 		return n, true
 	case c.comes(m, now):
@@ -103,7 +103,7 @@
 
 // fillPresent fills in what a machine has and runs that takes launches.
 func (c *Controller) fillPresent(n *sched.Node, m *fleet.Machine) {
-	n.Free, n.Soon, n.Present, n.Pulling = m.Free(), m.Free(), true, m.Pulling()
+	n.Free, n.Soon, n.Present, n.Pulling = m.Free(), m.Free(), true, m.FetchingImages()
 	n.Images = slices.AppendSeq(make([]string, 0, len(m.Images)), maps.Keys(m.Images))
 	n.Leaving = !m.Spot && !c.headroomMachines[m.ID]
 	m.Each(func(a *fleet.Attempt) {
@@ -113,13 +113,13 @@
 		if _, seen := m.Images[a.Image]; !seen && !slices.Contains(n.Images, a.Image) {
 			n.Images = append(n.Images, a.Image)
 		}
-		j := c.jobs[a.UID]
+		j := c.jobs[a.JobUID]
 		if j != nil && !j.rec.Spec.AllowSpot {
 			n.Leaving, n.Fixed = false, true
 		}
 		switch {
 		case a.Stopping || a.State == fleet.Saving:
-			n.Soon = n.Soon.Add(a.Need)
+			n.Soon = n.Soon.Add(a.Resources)
 		case j != nil && (a.State == fleet.Running || a.State == fleet.Fetching):
 			n.Victims = append(n.Victims, victim(j, a))
 		}
@@ -131,10 +131,10 @@
 // replica that has not run yet serves nobody: it can be displaced like batch,
 // and loses what it has fetched.
 func victim(j *job, a *fleet.Attempt) sched.Victim {
-	v := sched.Victim{ID: a.Serial, UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, Need: a.Need}
+	v := sched.Victim{ID: a.Serial, UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, Need: a.Resources}
 	switch serves := j.rec.Spec.Kind == wire.Service; {
-	case !a.RunAt.IsZero():
-		v.Serve, v.Since, v.Loss = serves, a.RunAt, math.Inf(1)
+	case !a.RunningSince.IsZero():
+		v.Serve, v.Since, v.Loss = serves, a.RunningSince, math.Inf(1)
 		if j.rec.Spec.CheckpointIntervalS > 0 {
 			v.Loss = j.rec.Spec.CheckpointOnStopS
 		}
@@ -146,7 +146,7 @@
 
 // touchJob notes that the nodes of a job's machines may have changed.
 func (c *Controller) touchJob(j *job) {
-	j.each(func(a *fleet.Attempt) { c.fleet.Touch(a.Machine) })
+	j.each(func(a *fleet.Attempt) { c.fleet.MarkChanged(a.Machine) })
 }
 
 // keepAsHeadroom takes which machines are kept as spare room.
@@ -154,7 +154,7 @@
 	for _, lists := range [...][2]map[string]bool{{retained, c.headroomMachines}, {c.headroomMachines, retained}} {
 		for id := range lists[0] {
 			if m := c.fleet.Get(id); m != nil && !lists[1][id] {
-				c.fleet.Touch(m)
+				c.fleet.MarkChanged(m)
 			}
 		}
 	}
@@ -164,7 +164,7 @@
 // comes reports whether a machine is expected to take launches soon. One that
 // boots for much longer than usual is no longer counted on.
 func (c *Controller) comes(m *fleet.Machine, now time.Time) bool {
-	if m.Warned || m.Failed || m.Cap.Cores == 0 {
+	if m.SpotNotice || m.Failed || m.Capacity.Cores == 0 {
 		return false
 	}
 	switch m.State {
@@ -183,5 +183,5 @@
 		return time.Time{}
 	}
 	const usualBoots, reports = 1.7, 2
-	return m.Born.Add(time.Duration((usualBoots*r.BootS + reports*c.Config.Cluster.Workers.ReportS) * float64(time.Second)))
+	return m.FirstSeen.Add(time.Duration((usualBoots*r.BootS + reports*c.Config.Cluster.Workers.ReportS) * float64(time.Second)))
 }
--- a/internal/controller/nodes_test.go
+++ b/internal/controller/nodes_test.go
@@ -60,7 +60,7 @@
 				if m := c.fleet.Get(id); m != nil {
 					m.Each(func(a *fleet.Attempt) {
 						states := []wire.TaskStatus{wire.TaskFetching, wire.TaskRunning, wire.TaskSaving, wire.TaskEnded}
-						l := wire.TaskReport{Task: a.Name(), Attempt: a.Number, Status: rapid.SampledFrom(states).Draw(t, "status")}
+						l := wire.TaskReport{Task: a.TaskName(), Attempt: a.Number, Status: rapid.SampledFrom(states).Draw(t, "status")}
 						if l.Status == wire.TaskEnded {
 							l.Cause = rapid.SampledFrom([]wire.Cause{wire.CauseDone, wire.CauseError, wire.CauseStopped}).Draw(t, "cause")
 						}
@@ -95,12 +95,12 @@
 				}
 				for _, task := range j.pick(1) {
 					p := j.placement(task)
-					a := &fleet.Attempt{UID: j.uid, Task: task, Number: p.next, Need: j.need, Image: j.rec.Spec.Image}
+					a := &fleet.Attempt{JobUID: j.uid, TaskIndex: task, Number: p.next, Resources: j.need, Image: j.rec.Spec.Image}
 					p.next++
 					p.live[task] = a
 					j.live++
-					c.fleet.Place(m, a, now)
-					c.fleet.Commit(a, now)
+					c.fleet.AddAttempt(m, a, now)
+					c.fleet.MarkCommitted(a, now)
 				}
 			},
 			"stop": func(t *rapid.T) {
@@ -119,12 +119,12 @@
 			},
 			"price": func(t *rapid.T) {
 				c.catalog.MachineTypes[0].SpotHourly++
-				c.fleet.Each(c.fleet.Touch)
+				c.fleet.Each(c.fleet.MarkChanged)
 			},
 			"return": func(t *rapid.T) {
 				if m := machine(); m != nil && rapid.IntRange(0, 3).Draw(t, "rare") == 0 {
 					c.startReturn(m, now, "test")
-					c.fleet.Confirm(m, now, "test")
+					c.fleet.MarkGone(m, now, "test")
 					c.fleet.Forget(m.ID)
 				}
 			},
--- a/internal/controller/picture.go
+++ b/internal/controller/picture.go
@@ -182,7 +182,7 @@
 func (c *Controller) spotSpent(w *wire.JobSpec, now time.Time) bool {
 	for i := range c.catalog.MachineTypes {
 		r := &c.catalog.MachineTypes[i]
-		if !provision.Capacity(r).Holds(fleet.Need(w)) {
+		if !provision.Capacity(r).Fits(fleet.TaskResources(w)) {
 			continue
 		}
 		for _, zone := range r.Zones {
@@ -237,7 +237,7 @@
 func (c *Controller) bootS(w *wire.JobSpec) float64 {
 	boot := math.Inf(1)
 	for i := range c.catalog.MachineTypes {
-		if r := &c.catalog.MachineTypes[i]; provision.Capacity(r).Holds(fleet.Need(w)) && (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, r.Name)) {
+		if r := &c.catalog.MachineTypes[i]; provision.Capacity(r).Fits(fleet.TaskResources(w)) && (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, r.Name)) {
 			boot = min(boot, r.BootS)
 		}
 	}
@@ -255,7 +255,7 @@
 		}
 		for i := range c.catalog.MachineTypes {
 			r := &c.catalog.MachineTypes[i]
-			if provision.Capacity(r).Holds(fleet.Need(w)) && r.FetchGbPerS > 0 {
+			if provision.Capacity(r).Fits(fleet.TaskResources(w)) && r.FetchGbPerS > 0 {
 				slack = min(slack, o.WithinS-w.ImageGb/r.FetchGbPerS*4/3-c.Config.Cluster.Workers.ReportS)
 			}
 		}
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -49,9 +49,9 @@
 				c.refuse(group, now)
 			}
 			for _, h := range hosts {
-				m := c.fleet.Know(h, now)
+				m := c.fleet.GetOrAdd(h, now)
 				m.Type, m.Zone, m.Spot = r.req.MachineType, r.req.Zone, r.req.Spot
-				c.fleet.Touch(m)
+				c.fleet.MarkChanged(m)
 				c.capacity(m)
 			}
 			c.mu.Unlock()
@@ -93,7 +93,7 @@
 				c.mu.Lock()
 				c.catalog = &cat
 				c.fleet.Each(c.capacity)
-				c.fleet.Each(c.fleet.Touch) // prices
+				c.fleet.Each(c.fleet.MarkChanged) // prices
 				c.mu.Unlock()
 			}
 		}
@@ -104,7 +104,7 @@
 		} else {
 			c.listed(hosts, asked)
 		}
-		if !timeralign.Sleep(ctx, c.untilNext(max(least, c.Cloud.ListTakes(len(hosts))))) {
+		if !timeralign.Sleep(ctx, c.untilNext(max(least, c.Cloud.MinListDuration(len(hosts))))) {
 			return
 		}
 	}
@@ -119,17 +119,17 @@
 	for i := range hosts {
 		h := &hosts[i]
 		seen[h.UID] = true
-		m := c.fleet.Know(h.UID, now)
+		m := c.fleet.GetOrAdd(h.UID, now)
 		if m.State == fleet.Gone {
 			continue
 		}
 		if !m.Listed {
 			m.Listed = true
 			m.Type, m.Zone, m.Spot, m.Address = h.MachineType, h.Zone, h.Spot, h.Address
-			if born := asked.Add(-time.Duration(h.AgeS * float64(time.Second))); born.Before(m.Born) {
-				m.Born = born
+			if born := asked.Add(-time.Duration(h.AgeS * float64(time.Second))); born.Before(m.FirstSeen) {
+				m.FirstSeen = born
 			}
-			c.fleet.Touch(m)
+			c.fleet.MarkChanged(m)
 			c.capacity(m)
 		}
 		if h.Status == wire.HostFailed {
@@ -140,7 +140,7 @@
 		// Once listed, a machine stays listed until it is gone. A list may be
 		// old, but not older than a machine that was listed long ago.
 		// The same goes for one that has been known for that long and never was.
-		if !seen[m.ID] && now.Sub(m.Born) > 4*c.Config.ListLag()+c.Config.WorkerLease() && now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval() {
+		if !seen[m.ID] && now.Sub(m.FirstSeen) > 4*c.Config.ListLag()+c.Config.WorkerLease() && now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval() {
 			c.failed(m)
 		}
 		if ret := c.returns[m.ID]; ret != nil && m.State == fleet.Gone && seen[m.ID] {
@@ -153,6 +153,6 @@
 func (c *Controller) failed(m *fleet.Machine) {
 	if !m.Failed {
 		m.Failed = true
-		c.fleet.Touch(m)
+		c.fleet.MarkChanged(m)
 	}
 }
--- a/internal/controller/returns.go
+++ b/internal/controller/returns.go
@@ -28,7 +28,7 @@
 
 // startReturn starts the return of a machine.
 func (c *Controller) startReturn(m *fleet.Machine, now time.Time, why string) {
-	c.fleet.Return(m, now, why)
+	c.fleet.MarkReturning(m, now, why)
 	if c.returns[m.ID] == nil {
 		c.returns[m.ID] = &pendingReturn{}
 		notify(c.returnsWake)
@@ -124,7 +124,7 @@
 	now := c.now()
 	for _, id := range hosts {
 		c.returns[id].goneAt = now
-		c.fleet.Confirm(c.fleet.Get(id), now, "returned")
+		c.fleet.MarkGone(c.fleet.Get(id), now, "returned")
 	}
 	notify(c.placementWake) // what they ran can be placed
 	return true
--- a/internal/controller/returns_test.go
+++ b/internal/controller/returns_test.go
@@ -114,11 +114,11 @@
 	j := newJob("run-000001", watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{TaskCount: 3}, Status: wire.JobQueued, Per: 2}, ModRevision: 7}, now)
 	c.jobs[j.uid] = j
 	p := j.placement(0)
-	a := &fleet.Attempt{UID: j.uid, Number: 1}
+	a := &fleet.Attempt{JobUID: j.uid, Number: 1}
 	p.live[0], p.next = a, 2
 	j.live++
 	p.touch(now)
-	c.fleet.Place(c.fleet.Get("m-000"), a, now)
+	c.fleet.AddAttempt(c.fleet.Get("m-000"), a, now)
 	c.fleet.StopAttempt(a, 0, now, "its machine has a new session") // before it was recorded
 	now = now.Add(c.endsWait())
 	b := c.collect()
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -44,7 +44,7 @@
 	}
 	c.pauseLiveness(now)
 	c.noteRenewedByPeers(now)
-	c.fleet.SuspectSilent(now)
+	c.fleet.MarkSuspected(now)
 	c.declareDead(now)
 	if c.catalog == nil {
 		return nil
@@ -77,10 +77,10 @@
 			continue
 		}
 		gracePeriod := 0.0
-		if v := c.jobs[a.UID].rec.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.SlackS {
+		if v := c.jobs[a.JobUID].rec.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.SlackS {
 			gracePeriod = v.CheckpointOnStopS + c.Config.Cluster.Workers.ReportS
 		}
-		slog.Info("preempted", "leg", a.Name(), "host", a.Machine.ID)
+		slog.Info("preempted", "leg", a.TaskName(), "host", a.Machine.ID)
 		c.stop(a, gracePeriod, now, "preempted")
 	}
 	c.last = info
@@ -142,7 +142,7 @@
 			if !p.dirty || p.due.After(now) {
 				budget--
 			}
-			a := &fleet.Attempt{UID: j.uid, Task: task, Number: p.next, Need: j.need, Image: j.rec.Spec.Image}
+			a := &fleet.Attempt{JobUID: j.uid, TaskIndex: task, Number: p.next, Resources: j.need, Image: j.rec.Spec.Image}
 			if j.rec.Spec.Kind == wire.Gang {
 				a.Number = j.gangAttempt()
 			}
@@ -150,7 +150,7 @@
 			p.live[task] = a
 			j.live++
 			p.touch(now)
-			c.fleet.Place(m, a, now)
+			c.fleet.AddAttempt(m, a, now)
 			started++
 		}
 	}
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -112,7 +112,7 @@
 				r := wire.Heartbeat{Host: hosts[i].UID, MachineType: "g8", Zone: hosts[i].Zone, Incarnation: 1, Sequence: sequence, FencingToken: c.term}
 				c.fleet.Get(r.Host).Each(func(a *fleet.Attempt) {
 					if a.State != fleet.Planned && a.State != fleet.Committed || a.Inherited {
-						r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.Name(), Attempt: a.Number, Status: wire.TaskRunning})
+						r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.TaskName(), Attempt: a.Number, Status: wire.TaskRunning})
 					}
 				})
 				o, _ := c.Heartbeat(t.Context(), &r, HeartbeatOptions{})
--- a/internal/controller/spare.go
+++ b/internal/controller/spare.go
@@ -140,7 +140,7 @@
 	// else they could hold the last capacity that the cloud has, for ever.
 	wanted := func(m *fleet.Machine) bool {
 		return slices.ContainsFunc(shorts, func(s sched.Short) bool {
-			return sched.Allowed(s.Job.Spec, m.Type, m.Zone, m.Spot) && m.Cap.Holds(fleet.Need(s.Job.Spec))
+			return sched.Allowed(s.Job.Spec, m.Type, m.Zone, m.Spot) && m.Capacity.Fits(fleet.TaskResources(s.Job.Spec))
 		})
 	}
 	var idle []*fleet.Machine
@@ -151,7 +151,7 @@
 		}
 		// A machine costs at least a minute; what comes back within a
 		// fraction of a boot saves a boot.
-		if now.Sub(m.IdleAt).Seconds() < r.BootS/2 || now.Sub(m.Born).Seconds() < r.BootS+10 {
+		if now.Sub(m.IdleSince).Seconds() < r.BootS/2 || now.Sub(m.FirstSeen).Seconds() < r.BootS+10 {
 			return
 		}
 		idle = append(idle, m)
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// TakeChangedViews returns views that have changed since they were last taken: see
+// DrainChangedViews returns views that have changed since they were last taken: see
 // standby.Views.
-func (c *Controller) TakeChangedViews(most int) (entries []*standby.Entry, more bool) {
+func (c *Controller) DrainChangedViews(most int) (entries []*standby.Entry, more bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -105,10 +105,10 @@
 func (c *Controller) machineEntry(host string) (*standby.Entry, error) {
 	m := c.fleet.Get(host)
 	if m == nil || m.State == fleet.Gone {
-		return standby.NoMachine(host), nil
+		return standby.DroppedMachineView(host), nil
 	}
 	v := standby.MachineView{Host: host, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation,
-		BornMs: milliseconds(m.Born), AvoidMs: milliseconds(m.AvoidUntil), SpotNotice: m.Warned,
+		FirstSeenMs: milliseconds(m.FirstSeen), AvoidMs: milliseconds(m.AvoidUntil), SpotNotice: m.SpotNotice,
 		Images: slices.Sorted(maps.Keys(m.Images))}
 	if m.State == fleet.Ready {
 		v.FencingToken = c.term
@@ -119,13 +119,13 @@
 func (c *Controller) jobEntry(uid string) (*standby.Entry, error) {
 	j := c.jobs[uid]
 	if j == nil {
-		return standby.NoJob(uid), nil
+		return standby.DroppedJobView(uid), nil
 	}
-	v := standby.JobView{UID: uid, Begun: j.begun, Fails: j.fails, NotBeforeMs: milliseconds(j.backoffUntil), WaitMs: milliseconds(j.waitFrom)}
+	v := standby.JobView{UID: uid, HasRun: j.begun, BackoffCount: j.fails, NotBeforeMs: milliseconds(j.backoffUntil), WaitMs: milliseconds(j.waitFrom)}
 	var running []standby.RunningTask
 	j.each(func(a *fleet.Attempt) {
-		if !a.RunAt.IsZero() {
-			running = append(running, standby.RunningTask{Task: a.Task, Attempt: a.Number, SinceS: a.RunAt.Unix()})
+		if !a.RunningSince.IsZero() {
+			running = append(running, standby.RunningTask{Task: a.TaskIndex, Attempt: a.Number, SinceS: a.RunningSince.Unix()})
 		}
 	})
 	slices.SortFunc(running, func(a, b standby.RunningTask) int { return cmp.Compare(a.Task, b.Task) })
@@ -155,19 +155,19 @@
 	}
 	for i := range p.Machines {
 		v := &p.Machines[i]
-		m := c.fleet.Know(v.Host, now)
+		m := c.fleet.GetOrAdd(v.Host, now)
 		if m.State != fleet.Booting {
 			continue
 		}
 		m.Address, m.Type, m.Zone, m.Spot = v.Address, v.Type, v.Zone, v.Spot
-		m.IncarnationHint, m.Warned, m.AvoidUntil = v.Incarnation, v.SpotNotice, fromMilliseconds(v.AvoidMs)
-		if born := fromMilliseconds(v.BornMs); !born.IsZero() && born.Before(m.Born) {
-			m.Born = born
+		m.IncarnationHint, m.SpotNotice, m.AvoidUntil = v.Incarnation, v.SpotNotice, fromMilliseconds(v.AvoidMs)
+		if born := fromMilliseconds(v.FirstSeenMs); !born.IsZero() && born.Before(m.FirstSeen) {
+			m.FirstSeen = born
 		}
 		for _, image := range v.Images {
 			m.Images[image] = now
 		}
-		c.fleet.Touch(m)
+		c.fleet.MarkChanged(m)
 		c.capacity(m)
 	}
 	for _, r := range p.Leader.Refusals {
@@ -198,7 +198,7 @@
 			slog.Warn("running tasks are not known", "err", err)
 			continue
 		}
-		j.begun, j.fails, j.backoffUntil = j.begun || v.Begun, max(j.fails, v.Fails), fromMilliseconds(v.NotBeforeMs)
+		j.begun, j.fails, j.backoffUntil = j.begun || v.HasRun, max(j.fails, v.BackoffCount), fromMilliseconds(v.NotBeforeMs)
 		j.suspect = j.suspect || j.fails > 0
 		if from := fromMilliseconds(v.WaitMs); !from.IsZero() && from.Before(j.waitFrom) {
 			j.waitFrom = from
@@ -208,8 +208,8 @@
 				continue
 			}
 			if a := j.attempt(t.Task); a != nil && a.Number == t.Attempt {
-				a.RunAt = time.Unix(min(t.SinceS, now.Unix()), 0)
-				c.fleet.Touch(a.Machine)
+				a.RunningSince = time.Unix(min(t.SinceS, now.Unix()), 0)
+				c.fleet.MarkChanged(a.Machine)
 			}
 		}
 	}
--- a/internal/controller/writer.go
+++ b/internal/controller/writer.go
@@ -299,7 +299,7 @@
 			continue
 		}
 		for _, a := range w.planned {
-			c.fleet.Commit(a, now)
+			c.fleet.MarkCommitted(a, now)
 		}
 		if w.p.seq == w.seq {
 			w.p.setDirty(false)
@@ -308,7 +308,7 @@
 		}
 		w.p.ended = slices.DeleteFunc(w.p.ended, func(a *fleet.Attempt) bool { return slices.Contains(w.ended, a) })
 		for _, a := range w.ended {
-			c.fleet.Record(a, now)
+			c.fleet.MarkEndRecorded(a, now)
 		}
 	}
 	for _, w := range b.jobs {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -18,59 +18,63 @@
 	Booting    MachineState = iota // rented or listed, never reported to this term
 	Confirming                     // reports, but not yet with this term's token
 	Ready                          // may take launches
-	Silent                         // no report for longer than a lease
+	Suspected                      // no report for longer than a lease
 	Returning                      // a return was attempted: never used again
 	Gone                           // the cloud confirmed the return, or took it
 )
 
-var machineNames = [...]string{"booting", "confirming", "ready", "silent", "returning", "gone"}
+var machineStateNames = [...]string{"booting", "confirming", "ready", "silent", "returning", "gone"}
 
-func (s MachineState) String() string { return machineNames[s] }
+func (s MachineState) String() string { return machineStateNames[s] }
 
 // AttemptState is where an attempt stands.
 type AttemptState int
 
 // The states of an attempt.
 const (
-	Planned   AttemptState = iota // decided, its record not yet committed
-	Committed                     // recorded; may be launched
-	Sent                          // an answer that carried its launch was given
-	Fetching                      // reported fetching
-	Running                       // reported running
-	Saving                        // reported saving
-	Ended                         // reported ended, not yet recorded so
-	Recorded                      // ended and recorded: to be reaped
-	Off                           // provably off its machine
+	Planned     AttemptState = iota // decided, its record not yet committed
+	Committed                       // recorded; may be launched
+	LaunchSent                      // an answer that carried its launch was given
+	Fetching                        // reported fetching
+	Running                         // reported running
+	Saving                          // reported saving
+	Ended                           // reported ended, not yet recorded so
+	EndRecorded                     // ended and recorded: to be reaped
+	Off                             // provably off its machine
 )
 
-var attemptNames = [...]string{"planned", "committed", "sent", "fetching", "running", "saving", "ended", "recorded", "off"}
+var attemptStateNames = [...]string{"planned", "committed", "sent", "fetching", "running", "saving", "ended", "recorded", "off"}
 
-func (s AttemptState) String() string { return attemptNames[s] }
+func (s AttemptState) String() string { return attemptStateNames[s] }
 
 // Res is an amount of a machine's resources.
-type Res struct{ Cores, Gpus, RAM float64 }
+type Resources struct{ Cores, Gpus, RAM float64 }
 
 // Add returns r + o.
-func (r Res) Add(o Res) Res { return Res{r.Cores + o.Cores, r.Gpus + o.Gpus, r.RAM + o.RAM} }
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.Cores + o.Cores, r.Gpus + o.Gpus, r.RAM + o.RAM}
+}
 
 // Sub returns r - o.
-func (r Res) Sub(o Res) Res { return Res{r.Cores - o.Cores, r.Gpus - o.Gpus, r.RAM - o.RAM} }
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.Cores - o.Cores, r.Gpus - o.Gpus, r.RAM - o.RAM}
+}
 
 const slack = 1e-6
 
-// Holds reports whether o fits into r.
-func (r Res) Holds(o Res) bool {
+// Fits reports whether o fits into r.
+func (r Resources) Fits(o Resources) bool {
 	return o.Cores <= r.Cores+slack && o.Gpus <= r.Gpus+slack && o.RAM <= r.RAM+slack
 }
 
-// HoldsOne reports whether Count is at least one: unlike for Holds, what o needs none of may be
+// FitsRequested reports whether Count is at least one: unlike for Holds, what o needs none of may be
 // overbooked.
-func (r Res) HoldsOne(o Res) bool {
+func (r Resources) FitsRequested(o Resources) bool {
 	return (o.Cores <= 0 || o.Cores <= r.Cores+slack) && (o.Gpus <= 0 || o.Gpus <= r.Gpus+slack) && (o.RAM <= 0 || o.RAM <= r.RAM+slack)
 }
 
-// Count is how many times o fits into r, at most limit.
-func (r Res) Count(o Res, limit int) int {
+// CountFitting is how many times o fits into r, at most limit.
+func (r Resources) CountFitting(o Resources, limit int) int {
 	n := limit
 	for _, p := range [...][2]float64{{r.Cores, o.Cores}, {r.Gpus, o.Gpus}, {r.RAM, o.RAM}} {
 		if p[1] > 0 {
@@ -80,8 +84,8 @@
 	return max(n, 0)
 }
 
-// Need is what a task of a job takes.
-func Need(w *wire.JobSpec) Res { return Res{w.Cores, w.Gpus, w.RAMGb} }
+// TaskResources is what a task of a job takes.
+func TaskResources(w *wire.JobSpec) Resources { return Resources{w.Cores, w.Gpus, w.RAMGb} }
 
 type attemptKey struct {
 	task    string
@@ -90,12 +94,12 @@
 
 // Attempt is one try of one task on one machine.
 type Attempt struct {
-	UID          string
-	Task         int
+	JobUID       string
+	TaskIndex    int
 	Number       uint64
 	Serial       int    // tells the attempts of a term apart; set when it is placed
 	Incarnation  uint64 // session of the machine that it was decided for
-	Need         Res
+	Resources    Resources
 	Image        string
 	Machine      *Machine
 	State        AttemptState
@@ -106,17 +110,17 @@
 	Cause        wire.Cause
 	Checkpointed bool
 	Since        time.Time // of the last change of state
-	RunAt        time.Time // when first seen running
+	RunningSince time.Time // when first seen running
 }
 
-// Name is the task's name.
-func (a *Attempt) Name() string { return wire.TaskName(a.UID, a.Task) }
+// TaskName is the task's name.
+func (a *Attempt) TaskName() string { return wire.TaskName(a.JobUID, a.TaskIndex) }
 
 // Live reports whether the attempt may be on its machine, now or later.
 func (a *Attempt) Live() bool { return a.State < Ended }
 
-// orphan is a task that a machine reports and no record knows.
-type orphan struct {
+// unknownTask is a task that a machine reports and no record knows.
+type unknownTask struct {
 	task    string
 	attempt uint64
 	ended   bool
@@ -130,7 +134,7 @@
 	Zone                 string
 	Spot                 bool
 	State                MachineState
-	Cap                  Res
+	Capacity             Resources
 	Incarnation          uint64
 	Sequence             uint64
 	IncarnationHint      uint64    // session that an earlier leader knew: only for whom to announce to
@@ -139,11 +143,11 @@
 	LastRelayedHeartbeat time.Time // last report that another node relayed here
 	RelayedBy            string    // follower that keeps it and relays its reports; "": none
 	Since                time.Time // of the last change of state
-	Born                 time.Time // when it was first known
+	FirstSeen            time.Time // when it was first known
 	Listed               bool
 	Failed               bool // the cloud lists it as failed
-	Warned               bool // spot notice
-	IdleAt               time.Time
+	SpotNotice           bool // spot notice
+	IdleSince            time.Time
 	AvoidUntil           time.Time            // takes no launches until then
 	MissedLaunches       int                  // launches in a row that it did not take
 	Quarantined          bool                 // it is passed over for tasks that failed on it
@@ -151,13 +155,13 @@
 
 	lastAnswered time.Time // last report here, whatever time was given again since
 	attempts     map[attemptKey]*Attempt
-	orphans      []orphan
-	used         Res
+	unknownTasks []unknownTask
+	used         Resources
 	live         int
 }
 
 // Free is what is left for new attempts.
-func (m *Machine) Free() Res { return m.Cap.Sub(m.used) }
+func (m *Machine) Free() Resources { return m.Capacity.Sub(m.used) }
 
 // LiveCount is how many attempts may be on it.
 func (m *Machine) LiveCount() int { return m.live }
@@ -166,10 +170,10 @@
 // have ended and are not reaped yet.
 func (m *Machine) AttemptCount() int { return len(m.attempts) }
 
-// Orphans is how many running tasks it reports that no record knows.
-func (m *Machine) Orphans() int {
+// UnknownTasks is how many running tasks it reports that no record knows.
+func (m *Machine) UnknownTasks() int {
 	n := 0
-	for _, s := range m.orphans {
+	for _, s := range m.unknownTasks {
 		if !s.ended {
 			n++
 		}
@@ -178,7 +182,7 @@
 }
 
 // Has reports whether the machine has an image, or fetches it.
-func (m *Machine) Has(image string) bool {
+func (m *Machine) HasImage(image string) bool {
 	if _, seen := m.Images[image]; seen {
 		return true
 	}
@@ -190,8 +194,8 @@
 	return false
 }
 
-// Pulling is how many images it fetches now.
-func (m *Machine) Pulling() int {
+// FetchingImages is how many images it fetches now.
+func (m *Machine) FetchingImages() int {
 	var coming []string
 	for _, a := range m.attempts {
 		if _, seen := m.Images[a.Image]; !seen && a.Live() && !slices.Contains(coming, a.Image) {
@@ -208,13 +212,13 @@
 	}
 }
 
-// Takes reports whether new attempts may be placed on it.
-func (m *Machine) Takes(now time.Time) bool {
-	return m.State == Ready && !m.Warned && !m.Failed && m.Cap.Cores > 0 && !now.Before(m.AvoidUntil)
+// AcceptsAttempts reports whether new attempts may be placed on it.
+func (m *Machine) AcceptsAttempts(now time.Time) bool {
+	return m.State == Ready && !m.SpotNotice && !m.Failed && m.Capacity.Cores > 0 && !now.Before(m.AvoidUntil)
 }
 
-// Watcher is told of every change of state.
-type Watcher interface {
+// Observer is told of every change of state.
+type Observer interface {
 	MachineChanged(m *Machine, from MachineState, why string)
 	AttemptChanged(a *Attempt, from AttemptState, why string)
 }
@@ -223,9 +227,9 @@
 type Fleet struct {
 	term     uint64
 	lease    time.Duration
-	watcher  Watcher
+	observer Observer
 	machines map[string]*Machine
-	changed  map[string]struct{} // machines that may have changed since TakeChanged
+	changed  map[string]struct{} // machines that may have changed since DrainChanged
 	serial   int                 // of the attempt that was placed last
 }
 
@@ -234,16 +238,16 @@
 const missedLaunchLimit = 3
 
 // New makes an empty picture for a term.
-func New(term uint64, lease time.Duration, w Watcher) *Fleet {
-	return &Fleet{term: term, lease: lease, watcher: w, machines: map[string]*Machine{}, changed: map[string]struct{}{}}
+func New(term uint64, lease time.Duration, w Observer) *Fleet {
+	return &Fleet{term: term, lease: lease, observer: w, machines: map[string]*Machine{}, changed: map[string]struct{}{}}
 }
 
-// Touch notes that a machine, or an attempt on it, may have changed.
-func (f *Fleet) Touch(m *Machine) { f.changed[m.ID] = struct{}{} }
+// MarkChanged notes that a machine, or an attempt on it, may have changed.
+func (f *Fleet) MarkChanged(m *Machine) { f.changed[m.ID] = struct{}{} }
 
-// TakeChanged calls fn for every machine that may have changed since it was last called, with
+// DrainChanged calls fn for every machine that may have changed since it was last called, with
 // nil for one that is no longer known.
-func (f *Fleet) TakeChanged(fn func(id string, m *Machine)) {
+func (f *Fleet) DrainChanged(fn func(id string, m *Machine)) {
 	for id := range f.changed {
 		fn(id, f.machines[id])
 	}
@@ -264,9 +268,6 @@
 	return n
 }
 
-// Size is the number of machines, gone ones included.
-func (f *Fleet) Size() int { return len(f.machines) }
-
 // Each calls fn for every machine, gone ones included.
 func (f *Fleet) Each(fn func(*Machine)) {
 	for _, m := range f.machines {
@@ -274,15 +275,15 @@
 	}
 }
 
-// Know finds or makes a machine.
-func (f *Fleet) Know(id string, now time.Time) *Machine {
+// GetOrAdd finds or makes a machine.
+func (f *Fleet) GetOrAdd(id string, now time.Time) *Machine {
 	m := f.machines[id]
 	if m == nil {
-		m = &Machine{ID: id, State: Booting, LastHeartbeat: now, LastHeartbeatHere: now, Since: now, Born: now, IdleAt: now,
+		m = &Machine{ID: id, State: Booting, LastHeartbeat: now, LastHeartbeatHere: now, Since: now, FirstSeen: now, IdleSince: now,
 			attempts: map[attemptKey]*Attempt{}, Images: map[string]time.Time{}}
 		f.machines[id] = m
-		f.Touch(m)
-		f.watcher.MachineChanged(m, Booting, "known")
+		f.MarkChanged(m)
+		f.observer.MachineChanged(m, Booting, "known")
 	}
 	return m
 }
@@ -290,7 +291,7 @@
 // Forget drops a gone machine from the picture.
 func (f *Fleet) Forget(id string) {
 	if m := f.machines[id]; m != nil && m.State == Gone {
-		f.Touch(m)
+		f.MarkChanged(m)
 		delete(f.machines, id)
 	}
 }
@@ -302,8 +303,8 @@
 	}
 	from := m.State
 	m.State, m.Since = to, now
-	f.Touch(m)
-	f.watcher.MachineChanged(m, from, why)
+	f.MarkChanged(m)
+	f.observer.MachineChanged(m, from, why)
 }
 
 // setAttempt is the one function that changes the state of an attempt.
@@ -312,50 +313,50 @@
 		return
 	}
 	m := a.Machine
-	f.Touch(m)
+	f.MarkChanged(m)
 	from, wasLive := a.State, a.Live()
 	a.State, a.Since = to, now
 	if wasLive && !a.Live() {
-		m.used = m.used.Sub(a.Need)
+		m.used = m.used.Sub(a.Resources)
 		if m.live--; m.live == 0 {
-			m.used = Res{} // no rounding errors pile up
-			m.IdleAt = now
+			m.used = Resources{} // no rounding errors pile up
+			m.IdleSince = now
 		}
 	}
 	if to == Off {
-		delete(m.attempts, attemptKey{a.Name(), a.Number})
+		delete(m.attempts, attemptKey{a.TaskName(), a.Number})
 	}
-	f.watcher.AttemptChanged(a, from, why)
+	f.observer.AttemptChanged(a, from, why)
 }
 
-// Place adds an attempt: Planned by this term, or inherited from a record.
-func (f *Fleet) Place(m *Machine, a *Attempt, now time.Time) {
+// AddAttempt adds an attempt: Planned by this term, or inherited from a record.
+func (f *Fleet) AddAttempt(m *Machine, a *Attempt, now time.Time) {
 	f.serial++
 	a.Machine, a.Since, a.Serial = m, now, f.serial
-	f.Touch(m)
+	f.MarkChanged(m)
 	if a.Inherited {
 		a.State = Committed
 	} else {
 		a.State = Planned
 		a.Incarnation = m.Incarnation
 	}
-	m.attempts[attemptKey{a.Name(), a.Number}] = a
-	m.used = m.used.Add(a.Need)
+	m.attempts[attemptKey{a.TaskName(), a.Number}] = a
+	m.used = m.used.Add(a.Resources)
 	m.live++
-	f.watcher.AttemptChanged(a, a.State, "placed")
+	f.observer.AttemptChanged(a, a.State, "placed")
 }
 
-// Commit notes that the record of a planned attempt is committed.
-func (f *Fleet) Commit(a *Attempt, now time.Time) {
+// MarkCommitted notes that the record of a planned attempt is committed.
+func (f *Fleet) MarkCommitted(a *Attempt, now time.Time) {
 	if a.State == Planned {
 		f.setAttempt(a, Committed, now, "recorded")
 	}
 }
 
-// Record notes that the end of an attempt is recorded: it may be reaped.
-func (f *Fleet) Record(a *Attempt, now time.Time) {
+// MarkEndRecorded notes that the end of an attempt is recorded: it may be reaped.
+func (f *Fleet) MarkEndRecorded(a *Attempt, now time.Time) {
 	if a.State == Ended {
-		f.setAttempt(a, Recorded, now, "end recorded")
+		f.setAttempt(a, EndRecorded, now, "end recorded")
 	}
 }
 
@@ -370,30 +371,32 @@
 		return
 	}
 	if !a.Stopping || gracePeriodS < a.GracePeriodS {
-		f.Touch(a.Machine)
+		f.MarkChanged(a.Machine)
 		a.Stopping, a.GracePeriodS = true, gracePeriodS
 	}
 }
 
-// Return notes that a return is about to be attempted.
-func (f *Fleet) Return(m *Machine, now time.Time, why string) { f.setMachine(m, Returning, now, why) }
+// MarkReturning notes that a return is about to be attempted.
+func (f *Fleet) MarkReturning(m *Machine, now time.Time, why string) {
+	f.setMachine(m, Returning, now, why)
+}
 
-// Confirm notes that the cloud answered 200 to returning the machine: it and
+// MarkGone notes that the cloud answered 200 to returning the machine: it and
 // all on it are gone.
-func (f *Fleet) Confirm(m *Machine, now time.Time, why string) {
+func (f *Fleet) MarkGone(m *Machine, now time.Time, why string) {
 	f.setMachine(m, Gone, now, why)
 	for _, a := range m.attempts {
 		f.setAttempt(a, Off, now, "machine gone")
 	}
 }
 
-// SuspectSilent marks machines that nobody has heard for longer than a lease: those that
+// MarkSuspected marks machines that nobody has heard for longer than a lease: those that
 // a new leader knows to have tasks by the records only had their last answer
 // before it began.
-func (f *Fleet) SuspectSilent(now time.Time) {
+func (f *Fleet) MarkSuspected(now time.Time) {
 	for _, m := range f.machines {
 		if (m.State == Ready || m.State == Confirming || m.State == Booting && m.live > 0) && now.Sub(m.LastHeartbeat) > f.lease {
-			f.setMachine(m, Silent, now, "not heard")
+			f.setMachine(m, Suspected, now, "not heard")
 		}
 	}
 }
@@ -401,12 +404,12 @@
 // ApplyHeartbeat takes a check-in into the picture. fresh is false for a copy that is no newer than what is known: it
 // changes nothing and gets no orders.
 func (f *Fleet) ApplyHeartbeat(r *wire.Heartbeat, now time.Time) (m *Machine, fresh bool) {
-	m = f.Know(r.Host, now)
+	m = f.GetOrAdd(r.Host, now)
 	if m.State == Gone || r.Incarnation < m.Incarnation || (r.Incarnation == m.Incarnation && r.Sequence <= m.Sequence) {
 		return m, false
 	}
-	f.Touch(m)
-	newIncarnation := f.applyMachineReport(m, r, now)
+	f.MarkChanged(m)
+	newIncarnation := f.applyMachineFields(m, r, now)
 	reported := reportedAttempts(m, r)
 	confirmed := r.FencingToken == f.term
 	for k, a := range m.attempts {
@@ -416,9 +419,9 @@
 			// drops every answer to a report of an earlier session.
 			f.setAttempt(a, Off, now, "machine has a new session")
 		case l != nil:
-			f.observe(a, l, now)
+			f.applyTaskReport(a, l, now)
 		default:
-			f.missing(a, r, now)
+			f.applyAbsence(a, r, now)
 		}
 	}
 	if confirmed {
@@ -429,14 +432,14 @@
 	return m, true
 }
 
-// applyMachineReport takes what a fresh report says of its machine, and reports whether the machine
+// applyMachineFields takes what a fresh report says of its machine, and reports whether the machine
 // has begun a new session.
-func (f *Fleet) applyMachineReport(m *Machine, r *wire.Heartbeat, now time.Time) (newIncarnation bool) {
+func (f *Fleet) applyMachineFields(m *Machine, r *wire.Heartbeat, now time.Time) (newIncarnation bool) {
 	newIncarnation, answeredAgo := r.Incarnation > m.Incarnation && m.Incarnation != 0, now.Sub(m.lastAnswered)
 	m.Incarnation, m.Sequence, m.LastHeartbeat, m.LastHeartbeatHere, m.lastAnswered = r.Incarnation, r.Sequence, now, now, now
 	m.Address, m.Type, m.Zone, m.Spot = r.Address, r.MachineType, r.Zone, r.Spot
 	if r.SpotNoticeS != nil {
-		m.Warned = true
+		m.SpotNotice = true
 	}
 	if newIncarnation && answeredAgo < f.lease && m.State == Ready {
 		// It reported all the time and yet its lease ended: answers do not
@@ -454,20 +457,20 @@
 // the machine's orphans.
 func reportedAttempts(m *Machine, r *wire.Heartbeat) map[attemptKey]*wire.TaskReport {
 	reported := make(map[attemptKey]*wire.TaskReport, len(r.Tasks))
-	m.orphans = m.orphans[:0]
+	m.unknownTasks = m.unknownTasks[:0]
 	for i := range r.Tasks {
 		l := &r.Tasks[i]
 		k := attemptKey{l.Task, l.Attempt}
 		reported[k] = l
 		if m.attempts[k] == nil {
-			m.orphans = append(m.orphans, orphan{l.Task, l.Attempt, l.Status == wire.TaskEnded})
+			m.unknownTasks = append(m.unknownTasks, unknownTask{l.Task, l.Attempt, l.Status == wire.TaskEnded})
 		}
 	}
 	return reported
 }
 
-// missing takes into account that a fresh report of an attempt's session lacks it.
-func (f *Fleet) missing(a *Attempt, r *wire.Heartbeat, now time.Time) {
+// applyAbsence takes into account that a fresh report of an attempt's session lacks it.
+func (f *Fleet) applyAbsence(a *Attempt, r *wire.Heartbeat, now time.Time) {
 	confirmed := r.FencingToken == f.term
 	switch a.State {
 	case Committed:
@@ -476,24 +479,24 @@
 		if a.Inherited && confirmed {
 			f.setAttempt(a, Off, now, "not on its machine")
 		}
-	case Sent:
+	case LaunchSent:
 		// The worker has one report in flight: since it sent this one, it
 		// drops the answer that carried the launch.
 		if r.Sequence > a.SentSequence {
-			f.launchMissed(a, now)
+			f.recordMissedLaunch(a, now)
 		}
 	case Fetching, Running, Saving, Ended:
 		if confirmed {
 			f.setAttempt(a, Off, now, "no longer reported")
 		}
-	case Recorded:
+	case EndRecorded:
 		f.setAttempt(a, Off, now, "reaped")
 	}
 }
 
-// launchMissed notes that a launch was not taken: it is given again, unless it is not
+// recordMissedLaunch notes that a launch was not taken: it is given again, unless it is not
 // wanted any more or the machine has missed too many.
-func (f *Fleet) launchMissed(a *Attempt, now time.Time) {
+func (f *Fleet) recordMissedLaunch(a *Attempt, now time.Time) {
 	m := a.Machine
 	if m.MissedLaunches++; m.MissedLaunches >= missedLaunchLimit {
 		m.AvoidUntil = now.Add(2 * f.lease)
@@ -505,21 +508,21 @@
 	}
 }
 
-// observe takes the reported state of an attempt.
-func (f *Fleet) observe(a *Attempt, l *wire.TaskReport, now time.Time) {
-	if a.State == Sent {
+// applyTaskReport takes the reported state of an attempt.
+func (f *Fleet) applyTaskReport(a *Attempt, l *wire.TaskReport, now time.Time) {
+	if a.State == LaunchSent {
 		a.Machine.MissedLaunches = 0
 	}
 	switch a.State {
-	case Ended, Recorded, Off:
+	case Ended, EndRecorded, Off:
 		return
 	}
 	switch l.Status {
 	case wire.TaskFetching, wire.TaskWaiting:
 		f.setAttempt(a, Fetching, now, "reported")
 	case wire.TaskRunning:
-		if a.RunAt.IsZero() {
-			a.RunAt = now
+		if a.RunningSince.IsZero() {
+			a.RunningSince = now
 		}
 		if a.Image != "" {
 			a.Machine.Images[a.Image] = now
@@ -537,7 +540,7 @@
 // that is ready, and only for attempts that are committed.
 func (f *Fleet) Commands(m *Machine, now time.Time, launches bool) []wire.Command {
 	orders := []wire.Command{}
-	for _, s := range m.orphans {
+	for _, s := range m.unknownTasks {
 		if s.ended {
 			orders = append(orders, wire.Command{Verb: wire.Acknowledge, Task: s.task, Attempt: s.attempt})
 		} else {
@@ -546,15 +549,15 @@
 	}
 	for _, a := range m.attempts {
 		switch a.State {
-		case Recorded:
-			orders = append(orders, wire.Command{Verb: wire.Acknowledge, Task: a.Name(), Attempt: a.Number})
-		case Sent, Fetching, Running:
+		case EndRecorded:
+			orders = append(orders, wire.Command{Verb: wire.Acknowledge, Task: a.TaskName(), Attempt: a.Number})
+		case LaunchSent, Fetching, Running:
 			if a.Stopping {
-				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Number, GracePeriodS: a.GracePeriodS})
+				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.TaskName(), Attempt: a.Number, GracePeriodS: a.GracePeriodS})
 			}
 		case Saving:
 			if a.Stopping && a.GracePeriodS == 0 {
-				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Number})
+				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.TaskName(), Attempt: a.Number})
 			}
 		}
 	}
@@ -564,8 +567,8 @@
 	for _, a := range m.attempts {
 		if a.State == Committed && !a.Inherited && !a.Stopping && a.Incarnation == m.Incarnation {
 			a.SentSequence = m.Sequence
-			f.setAttempt(a, Sent, now, "launch given")
-			orders = append(orders, wire.Command{Verb: wire.Launch, Task: a.Name(), Attempt: a.Number})
+			f.setAttempt(a, LaunchSent, now, "launch given")
+			orders = append(orders, wire.Command{Verb: wire.Launch, Task: a.TaskName(), Attempt: a.Number})
 		}
 	}
 	return orders
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -33,11 +33,11 @@
 func TestInheritedAttemptNeedsThisTermsToken(t *testing.T) {
 	now := time.Now()
 	f := New(5, lease, nobody{})
-	m := f.Know("m-1", now)
-	a := &Attempt{UID: "run-000001", Number: 1, Incarnation: 1, Inherited: true}
-	f.Place(m, a, now)
-	f.SuspectSilent(now.Add(time.Hour))
-	if m.State != Silent || a.State != Committed {
+	m := f.GetOrAdd("m-1", now)
+	a := &Attempt{JobUID: "run-000001", Number: 1, Incarnation: 1, Inherited: true}
+	f.AddAttempt(m, a, now)
+	f.MarkSuspected(now.Add(time.Hour))
+	if m.State != Suspected || a.State != Committed {
 		t.Fatalf("after silence: %v, %v", m.State, a.State)
 	}
 	f.ApplyHeartbeat(report(1, 1, 4), now)
@@ -56,17 +56,17 @@
 	f := New(5, lease, nobody{})
 	f.ApplyHeartbeat(report(1, 7, 5), now)
 	m := f.Get("m-1")
-	a := &Attempt{UID: "run-000001", Number: 1}
-	f.Place(m, a, now)
+	a := &Attempt{JobUID: "run-000001", Number: 1}
+	f.AddAttempt(m, a, now)
 	if n := len(f.Commands(m, now, true)); n != 0 {
 		t.Fatalf("%d orders before the record is committed", n)
 	}
-	f.Commit(a, now)
+	f.MarkCommitted(a, now)
 	f.ApplyHeartbeat(report(1, 8, 5), now)
-	if o := f.Commands(m, now, true); len(o) != 1 || o[0].Verb != wire.Launch || a.State != Sent {
+	if o := f.Commands(m, now, true); len(o) != 1 || o[0].Verb != wire.Launch || a.State != LaunchSent {
 		t.Fatalf("orders %v, attempt %v", o, a.State)
 	}
-	f.ApplyHeartbeat(report(1, 9, 5, running(a.Name(), 1)), now)
+	f.ApplyHeartbeat(report(1, 9, 5, running(a.TaskName(), 1)), now)
 	if _, fresh := f.ApplyHeartbeat(report(1, 8, 5), now); fresh || a.State != Running {
 		t.Fatalf("an old copy was taken: fresh %v, attempt %v", fresh, a.State)
 	}
@@ -75,7 +75,7 @@
 	if a.State != Off {
 		t.Fatalf("in a new session: %v", a.State)
 	}
-	if _, fresh := f.ApplyHeartbeat(report(1, 11, 5, running(a.Name(), 1)), now); fresh {
+	if _, fresh := f.ApplyHeartbeat(report(1, 11, 5, running(a.TaskName(), 1)), now); fresh {
 		t.Fatal("a report of an earlier session was taken")
 	}
 }
@@ -86,17 +86,17 @@
 	f := New(5, lease, nobody{})
 	f.ApplyHeartbeat(report(1, 1, 5), now)
 	m := f.Get("m-1")
-	m.Cap = Res{8, 8, 8}
-	if !m.Takes(now) {
+	m.Capacity = Resources{8, 8, 8}
+	if !m.AcceptsAttempts(now) {
 		t.Fatal("a ready machine takes nothing")
 	}
-	f.Return(m, now, "test")
+	f.MarkReturning(m, now, "test")
 	f.ApplyHeartbeat(report(1, 2, 5), now)
 	f.ApplyHeartbeat(report(2, 3, 5), now)
-	if m.State != Returning || m.Takes(now) {
+	if m.State != Returning || m.AcceptsAttempts(now) {
 		t.Fatalf("%v", m.State)
 	}
-	f.Confirm(m, now, "test")
+	f.MarkGone(m, now, "test")
 	f.ApplyHeartbeat(report(3, 4, 5), now)
 	if m.State != Gone {
 		t.Fatalf("%v", m.State)
@@ -110,16 +110,16 @@
 	f := New(5, lease, nobody{})
 	f.ApplyHeartbeat(report(1, 1, 5), now)
 	m := f.Get("m-1")
-	m.Cap = Res{8, 8, 8}
-	a := &Attempt{UID: "run-000001", Number: 1}
-	f.Place(m, a, now)
-	f.Commit(a, now)
+	m.Capacity = Resources{8, 8, 8}
+	a := &Attempt{JobUID: "run-000001", Number: 1}
+	f.AddAttempt(m, a, now)
+	f.MarkCommitted(a, now)
 	for sequence := uint64(2); sequence < 8 && a.State != Off; sequence++ {
 		f.ApplyHeartbeat(report(1, sequence, 5), now)
 		f.Commands(m, now, true)
 	}
-	if a.State != Off || m.Takes(now) {
-		t.Fatalf("attempt %v, takes %v", a.State, m.Takes(now))
+	if a.State != Off || m.AcceptsAttempts(now) {
+		t.Fatalf("attempt %v, takes %v", a.State, m.AcceptsAttempts(now))
 	}
 }
 
@@ -137,13 +137,13 @@
 		var flight []wire.Command // the answer to the report in flight
 		var flightIncarnation, flightToken uint64
 		// One attempt may have been launched by an earlier term.
-		old := &Attempt{UID: "run-000009", Number: 3, Incarnation: 1, Inherited: true}
-		f.Place(f.Know("m-1", now), old, now)
+		old := &Attempt{JobUID: "run-000009", Number: 3, Incarnation: 1, Inherited: true}
+		f.AddAttempt(f.GetOrAdd("m-1", now), old, now)
 		attempts = append(attempts, old)
 		if rapid.Bool().Draw(t, "oldIsOn") {
-			on[attemptKey{old.Name(), 3}] = true
+			on[attemptKey{old.TaskName(), 3}] = true
 		}
-		oldFlight := !on[attemptKey{old.Name(), 3}] && rapid.Bool().Draw(t, "oldInFlight")
+		oldFlight := !on[attemptKey{old.TaskName(), 3}] && rapid.Bool().Draw(t, "oldInFlight")
 		next := uint64(1)
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
@@ -157,7 +157,7 @@
 				if oldFlight && rapid.Bool().Draw(t, "oldAnswers") {
 					// This report went to the deposed leader.
 					if seen < 5 {
-						on[attemptKey{old.Name(), 3}] = true
+						on[attemptKey{old.TaskName(), 3}] = true
 					}
 					oldFlight = false
 					copies = append(copies, r)
@@ -196,11 +196,11 @@
 				oldFlight = false
 			case 5: // a task is placed and recorded
 				if m := f.Get("m-1"); m.State == Ready {
-					a := &Attempt{UID: "run-000001", Task: int(next), Number: next}
+					a := &Attempt{JobUID: "run-000001", TaskIndex: int(next), Number: next}
 					next++
-					f.Place(m, a, now)
+					f.AddAttempt(m, a, now)
 					if rapid.Bool().Draw(t, "recorded") {
-						f.Commit(a, now)
+						f.MarkCommitted(a, now)
 					}
 					attempts = append(attempts, a)
 				}
@@ -209,16 +209,16 @@
 				f.StopAttempt(a, 0, now, "test")
 			}
 			for _, a := range attempts {
-				k := attemptKey{a.Name(), a.Number}
+				k := attemptKey{a.TaskName(), a.Number}
 				if a.State != Off {
 					continue
 				}
 				if on[k] {
-					t.Fatalf("%s is off, but the worker has it", a.Name())
+					t.Fatalf("%s is off, but the worker has it", a.TaskName())
 				}
 				for _, o := range flight {
-					if o.Verb == wire.Launch && o.Task == a.Name() && o.Attempt == a.Number && flightToken != 0 {
-						t.Fatalf("%s is off, but its launch is under way", a.Name())
+					if o.Verb == wire.Launch && o.Task == a.TaskName() && o.Attempt == a.Number && flightToken != 0 {
+						t.Fatalf("%s is off, but its launch is under way", a.TaskName())
 					}
 				}
 			}
@@ -245,11 +245,11 @@
 		f := New(5, lease, nobody{})
 		f.ApplyHeartbeat(report(1, 7, tc.token), now)
 		m := f.Get("m-1")
-		m.Cap = Res{8, 8, 8}
+		m.Capacity = Resources{8, 8, 8}
 		now = now.Add(tc.after)
 		m.LastHeartbeat, m.LastHeartbeatHere = now, now // all machines are given their time again
 		f.ApplyHeartbeat(report(2, 30, 5), now)
-		if m.Takes(now) != tc.takes {
+		if m.AcceptsAttempts(now) != tc.takes {
 			t.Errorf("%s: takes launches: %v", tc.name, !tc.takes)
 		}
 	}
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -28,9 +28,9 @@
 		for i := range machines {
 			m := report(i, 1, 1, false)
 			for task := range tasks {
-				a := &Attempt{UID: fmt.Sprint("run-", i), Task: task, Number: 1, Need: Res{Cores: 1}}
-				f.Place(m, a, now)
-				f.Commit(a, now)
+				a := &Attempt{JobUID: fmt.Sprint("run-", i), TaskIndex: task, Number: 1, Resources: Resources{Cores: 1}}
+				f.AddAttempt(m, a, now)
+				f.MarkCommitted(a, now)
 			}
 			if orders := f.Commands(m, now, true); len(orders) != tasks {
 				t.Fatalf("%s gets %d orders", m.ID, len(orders))
@@ -38,12 +38,12 @@
 			report(i, 1, 2, true)
 		}
 		changed := 0
-		f.TakeChanged(func(string, *Machine) { changed++ })
+		f.DrainChanged(func(string, *Machine) { changed++ })
 		if f.Len() != machines || changed != machines {
 			t.Fatalf("%d of %d machines are held, %d have changed", f.Len(), machines, changed)
 		}
 		report(machines/2, 2, 1, false)
-		f.SuspectSilent(now)
+		f.MarkSuspected(now)
 		f.Each(func(m *Machine) {
 			want := tasks
 			if m.ID == fmt.Sprintf("m-%06d", machines/2) {
@@ -53,7 +53,7 @@
 				t.Fatalf("%s is %s with %d tasks, not %d", m.ID, m.State, m.LiveCount(), want)
 			}
 		})
-		f.TakeChanged(func(id string, _ *Machine) { changed-- })
+		f.DrainChanged(func(id string, _ *Machine) { changed-- })
 		if changed != machines-1 {
 			t.Errorf("%d machines have changed by one report", machines-changed)
 		}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -141,7 +141,7 @@
 }
 
 // countRelayed counts reports by how they were relayed.
-func (n *Node) countRelayed(kind relay.ReportKind, reports int) {
+func (n *Node) countRelayed(kind relay.DeliveryKind, reports int) {
 	if reports > 0 {
 		n.meters.GetOrCreateCounter(fmt.Sprintf(`lotusstile_relayed_reports_total{kind=%q}`, string(kind))).Add(reports)
 	}
--- a/internal/node/cancel.go
+++ b/internal/node/cancel.go
@@ -74,9 +74,9 @@
 // rule rests on it: a peer that it does not reach learns of the withdrawal by
 // reading, or stops renewing leases.
 func (n *Node) notifyCancelled(a peer.Cancellation) {
-	n.Cancelled(a)
+	n.ApplyCancellation(a)
 	for _, p := range n.peers {
-		if _, ok := p.Last(n.cfg.LeaderLeaseTTL()); !ok {
+		if _, ok := p.LastPing(n.cfg.LeaderLeaseTTL()); !ok {
 			continue
 		}
 		go func() {
@@ -87,8 +87,8 @@
 	}
 }
 
-// Cancelled takes word of a committed withdrawal.
-func (n *Node) Cancelled(a peer.Cancellation) {
+// ApplyCancellation takes word of a committed withdrawal.
+func (n *Node) ApplyCancellation(a peer.Cancellation) {
 	n.finals.put(a.UID, a.Record.Status)
 	n.jobCache.Hint(a.UID, a.Record, a.ModRevision)
 }
--- a/internal/node/crowding.go
+++ b/internal/node/crowding.go
@@ -46,9 +46,9 @@
 // limits bounds the connections of users, workers and operators.
 func (n *Node) limits() connlimit.Limits {
 	connections := float64(n.cfg.Cluster.Limits.MaxConnections)
-	return connlimit.Limits{Places: int(placesShare * connections), Reserve: int(reserveShare * connections),
+	return connlimit.Limits{MaxOpen: int(placesShare * connections), Reserve: int(reserveShare * connections),
 		// A worker that is well is idle for no longer than one interval.
-		MinIdle: 2 * n.cfg.HeartbeatInterval(), Patience: n.cfg.HeartbeatInterval()}
+		MinIdle: 2 * n.cfg.HeartbeatInterval(), ReserveTimeout: n.cfg.HeartbeatInterval()}
 }
 
 // pressure is how short of connections this node is for a request.
--- a/internal/node/crowding_test.go
+++ b/internal/node/crowding_test.go
@@ -56,10 +56,10 @@
 	go func() { served <- n.serve(l) }()
 	t.Cleanup(func() { l.Close(); <-served })
 	address := l.Addr().String()
-	for range n.limits().Places {
+	for range n.limits().MaxOpen {
 		request(t, address, "POST /checkin", "", true)
 	}
-	for deadline := time.Now().Add(2 * time.Second); n.connections.Load().Open() < n.limits().Places; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(2 * time.Second); n.connections.Load().Open() < n.limits().MaxOpen; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("%d places are taken", n.connections.Load().Open())
 		}
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -62,8 +62,8 @@
 	limited := connlimit.New(l, n.limits())
 	n.connections.Store(limited)
 	srv := &http.Server{
-		ConnState:         limited.Track,
-		ConnContext:       limited.Context,
+		ConnState:         limited.ConnState,
+		ConnContext:       limited.ConnContext,
 		Handler:           n.inTurn(n.Handler()),
 		ReadHeaderTimeout: n.cfg.WorkerLease() / 2,
 		ReadTimeout:       n.cfg.WorkerLease() / 2,
@@ -134,7 +134,7 @@
 // answer.
 func (n *Node) isolated() bool {
 	for _, p := range n.peers {
-		if _, ok := p.Last(n.cfg.LeaderLeaseTTL() * 3 / 2); ok {
+		if _, ok := p.LastPing(n.cfg.LeaderLeaseTTL() * 3 / 2); ok {
 			return false
 		}
 	}
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -229,7 +229,7 @@
 		t.Fatalf("before it is told %s", got)
 	}
 	state.meanwhile = func() {
-		n.Cancelled(peer.Cancellation{UID: "run-000001", Record: records.Job{Status: wire.JobAborted}, ModRevision: 8})
+		n.ApplyCancellation(peer.Cancellation{UID: "run-000001", Record: records.Job{Status: wire.JobAborted}, ModRevision: 8})
 	}
 	if got := ask(); !strings.Contains(got, `"aborted"`) {
 		t.Errorf("after another node told that it is cancelled: %s", got)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -94,7 +94,7 @@
 		store:         store.New(cfg.Services.State, store.Limits{Rps: st.Rps, WriteRps: st.WriteRps, Nodes: len(cfg.Members) + 1}, timeout, nw.State),
 		cloud:         cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, timeout, nw.Cloud),
 		jobCache:      watchcache.New(),
-		peers:         peer.Peers(cfg, cfg.LeaderLeaseTTL()/4, nw.DialPeer),
+		peers:         peer.NewPeers(cfg, cfg.LeaderLeaseTTL()/4, nw.DialPeer),
 		contacts:      map[string]contact{},
 		renewedLeases: map[string]time.Time{},
 		version:       clusterversion.NewTracker(),
@@ -288,7 +288,7 @@
 		if p.Label != v.Leader {
 			continue
 		}
-		if r, ok := p.Last(n.cfg.LeaderLeaseTTL() * 3 / 4); ok && r.Leading && r.Term >= v.Term {
+		if r, ok := p.LastPing(n.cfg.LeaderLeaseTTL() * 3 / 4); ok && r.Leading && r.Term >= v.Term {
 			return p
 		}
 	}
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -20,7 +20,7 @@
 func (n *Node) unreachableFor(label string, patience time.Duration) bool {
 	for _, p := range n.peers {
 		if p.Label == label {
-			_, reached := p.Last(patience)
+			_, reached := p.LastPing(patience)
 			return !reached
 		}
 	}
@@ -56,6 +56,6 @@
 	unreachable := func(label string) bool { return !n.relayMode() && n.unreachableFor(label, n.cfg.WorkerLease()) }
 	own := n.delay(n.cfg.Label, unreachable)
 	return slices.ContainsFunc(n.peers, func(p *peer.Peer) bool {
-		return p.Well() > enough && n.delay(p.Label, unreachable) < own
+		return p.ServingFor() > enough && n.delay(p.Label, unreachable) < own
 	})
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -31,8 +31,8 @@
 	callTimeout := n.cfg.LeaderLeaseTTL() / 4
 	n.relays.sender = relay.NewSender(relay.SenderConfig{
 		Label: n.cfg.Label, Exchange: n.exchangeReports, Grid: n.cfg.Grid(), Period: every / batchesPerReport,
-		Patience: min(every/2+3*every/batchesPerReport+callTimeout, relay.WorkerPatience*7/8),
-		Observe:  n.countRelayed,
+		AnswerTimeout: min(every/2+3*every/batchesPerReport+callTimeout, relay.WorkerTimeout*7/8),
+		Observe:       n.countRelayed,
 	})
 }
 
@@ -43,7 +43,7 @@
 			return p.RelayHeartbeats(args)
 		}
 	}
-	return peer.HeartbeatBatchReply{}, relay.ErrLeaderNotReached
+	return peer.HeartbeatBatchReply{}, relay.ErrLeaderUnreachable
 }
 
 // beginRelays makes this node's router and receiver of a term.
@@ -58,7 +58,7 @@
 		members = append(members, p.Label)
 	}
 	n.relays.router.Store(relay.NewRouter(relay.RouterConfig{Self: n.cfg.Label, Zones: zones, Connections: n.cfg.Cluster.Limits.MaxConnections,
-		ReportEvery: n.cfg.HeartbeatInterval(), Lease: n.cfg.WorkerLease()}, relay.Mode(n.relays.leaderMode.Load())))
+		HeartbeatInterval: n.cfg.HeartbeatInterval(), Lease: n.cfg.WorkerLease()}, relay.Mode(n.relays.leaderMode.Load())))
 	n.relays.receiver.Store(relay.NewReceiver(ctx, term, members, n.answerRelayed))
 	go n.watchFleetSize(ctx)
 }
@@ -81,10 +81,10 @@
 		if !known {
 			continue
 		}
-		router.Resize(machines)
+		router.SetFleetSize(machines)
 		if time.Since(forgotten) > n.cfg.WorkerLease() {
 			forgotten = time.Now()
-			receiver.Forget(c.HasMachine)
+			receiver.Retain(c.HasMachine)
 		}
 	}
 }
@@ -120,11 +120,11 @@
 // leader's answer to it: with neither, the leader cannot answer now. If it is not reached,
 // its place is taken.
 func (n *Node) relayReport(ctx context.Context, leader *peer.Peer, r *wire.Heartbeat, body []byte, pressure relay.Pressure) (*wire.Commands, *wire.Redirect) {
-	last, ok := leader.Last(n.cfg.LeaderLeaseTTL())
+	last, ok := leader.LastPing(n.cfg.LeaderLeaseTTL())
 	if !ok {
 		return n.renewForLeader(r)
 	}
-	a, err := n.relays.sender.Report(ctx, relay.Leader{Label: leader.Label, Term: last.Term}, r, body, pressure)
+	a, err := n.relays.sender.Relay(ctx, relay.Leader{Label: leader.Label, Term: last.Term}, r, body, pressure)
 	switch {
 	case errors.Is(err, relay.ErrSuperseded):
 		return nil, nil // nobody waits for an answer to this one any more
@@ -140,7 +140,7 @@
 
 // relaying reports whether a leader wants its followers to keep workers.
 func (n *Node) relaying(leader *peer.Peer) bool {
-	last, ok := leader.Last(n.cfg.LeaderLeaseTTL())
+	last, ok := leader.LastPing(n.cfg.LeaderLeaseTTL())
 	return ok && last.WantsRelays && n.cfg.RelayHeartbeats
 }
 
@@ -156,7 +156,7 @@
 // notePeer takes what a ping has told of a peer's part in relaying.
 func (n *Node) notePeer(label string, reply peer.PingResult, reached bool) {
 	if router := n.relays.router.Load(); router != nil {
-		router.Usable(label, reached && reply.CanRelay)
+		router.SetUsable(label, reached && reply.CanRelay)
 	}
 	if reached && reply.Leading {
 		mode := relay.Direct
@@ -177,7 +177,7 @@
 func (n *Node) relayReached(label string) bool {
 	for _, p := range n.peers {
 		if p.Label == label {
-			_, ok := p.Last(n.cfg.LeaderLeaseTTL())
+			_, ok := p.LastPing(n.cfg.LeaderLeaseTTL())
 			return ok
 		}
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -303,7 +303,7 @@
 func (n *Node) renewedByPeers() []string {
 	var ids []string
 	for _, p := range n.peers {
-		if r, ok := p.Last(n.cfg.LeaderLeaseTTL()); ok {
+		if r, ok := p.LastPing(n.cfg.LeaderLeaseTTL()); ok {
 			ids = append(ids, r.RenewedHosts...)
 		}
 	}
@@ -314,7 +314,7 @@
 func (n *Node) reached() []string {
 	zones := []string{n.cfg.Location}
 	for _, p := range n.peers {
-		if _, ok := p.Last(n.cfg.LeaderLeaseTTL()); ok {
+		if _, ok := p.LastPing(n.cfg.LeaderLeaseTTL()); ok {
 			zones = append(zones, p.Location)
 		}
 	}
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -86,7 +86,7 @@
 		members = append(members, p.Label)
 	}
 	source := standby.NewSource(term, members, 2*n.cfg.LeaderLeaseTTL())
-	deps.Source, deps.Store = source, standby.NewRecorder(n.store, source)
+	deps.Source, deps.Store = source, standby.NewRecordingStore(n.store, source)
 	deps.Prove = func(ctx context.Context, term uint64) (*standby.Proven, error) {
 		return n.standby.follower.Prove(ctx, n.store, term)
 	}
@@ -97,7 +97,7 @@
 // promoted takes how the takeover went.
 func (n *Node) promoted(rec records.Takeover) {
 	if rec.Warm {
-		n.standby.follower.Promote(fmt.Sprintf("decides after %d ms", rec.DecidedMs))
+		n.standby.follower.MarkPromoted(fmt.Sprintf("decides after %d ms", rec.DecidedMs))
 	}
 	n.standby.mu.Lock()
 	defer n.standby.mu.Unlock()
@@ -110,7 +110,7 @@
 		return
 	}
 	n.standby.source.Store(nil)
-	n.standby.follower.Drop("this node's term is over")
+	n.standby.follower.Discard("this node's term is over")
 	n.standby.mu.Lock()
 	defer n.standby.mu.Unlock()
 	n.standby.chosen, n.standby.reported = "", ""
@@ -125,7 +125,7 @@
 	}
 	var fit []string
 	for _, p := range n.peers {
-		if last, ok := p.Last(n.cfg.LeaderLeaseTTL()); ok && last.Serving && last.CanFollow {
+		if last, ok := p.LastPing(n.cfg.LeaderLeaseTTL()); ok && last.Serving && last.CanFollow {
 			fit = append(fit, p.Label)
 		}
 	}
@@ -164,11 +164,11 @@
 		n.standby.mu.Unlock()
 		switch {
 		case leader == "":
-			n.standby.follower.LeaderNotReached()
+			n.standby.follower.MarkLeaderUnreachable()
 		case announced == n.cfg.Label:
 			n.standby.follower.Pull(leader, term)
 		case announced != "":
-			n.standby.follower.Drop("another node follows the leader")
+			n.standby.follower.Discard("another node follows the leader")
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	if p == nil {
 		return "", 0, ""
 	}
-	last, ok := p.Last(n.cfg.LeaderLeaseTTL())
+	last, ok := p.LastPing(n.cfg.LeaderLeaseTTL())
 	if !ok || !last.Leading {
 		return "", 0, ""
 	}
@@ -189,14 +189,14 @@
 // otherStandsBy reports whether a peer that is reached follows the leader and this node
 // does not: it is the better successor.
 func (n *Node) otherStandsBy() bool {
-	if !n.cfg.WarmStandby || n.standby.follower.Holds() {
+	if !n.cfg.WarmStandby || n.standby.follower.HasCopy() {
 		return false
 	}
 	n.standby.mu.Lock()
 	announced := n.standby.reported
 	n.standby.mu.Unlock()
 	return slices.ContainsFunc(n.peers, func(p *peer.Peer) bool {
-		last, ok := p.Last(n.cfg.LeaderLeaseTTL())
+		last, ok := p.LastPing(n.cfg.LeaderLeaseTTL())
 		return ok && p.Label == announced && last.Serving && last.CanFollow
 	})
 }
@@ -205,10 +205,10 @@
 func (n *Node) standbyStatus() *wire.StandbyStatus {
 	f := n.standby.follower.Status()
 	st := &wire.StandbyStatus{State: f.State.String(), Cause: f.Cause, Leader: f.Leader, Term: f.Term, Sequence: f.Sequence, Position: f.Position,
-		LagS: f.Lag.Seconds(), Entries: f.Entries, Bytes: f.Bytes, Moved: f.Taken, Refused: f.Refused}
+		LagS: f.Lag.Seconds(), Entries: f.Entries, Bytes: f.Bytes, Moved: f.ReceivedBytes, Refused: f.Refused}
 	if source := n.standby.source.Load(); source != nil {
 		s := source.Status()
-		st.Sequence, st.Position, st.Entries, st.Bytes, st.Moved = s.Sequence, s.Position, s.Entries, s.Bytes, s.Sent
+		st.Sequence, st.Position, st.Entries, st.Bytes, st.Moved = s.Sequence, s.Position, s.Entries, s.Bytes, s.SentBytes
 		st.LagS = 0
 		n.standby.mu.Lock()
 		st.Standby = n.standby.chosen
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -45,11 +45,11 @@
 		if c.Get("passed") == nil {
 			req := c.Request()
 			for _, p := range n.peers {
-				r, ok := p.Last(n.cfg.LeaderLeaseTTL())
-				if !ok || !r.Serving || !understands(p.Understands(), req.Method, req.URL.Path, body) {
+				r, ok := p.LastPing(n.cfg.LeaderLeaseTTL())
+				if !ok || !r.Serving || !understands(p.SupportedVersion(), req.Method, req.URL.Path, body) {
 					continue
 				}
-				reply, err := p.User(peer.UserArgs{Method: req.Method, Path: req.URL.Path, Body: body}, pollWait*2/3)
+				reply, err := p.ForwardUserRequest(peer.UserArgs{Method: req.Method, Path: req.URL.Path, Body: body}, pollWait*2/3)
 				if err == nil && reply.Status != 0 {
 					if reply.RetryAfter != "" {
 						c.Response().Header().Set(echo.HeaderRetryAfter, reply.RetryAfter)
@@ -65,15 +65,15 @@
 // elsewhere reports whether a peer reaches the state service.
 func (n *Node) elsewhere() bool {
 	for _, p := range n.peers {
-		if r, ok := p.Last(n.cfg.LeaderLeaseTTL()); ok && r.Serving {
+		if r, ok := p.LastPing(n.cfg.LeaderLeaseTTL()); ok && r.Serving {
 			return true
 		}
 	}
 	return false
 }
 
-// User answers a user's request that a peer passes on.
-func (n *Node) User(a peer.UserArgs) peer.UserReply {
+// ServeUserRequest answers a user's request that a peer passes on.
+func (n *Node) ServeUserRequest(a peer.UserArgs) peer.UserReply {
 	w := &answer{header: http.Header{}}
 	req, err := http.NewRequest(a.Method, a.Path, bytes.NewReader(a.Body))
 	if err != nil {
--- a/internal/node/version.go
+++ b/internal/node/version.go
@@ -21,8 +21,8 @@
 	var understood []clusterversion.Version
 	var read []wire.Compare
 	for _, p := range n.peers {
-		version := p.Understands()
-		if _, reached := p.Last(n.cfg.LeaderLeaseTTL()); !reached && version < clusterversion.Latest {
+		version := p.SupportedVersion()
+		if _, reached := p.LastPing(n.cfg.LeaderLeaseTTL()); !reached && version < clusterversion.Latest {
 			announced, guard, err := clusterversion.Announced(ctx, n.store, p.Label)
 			if err != nil {
 				slog.Debug("announced version not read", "peer", p.Label, "err", err)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -24,18 +24,18 @@
 	timeout  time.Duration
 	dial     Dialer
 
-	mu     sync.Mutex
-	client *rpc.Client
-	last   PingResult
-	at     time.Time // start of the last ping that was answered
-	well   time.Time // since when every ping found the peer serving; zero if it is not
+	mu           sync.Mutex
+	client       *rpc.Client
+	lastPing     PingResult
+	lastPingAt   time.Time // start of the last ping that was answered
+	servingSince time.Time // since when every ping found the peer serving; zero if it is not
 }
 
 // Dialer opens a connection to a peer's address.
 type Dialer func(addr string, timeout time.Duration) (net.Conn, error)
 
-// Peers makes the peers of a node.
-func Peers(c *config.Config, timeout time.Duration, dial Dialer) []*Peer {
+// NewPeers makes the peers of a node.
+func NewPeers(c *config.Config, timeout time.Duration, dial Dialer) []*Peer {
 	var ps []*Peer
 	for _, m := range c.Members {
 		ps = append(ps, &Peer{Label: m.Label, Location: m.Location, addr: m.Endpoint, timeout: timeout, dial: dial})
@@ -103,39 +103,39 @@
 	defer p.mu.Unlock()
 	switch {
 	case err != nil || !r.Serving:
-		p.well = time.Time{}
-	case p.well.IsZero():
-		p.well = begun
+		p.servingSince = time.Time{}
+	case p.servingSince.IsZero():
+		p.servingSince = begun
 	}
 	if err == nil {
-		p.last, p.at = r, begun
+		p.lastPing, p.lastPingAt = r, begun
 	}
 	return r, err
 }
 
-// Well is how long the peer has been found serving without a break.
-func (p *Peer) Well() time.Duration {
+// ServingFor is how long the peer has been found serving without a break.
+func (p *Peer) ServingFor() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.well.IsZero() {
+	if p.servingSince.IsZero() {
 		return 0
 	}
-	return time.Since(p.well)
+	return time.Since(p.servingSince)
 }
 
-// Last is the last answer to a ping, if one is no older than limit.
-func (p *Peer) Last(limit time.Duration) (PingResult, bool) {
+// LastPing is the last answer to a ping, if one is no older than limit.
+func (p *Peer) LastPing(limit time.Duration) (PingResult, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.last, !p.at.IsZero() && time.Since(p.at) <= limit
+	return p.lastPing, !p.lastPingAt.IsZero() && time.Since(p.lastPingAt) <= limit
 }
 
-// Understands is the cluster version that the peer said last to understand; the first
+// SupportedVersion is the cluster version that the peer said last to understand; the first
 // if it has not been reached yet.
-func (p *Peer) Understands() clusterversion.Version {
+func (p *Peer) SupportedVersion() clusterversion.Version {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return clusterversion.Normalize(p.last.Version)
+	return clusterversion.Normalize(p.lastPing.Version)
 }
 
 // Counts asks for a job's counts.
@@ -171,8 +171,8 @@
 	return r, err
 }
 
-// User passes a user's request on.
-func (p *Peer) User(a UserArgs, timeout time.Duration) (UserReply, error) {
+// ForwardUserRequest passes a user's request on.
+func (p *Peer) ForwardUserRequest(a UserArgs, timeout time.Duration) (UserReply, error) {
 	var r UserReply
 	err := p.call(serviceName+".User", a, &r, timeout)
 	return r, err
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -31,16 +31,16 @@
 		go srv.ServeConn(far)
 		return near, nil
 	}
-	p := Peers(&config.Config{Members: []config.Member{{Label: "old"}}}, time.Second, dial)[0]
+	p := NewPeers(&config.Config{Members: []config.Member{{Label: "old"}}}, time.Second, dial)[0]
 	defer p.Close()
 	var refused rpc.ServerError
 	if _, err := p.Ping(PingArgs{From: "new"}); !errors.As(err, &refused) {
 		t.Errorf("the ping ends with %v", err)
 	}
-	if _, ok := p.Last(time.Hour); ok {
+	if _, ok := p.LastPing(time.Hour); ok {
 		t.Error("its answer is taken")
 	}
-	if p.Well() != 0 {
+	if p.ServingFor() != 0 {
 		t.Error("it counts as well")
 	}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -18,10 +18,10 @@
 
 // Handler answers the calls of other controllers.
 type Handler interface {
-	// Cancelled learns of a committed cancellation.
-	Cancelled(c Cancellation)
-	// User answers a user's request that a peer forwards.
-	User(a UserArgs) UserReply
+	// ApplyCancellation learns of a committed cancellation.
+	ApplyCancellation(c Cancellation)
+	// ServeUserRequest answers a user's request that a peer forwards.
+	ServeUserRequest(a UserArgs) UserReply
 	// LeadStatus is the leader's status, or nil if this node does not lead.
 	LeadStatus() *wire.LeadStatus
 	Ping(a PingArgs) PingResult
@@ -65,13 +65,13 @@
 
 // User answers a forwarded request of a user.
 func (s *service) User(a UserArgs, r *UserReply) error {
-	*r = s.handler.User(a)
+	*r = s.handler.ServeUserRequest(a)
 	return nil
 }
 
 // Withdrawn learns of a committed cancellation.
 func (s *service) Withdrawn(a WithdrawnArgs, _ *WithdrawnReply) error {
-	s.handler.Cancelled(a.cancellation())
+	s.handler.ApplyCancellation(a.cancellation())
 	return nil
 }
 
--- a/internal/provision/provision.go
+++ b/internal/provision/provision.go
@@ -28,19 +28,19 @@
 
 type bin struct {
 	group MachineGroup
-	room  fleet.Res
+	room  fleet.Resources
 }
 
 // Capacity is what a machine of a type offers.
-func Capacity(r *wire.MachineType) fleet.Res {
-	return fleet.Res{Cores: r.Cores, Gpus: r.Gpus, RAM: r.RAMGb}
+func Capacity(r *wire.MachineType) fleet.Resources {
+	return fleet.Resources{Cores: r.Cores, Gpus: r.Gpus, RAM: r.RAMGb}
 }
 
 // Fits reports whether a task of the job fits some machine that it may use.
 func Fits(cat *wire.Catalog, w *wire.JobSpec) bool {
 	for i := range cat.MachineTypes {
 		r := &cat.MachineTypes[i]
-		if !Capacity(r).Holds(fleet.Need(w)) {
+		if !Capacity(r).Fits(fleet.TaskResources(w)) {
 			continue
 		}
 		for _, y := range r.Zones {
@@ -113,17 +113,17 @@
 	cat        *wire.Catalog
 	population map[string]int
 	refused    func(MachineGroup) bool
-	least      fleet.Res // nothing that is short needs less of anything
+	least      fleet.Resources // nothing that is short needs less of anything
 	bins       []bin
 	open       []int // bins that have room for the least
 }
 
 // leastNeed is the least of each resource that any task that is short needs.
-func leastNeed(shorts []sched.Short) fleet.Res {
-	least := fleet.Res{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
+func leastNeed(shorts []sched.Short) fleet.Resources {
+	least := fleet.Resources{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
 	for _, s := range shorts {
-		n := fleet.Need(s.Job.Spec)
-		least = fleet.Res{Cores: min(least.Cores, n.Cores), Gpus: min(least.Gpus, n.Gpus), RAM: min(least.RAM, n.RAM)}
+		n := fleet.TaskResources(s.Job.Spec)
+		least = fleet.Resources{Cores: min(least.Cores, n.Cores), Gpus: min(least.Gpus, n.Gpus), RAM: min(least.RAM, n.RAM)}
 	}
 	return least
 }
@@ -132,7 +132,7 @@
 // that are full are passed over for good: at thousands of tasks, looking at each bin for each
 // task took longer than a round may.
 func (p *packing) pack(s sched.Short) {
-	need := fleet.Need(s.Job.Spec)
+	need := fleet.TaskResources(s.Job.Spec)
 	zones := maps.Clone(s.Job.ByZone)
 	if zones == nil {
 		zones = map[string]int{}
@@ -140,12 +140,12 @@
 	left := s.Count
 	p.open = slices.DeleteFunc(p.open, func(i int) bool {
 		b := &p.bins[i]
-		for left > 0 && b.room.Holds(need) && sched.Allowed(s.Job.Spec, b.group.Type, b.group.Zone, b.group.Spot) && zoneOK(s.Job, zones, b.group.Zone) {
+		for left > 0 && b.room.Fits(need) && sched.Allowed(s.Job.Spec, b.group.Type, b.group.Zone, b.group.Spot) && zoneOK(s.Job, zones, b.group.Zone) {
 			b.room = b.room.Sub(need)
 			zones[b.group.Zone]++
 			left--
 		}
-		return !b.room.Holds(p.least)
+		return !b.room.Fits(p.least)
 	})
 	for left > 0 {
 		g, room, ok := cheapest(p.cat, s.Job, zones, left, p.population, p.refused)
@@ -153,12 +153,12 @@
 			return
 		}
 		b := bin{g, room}
-		for left > 0 && b.room.Holds(need) && zoneOK(s.Job, zones, g.Zone) {
+		for left > 0 && b.room.Fits(need) && zoneOK(s.Job, zones, g.Zone) {
 			b.room = b.room.Sub(need)
 			zones[g.Zone]++
 			left--
 		}
-		if b.room.Holds(p.least) {
+		if b.room.Fits(p.least) {
 			p.open = append(p.open, len(p.bins))
 		}
 		p.bins = append(p.bins, b)
@@ -189,13 +189,13 @@
 
 // cheapest picks the group with the lowest price for each task that it would
 // hold; among equals, the zone with the fewest machines.
-func cheapest(cat *wire.Catalog, j *sched.Job, zones map[string]int, left int, pop map[string]int, refused func(MachineGroup) bool) (MachineGroup, fleet.Res, bool) {
+func cheapest(cat *wire.Catalog, j *sched.Job, zones map[string]int, left int, pop map[string]int, refused func(MachineGroup) bool) (MachineGroup, fleet.Resources, bool) {
 	best, bestCost, bestPop := MachineGroup{}, math.Inf(1), 0
-	var room fleet.Res
-	need := fleet.Need(j.Spec)
+	var room fleet.Resources
+	need := fleet.TaskResources(j.Spec)
 	for i := range cat.MachineTypes {
 		r := &cat.MachineTypes[i]
-		n := Capacity(r).Count(need, left)
+		n := Capacity(r).CountFitting(need, left)
 		if n == 0 {
 			continue
 		}
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -16,36 +16,36 @@
 
 // batch collects reports until they are sent.
 type batch struct {
-	reports []peer.RelayedHeartbeat
-	bodies  []byte
+	heartbeats []peer.RelayedHeartbeat
+	bodies     []byte
 }
 
-// full reports whether another report has to wait for the next batch.
-func (b *batch) full() bool { return len(b.bodies) >= maxBatchBytes-wire.MaxBody }
+// isFull reports whether another report has to wait for the next batch.
+func (b *batch) isFull() bool { return len(b.bodies) >= maxBatchBytes-wire.MaxBody }
 
-// repeat adds a report that differs from an earlier one in nothing but its tick.
-func (b *batch) repeat(r, earlier *wire.Heartbeat, pressure Pressure) {
-	b.reports = append(b.reports, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Incarnation, Sequence: r.Sequence, RepeatOf: earlier.Sequence, Pressure: uint8(pressure)})
+// addRepetition adds a report that differs from an earlier one in nothing but its tick.
+func (b *batch) addRepetition(r, earlier *wire.Heartbeat, pressure Pressure) {
+	b.heartbeats = append(b.heartbeats, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Incarnation, Sequence: r.Sequence, RepeatOf: earlier.Sequence, Pressure: uint8(pressure)})
 }
 
 // add adds a report in full.
-func (b *batch) add(r *wire.Heartbeat, body []byte, pressure Pressure) {
-	b.reports = append(b.reports, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Incarnation, Sequence: r.Sequence, Size: len(body), Pressure: uint8(pressure)})
+func (b *batch) addFull(r *wire.Heartbeat, body []byte, pressure Pressure) {
+	b.heartbeats = append(b.heartbeats, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Incarnation, Sequence: r.Sequence, Size: len(body), Pressure: uint8(pressure)})
 	b.bodies = append(b.bodies, body...)
 }
 
 // args is the batch as it is sent.
 func (b *batch) args(from string, term uint64) peer.HeartbeatBatch {
-	args := peer.HeartbeatBatch{From: from, Term: term, Heartbeats: b.reports}
+	args := peer.HeartbeatBatch{From: from, Term: term, Heartbeats: b.heartbeats}
 	if len(b.bodies) > 0 {
 		args.Bodies = s2.Encode(nil, b.bodies)
 	}
 	return args
 }
 
-// bodiesOf takes a received batch apart: one body for each report, nil for those that
+// splitBodies takes a received batch apart: one body for each report, nil for those that
 // repeat an earlier one.
-func bodiesOf(args *peer.HeartbeatBatch) ([][]byte, error) {
+func splitBodies(args *peer.HeartbeatBatch) ([][]byte, error) {
 	want := 0
 	for i := range args.Heartbeats {
 		size := args.Heartbeats[i].Size
@@ -73,8 +73,8 @@
 	return bodies, nil
 }
 
-// sameButSequence reports whether two reports of a worker say the same in the same session.
-func sameButSequence(a, b *wire.Heartbeat) bool {
+// equalExceptSequence reports whether two reports of a worker say the same in the same session.
+func equalExceptSequence(a, b *wire.Heartbeat) bool {
 	if a.SpotNoticeS != nil || b.SpotNoticeS != nil {
 		return false // the notice runs down
 	}
--- a/internal/relay/pressure_test.go
+++ b/internal/relay/pressure_test.go
@@ -14,7 +14,7 @@
 // reach that controller, and stays away.
 func TestSlowAnswerDoesNotKeepAWorkerAway(t *testing.T) {
 	r := testRouter(Relayed)
-	r.Resize(100)
+	r.SetFleetSize(100)
 	var sent reports
 	now := time.Unix(1000, 0)
 	others := func() {
@@ -47,7 +47,7 @@
 // A worker whose controller hears nobody any more is not sent back, however many there were.
 func TestUnreachableControllerGetsNoWorkers(t *testing.T) {
 	r := testRouter(Relayed)
-	r.Resize(100)
+	r.SetFleetSize(100)
 	var sent reports
 	now := time.Unix(1000, 0)
 	for i := range 10 {
@@ -71,7 +71,7 @@
 // stays and is served in turn.
 func TestFullControllerSendsWorkersElsewhere(t *testing.T) {
 	r := testRouter(Relayed)
-	r.Resize(60)
+	r.SetFleetSize(60)
 	var sent reports
 	now := time.Unix(1000, 0)
 	for i := range 30 {
@@ -85,7 +85,7 @@
 			t.Fatalf("it is sent to %s after %d s", to, second)
 		}
 	}
-	r.Usable("n2", false)
+	r.SetUsable("n2", false)
 	r.load["n0"] = testConnections
 	if to := r.Route(sent.next("m-99", "b"), "n1", Full, now); to != "" {
 		t.Errorf("with no room anywhere it is sent to %q", to)
@@ -104,11 +104,11 @@
 		for i := range tc.controllers {
 			zones[fmt.Sprint("n", i)] = fmt.Sprint("zone-", i)
 		}
-		r := NewRouter(RouterConfig{Self: "n0", Zones: zones, Connections: tc.connections, ReportEvery: time.Second, Lease: 10 * time.Second}, Relayed)
+		r := NewRouter(RouterConfig{Self: "n0", Zones: zones, Connections: tc.connections, HeartbeatInterval: time.Second, Lease: 10 * time.Second}, Relayed)
 		for label := range zones {
-			r.Usable(label, true)
+			r.SetUsable(label, true)
 		}
-		r.Resize(tc.workers)
+		r.SetFleetSize(tc.workers)
 		at := map[int]string{}
 		for i := range tc.workers {
 			at[i] = "n0"
@@ -124,7 +124,7 @@
 				}
 			}
 		}
-		most, over := int(mostShare*float64(tc.connections)), 0
+		most, over := int(maxShare*float64(tc.connections)), 0
 		for label, n := range r.Load() {
 			if n > most {
 				over += n - most
@@ -145,7 +145,7 @@
 // that loses its workers.
 func TestLateCopyDoesNotHideADeparture(t *testing.T) {
 	r := testRouter(Relayed)
-	r.Resize(100)
+	r.SetFleetSize(100)
 	var sent reports
 	now := time.Unix(1000, 0)
 	r.Route(sent.next("m", "b"), "n1", Relaxed, now)
@@ -168,7 +168,7 @@
 // the zone is cut off, it is the only controller that they reach.
 func TestOwnZoneGoesBeyondTheUsualShare(t *testing.T) {
 	r := testRouter(Relayed)
-	r.Resize(60)
+	r.SetFleetSize(60)
 	var sent reports
 	now, at, zones := time.Unix(1000, 0), map[string]string{}, map[string]string{}
 	for i := range 60 {
--- a/internal/relay/receiver.go
+++ b/internal/relay/receiver.go
@@ -45,10 +45,10 @@
 	if args.Term != v.term || v.ctx.Err() != nil {
 		return reply, nil
 	}
-	if !v.known(args.From) {
+	if !v.isMember(args.From) {
 		return reply, ErrUnknownRelay
 	}
-	bodies, err := bodiesOf(&args)
+	bodies, err := splitBodies(&args)
 	if err != nil {
 		slog.Error("batch refused", "relay", args.From, "err", err)
 		return reply, err
@@ -66,7 +66,7 @@
 			go func() { v.deliver(args.From, v.answer(v.ctx, report, args.From, min(Pressure(head.Pressure), Full))) }()
 		}
 	}
-	reply.Answers = v.takeAnswers(args.From)
+	reply.Answers = v.drainAnswers(args.From)
 	return reply, nil
 }
 
@@ -94,8 +94,8 @@
 	return &report, nil
 }
 
-// Forget drops what is kept of the hosts that are not there any more.
-func (v *Receiver) Forget(there func(host string) bool) {
+// Retain drops what is kept of the hosts that are not there any more.
+func (v *Receiver) Retain(there func(host string) bool) {
 	v.bases.Range(func(host string, _ *wire.Heartbeat) bool {
 		if !there(host) {
 			v.bases.Delete(host)
@@ -104,7 +104,7 @@
 	})
 }
 
-func (v *Receiver) known(relay string) bool {
+func (v *Receiver) isMember(relay string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	_, ok := v.outboxes[relay]
@@ -123,8 +123,8 @@
 	v.outboxes[relay][a.Host] = a
 }
 
-// takeAnswers takes all that is ready for a relay.
-func (v *Receiver) takeAnswers(relay string) []peer.HeartbeatAnswer {
+// drainAnswers takes all that is ready for a relay.
+func (v *Receiver) drainAnswers(relay string) []peer.HeartbeatAnswer {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	ready := v.outboxes[relay]
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,9 +20,9 @@
 )
 
 var (
-	// ErrLeaderNotReached means that the leader did not answer a batch, or leads no
+	// ErrLeaderUnreachable means that the leader did not answer a batch, or leads no
 	// more. It may have acted on the reports all the same.
-	ErrLeaderNotReached = errors.New("the leader was not reached")
+	ErrLeaderUnreachable = errors.New("the leader was not reached")
 	// ErrSuperseded means that the worker has sent a newer report.
 	ErrSuperseded = errors.New("a newer report of the worker has come")
 	// ErrNoAnswer means that the leader did not answer a report in the time that its
@@ -40,6 +40,6 @@
 	Term  uint64
 }
 
-// WorkerPatience is how long a worker waits for the answer to a report, as the protocol
+// WorkerTimeout is how long a worker waits for the answer to a report, as the protocol
 // has it.
-const WorkerPatience = 4 * time.Second
+const WorkerTimeout = 4 * time.Second
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -24,16 +24,16 @@
 // testSender is a sender that batches once in 250 ms.
 func testSender(exchange ExchangeFunc) *Sender {
 	return NewSender(SenderConfig{Label: "n1", Exchange: exchange, Grid: timeralign.Grid{Unit: 250 * time.Millisecond}, Period: 250 * time.Millisecond,
-		Patience: 3 * time.Second, Observe: func(ReportKind, int) {}})
+		AnswerTimeout: 3 * time.Second, Observe: func(DeliveryKind, int) {}})
 }
 
 // pendingOf is a report that waits for its answer.
-func pendingOf(r *wire.Heartbeat) *pendingReport {
+func pendingOf(r *wire.Heartbeat) *pendingHeartbeat {
 	body, err := json.Marshal(r)
 	if err != nil {
 		panic(err)
 	}
-	return &pendingReport{report: r, body: body, result: make(chan result, 1)}
+	return &pendingHeartbeat{heartbeat: r, body: body, result: make(chan result, 1)}
 }
 
 // generateReport draws what a worker says next: often the same as before.
@@ -109,7 +109,7 @@
 			host := fmt.Sprintf("m-%d", i)
 			last[host] = &wire.Heartbeat{Host: host, Address: host, Incarnation: 1, Tasks: []wire.TaskReport{}}
 		}
-		var waiting []*pendingReport
+		var waiting []*pendingHeartbeat
 		term := uint64(1)
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			host := fmt.Sprintf("m-%d", rapid.IntRange(0, hosts-1).Draw(t, "host"))
@@ -124,7 +124,7 @@
 			}
 			p := pendingOf(&r)
 			s := senders[rapid.IntRange(0, 1).Draw(t, "follower")]
-			if err := s.add(Leader{Label: "n0", Term: term}, p); err != nil {
+			if err := s.enqueue(Leader{Label: "n0", Term: term}, p); err != nil {
 				t.Fatal(err)
 			}
 			waiting = append(waiting, p)
@@ -135,13 +135,13 @@
 		for _, s := range senders {
 			s.mu.Lock()
 			if s.leader.Term < term {
-				s.fail(ErrLeaderNotReached)
+				s.failAll(ErrLeaderUnreachable)
 			}
 			s.mu.Unlock()
 			for range 3 {
 				s.exchange()
 			}
-			if s.waiting() {
+			if s.hasPending() {
 				t.Fatal("reports are left without a result")
 			}
 		}
@@ -151,8 +151,8 @@
 				continue // the leader was not reached: the node keeps the lease
 			}
 			a := res.answer
-			if a.Host != p.report.Host || a.Incarnation != p.report.Incarnation || a.Sequence != p.report.Sequence || a.Response.Commands[0].Attempt != a.Sequence {
-				t.Fatalf("the report %+v is answered %+v", p.report, a)
+			if a.Host != p.heartbeat.Host || a.Incarnation != p.heartbeat.Incarnation || a.Sequence != p.heartbeat.Sequence || a.Response.Commands[0].Attempt != a.Sequence {
+				t.Fatalf("the report %+v is answered %+v", p.heartbeat, a)
 			}
 		}
 		mu.Lock()
@@ -167,20 +167,20 @@
 // full and answered: it is not taken for another one, and not lost.
 func TestUnknownBaseIsSentInFull(t *testing.T) {
 	receiver := NewReceiver(context.Background(), 1, []string{"n1"}, echoAnswer)
-	kinds := map[ReportKind]int{}
+	kinds := map[DeliveryKind]int{}
 	s := testSender(func(_ Leader, args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
 		reply, err := receiver.Exchange(args)
 		time.Sleep(time.Millisecond)
 		return reply, err
 	})
-	s.Observe = func(kind ReportKind, n int) { kinds[kind] += n }
+	s.Observe = func(kind DeliveryKind, n int) { kinds[kind] += n }
 	for sequence := uint64(1); sequence <= 3; sequence++ {
 		if sequence == 3 {
-			receiver.Forget(func(string) bool { return false })
+			receiver.Retain(func(string) bool { return false })
 		}
 		r := wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, Tasks: []wire.TaskReport{}}
 		p := pendingOf(&r)
-		if err := s.add(Leader{"n0", 1}, p); err != nil {
+		if err := s.enqueue(Leader{"n0", 1}, p); err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
@@ -190,7 +190,7 @@
 			t.Errorf("report %d ends with %+v", sequence, res)
 		}
 	}
-	want := map[ReportKind]int{KindFull: 2, KindRepeated: 2, KindResent: 1}
+	want := map[DeliveryKind]int{KindFull: 2, KindRepeated: 2, KindResent: 1}
 	for kind, n := range want {
 		if kinds[kind] != n {
 			t.Errorf("%d reports are %s, want %d", kinds[kind], kind, n)
@@ -218,13 +218,13 @@
 		go s.Run(ctx)
 		report := func(to Leader, sequence uint64) (took time.Duration, err error) {
 			began := time.Now()
-			_, err = s.Report(ctx, to, &wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence}, []byte("{}"), Relaxed)
+			_, err = s.Relay(ctx, to, &wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence}, []byte("{}"), Relaxed)
 			return time.Since(began), err
 		}
-		if took, err := report(Leader{"n0", 2}, 1); !errors.Is(err, ErrNoAnswer) || took != s.Patience {
+		if took, err := report(Leader{"n0", 2}, 1); !errors.Is(err, ErrNoAnswer) || took != s.AnswerTimeout {
 			t.Errorf("without an answer: %v after %s", err, took)
 		}
-		if took, err := report(Leader{"n9", 1}, 2); !errors.Is(err, ErrLeaderNotReached) || took != 0 {
+		if took, err := report(Leader{"n9", 1}, 2); !errors.Is(err, ErrLeaderUnreachable) || took != 0 {
 			t.Errorf("a leader of an older term: %v after %s", err, took)
 		}
 		for _, tc := range []struct {
@@ -234,7 +234,7 @@
 			want     error
 		}{
 			{"a newer report", Leader{"n0", 2}, 11, ErrSuperseded},
-			{"a newer leader", Leader{"n2", 3}, 12, ErrLeaderNotReached},
+			{"a newer leader", Leader{"n2", 3}, 12, ErrLeaderUnreachable},
 		} {
 			first := make(chan error, 1)
 			go func() { _, err := report(s.leader, 10); first <- err }()
@@ -249,10 +249,10 @@
 			default:
 				t.Errorf("%s: the older report still waits", tc.name)
 			}
-			time.Sleep(2 * s.Patience)
+			time.Sleep(2 * s.AnswerTimeout)
 		}
 		refuses.Store(true)
-		if took, err := report(Leader{"n2", 3}, 20); !errors.Is(err, ErrLeaderNotReached) || took > s.Period {
+		if took, err := report(Leader{"n2", 3}, 20); !errors.Is(err, ErrLeaderUnreachable) || took > s.Period {
 			t.Errorf("a leader that refuses: %v after %s", err, took)
 		}
 		cancel()
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -28,27 +28,27 @@
 const (
 	relayAboveShare = 0.5  // more workers than this are relayed
 	directBelow     = 0.4  // fewer are not
-	workersShare    = 0.5  // workers that a follower takes
+	followerShare   = 0.5  // workers that a follower takes
 	leaderShare     = 0.25 // workers that the leader keeps itself once others relay
-	mostShare       = 0.65 // workers that any controller takes where these are too few for the fleet
-	headroom        = 1.05 // times the fleet that the controllers together are to take
-	unevenness      = 1.25 // times the least load that a follower may have before it gives workers up
+	maxShare        = 0.65 // workers that any controller takes where these are too few for the fleet
+	capacityFactor  = 1.05 // times the fleet that the controllers together are to take
+	maxImbalance    = 1.25 // times the least load that a follower may have before it gives workers up
 	moveIntervals   = 4    // reports' intervals in which the whole fleet may be moved
 	stayLeases      = 3    // leases for which a worker stays that cannot reach the controller it left
 	stayIntervals   = 2    // reports' intervals for which one stays that has met a slow answer
 	censusShare     = 0.25 // of a report's interval: how often it is counted who is heard
 )
 
-// MostWorkers is how many workers can keep a connection to a controller with so many.
-func MostWorkers(connections int) int { return int(mostShare * float64(connections)) }
+// MaxWorkers is how many workers can keep a connection to a controller with so many.
+func MaxWorkers(connections int) int { return int(maxShare * float64(connections)) }
 
 // RouterConfig is what a Router is made with.
 type RouterConfig struct {
-	Self        string            // label of this node
-	Zones       map[string]string // zone by label, this node's included
-	Connections int               // that a node may have
-	ReportEvery time.Duration
-	Lease       time.Duration
+	Self              string            // label of this node
+	Zones             map[string]string // zone by label, this node's included
+	Connections       int               // that a node may have
+	HeartbeatInterval time.Duration
+	Lease             time.Duration
 }
 
 // Router decides at the leader which controller each worker reports to. Once the fleet
@@ -58,52 +58,52 @@
 type Router struct {
 	RouterConfig
 
-	mu        sync.Mutex
-	mode      Mode
-	size      int                   // of the fleet
-	workers   map[string]*placement // by host
-	load      map[string]int        // workers by label
-	usable    map[string]bool       // followers that are reached and can relay
-	full      map[string]time.Time  // until when controllers that had no connection get no workers
-	growth    float64               // times its usual share that a controller takes, up to mostShare
-	moves     *rate.Limiter
-	swept     time.Time
-	attending census
+	mu             sync.Mutex
+	mode           Mode
+	fleetSize      int                     // of the fleet
+	workers        map[string]*workerState // by host
+	load           map[string]int          // workers by label
+	usable         map[string]bool         // followers that are reached and can relay
+	fullUntil      map[string]time.Time    // until when controllers that had no connection get no workers
+	growth         float64                 // times its usual share that a controller takes, up to maxShare
+	moves          *rate.Limiter
+	staleCheckedAt time.Time
+	census         census
 }
 
 // census counts the workers of each controller: those that were heard lately, and those that
 // have gone elsewhere by themselves.
 type census struct {
-	at              time.Time
+	countedAt       time.Time
 	reporting, left map[string]int // by label
 }
 
-// hears reports whether a controller hears most of its workers, so that one that has gone
+// isHearingWorkers reports whether a controller hears most of its workers, so that one that has gone
 // elsewhere has rather met a slow answer than lost the way.
-func (c *census) hears(label string) bool {
+func (c *census) isHearingWorkers(label string) bool {
 	return c.reporting[label] > 1 && c.reporting[label] > c.left[label]
 }
 
-// placement is where a worker reports.
-type placement struct {
-	session  uint64 // of the newest report
-	sequence uint64
-	at       string // label; where it was sent, if it was
-	seen     time.Time
-	left     []departure // controllers that it has left by itself, in the last stayLeases
+// workerState is where a worker reports.
+type workerState struct {
+	incarnation   uint64 // of the newest report
+	sequence      uint64
+	controller    string // label; where it was sent, if it was
+	lastHeartbeat time.Time
+	departures    []departure // controllers that it has left by itself, in the last stayLeases
 }
 
 // departure is that a worker has left a controller by itself: it came elsewhere without being
 // sent.
 type departure struct {
-	label string
-	at    time.Time
-	again bool // it had left that one before
+	label    string
+	at       time.Time
+	repeated bool // it had left that one before
 }
 
 // NewRouter makes a router in a mode: what the leader before had, if that is known.
 func NewRouter(cfg RouterConfig, mode Mode) *Router {
-	return &Router{RouterConfig: cfg, mode: mode, workers: map[string]*placement{}, load: map[string]int{}, usable: map[string]bool{}, full: map[string]time.Time{}, growth: 1,
+	return &Router{RouterConfig: cfg, mode: mode, workers: map[string]*workerState{}, load: map[string]int{}, usable: map[string]bool{}, fullUntil: map[string]time.Time{}, growth: 1,
 		moves: rate.NewLimiter(0, 1)}
 }
 
@@ -125,8 +125,8 @@
 	clear(r.load)
 }
 
-// Resize takes the number of workers that the leader knows of.
-func (r *Router) Resize(workers int) {
+// SetFleetSize takes the number of workers that the leader knows of.
+func (r *Router) SetFleetSize(workers int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch connections := float64(r.Connections); {
@@ -135,36 +135,36 @@
 	case float64(workers) < connections*directBelow:
 		r.setMode(Direct, workers)
 	}
-	r.size = workers
-	r.grow()
-	perSecond := float64(workers) / (moveIntervals * r.ReportEvery.Seconds())
+	r.fleetSize = workers
+	r.adjustGrowth()
+	perSecond := float64(workers) / (moveIntervals * r.HeartbeatInterval.Seconds())
 	r.moves.SetLimit(rate.Limit(perSecond))
 	r.moves.SetBurst(max(1, int(perSecond)))
 }
 
-// Usable notes whether a follower is reached and can relay.
-func (r *Router) Usable(label string, usable bool) {
+// SetUsable notes whether a follower is reached and can relay.
+func (r *Router) SetUsable(label string, usable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.usable[label] != usable {
 		r.usable[label] = usable
-		r.grow()
+		r.adjustGrowth()
 	}
 }
 
-// grow lets controllers take more than their usual share where the usual shares of those that
+// adjustGrowth lets controllers take more than their usual share where the usual shares of those that
 // are reached do not hold the fleet. r.mu is held.
-func (r *Router) grow() {
+func (r *Router) adjustGrowth() {
 	const step = 1.1
 	for r.growth = 1; ; r.growth *= step {
 		room, most := 0, true
 		for label := range r.Zones {
 			if label == r.Self || r.usable[label] {
 				room += r.capacity(label)
-				most = most && r.share(label) >= mostShare
+				most = most && r.share(label) >= maxShare
 			}
 		}
-		if most || float64(room) >= headroom*float64(r.size) {
+		if most || float64(room) >= capacityFactor*float64(r.fleetSize) {
 			return
 		}
 	}
@@ -190,81 +190,81 @@
 	if r.mode == Direct {
 		return "" // all report to the leader: nothing is counted
 	}
-	r.sweep(now)
-	p, fresh := r.note(report, at, now)
-	if !fresh || r.stays(p, now) {
+	r.forgetStale(now)
+	p, fresh := r.recordHeartbeat(report, at, now)
+	if !fresh || r.shouldStay(p, now) {
 		return ""
 	}
 	if pressure == Full {
-		r.full[at] = now.Add(r.Lease)
+		r.fullUntil[at] = now.Add(r.Lease)
 	}
-	to := r.choose(report.Zone, at, pressure, now)
+	to := r.chooseController(report.Zone, at, pressure, now)
 	if to == at {
 		return ""
 	}
 	// What a controller has too much of goes at once: it has no connections left.
-	if !r.tooMany(at, report.Zone, pressure) && !r.moves.AllowN(now, 1) {
+	if !r.isOverloaded(at, report.Zone, pressure) && !r.moves.AllowN(now, 1) {
 		return ""
 	}
-	r.moveLoad(p, to)
+	r.assign(p, to)
 	return to
 }
 
-// note keeps where a worker reports. r.mu is held.
-func (r *Router) note(report *wire.Heartbeat, at string, now time.Time) (p *placement, fresh bool) {
+// recordHeartbeat keeps where a worker reports. r.mu is held.
+func (r *Router) recordHeartbeat(report *wire.Heartbeat, at string, now time.Time) (p *workerState, fresh bool) {
 	p = r.workers[report.Host]
 	if p == nil {
-		p = &placement{}
+		p = &workerState{}
 		r.workers[report.Host] = p
 	}
-	if report.Incarnation < p.session || report.Incarnation == p.session && report.Sequence <= p.sequence {
+	if report.Incarnation < p.incarnation || report.Incarnation == p.incarnation && report.Sequence <= p.sequence {
 		return p, false
 	}
-	p.session, p.sequence, p.seen = report.Incarnation, report.Sequence, now
-	p.left = slices.DeleteFunc(p.left, func(d departure) bool { return now.Sub(d.at) >= stayLeases*r.Lease })
-	if p.at != "" && at != p.at {
-		p.leave(now)
+	p.incarnation, p.sequence, p.lastHeartbeat = report.Incarnation, report.Sequence, now
+	p.departures = slices.DeleteFunc(p.departures, func(d departure) bool { return now.Sub(d.at) >= stayLeases*r.Lease })
+	if p.controller != "" && at != p.controller {
+		p.recordDeparture(now)
 	}
-	r.moveLoad(p, at)
+	r.assign(p, at)
 	return p, true
 }
 
-// leave notes that a worker has left by itself the controller that it was at. Each is kept: a
+// recordDeparture notes that a worker has left by itself the controller that it was at. Each is kept: a
 // late copy of a report may look as if the worker had been at another one in between.
-func (p *placement) leave(now time.Time) {
-	for i := range p.left {
-		if p.left[i].label == p.at {
-			p.left[i] = departure{p.at, now, true}
+func (p *workerState) recordDeparture(now time.Time) {
+	for i := range p.departures {
+		if p.departures[i].label == p.controller {
+			p.departures[i] = departure{p.controller, now, true}
 			return
 		}
 	}
-	p.left = append(p.left, departure{label: p.at, at: now})
+	p.departures = append(p.departures, departure{label: p.controller, at: now})
 }
 
-// stays reports whether a worker that has gone elsewhere by itself is left alone there: it may
+// shouldStay reports whether a worker that has gone elsewhere by itself is left alone there: it may
 // not reach the controller that it has left. Sent back at once, it would lose its lease on the
 // way. If that controller hears most of its workers, and the worker has not left it before, it
 // has met a slow answer and may go back soon: away from its zone for three leases, it lost its
 // tasks when the zone was cut off meanwhile. r.mu is held.
-func (r *Router) stays(p *placement, now time.Time) bool {
-	return slices.ContainsFunc(p.left, func(d departure) bool {
-		return d.again || now.Sub(d.at) < stayIntervals*r.ReportEvery || !r.count(now).hears(d.label)
+func (r *Router) shouldStay(p *workerState, now time.Time) bool {
+	return slices.ContainsFunc(p.departures, func(d departure) bool {
+		return d.repeated || now.Sub(d.at) < stayIntervals*r.HeartbeatInterval || !r.currentCensus(now).isHearingWorkers(d.label)
 	})
 }
 
-// count is the census as it was a moment ago. r.mu is held.
-func (r *Router) count(now time.Time) *census {
-	c := &r.attending
-	if now.Sub(c.at) < time.Duration(censusShare*float64(r.ReportEvery)) {
+// currentCensus is the census as it was a moment ago. r.mu is held.
+func (r *Router) currentCensus(now time.Time) *census {
+	c := &r.census
+	if now.Sub(c.countedAt) < time.Duration(censusShare*float64(r.HeartbeatInterval)) {
 		return c
 	}
-	*c = census{at: now, reporting: map[string]int{}, left: map[string]int{}}
+	*c = census{countedAt: now, reporting: map[string]int{}, left: map[string]int{}}
 	for _, p := range r.workers {
-		if now.Sub(p.seen) <= stayIntervals*r.ReportEvery {
-			c.reporting[p.at]++
+		if now.Sub(p.lastHeartbeat) <= stayIntervals*r.HeartbeatInterval {
+			c.reporting[p.controller]++
 		}
-		for _, d := range p.left {
-			if d.label != p.at && now.Sub(d.at) < stayLeases*r.Lease {
+		for _, d := range p.departures {
+			if d.label != p.controller && now.Sub(d.at) < stayLeases*r.Lease {
 				c.left[d.label]++
 			}
 		}
@@ -272,33 +272,33 @@
 	return c
 }
 
-// moveLoad counts a worker at a controller. r.mu is held.
-func (r *Router) moveLoad(p *placement, to string) {
-	if p.at == to {
+// assign counts a worker at a controller. r.mu is held.
+func (r *Router) assign(p *workerState, to string) {
+	if p.controller == to {
 		return
 	}
-	if p.at != "" {
-		r.load[p.at]--
+	if p.controller != "" {
+		r.load[p.controller]--
 	}
-	p.at = to
+	p.controller = to
 	r.load[to]++
 }
 
-// choose is the controller that a worker of a zone which reports at one should report
+// chooseController is the controller that a worker of a zone which reports at one should report
 // to. r.mu is held.
-func (r *Router) choose(zone, at string, pressure Pressure, now time.Time) string {
-	over := r.tooMany(at, zone, pressure)
+func (r *Router) chooseController(zone, at string, pressure Pressure, now time.Time) string {
+	over := r.isOverloaded(at, zone, pressure)
 	if r.Zones[at] == zone && !over {
 		return at
 	}
 	other := func(label string) bool { return !over || label != at }
-	if home := r.least(now, zone, func(label string) bool { return r.Zones[label] == zone && other(label) }); home != "" {
+	if home := r.leastLoaded(now, zone, func(label string) bool { return r.Zones[label] == zone && other(label) }); home != "" {
 		return home
 	}
-	least := r.least(now, zone, func(label string) bool { return label != r.Self && other(label) })
+	least := r.leastLoaded(now, zone, func(label string) bool { return label != r.Self && other(label) })
 	if least == "" {
 		// No follower has room: the leader takes what is too much for one.
-		if over && at != r.Self && r.load[r.Self] < r.capacity(r.Self) && !now.Before(r.full[r.Self]) {
+		if over && at != r.Self && r.load[r.Self] < r.capacity(r.Self) && !now.Before(r.fullUntil[r.Self]) {
 			return r.Self
 		}
 		return at
@@ -308,7 +308,7 @@
 		return least
 	case at == r.Self:
 		return least // the leader has other things to do
-	case float64(r.load[at]) > unevenness*float64(r.load[least]+1):
+	case float64(r.load[at]) > maxImbalance*float64(r.load[least]+1):
 		return least
 	}
 	return at
@@ -316,11 +316,11 @@
 
 // share is the share of its connections that a controller gives to workers. r.mu is held.
 func (r *Router) share(label string) float64 {
-	share := workersShare
+	share := followerShare
 	if label == r.Self {
 		share = leaderShare
 	}
-	return min(share*r.growth, mostShare)
+	return min(share*r.growth, maxShare)
 }
 
 // capacity is how many workers a controller takes. r.mu is held.
@@ -331,23 +331,23 @@
 // than its usual share, a third of a cut-off zone of 700 machines lost their leases.
 func (r *Router) capacityFor(label, zone string) int {
 	if r.Zones[label] == zone {
-		return MostWorkers(r.Connections)
+		return MaxWorkers(r.Connections)
 	}
 	return r.capacity(label)
 }
 
-// tooMany reports whether a controller has no connection for a worker of a zone that reports
+// isOverloaded reports whether a controller has no connection for a worker of a zone that reports
 // there. r.mu is held.
-func (r *Router) tooMany(label, zone string, pressure Pressure) bool {
+func (r *Router) isOverloaded(label, zone string, pressure Pressure) bool {
 	return pressure == Full || r.load[label] > r.capacityFor(label, zone)
 }
 
-// least is the controller with the fewest workers of those that can take one more of a zone, or
+// leastLoaded is the controller with the fewest workers of those that can take one more of a zone, or
 // "". r.mu is held.
-func (r *Router) least(now time.Time, zone string, which func(label string) bool) string {
+func (r *Router) leastLoaded(now time.Time, zone string, which func(label string) bool) string {
 	best := ""
 	for label := range r.Zones {
-		if label != r.Self && !r.usable[label] || !which(label) || r.load[label] >= r.capacityFor(label, zone) || now.Before(r.full[label]) {
+		if label != r.Self && !r.usable[label] || !which(label) || r.load[label] >= r.capacityFor(label, zone) || now.Before(r.fullUntil[label]) {
 			continue
 		}
 		if best == "" || r.load[label] < r.load[best] || r.load[label] == r.load[best] && label < best {
@@ -357,15 +357,15 @@
 	return best
 }
 
-// sweep forgets workers that have not reported for a lease. r.mu is held.
-func (r *Router) sweep(now time.Time) {
-	if now.Sub(r.swept) < r.Lease/2 {
+// forgetStale forgets workers that have not reported for a lease. r.mu is held.
+func (r *Router) forgetStale(now time.Time) {
+	if now.Sub(r.staleCheckedAt) < r.Lease/2 {
 		return
 	}
-	r.swept = now
+	r.staleCheckedAt = now
 	for host, p := range r.workers {
-		if now.Sub(p.seen) > r.Lease && !slices.ContainsFunc(p.left, func(d departure) bool { return now.Sub(d.at) < stayLeases*r.Lease }) {
-			r.load[p.at]--
+		if now.Sub(p.lastHeartbeat) > r.Lease && !slices.ContainsFunc(p.departures, func(d departure) bool { return now.Sub(d.at) < stayLeases*r.Lease }) {
+			r.load[p.controller]--
 			delete(r.workers, host)
 		}
 	}
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -15,9 +15,9 @@
 
 func testRouter(mode Mode) *Router {
 	r := NewRouter(RouterConfig{Self: "n0", Zones: map[string]string{"n0": "a", "n1": "b", "n2": "c"}, Connections: testConnections,
-		ReportEvery: time.Second, Lease: 10 * time.Second}, mode)
-	r.Usable("n1", true)
-	r.Usable("n2", true)
+		HeartbeatInterval: time.Second, Lease: 10 * time.Second}, mode)
+	r.SetUsable("n1", true)
+	r.SetUsable("n2", true)
 	return r
 }
 
@@ -51,7 +51,7 @@
 		workers int
 		want    Mode
 	}{{50, Direct}, {51, Relayed}, {45, Relayed}, {41, Relayed}, {39, Direct}, {45, Direct}} {
-		if r.Resize(step.workers); r.Mode() != step.want {
+		if r.SetFleetSize(step.workers); r.Mode() != step.want {
 			t.Errorf("with %d workers the mode is %s", step.workers, r.Mode())
 		}
 	}
@@ -86,7 +86,7 @@
 			}
 		}
 		zoneOf := func(host string) string { return zones[host] }
-		r.Resize(len(at))
+		r.SetFleetSize(len(at))
 		r.mode = Relayed // however few there are
 		check := func(unreachable string) {
 			load := map[string]int{}
@@ -117,7 +117,7 @@
 		if moves := settle(r, &sent, at, zoneOf, &now, 10); moves > 0 {
 			t.Fatalf("%d moves after they have settled", moves)
 		}
-		r.Usable("n2", false)
+		r.SetUsable("n2", false)
 		for host, label := range at {
 			if label == "n2" {
 				at[host] = "n1" // its connection failed, and it tried another one
@@ -126,7 +126,7 @@
 		const alone = 30 // seconds for which those that moved by themselves are left alone
 		settle(r, &sent, at, zoneOf, &now, alone+20)
 		check("n2")
-		r.Usable("n2", true)
+		r.SetUsable("n2", true)
 		settle(r, &sent, at, zoneOf, &now, 20)
 		check("")
 	})
@@ -137,7 +137,7 @@
 func TestWorkerThatComesBackStays(t *testing.T) {
 	r := testRouter(Relayed)
 	var sent reports
-	r.Resize(300)
+	r.SetFleetSize(300)
 	now := time.Unix(1000, 0)
 	if to := r.Route(sent.next("m", "b"), "n2", Relaxed, now); to != "n1" {
 		t.Fatalf("sent to %q", to)
@@ -160,7 +160,7 @@
 func TestMovesAreSpread(t *testing.T) {
 	r := testRouter(Relayed)
 	var sent reports
-	r.Resize(40)
+	r.SetFleetSize(40)
 	r.mode = Relayed
 	now := time.Unix(1000, 0)
 	moved := 0
@@ -178,7 +178,7 @@
 // worker itself, it made the router leave the worker where it was for three leases.
 func TestLateCopiesMoveNobody(t *testing.T) {
 	r := testRouter(Relayed)
-	r.Resize(300)
+	r.SetFleetSize(300)
 	now := time.Unix(1000, 0)
 	var sent reports
 	old := sent.next("m", "b")
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -11,23 +11,23 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// reportState is where a report stands at the follower.
-type reportState int
+// heartbeatState is where a report stands at the follower.
+type heartbeatState int
 
 // The states of a report.
 const (
-	queued   reportState = iota // waits for the next batch
-	sent                        // in a batch that is under way, or that the leader has taken
-	answered                    // its answer, or the failure to get one, is given
+	queued   heartbeatState = iota // waits for the next batch
+	sent                           // in a batch that is under way, or that the leader has taken
+	answered                       // its answer, or the failure to get one, is given
 )
 
-// pendingReport is a report whose worker waits for an answer.
-type pendingReport struct {
-	report *wire.Heartbeat
-	body   []byte
+// pendingHeartbeat is a report whose worker waits for an answer.
+type pendingHeartbeat struct {
+	heartbeat *wire.Heartbeat
+	body      []byte
 	// pressure is how short of connections this node was when the report came.
 	pressure Pressure
-	state    reportState
+	state    heartbeatState
 	result   chan result // has room for the one result
 }
 
@@ -42,23 +42,23 @@
 
 // SenderConfig is what a Sender is made with.
 type SenderConfig struct {
-	Label    string          // of this node
-	Exchange ExchangeFunc    // passes a batch on
-	Grid     timeralign.Grid // batches fall on its moments
-	Period   time.Duration   // from batch to batch
-	Patience time.Duration   // how long a report waits for its answer
-	Observe  func(kind ReportKind, n int)
+	Label         string          // of this node
+	Exchange      ExchangeFunc    // passes a batch on
+	Grid          timeralign.Grid // batches fall on its moments
+	Period        time.Duration   // from batch to batch
+	AnswerTimeout time.Duration   // how long a report waits for its answer
+	Observe       func(kind DeliveryKind, n int)
 }
 
-// ReportKind is how a report has travelled, for metrics.
-type ReportKind string
+// DeliveryKind is how a report has travelled, for metrics.
+type DeliveryKind string
 
 // The kinds of relayed reports.
 const (
-	KindFull     ReportKind = "full"
-	KindRepeated ReportKind = "repeated"
-	KindResent   ReportKind = "resent"
-	KindFailed   ReportKind = "failed"
+	KindFull     DeliveryKind = "full"
+	KindRepeated DeliveryKind = "repeated"
+	KindResent   DeliveryKind = "resent"
+	KindFailed   DeliveryKind = "failed"
 )
 
 // Sender relays the reports of a follower's workers to the leader.
@@ -66,26 +66,26 @@
 	SenderConfig
 	wake chan struct{}
 
-	mu      sync.Mutex
-	leader  Leader
-	pending map[string]*pendingReport  // by host
-	queue   []*pendingReport           // in the order of arrival; some may be answered already
-	taken   map[string]*wire.Heartbeat // by host: the last report that the leader has taken
+	mu           sync.Mutex
+	leader       Leader
+	pending      map[string]*pendingHeartbeat // by host
+	queue        []*pendingHeartbeat          // in the order of arrival; some may be answered already
+	acknowledged map[string]*wire.Heartbeat   // by host: the last report that the leader has taken
 }
 
 // NewSender makes a Sender that relays nothing until it runs.
 func NewSender(cfg SenderConfig) *Sender {
-	return &Sender{SenderConfig: cfg, wake: make(chan struct{}, 1), pending: map[string]*pendingReport{}, taken: map[string]*wire.Heartbeat{}}
+	return &Sender{SenderConfig: cfg, wake: make(chan struct{}, 1), pending: map[string]*pendingHeartbeat{}, acknowledged: map[string]*wire.Heartbeat{}}
 }
 
-// Report relays one report to the leader and waits for the answer. The error is one of
+// Relay relays one report to the leader and waits for the answer. The error is one of
 // the package's, or that of the context.
-func (s *Sender) Report(ctx context.Context, to Leader, r *wire.Heartbeat, body []byte, pressure Pressure) (peer.HeartbeatAnswer, error) {
-	p := &pendingReport{report: r, body: body, pressure: pressure, result: make(chan result, 1)}
-	if err := s.add(to, p); err != nil {
+func (s *Sender) Relay(ctx context.Context, to Leader, r *wire.Heartbeat, body []byte, pressure Pressure) (peer.HeartbeatAnswer, error) {
+	p := &pendingHeartbeat{heartbeat: r, body: body, pressure: pressure, result: make(chan result, 1)}
+	if err := s.enqueue(to, p); err != nil {
 		return peer.HeartbeatAnswer{}, err
 	}
-	timer := time.NewTimer(s.Patience)
+	timer := time.NewTimer(s.AnswerTimeout)
 	defer timer.Stop()
 	var err error
 	select {
@@ -104,23 +104,23 @@
 }
 
 // add takes a report in. A newer term of a leader ends what waits for an older one.
-func (s *Sender) add(to Leader, p *pendingReport) error {
+func (s *Sender) enqueue(to Leader, p *pendingHeartbeat) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if to.Term < s.leader.Term {
-		return ErrLeaderNotReached
+		return ErrLeaderUnreachable
 	}
 	if to != s.leader {
-		s.fail(ErrLeaderNotReached)
+		s.failAll(ErrLeaderUnreachable)
 		s.leader = to
 	}
-	if old := s.pending[p.report.Host]; old != nil {
-		if !newer(p.report, old.report) {
+	if old := s.pending[p.heartbeat.Host]; old != nil {
+		if !isNewer(p.heartbeat, old.heartbeat) {
 			return ErrSuperseded
 		}
 		s.finish(old, result{err: ErrSuperseded})
 	}
-	s.pending[p.report.Host] = p
+	s.pending[p.heartbeat.Host] = p
 	s.queue = append(s.queue, p)
 	select {
 	case s.wake <- struct{}{}:
@@ -129,35 +129,35 @@
 	return nil
 }
 
-// newer reports whether a report is newer than another one of the same worker.
-func newer(r, than *wire.Heartbeat) bool {
+// isNewer reports whether a report is newer than another one of the same worker.
+func isNewer(r, than *wire.Heartbeat) bool {
 	return r.Incarnation > than.Incarnation || r.Incarnation == than.Incarnation && r.Sequence > than.Sequence
 }
 
-// move is the one function that changes the state of a report. s.mu is held.
-func (p *pendingReport) move(to reportState) { p.state = to }
+// setState is the one function that changes the state of a report. s.mu is held.
+func (p *pendingHeartbeat) setState(to heartbeatState) { p.state = to }
 
 // finish gives a report its result, once. s.mu is held.
-func (s *Sender) finish(p *pendingReport, res result) {
+func (s *Sender) finish(p *pendingHeartbeat, res result) {
 	if p.state == answered {
 		return
 	}
-	p.move(answered)
-	if s.pending[p.report.Host] == p {
-		delete(s.pending, p.report.Host)
+	p.setState(answered)
+	if s.pending[p.heartbeat.Host] == p {
+		delete(s.pending, p.heartbeat.Host)
 	}
 	p.result <- res
 }
 
-// fail ends all that waits: the leader is not reached, or another one leads. s.mu is
+// failAll ends all that waits: the leader is not reached, or another one leads. s.mu is
 // held.
-func (s *Sender) fail(err error) {
+func (s *Sender) failAll(err error) {
 	s.Observe(KindFailed, len(s.pending))
 	for _, p := range s.pending {
 		s.finish(p, result{err: err})
 	}
 	s.queue = nil
-	clear(s.taken)
+	clear(s.acknowledged)
 }
 
 // Run sends batches until ctx ends. While nobody waits for an answer it sleeps.
@@ -168,7 +168,7 @@
 			return
 		case <-s.wake:
 		}
-		for s.waiting() {
+		for s.hasPending() {
 			select {
 			case <-ctx.Done():
 				return
@@ -180,7 +180,7 @@
 	}
 }
 
-func (s *Sender) waiting() bool {
+func (s *Sender) hasPending() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.pending) > 0
@@ -197,66 +197,66 @@
 		return false // what waited for the other leader has failed already
 	}
 	if err != nil || !reply.Leading {
-		slog.Warn("reports not relayed", "leader", to.Label, "term", to.Term, "reports", len(b.reports), "waiting", len(s.pending), "err", err)
-		s.fail(ErrLeaderNotReached)
+		slog.Warn("reports not relayed", "leader", to.Label, "term", to.Term, "reports", len(b.heartbeats), "waiting", len(s.pending), "err", err)
+		s.failAll(ErrLeaderUnreachable)
 		return false
 	}
-	s.noteTaken(inBatch, reply.Resend)
+	s.recordAcknowledged(inBatch, reply.Resend)
 	for _, a := range reply.Answers {
 		p := s.pending[a.Host]
-		if p != nil && p.report.Incarnation == a.Incarnation && p.report.Sequence == a.Sequence {
+		if p != nil && p.heartbeat.Incarnation == a.Incarnation && p.heartbeat.Sequence == a.Sequence {
 			s.finish(p, result{answer: a})
 		}
 	}
-	return len(s.queue) > 0 && b.full()
+	return len(s.queue) > 0 && b.isFull()
 }
 
 // collect makes the next batch of what is queued.
-func (s *Sender) collect() (to Leader, b batch, inBatch []*pendingReport) {
+func (s *Sender) collect() (to Leader, b batch, inBatch []*pendingHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, full := 0, 0
 	for _, p := range s.queue {
-		if b.full() {
+		if b.isFull() {
 			break
 		}
 		n++
 		if p.state != queued {
 			continue
 		}
-		p.move(sent)
+		p.setState(sent)
 		inBatch = append(inBatch, p)
-		if last := s.taken[p.report.Host]; last != nil && sameButSequence(last, p.report) {
-			b.repeat(p.report, last, p.pressure)
+		if last := s.acknowledged[p.heartbeat.Host]; last != nil && equalExceptSequence(last, p.heartbeat) {
+			b.addRepetition(p.heartbeat, last, p.pressure)
 		} else {
-			b.add(p.report, p.body, p.pressure)
+			b.addFull(p.heartbeat, p.body, p.pressure)
 			full++
 		}
 	}
 	s.Observe(KindFull, full)
 	s.Observe(KindRepeated, len(inBatch)-full)
-	s.queue = append([]*pendingReport(nil), s.queue[n:]...)
+	s.queue = append([]*pendingHeartbeat(nil), s.queue[n:]...)
 	return s.leader, b, inBatch
 }
 
-// noteTaken remembers the reports that the leader has taken, and queues those again
+// recordAcknowledged remembers the reports that the leader has taken, and queues those again
 // that it wants in full. s.mu is held.
-func (s *Sender) noteTaken(inBatch []*pendingReport, resend []string) {
+func (s *Sender) recordAcknowledged(inBatch []*pendingHeartbeat, resend []string) {
 	wanted := make(map[string]bool, len(resend))
 	for _, host := range resend {
 		wanted[host] = true
 	}
 	for _, p := range inBatch {
-		host := p.report.Host
+		host := p.heartbeat.Host
 		switch {
 		case !wanted[host]:
-			s.taken[host] = p.report
+			s.acknowledged[host] = p.heartbeat
 		case p.state == sent:
-			delete(s.taken, host)
-			p.move(queued)
+			delete(s.acknowledged, host)
+			p.setState(queued)
 			s.queue = append(s.queue, p)
 		default:
-			delete(s.taken, host)
+			delete(s.acknowledged, host)
 		}
 	}
 	s.Observe(KindResent, len(resend))
--- a/internal/relay/size_test.go
+++ b/internal/relay/size_test.go
@@ -27,19 +27,19 @@
 			return receiver.Exchange(args)
 		})
 		for sequence := uint64(1); sequence <= 2; sequence++ {
-			waiting := make([]*pendingReport, workers)
+			waiting := make([]*pendingHeartbeat, workers)
 			for i := range waiting {
 				r := &wire.Heartbeat{Host: fmt.Sprintf("m-%06d", i), Zone: "a", Incarnation: 1, Sequence: sequence}
 				for task := range 8 {
 					r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName("run-000001", 8*i+task), Attempt: 1, Status: wire.TaskRunning})
 				}
 				waiting[i] = pendingOf(r)
-				if err := s.add(Leader{"n0", 1}, waiting[i]); err != nil {
+				if err := s.enqueue(Leader{"n0", 1}, waiting[i]); err != nil {
 					t.Fatal(err)
 				}
 			}
 			// The leader decides answers beside the exchanges.
-			for deadline := time.Now().Add(30 * time.Second); s.waiting() && time.Now().Before(deadline); {
+			for deadline := time.Now().Add(30 * time.Second); s.hasPending() && time.Now().Before(deadline); {
 				if !s.exchange() {
 					time.Sleep(time.Millisecond)
 				}
@@ -47,7 +47,7 @@
 			for i, p := range waiting {
 				select {
 				case res := <-p.result:
-					if res.err != nil || res.answer.Host != p.report.Host || res.answer.Sequence != sequence {
+					if res.err != nil || res.answer.Host != p.heartbeat.Host || res.answer.Sequence != sequence {
 						t.Fatalf("report %d of %d ends with %+v", i, workers, res)
 					}
 				default:
--- a/internal/sched/bounds.go
+++ b/internal/sched/bounds.go
@@ -14,7 +14,7 @@
 type bound struct {
 	layer                   layer
 	preemptor               preemptor // of a job that displaces
-	need                    fleet.Res
+	need                    fleet.Resources
 	types, zone             string
 	spot                    bool
 	overdue, waitedPastBoot bool
@@ -35,7 +35,7 @@
 	r.holders = r.view.images[s.Image]
 	r.imageKnown = r.holders != nil || len(r.in.Nodes) > 0
 	r.bounded = !s.SingleZone && !s.SpreadZones && j.Avoid == ""
-	r.jobBound = bound{need: fleet.Need(s), types: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.Overdue, waitedPastBoot: j.WaitedPastBoot, dear: j.Dear}
+	r.jobBound = bound{need: fleet.TaskResources(s), types: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.Overdue, waitedPastBoot: j.WaitedPastBoot, dear: j.Dear}
 }
 
 // boundIn names the kind of the job that is looked at, in a layer.
--- a/internal/sched/classes.go
+++ b/internal/sched/classes.go
@@ -19,7 +19,7 @@
 type classKey struct {
 	kind    int32
 	pulling int32
-	room    [layers]fleet.Res
+	room    [layers]fleet.Resources
 }
 
 // class is nodes that are alike.
@@ -33,7 +33,7 @@
 // memory is what a round uses again of the one before: made anew for each round and each
 // job, these lists were nearly all that a leader of 2,700 machines allocated.
 type memory struct {
-	room      [layers][]fleet.Res
+	room      [layers][]fleet.Resources
 	kind      []int32
 	pulling   []int32
 	class     []int32
@@ -66,7 +66,7 @@
 	m := &view.memory
 	m.kind, m.pulling, m.class, m.reserved = resized(m.kind, n), resized(m.pulling, n), resized(m.class, n), resized(m.reserved, n)
 	m.room[now] = resized(m.room[now], n)
-	m.room[soon], m.room[later] = make([]fleet.Res, n), make([]fleet.Res, n) // the plan keeps these
+	m.room[soon], m.room[later] = make([]fleet.Resources, n), make([]fleet.Resources, n) // the plan keeps these
 	m.preempted, m.victims = m.preempted[:0], m.victims[:0]
 	if m.ordered == nil {
 		m.ordered, m.bounds = map[int32][]Victim{}, map[bound]int{}
@@ -100,7 +100,7 @@
 }
 
 // makeClasses puts the nodes that have room for the least task of a window into classes.
-func (r *round) makeClasses(least fleet.Res) {
+func (r *round) makeClasses(least fleet.Resources) {
 	r.least = least
 	m := r.memory
 	if m.index == nil {
@@ -136,13 +136,13 @@
 // keyOf is the key of the class that a node belongs to as it stands.
 func (r *round) keyOf(slot int32) classKey {
 	m := r.memory
-	return classKey{m.kind[slot], m.pulling[slot], [layers]fleet.Res{r.room[now][slot], r.room[soon][slot], r.room[later][slot]}}
+	return classKey{m.kind[slot], m.pulling[slot], [layers]fleet.Resources{r.room[now][slot], r.room[soon][slot], r.room[later][slot]}}
 }
 
 // open reports whether nodes of a class have room for the least task, now or later.
 func (r *round) open(key *classKey) bool {
 	for l := range key.room {
-		if key.room[l].HoldsOne(r.least) {
+		if key.room[l].FitsRequested(r.least) {
 			return true
 		}
 	}
@@ -158,7 +158,7 @@
 		m.classes = append(m.classes, class{classKey: key})
 		m.index[key] = c
 		for l := range r.openClasses {
-			if key.room[l].HoldsOne(r.least) {
+			if key.room[l].FitsRequested(r.least) {
 				r.openClasses[l] = append(r.openClasses[l], c)
 			}
 		}
@@ -203,7 +203,7 @@
 // weigh lists the groups of nodes on which tasks of a job fit. The list is good until the
 // next call.
 func (r *round) weigh(j *Job, want int, l layer, zone string) []group {
-	m, need := r.memory, fleet.Need(j.Spec)
+	m, need := r.memory, fleet.TaskResources(j.Spec)
 	groups := m.groups[:0]
 	for _, c := range r.openClasses[l] {
 		class := &m.classes[c]
@@ -215,7 +215,7 @@
 			continue
 		}
 		free := class.room[l]
-		n := free.Count(need, want)
+		n := free.CountFitting(need, want)
 		if n == 0 {
 			continue
 		}
--- a/internal/sched/guarantee_test.go
+++ b/internal/sched/guarantee_test.go
@@ -20,7 +20,7 @@
 		n := node(fmt.Sprint("m", i), 8, 4)
 		for n.Soon.Cores > 0 {
 			v := Victim{ID: id, UID: fmt.Sprintf("run-%06d", id), Team: rapid.SampledFrom([]string{"owner", "other", "guest"}).Draw(t, "team"),
-				Level: rapid.IntRange(1, 4).Draw(t, "level"), Need: fleet.Res{Cores: float64(rapid.IntRange(1, int(n.Soon.Cores)).Draw(t, "need"))}, Serve: rapid.Bool().Draw(t, "serves")}
+				Level: rapid.IntRange(1, 4).Draw(t, "level"), Need: fleet.Resources{Cores: float64(rapid.IntRange(1, int(n.Soon.Cores)).Draw(t, "need"))}, Serve: rapid.Bool().Draw(t, "serves")}
 			v.Need.Gpus = min(n.Soon.Gpus, float64(rapid.IntRange(0, 2).Draw(t, "needGpus")))
 			in.WithinQuota[v.UID] = v.Team != "guest" && rapid.IntRange(0, 2).Draw(t, "within") == 0
 			if rapid.IntRange(0, 3).Draw(t, "stopping") == 0 { // its room comes by itself
@@ -49,9 +49,9 @@
 func TestOnlyWhatIsBeyondGuaranteesIsTakenBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := teamsInput(t)
-		used, beyond := map[string]Team{}, map[string]fleet.Res{}
+		used, beyond := map[string]Team{}, map[string]fleet.Resources{}
 		for name, team := range in.Teams {
-			used[name], beyond[name] = *team, team.beyond(fleet.Res{})
+			used[name], beyond[name] = *team, team.beyond(fleet.Resources{})
 		}
 		j := in.Jobs[0]
 		want := j.Waiting
@@ -92,8 +92,8 @@
 func TestWithinQuotaJobDoesNotWaitForTeamsWithoutQuota(t *testing.T) {
 	for _, withinQuota := range []bool{true, false} {
 		full := node("m1", 8, 4)
-		full.Victims = []Victim{{ID: 1, UID: "run-000001", Team: "guest", Level: 4, Need: fleet.Res{Cores: 8, Gpus: 4}, Serve: true}}
-		full.Free, full.Soon, full.Later = fleet.Res{RAM: 1}, fleet.Res{RAM: 1}, fleet.Res{RAM: 1}
+		full.Victims = []Victim{{ID: 1, UID: "run-000001", Team: "guest", Level: 4, Need: fleet.Resources{Cores: 8, Gpus: 4}, Serve: true}}
+		full.Free, full.Soon, full.Later = fleet.Resources{RAM: 1}, fleet.Resources{RAM: 1}, fleet.Resources{RAM: 1}
 		in := &Input{Window: 1, ReserveS: 30, Priorities: DefaultPriorities, Teams: map[string]*Team{"owner": {}, "guest": {}}, Nodes: []Node{full}, WithinQuota: map[string]bool{"run-000002": withinQuota}}
 		in.Teams["guest"].Used.Cores, in.Teams["guest"].Used.Gpus = 8, 4
 		mine, teamsWithoutQuota := job("run-000002", 1, 1, 8, 4), job("run-000003", 4, 1, 8, 4)
--- a/internal/sched/large_test.go
+++ b/internal/sched/large_test.go
@@ -13,7 +13,7 @@
 func large(machines, waiting int) *Input {
 	r := rand.New(rand.NewPCG(1, 1))
 	in := &Input{Window: 200, ReserveS: 10, Priorities: DefaultPriorities, Teams: map[string]*Team{"t": {}}}
-	caps := fleet.Res{Cores: 96, Gpus: 8, RAM: 576}
+	caps := fleet.Resources{Cores: 96, Gpus: 8, RAM: 576}
 	for i := range machines {
 		n := Node{ID: fmt.Sprintf("m-%06d", i), Type: "g8", Zone: []string{"a", "b"}[i%2], Cap: caps, Price: 24.9, Fixed: true, Spot: i%4 == 0}
 		if n.Spot {
@@ -23,11 +23,11 @@
 		if i%16 != 0 {
 			used = 8
 		}
-		n.Free = caps.Sub(fleet.Res{Cores: 8 * float64(used), Gpus: float64(used), RAM: 40 * float64(used)})
+		n.Free = caps.Sub(fleet.Resources{Cores: 8 * float64(used), Gpus: float64(used), RAM: 40 * float64(used)})
 		n.Soon, n.Later = n.Free, n.Free
 		n.Present, n.Images = true, []string{fmt.Sprint(r.IntN(20)), fmt.Sprint(r.IntN(20))}
 		for range used {
-			n.Victims = append(n.Victims, Victim{ID: i*8 + len(n.Victims), Level: 1 + r.IntN(3), Need: fleet.Res{Cores: 8, Gpus: 1, RAM: 40}, Loss: 20, Serve: r.IntN(2) == 0})
+			n.Victims = append(n.Victims, Victim{ID: i*8 + len(n.Victims), Level: 1 + r.IntN(3), Need: fleet.Resources{Cores: 8, Gpus: 1, RAM: 40}, Loss: 20, Serve: r.IntN(2) == 0})
 		}
 		in.Nodes = append(in.Nodes, n)
 	}
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -90,7 +90,7 @@
 // gives, and the least that any of it loses. With that, most nodes need no closer look.
 type preemptible struct {
 	by   preemptor
-	gain []fleet.Res
+	gain []fleet.Resources
 	loss []float64
 }
 
@@ -119,7 +119,7 @@
 
 // sum adds up what may be displaced on a node.
 func (d *preemptible) sum(r *round, slot int32) {
-	gain, loss := fleet.Res{}, math.Inf(1)
+	gain, loss := fleet.Resources{}, math.Inf(1)
 	victims := r.running(slot)
 	for i := range victims {
 		v := &victims[i]
@@ -163,7 +163,7 @@
 // that it may displace were stopped, what loses least first on each node. If the job's tasks
 // may be in any zone, no more than it wants are listed: those with the least loss.
 func (r *round) preemptions(j *Job, want int) []choice {
-	need, d, m := fleet.Need(j.Spec), r.preemptibleBy(j), r.memory
+	need, d, m := fleet.TaskResources(j.Spec), r.preemptibleBy(j), r.memory
 	most := math.MaxInt
 	if !j.Spec.SingleZone && !j.Spec.SpreadZones {
 		most = want
@@ -179,10 +179,10 @@
 	}
 	for slot := range m.kind {
 		room := r.room[soon][slot]
-		if !room.Add(d.gain[slot]).Holds(need) {
+		if !room.Add(d.gain[slot]).Fits(need) {
 			continue
 		}
-		if worst.Len() >= most && d.loss[slot] >= worst.Least().loss && !room.HoldsOne(need) {
+		if worst.Len() >= most && d.loss[slot] >= worst.Least().loss && !room.FitsRequested(need) {
 			continue // all that it offers loses as much, and it is later in order
 		}
 		if r.empty(slot) || !r.usable(j, int32(slot)) {
@@ -195,9 +195,9 @@
 }
 
 // offers gives the room on a node for tasks of a job, one by one.
-func (r *round) offers(j *Job, slot int32, need fleet.Res, want int, add func(c choice)) {
+func (r *round) offers(j *Job, slot int32, need fleet.Resources, want int, add func(c choice)) {
 	room := r.room[soon][slot]
-	for range room.Count(need, want) {
+	for range room.CountFitting(need, want) {
 		add(choice{node: slot})
 		room = room.Sub(need)
 	}
@@ -211,7 +211,7 @@
 		room = room.Add(v.Need)
 		c.to = k + 1
 		c.loss += v.lossAt(r.in.Now) + 1
-		if room.Holds(need) {
+		if room.Fits(need) {
 			add(c)
 			c = choice{node: slot, from: c.to}
 			room = room.Sub(need)
@@ -229,7 +229,7 @@
 			zone = z
 		}
 	}
-	taken, reclaimed := map[string]int{}, map[string]fleet.Res{}
+	taken, reclaimed := map[string]int{}, map[string]fleet.Resources{}
 	for order.Len() > 0 && len(places) < want {
 		c := order.Pop()
 		z := r.zone(c.node)
@@ -252,12 +252,12 @@
 // leavesQuotas reports whether what a choice takes back from other teams leaves each of them
 // what it is guaranteed itself, beside what was taken back from it for the job already. If so, it
 // counts as taken back.
-func (r *round) leavesQuotas(j *Job, c *choice, reclaimed map[string]fleet.Res) bool {
+func (r *round) leavesQuotas(j *Job, c *choice, reclaimed map[string]fleet.Resources) bool {
 	d := r.preemptorOf(j)
 	if !d.reclaims || c.to == 0 {
 		return true
 	}
-	after := map[string]fleet.Res{}
+	after := map[string]fleet.Resources{}
 	victims := r.victims[c.node]
 	for k := c.from; k < c.to; k++ {
 		v := &victims[k]
@@ -317,7 +317,7 @@
 }
 
 // grow gives a node the room of a task that is stopped, once it has ended.
-func (r *round) grow(slot int32, room fleet.Res) {
+func (r *round) grow(slot int32, room fleet.Resources) {
 	clear(r.bounds)
 	r.room[soon][slot] = r.room[soon][slot].Add(room)
 	r.room[later][slot] = r.room[later][slot].Add(room)
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -19,11 +19,11 @@
 type refRound struct {
 	in       *Input
 	plan     *Plan
-	room     [layers][]fleet.Res
+	room     [layers][]fleet.Resources
 	open     [layers]refOpenNodes
 	victims  [][]Victim       // by node, the least lost first; nil until one is needed
 	lowest   int              // level of the least victim
-	least    fleet.Res        // no task of the window needs less of anything
+	least    fleet.Resources  // no task of the window needs less of anything
 	bounds   map[refBound]int // how many tasks at most fit, of kinds that were tried
 	reserved []bool           // nodes kept for the job that has a reservation
 	warm     bool             // only nodes that have the job's image
@@ -38,7 +38,7 @@
 func refRun(in *Input) *Plan {
 	r := &refRound{in: in, plan: &Plan{}, lowest: math.MaxInt, bounds: map[refBound]int{}, reserved: make([]bool, len(in.Nodes))}
 	for l := range r.room {
-		r.room[l] = make([]fleet.Res, len(in.Nodes))
+		r.room[l] = make([]fleet.Resources, len(in.Nodes))
 	}
 	for i := range in.Nodes {
 		n := &in.Nodes[i]
@@ -211,7 +211,7 @@
 }
 
 // taskPrice is what a task's share of the machine costs.
-func refTaskPrice(n *Node, need fleet.Res) float64 {
+func refTaskPrice(n *Node, need fleet.Resources) float64 {
 	share := 0.0
 	for _, p := range [...][2]float64{{need.Cores, n.Cap.Cores}, {need.Gpus, n.Cap.Gpus}, {need.RAM, n.Cap.RAM}} {
 		if p[1] > 0 {
@@ -227,17 +227,17 @@
 	if j.Spec.AllowSpot && n.Fixed {
 		return 0
 	}
-	return refTaskPrice(n, fleet.Need(j.Spec))
+	return refTaskPrice(n, fleet.TaskResources(j.Spec))
 }
 
 // options lists where tasks of j fit, at most want on each node. The list is good until
 // the next call.
 func (r *refRound) options(j *Job, want int, l layer, zone string) []refOption {
-	need := fleet.Need(j.Spec)
+	need := fleet.TaskResources(j.Spec)
 	opts := r.optionsBuffer[:0]
 	for _, i := range r.candidates(l) {
 		free := r.room[l][i]
-		c := free.Count(need, want)
+		c := free.CountFitting(need, want)
 		if c == 0 || !r.usable(j, i, zone) {
 			continue
 		}
@@ -303,7 +303,7 @@
 // take books the places against every layer, so that nobody later in the
 // window uses the room, and against the limit of the team.
 func (r *refRound) take(j *Job, places []Place, start bool) {
-	need := fleet.Need(j.Spec)
+	need := fleet.TaskResources(j.Spec)
 	n := 0
 	for _, p := range places {
 		for range p.Count {
@@ -329,10 +329,10 @@
 // reserve keeps the machines for j that have most room already, until their
 // whole capacity would hold it. Later jobs start only elsewhere.
 func (r *refRound) reserve(j *Job, want int) {
-	need := fleet.Need(j.Spec)
+	need := fleet.TaskResources(j.Spec)
 	var nodes []int
 	for i := range r.in.Nodes {
-		if r.usable(j, i, "") && r.in.Nodes[i].Cap.Count(need, 1) > 0 {
+		if r.usable(j, i, "") && r.in.Nodes[i].Cap.CountFitting(need, 1) > 0 {
 			nodes = append(nodes, i)
 		}
 	}
@@ -349,7 +349,7 @@
 		if j.Spec.SingleZone && zone != "" && y != zone {
 			continue
 		}
-		c := min(r.in.Nodes[i].Cap.Count(need, want), refZoneCap(j, y)-taken[y])
+		c := min(r.in.Nodes[i].Cap.CountFitting(need, want), refZoneCap(j, y)-taken[y])
 		if c <= 0 {
 			continue
 		}
@@ -373,17 +373,17 @@
 	if len(window) == 0 {
 		return
 	}
-	least := fleet.Need(window[0].Spec)
+	least := fleet.TaskResources(window[0].Spec)
 	for _, j := range window[1:] {
-		n := fleet.Need(j.Spec)
-		least = fleet.Res{Cores: min(least.Cores, n.Cores), Gpus: min(least.Gpus, n.Gpus), RAM: min(least.RAM, n.RAM)}
+		n := fleet.TaskResources(j.Spec)
+		least = fleet.Resources{Cores: min(least.Cores, n.Cores), Gpus: min(least.Gpus, n.Gpus), RAM: min(least.RAM, n.RAM)}
 	}
 	r.least = least
 	for l := range r.open {
 		o := &r.open[l]
 		o.in = make([]bool, len(r.in.Nodes))
 		for i := range r.in.Nodes {
-			if r.room[l][i].Count(least, 1) > 0 {
+			if r.room[l][i].CountFitting(least, 1) > 0 {
 				o.nodes, o.in[i] = append(o.nodes, i), true
 			}
 		}
@@ -395,18 +395,18 @@
 func (r *refRound) candidates(l layer) []int {
 	o := &r.open[l]
 	o.nodes = slices.DeleteFunc(o.nodes, func(i int) bool {
-		o.in[i] = r.room[l][i].Count(r.least, 1) > 0
+		o.in[i] = r.room[l][i].CountFitting(r.least, 1) > 0
 		return !o.in[i]
 	})
 	return o.nodes
 }
 
 // grow gives a node the room of a task that is stopped, once it has ended.
-func (r *refRound) grow(node int, room fleet.Res) {
+func (r *refRound) grow(node int, room fleet.Resources) {
 	clear(r.bounds)
 	for _, l := range [...]layer{soon, later} {
 		r.room[l][node] = r.room[l][node].Add(room)
-		if o := &r.open[l]; !o.in[node] && r.room[l][node].Count(r.least, 1) > 0 {
+		if o := &r.open[l]; !o.in[node] && r.room[l][node].CountFitting(r.least, 1) > 0 {
 			o.nodes, o.in[node] = append(o.nodes, node), true
 		}
 	}
@@ -431,7 +431,7 @@
 type refBound struct {
 	layer                   layer
 	level                   int // of a job that displaces
-	need                    fleet.Res
+	need                    fleet.Resources
 	machineTypes, zone      string
 	spot                    bool
 	overdue, waitedPastBoot bool
@@ -445,7 +445,7 @@
 	if s.SingleZone || s.SpreadZones || j.Avoid != "" {
 		return b, false
 	}
-	b = refBound{layer: l, need: fleet.Need(s), machineTypes: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.Overdue, waitedPastBoot: j.WaitedPastBoot, dear: j.Dear}
+	b = refBound{layer: l, need: fleet.TaskResources(s), machineTypes: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.Overdue, waitedPastBoot: j.WaitedPastBoot, dear: j.Dear}
 	if r.warm {
 		b.image = s.Image
 	}
@@ -526,14 +526,14 @@
 // preemptions lists, by node, the room that there is for tasks of a job, and that there
 // would be if work that it may displace were stopped, what loses least first.
 func (r *refRound) preemptions(j *Job, want int) []refChoice {
-	need := fleet.Need(j.Spec)
+	need := fleet.TaskResources(j.Spec)
 	choices := r.choicesBuffer[:0]
 	for i, victims := range r.leastDisruption() {
 		if !r.couldHold(j, need, i, victims) || !r.usable(j, i, "") {
 			continue
 		}
 		room := r.room[soon][i]
-		for range room.Count(need, want) {
+		for range room.CountFitting(need, want) {
 			choices = append(choices, refChoice{node: i})
 			room = room.Sub(need)
 		}
@@ -546,7 +546,7 @@
 			room = room.Add(v.Need)
 			c.to = k + 1
 			c.loss += v.lossAt(r.in.Now) + 1
-			if room.Holds(need) {
+			if room.Fits(need) {
 				choices = append(choices, c)
 				c = refChoice{node: i, from: c.to}
 				room = room.Sub(need)
@@ -559,9 +559,9 @@
 
 // couldHold reports whether a node holds a task of a job once all that it may displace is
 // stopped.
-func (r *refRound) couldHold(j *Job, need fleet.Res, node int, victims []Victim) bool {
+func (r *refRound) couldHold(j *Job, need fleet.Resources, node int, victims []Victim) bool {
 	gain := r.room[soon][node]
-	if gain.Holds(need) {
+	if gain.Fits(need) {
 		return true
 	}
 	for k := range victims {
@@ -569,7 +569,7 @@
 			gain = gain.Add(victims[k].Need)
 		}
 	}
-	return gain.Holds(need)
+	return gain.Fits(need)
 }
 
 // leastHarm takes the choices with the least loss that the job's zones allow, for up to want
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -25,17 +25,17 @@
 	Type    string
 	Zone    string
 	Spot    bool
-	Cap     fleet.Res
-	Free    fleet.Res // usable now; zero for a machine that takes no launches
-	Soon    fleet.Res // usable once what is being stopped has ended
-	Later   fleet.Res // usable once it is up
-	Present bool      // it is there: it has images, or fetches them
-	Images  []string  // images that it has or fetches
-	Pulling int       // images that it fetches now; they share its rate
-	Victims []Victim  // running work that may be stopped, in any order
-	Price   float64   // per hour; 0 if unknown
-	Leaving bool      // will be returned unless work that may not use spot machines needs it
-	Fixed   bool      // stays for work that may not use spot machines
+	Cap     fleet.Resources
+	Free    fleet.Resources // usable now; zero for a machine that takes no launches
+	Soon    fleet.Resources // usable once what is being stopped has ended
+	Later   fleet.Resources // usable once it is up
+	Present bool            // it is there: it has images, or fetches them
+	Images  []string        // images that it has or fetches
+	Pulling int             // images that it fetches now; they share its rate
+	Victims []Victim        // running work that may be stopped, in any order
+	Price   float64         // per hour; 0 if unknown
+	Leaving bool            // will be returned unless work that may not use spot machines needs it
+	Fixed   bool            // stays for work that may not use spot machines
 }
 
 // Victim is a task that a job of a higher level may displace, or one within the guarantee of
@@ -45,7 +45,7 @@
 	UID   string // its job's id
 	Team  string // its job's team
 	Level int    // below maxLevels
-	Need  fleet.Res
+	Need  fleet.Resources
 	Loss  float64   // seconds of work lost if it is stopped; the most, if Since is set
 	Since time.Time // if set, the loss grows from then on
 	Serve bool      // a replica: stopping it is felt at once
@@ -89,8 +89,8 @@
 }
 
 // beyond is how much a team would have beyond its guarantee if some more of it were stopped.
-func (t *Team) beyond(more fleet.Res) fleet.Res {
-	return fleet.Res{Cores: t.Used.Cores - t.Stopping.Cores - t.Quota.Cores - more.Cores, Gpus: t.Used.Gpus - t.Stopping.Gpus - t.Quota.Gpus - more.Gpus}
+func (t *Team) beyond(more fleet.Resources) fleet.Resources {
+	return fleet.Resources{Cores: t.Used.Cores - t.Stopping.Cores - t.Quota.Cores - more.Cores, Gpus: t.Used.Gpus - t.Stopping.Gpus - t.Quota.Gpus - more.Gpus}
 }
 
 // Input is the picture of one round. Its nodes are the machines of View, by slot, and then
@@ -141,8 +141,8 @@
 	Objective float64
 	Window    int // jobs looked at
 	Reserved  string
-	LeftSoon  []fleet.Res // what the round leaves of each node, by layer
-	LeftLater []fleet.Res
+	LeftSoon  []fleet.Resources // what the round leaves of each node, by layer
+	LeftLater []fleet.Resources
 }
 
 // DefaultPriorities is p_j by level: each rank outweighs a window full of the
@@ -182,9 +182,9 @@
 	memory      *memory
 	plan        *Plan
 	kinds       []kind
-	room        [layers][]fleet.Res
+	room        [layers][]fleet.Resources
 	openClasses [layers][]int32    // classes that had room for the least task when they were made
-	least       fleet.Res          // no task of the window needs less of anything
+	least       fleet.Resources    // no task of the window needs less of anything
 	lowest      int                // level of the least victim
 	victims     map[int32][]Victim // by node, the least lost first: those that were asked for
 	bounds      map[bound]int      // how many tasks at most fit, of kinds of jobs that were tried
@@ -233,11 +233,11 @@
 }
 
 // leastNeed is the least of each resource that any job's tasks need.
-func leastNeed(window []*Job) fleet.Res {
-	least := fleet.Need(window[0].Spec)
+func leastNeed(window []*Job) fleet.Resources {
+	least := fleet.TaskResources(window[0].Spec)
 	for _, j := range window[1:] {
-		n := fleet.Need(j.Spec)
-		least = fleet.Res{Cores: min(least.Cores, n.Cores), Gpus: min(least.Gpus, n.Gpus), RAM: min(least.RAM, n.RAM)}
+		n := fleet.TaskResources(j.Spec)
+		least = fleet.Resources{Cores: min(least.Cores, n.Cores), Gpus: min(least.Gpus, n.Gpus), RAM: min(least.RAM, n.RAM)}
 	}
 	return least
 }
@@ -401,7 +401,7 @@
 }
 
 // taskPrice is what a task's share of the machine costs.
-func taskPrice(k *kind, need fleet.Res) float64 {
+func taskPrice(k *kind, need fleet.Resources) float64 {
 	share := 0.0
 	for _, p := range [...][2]float64{{need.Cores, k.capacity.Cores}, {need.Gpus, k.capacity.Gpus}, {need.RAM, k.capacity.RAM}} {
 		if p[1] > 0 {
@@ -413,7 +413,7 @@
 
 // price is what placing a task there costs: nothing for work that may be stopped
 // and fills the gaps of a machine that stays anyway.
-func (r *round) price(j *Job, k *kind, need fleet.Res) float64 {
+func (r *round) price(j *Job, k *kind, need fleet.Resources) float64 {
 	if j.Spec.AllowSpot && k.fixed {
 		return 0
 	}
@@ -430,7 +430,7 @@
 // take books the places against every layer, so that nobody later in the
 // window uses the room, and against the limit of the team.
 func (r *round) take(j *Job, places []Place, start bool) {
-	need := fleet.Need(j.Spec)
+	need := fleet.TaskResources(j.Spec)
 	n := 0
 	for _, p := range places {
 		for l := range r.room {
@@ -458,13 +458,13 @@
 // reserve keeps the machines for j that have most room already, until their
 // whole capacity would hold it. Later jobs start only elsewhere.
 func (r *round) reserve(j *Job, want int) {
-	need := fleet.Need(j.Spec)
+	need := fleet.TaskResources(j.Spec)
 	var nodes []int32
 	for slot := range r.memory.kind {
 		if r.empty(slot) || !r.usable(j, int32(slot)) {
 			continue
 		}
-		if r.kinds[r.memory.kind[slot]].capacity.Count(need, 1) > 0 {
+		if r.kinds[r.memory.kind[slot]].capacity.CountFitting(need, 1) > 0 {
 			nodes = append(nodes, int32(slot))
 		}
 	}
@@ -480,7 +480,7 @@
 		if j.Spec.SingleZone && zone != "" && z != zone {
 			continue
 		}
-		c := min(r.kinds[r.memory.kind[slot]].capacity.Count(need, want), zoneRoom(j, z)-taken[z])
+		c := min(r.kinds[r.memory.kind[slot]].capacity.CountFitting(need, want), zoneRoom(j, z)-taken[z])
 		if c <= 0 {
 			continue
 		}
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -21,7 +21,7 @@
 		in.Teams["crew"].Limit.Gpus = float64(rapid.IntRange(1, 20).Draw(t, "limit"))
 	}
 	for i := range rapid.IntRange(1, maxNodes).Draw(t, "nodes") {
-		c := fleet.Res{Cores: float64(rapid.IntRange(1, 16).Draw(t, "cores")), Gpus: float64(rapid.IntRange(0, 4).Draw(t, "gpus")), RAM: 100}
+		c := fleet.Resources{Cores: float64(rapid.IntRange(1, 16).Draw(t, "cores")), Gpus: float64(rapid.IntRange(0, 4).Draw(t, "gpus")), RAM: 100}
 		in.Nodes = append(in.Nodes, Node{ID: fmt.Sprint("m", i), Type: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "rig"),
 			Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "yard"), Spot: rapid.Bool().Draw(t, "spot"), Cap: c, Free: c, Soon: c, Later: c})
 	}
@@ -44,7 +44,7 @@
 		in := genInput(t, 6, 10)
 		limit := in.Teams["crew"].Limit.Gpus
 		plan := Run(in)
-		free := make([]fleet.Res, len(in.Nodes))
+		free := make([]fleet.Resources, len(in.Nodes))
 		for i := range in.Nodes {
 			free[i] = in.Nodes[i].Free
 		}
@@ -56,10 +56,10 @@
 				t.Fatalf("%s may not be on %s", s.UID, n.ID)
 			}
 			for range p.Count {
-				if !free[p.Node].Holds(fleet.Need(s)) {
+				if !free[p.Node].Fits(fleet.TaskResources(s)) {
 					t.Fatalf("%s has no room for %s", n.ID, s.UID)
 				}
-				free[p.Node] = free[p.Node].Sub(fleet.Need(s))
+				free[p.Node] = free[p.Node].Sub(fleet.TaskResources(s))
 			}
 			placed[s.UID] += p.Count
 			gpus += float64(p.Count) * s.Gpus
@@ -89,13 +89,13 @@
 }
 
 // best solves the paper's objective for whole jobs by trying everything.
-func best(in *Input, i int, free []fleet.Res) float64 {
+func best(in *Input, i int, free []fleet.Resources) float64 {
 	if i == len(in.Jobs) {
 		return 0
 	}
 	top := best(in, i+1, free) // s_j = 0
 	j := in.Jobs[i]
-	need := fleet.Need(j.Spec)
+	need := fleet.TaskResources(j.Spec)
 	var place func(node, left, used int)
 	place = func(node, left, used int) {
 		if left == 0 {
@@ -112,7 +112,7 @@
 			return
 		}
 		was := free[node]
-		for k := 1; k <= left && free[node].Holds(need); k++ {
+		for k := 1; k <= left && free[node].Fits(need); k++ {
 			free[node] = free[node].Sub(need)
 			place(node+1, left-k, used+1)
 		}
@@ -134,7 +134,7 @@
 			j.Spec.Kind, j.Spec.SingleZone, j.Spec.SpreadZones, j.Spec.TaskCount = wire.Service, false, false, min(j.Spec.TaskCount, 3)
 			j.Waiting = j.Spec.TaskCount
 		}
-		free := make([]fleet.Res, len(in.Nodes))
+		free := make([]fleet.Resources, len(in.Nodes))
 		for i := range in.Nodes {
 			free[i] = in.Nodes[i].Free
 		}
@@ -161,7 +161,7 @@
 }
 
 func node(id string, cores, gpus float64) Node {
-	r := fleet.Res{Cores: cores, Gpus: gpus, RAM: 1}
+	r := fleet.Resources{Cores: cores, Gpus: gpus, RAM: 1}
 	return Node{ID: id, Type: "x", Zone: "a", Cap: r, Free: r, Soon: r, Later: r}
 }
 
@@ -189,8 +189,8 @@
 	in := &Input{Window: 200, ReserveS: 30, Priorities: DefaultPriorities, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 4)}}
 	n := &in.Nodes[0]
-	n.Free, n.Soon, n.Later = fleet.Res{}, fleet.Res{}, fleet.Res{}
-	two := fleet.Res{Cores: 4, Gpus: 2}
+	n.Free, n.Soon, n.Later = fleet.Resources{}, fleet.Resources{}, fleet.Resources{}
+	two := fleet.Resources{Cores: 4, Gpus: 2}
 	n.Victims = []Victim{{ID: 0, Level: 1, Need: two, Loss: 50}, {ID: 1, Level: 2, Need: two, Loss: 1}}
 	in.Jobs = []*Job{job("run-000001", 2, 2, 4, 2)}
 	if p := Run(in); len(p.Stops) != 0 || len(p.Shorts) != 1 {
@@ -206,7 +206,7 @@
 func TestReservation(t *testing.T) {
 	in := &Input{Window: 200, ReserveS: 30, Priorities: DefaultPriorities, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 4), node("m2", 2, 1)}}
-	in.Nodes[0].Free = fleet.Res{Cores: 4, Gpus: 2, RAM: 1}
+	in.Nodes[0].Free = fleet.Resources{Cores: 4, Gpus: 2, RAM: 1}
 	in.Nodes[0].Soon, in.Nodes[0].Later = in.Nodes[0].Free, in.Nodes[0].Free
 	big, small := job("run-000001", 2, 1, 8, 4), job("run-000002", 2, 3, 1, 0.5)
 	small.Spec.Kind, small.AtMs = wire.JobArray, 1
@@ -249,7 +249,7 @@
 			shorts++
 			for i, room := range plan.LeftLater {
 				n := &in.Nodes[i]
-				if Allowed(s.Job.Spec, n.Type, n.Zone, n.Spot) && room.Holds(fleet.Need(s.Job.Spec)) {
+				if Allowed(s.Job.Spec, n.Type, n.Zone, n.Spot) && room.Fits(fleet.TaskResources(s.Job.Spec)) {
 					t.Fatalf("%s is short, but %s has room", s.Job.Spec.UID, n.ID)
 				}
 			}
--- a/internal/sched/view.go
+++ b/internal/sched/view.go
@@ -30,7 +30,7 @@
 	id      string // "": the slot is vacant
 	kind    int32
 	pulling int32
-	room    [layers]fleet.Res
+	room    [layers]fleet.Resources
 	victims []Victim
 	images  []string // sorted
 }
@@ -43,7 +43,7 @@
 	machineType, zone    string
 	spot, fixed, leaving bool
 	present              bool
-	capacity             fleet.Res
+	capacity             fleet.Resources
 	price                float64
 }
 
@@ -96,7 +96,7 @@
 	}
 	old := &v.nodes[slot]
 	next := retainedNode{id: n.ID, kind: v.kinds.number(kindOf(n)), pulling: int32(n.Pulling),
-		room: [layers]fleet.Res{n.Free, n.Soon, n.Later}, victims: n.Victims, images: n.Images}
+		room: [layers]fleet.Resources{n.Free, n.Soon, n.Later}, victims: n.Victims, images: n.Images}
 	if known && old.equal(&next) {
 		return false
 	}
--- a/internal/sched/view_test.go
+++ b/internal/sched/view_test.go
@@ -18,7 +18,7 @@
 // genNode draws a machine: few different amounts, so that many are alike, and some that are
 // overbooked.
 func genNode(t *rapid.T, id string, victims *int) Node {
-	size := rapid.SampledFrom([]fleet.Res{{Cores: 16, Gpus: 4, RAM: 100}, {Cores: 8, Gpus: 0, RAM: 60}}).Draw(t, "size")
+	size := rapid.SampledFrom([]fleet.Resources{{Cores: 16, Gpus: 4, RAM: 100}, {Cores: 8, Gpus: 0, RAM: 60}}).Draw(t, "size")
 	n := Node{ID: id, Type: fmt.Sprint("t", size.Gpus), Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"), Cap: size,
 		Fixed: rapid.IntRange(0, 3).Draw(t, "fixed") == 0, Price: size.Cores}
 	n.Leaving = !n.Fixed && rapid.Bool().Draw(t, "leaving")
@@ -31,7 +31,7 @@
 	n.Free = size
 	for range rapid.IntRange(0, 5).Draw(t, "tasks") {
 		*victims++
-		v := Victim{ID: *victims, Level: rapid.IntRange(1, 4).Draw(t, "level"), Need: fleet.Res{Cores: float64(rapid.IntRange(1, 4).Draw(t, "cores")), Gpus: size.Gpus / 4, RAM: 10},
+		v := Victim{ID: *victims, Level: rapid.IntRange(1, 4).Draw(t, "level"), Need: fleet.Resources{Cores: float64(rapid.IntRange(1, 4).Draw(t, "cores")), Gpus: size.Gpus / 4, RAM: 10},
 			Loss: float64(rapid.IntRange(0, 3).Draw(t, "loss")), Serve: rapid.Bool().Draw(t, "serve")}
 		if rapid.Bool().Draw(t, "grows") {
 			v.Since = testNow.Add(-time.Duration(rapid.IntRange(0, 3).Draw(t, "since")) * time.Second)
@@ -41,7 +41,7 @@
 	}
 	n.Soon = n.Free
 	if rapid.Bool().Draw(t, "ending") {
-		n.Soon = n.Soon.Add(fleet.Res{Cores: 2, Gpus: 1, RAM: 10})
+		n.Soon = n.Soon.Add(fleet.Resources{Cores: 2, Gpus: 1, RAM: 10})
 	}
 	n.Later = n.Soon
 	return n
--- a/internal/simcluster/release_test.go
+++ b/internal/simcluster/release_test.go
@@ -46,7 +46,7 @@
 	if r.d.old[r.node] {
 		a.Body = dropDependencies(a.Body)
 	}
-	return r.Handler.User(a)
+	return r.Handler.ServeUserRequest(a)
 }
 
 // withoutDependencies answers users as the release before, which ignores Awaits.
--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -66,8 +66,8 @@
 
 func (c contents) edit() *editor { return &editor{c.tree.Txn(), c.digest, c.bytes} }
 
-// take takes an entry in, unless it holds a newer record of the key.
-func (e *editor) take(entry *Entry) {
+// admit takes an entry in, unless it holds a newer record of the key.
+func (e *editor) apply(entry *Entry) {
 	key := []byte(entry.Key)
 	old, known := e.txn.Get(key)
 	if known && old.ModRevision > entry.ModRevision {
@@ -92,8 +92,8 @@
 
 func (e *Entry) size() int { return len(e.Key) + len(e.Value) }
 
-// recomputed is the digest made from all entries anew.
-func (c contents) recomputed() uint64 {
+// computeDigest is the digest made from all entries anew.
+func (c contents) computeDigest() uint64 {
 	sum := uint64(0)
 	c.tree.Root().Walk(func(_ []byte, entry *Entry) bool {
 		sum += entry.digest()
@@ -102,8 +102,8 @@
 	return sum
 }
 
-// items lists the records under a prefix as the state service would.
-func (c contents) items(prefix string) []wire.KeyValue {
+// list lists the records under a prefix as the state service would.
+func (c contents) list(prefix string) []wire.KeyValue {
 	var rows []wire.KeyValue
 	c.tree.Root().WalkPrefix([]byte(prefix), func(_ []byte, entry *Entry) bool {
 		rows = append(rows, wire.KeyValue{Key: entry.Key, Value: entry.Value, ModRevision: entry.ModRevision})
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -25,21 +25,21 @@
 	FollowerConfig
 	now func() time.Time
 
-	mu      sync.Mutex
-	state   State
-	cause   string // of the last change of state
-	held    *held
-	refused map[string]uint64 // by cause
-	taken   uint64            // bytes of bodies
+	mu            sync.Mutex
+	state         State
+	cause         string // of the last change of state
+	copy          *stateCopy
+	refused       map[string]uint64 // by cause
+	receivedBytes uint64            // bytes of bodies
 }
 
-// held is a complete copy. It is not changed once it is made.
-type held struct {
+// stateCopy is a complete copy. It is not changed once it is made.
+type stateCopy struct {
 	contents
 	term               uint64
 	leader             string
 	sequence, position uint64
-	at                 time.Time // when the transfer that it comes from was asked for
+	requestedAt        time.Time // when the transfer that it comes from was asked for
 }
 
 // NewFollower makes a follower that holds nothing.
@@ -56,7 +56,7 @@
 	Sequence, Position uint64
 	Lag                time.Duration // age of what is held
 	Entries, Bytes     int
-	Taken              uint64            // bytes that were sent to it
+	ReceivedBytes      uint64            // bytes that were sent to it
 	Refused            map[string]uint64 // by cause
 }
 
@@ -64,22 +64,22 @@
 func (f *Follower) Status() FollowerStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	st := FollowerStatus{State: f.state, Cause: f.cause, Taken: f.taken, Refused: map[string]uint64{}}
+	st := FollowerStatus{State: f.state, Cause: f.cause, ReceivedBytes: f.receivedBytes, Refused: map[string]uint64{}}
 	for cause, n := range f.refused {
 		st.Refused[cause] = n
 	}
-	if h := f.held; h != nil {
+	if h := f.copy; h != nil {
 		st.Leader, st.Term, st.Sequence, st.Position = h.leader, h.term, h.sequence, h.position
-		st.Lag, st.Entries, st.Bytes = f.now().Sub(h.at), h.tree.Len(), h.bytes
+		st.Lag, st.Entries, st.Bytes = f.now().Sub(h.requestedAt), h.tree.Len(), h.bytes
 	}
 	return st
 }
 
-// Holds reports whether a complete copy is held that could be verified.
-func (f *Follower) Holds() bool {
+// Fits reports whether a complete copy is held that could be verified.
+func (f *Follower) HasCopy() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held != nil && (f.state == Following || f.state == Behind)
+	return f.copy != nil && (f.state == Following || f.state == Behind)
 }
 
 // Pull brings the copy up to date with the leader of a term, by one transfer. What goes
@@ -98,57 +98,57 @@
 	case f.state > Behind:
 		return // this node was elected meanwhile
 	case err == nil && next != nil:
-		next.at = began
-		f.held = next
-		f.change(Following, "complete up to "+fmt.Sprint(next.sequence))
+		next.requestedAt = began
+		f.copy = next
+		f.setState(Following, "complete up to "+fmt.Sprint(next.sequence))
 	case causeOf(err) == "other":
-		f.missed(err)
+		f.recordFailedTransfer(err)
 	default:
 		f.refuse(err)
 	}
 }
 
 // startPull says what the next transfer builds on, and whether one may begin now.
-func (f *Follower) startPull(leader string, term uint64) (base *held, ok bool) {
+func (f *Follower) startPull(leader string, term uint64) (base *stateCopy, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state > Behind {
 		return nil, false
 	}
-	if f.held == nil {
-		f.change(Syncing, fmt.Sprintf("follows %s in term %d", leader, term))
+	if f.copy == nil {
+		f.setState(Syncing, fmt.Sprintf("follows %s in term %d", leader, term))
 		return nil, true
 	}
-	if f.held.term != term || f.held.leader != leader {
+	if f.copy.term != term || f.copy.leader != leader {
 		return nil, true // another leader: everything is taken anew, and the copy is kept till then
 	}
-	return f.held, true
+	return f.copy, true
 }
 
-// change moves to a state. f.mu is held.
-func (f *Follower) change(to State, cause string) {
-	if err := f.move(to, cause); err != nil {
+// setState moves to a state. f.mu is held.
+func (f *Follower) setState(to State, cause string) {
+	if err := f.transition(to, cause); err != nil {
 		slog.Error("standby", "err", err)
 	}
 }
 
-// missed notes that a transfer did not come to its end. f.mu is held.
-func (f *Follower) missed(err error) {
+// recordFailedTransfer notes that a transfer did not come to its end. f.mu is held.
+func (f *Follower) recordFailedTransfer(err error) {
 	slog.Debug("leader not followed", "err", err)
 	switch {
-	case f.held == nil:
-		f.change(Empty, "the transfer was cut off")
-	case f.now().Sub(f.held.at) > f.BehindAfter:
-		f.change(Behind, "the leader is not heard")
+	case f.copy == nil:
+		f.setState(Empty, "the transfer was cut off")
+	case f.now().Sub(f.copy.requestedAt) > f.BehindAfter:
+		f.setState(Behind, "the leader is not heard")
 	}
 }
 
-// LeaderNotReached notes that no leader is reached: what is held grows old.
-func (f *Follower) LeaderNotReached() {
+// MarkLeaderUnreachable notes that no leader is reached: what is held grows old.
+func (f *Follower) MarkLeaderUnreachable() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state == Following {
-		f.missed(errLeaderNotReached)
+		f.recordFailedTransfer(errLeaderUnreachable)
 	}
 }
 
@@ -156,21 +156,21 @@
 func (f *Follower) refuse(err error) {
 	slog.Warn("standby starts anew", "err", err)
 	f.refused[causeOf(err)]++
-	f.held = nil
-	f.change(Empty, err.Error())
+	f.copy = nil
+	f.setState(Empty, err.Error())
 }
 
-// Drop forgets what is held: this node's term is over, or it is not to follow any more.
-func (f *Follower) Drop(cause string) {
+// Discard forgets what is held: this node's term is over, or it is not to follow any more.
+func (f *Follower) Discard(cause string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held = nil
-	f.change(Empty, cause)
+	f.copy = nil
+	f.setState(Empty, cause)
 }
 
 // transfer takes all parts of one transfer. It returns nil without an error if the leader
 // has nothing to offer.
-func (f *Follower) transfer(leader string, term uint64, base *held) (*held, error) {
+func (f *Follower) transfer(leader string, term uint64, base *stateCopy) (*stateCopy, error) {
 	args := peer.FollowArgs{From: f.Label, Term: term}
 	if base != nil {
 		args.Have = base.sequence
@@ -197,9 +197,9 @@
 			return nil, err
 		}
 		for _, entry := range entries {
-			edit.take(entry)
+			edit.apply(entry)
 		}
-		f.count(len(reply.Body))
+		f.addReceived(len(reply.Body))
 		if reply.Last {
 			return finish(edit, &reply, leader)
 		}
@@ -207,12 +207,12 @@
 	}
 }
 
-var errLeaderNotReached = errors.New("no leader is reached")
+var errLeaderUnreachable = errors.New("no leader is reached")
 
 var errNotOffered = errors.New("the leader offers nothing now")
 
 // checkPart refuses a part that does not follow on what is held or on the part before.
-func checkPart(args peer.FollowArgs, reply *peer.FollowReply, base *held) error {
+func checkPart(args peer.FollowArgs, reply *peer.FollowReply, base *stateCopy) error {
 	switch {
 	case reply.Part != args.Part, args.Transfer != 0 && reply.Transfer != args.Transfer:
 		return fmt.Errorf("%w: part %d of %d, not %d of %d", ErrOutOfOrder, reply.Part, reply.Transfer, args.Part, args.Transfer)
@@ -226,29 +226,29 @@
 
 // editorFor starts with what a transfer builds on. A follower that has to take everything
 // anew has fallen behind.
-func (f *Follower) editorFor(reply *peer.FollowReply, base *held) *editor {
+func (f *Follower) editorFor(reply *peer.FollowReply, base *stateCopy) *editor {
 	if !reply.Full {
 		return base.edit()
 	}
 	if base != nil {
 		f.mu.Lock()
-		f.change(Behind, "the leader does not keep changes that old")
+		f.setState(Behind, "the leader does not keep changes that old")
 		f.mu.Unlock()
 	}
 	return emptyContents().edit()
 }
 
 // finish makes the copy that a complete transfer leads to, if its digest agrees.
-func finish(edit *editor, reply *peer.FollowReply, leader string) (*held, error) {
-	next := &held{contents: edit.contents(), term: reply.Term, leader: leader, sequence: reply.Sequence, position: reply.Position}
+func finish(edit *editor, reply *peer.FollowReply, leader string) (*stateCopy, error) {
+	next := &stateCopy{contents: edit.contents(), term: reply.Term, leader: leader, sequence: reply.Sequence, position: reply.Position}
 	if next.digest != reply.Digest {
 		return nil, fmt.Errorf("%w at %d", ErrDigest, reply.Sequence)
 	}
 	return next, nil
 }
 
-func (f *Follower) count(bytes int) {
+func (f *Follower) addReceived(bytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.taken += uint64(bytes)
+	f.receivedBytes += uint64(bytes)
 }
