--- a/internal/standby/positions.go
+++ b/internal/standby/positions.go
@@ -2,17 +2,17 @@
 
 import "lotusstile.dev/lotusstile/wire"
 
-// positions tells up to which revision of the state service all commits of a term are known
+// positionTracker tells up to which revision of the state service all commits of a term are known
 // to the leader that made them.
 //
 // A commit is open from before it is sent until its outcome is settled. It can only get a
 // revision above its floor, the newest one that was known before it was sent, since
 // revisions grow. So every commit at or below the least floor of the open ones is closed:
 // what it changed is known, or it changed nothing.
-type positions struct {
-	known uint64 // newest revision that an answer has told
-	next  uint64
-	open  map[uint64]*openCommit
+type positionTracker struct {
+	newestRevision uint64 // newest revision that an answer has told
+	lastID         uint64
+	open           map[uint64]*openCommit
 }
 
 // openCommit is a commit whose outcome is not settled.
@@ -21,20 +21,20 @@
 	unsettled map[string]bool // after an unknown outcome: keys that it may change yet
 }
 
-// begin opens a commit and returns its number.
-func (p *positions) begin() uint64 {
-	p.next++
-	p.open[p.next] = &openCommit{floor: p.known}
-	return p.next
+// beginTransfer opens a commit and returns its number.
+func (p *positionTracker) begin() uint64 {
+	p.lastID++
+	p.open[p.lastID] = &openCommit{floor: p.newestRevision}
+	return p.lastID
 }
 
 // close settles a commit whose outcome is known.
-func (p *positions) close(id uint64) { delete(p.open, id) }
+func (p *positionTracker) close(id uint64) { delete(p.open, id) }
 
-// lose notes that a commit's outcome is unknown: it may have been carried out, or may be
+// commitUnknown notes that a commit's outcome is unknown: it may have been carried out, or may be
 // later. It is settled once each of its keys has been changed by a later commit: its
 // guards of these keys fail from then on.
-func (p *positions) lose(id uint64, keys []string) {
+func (p *positionTracker) markUnknown(id uint64, keys []string) {
 	c := p.open[id]
 	if c == nil {
 		return
@@ -49,11 +49,11 @@
 	}
 }
 
-// changed notes that a commit has changed keys at a revision, and settles what was lost
+// markCommitted notes that a commit has changed keys at a revision, and settles what was lost
 // before it began.
-func (p *positions) changed(id uint64, keys []string, revision uint64) {
+func (p *positionTracker) markCommitted(id uint64, keys []string, revision uint64) {
 	p.close(id)
-	p.known = max(p.known, revision)
+	p.newestRevision = max(p.newestRevision, revision)
 	for unknown, c := range p.open {
 		if c.unsettled == nil || unknown > id {
 			continue
@@ -68,8 +68,8 @@
 }
 
 // position is the revision up to which every commit of the term is known.
-func (p *positions) position() uint64 {
-	least := p.known
+func (p *positionTracker) position() uint64 {
+	least := p.newestRevision
 	for _, c := range p.open {
 		least = min(least, c.floor)
 	}
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -36,58 +36,58 @@
 // An error that wraps ErrNothingHeld, ErrDigest, ErrTooFarBehind or ErrUndecodable is final:
 // all records have to be listed. After any other the check can be tried again.
 func (f *Follower) Prove(ctx context.Context, r watchcache.Reader, term uint64) (*Proven, error) {
-	h, err := f.verify(term)
+	h, err := f.beginVerification(term)
 	if err != nil {
 		return nil, err
 	}
-	if sum := h.recomputed(); sum != h.digest {
-		return nil, f.fail(fmt.Errorf("%w at %d", ErrDigest, h.sequence))
+	if sum := h.computeDigest(); sum != h.digest {
+		return nil, f.refuseLocked(fmt.Errorf("%w at %d", ErrDigest, h.sequence))
 	}
 	events, err := changesSince(ctx, r, h.position)
 	if errors.Is(err, store.ErrTooOld) {
-		return nil, f.fail(fmt.Errorf("%w: %d", ErrTooFarBehind, h.position))
+		return nil, f.refuseLocked(fmt.Errorf("%w: %d", ErrTooFarBehind, h.position))
 	}
 	if err != nil {
 		return nil, fmt.Errorf("changes after %d: %w", h.position, err)
 	}
 	p, err := prove(h, events)
 	if err != nil {
-		return nil, f.fail(err)
+		return nil, f.refuseLocked(err)
 	}
-	p.Age = f.now().Sub(h.at)
+	p.Age = f.now().Sub(h.requestedAt)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.change(Ready, fmt.Sprintf("agrees with the state service: %d changes after %d", p.Changes, p.Position))
+	f.setState(Ready, fmt.Sprintf("agrees with the state service: %d changes after %d", p.Changes, p.Position))
 	return p, nil
 }
 
-// verify begins the check, or goes on with it.
-func (f *Follower) verify(term uint64) (*held, error) {
+// beginVerification begins the check, or goes on with it.
+func (f *Follower) beginVerification(term uint64) (*stateCopy, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.held == nil || f.held.term >= term {
-		f.held = nil
-		f.change(Empty, "nothing complete is held")
-		return nil, ErrNothingHeld
+	if f.copy == nil || f.copy.term >= term {
+		f.copy = nil
+		f.setState(Empty, "nothing complete is held")
+		return nil, ErrNoCopy
 	}
-	f.change(Verifying, fmt.Sprintf("elected for term %d", term))
-	return f.held, nil
+	f.setState(Verifying, fmt.Sprintf("elected for term %d", term))
+	return f.copy, nil
 }
 
-// fail gives the copy up.
-func (f *Follower) fail(err error) error {
+// failAll gives the copy up.
+func (f *Follower) refuseLocked(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refuse(err)
 	return err
 }
 
-// Promote notes that the controller of this node's term has taken over what is held.
-func (f *Follower) Promote(cause string) {
+// MarkPromoted notes that the controller of this node's term has taken over what is held.
+func (f *Follower) MarkPromoted(cause string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held = nil
-	f.change(Promoted, cause)
+	f.copy = nil
+	f.setState(Promoted, cause)
 }
 
 // changesSince reads what has changed of the followed records, all prefixes at once.
@@ -111,15 +111,15 @@
 }
 
 // prove takes changes into a copy and lists what it then holds.
-func prove(h *held, events []wire.WatchEvent) (*Proven, error) {
+func prove(h *stateCopy, events []wire.WatchEvent) (*Proven, error) {
 	edit := h.edit()
 	for _, n := range events {
-		edit.take(&Entry{Key: n.Set + n.Drop, Value: n.Value, ModRevision: n.ModRevision, Dropped: n.Drop != ""})
+		edit.apply(&Entry{Key: n.Set + n.Drop, Value: n.Value, ModRevision: n.ModRevision, Dropped: n.Drop != ""})
 	}
 	now := edit.contents()
-	p := &Proven{Placements: now.items(records.PlacementPrefix), Returns: now.items(records.ReturnsPrefix), Images: now.items(records.ImagesPrefix),
+	p := &Proven{Placements: now.list(records.PlacementPrefix), Returns: now.list(records.ReturnsPrefix), Images: now.list(records.ImagesPrefix),
 		FollowedTerm: h.term, Position: h.position, Digest: h.digest, Changes: len(events)}
-	if err := now.views(p); err != nil {
+	if err := now.decodeViews(p); err != nil {
 		return nil, err
 	}
 	return p, nil
--- a/internal/standby/size_test.go
+++ b/internal/standby/size_test.go
@@ -13,7 +13,7 @@
 	taken   int
 }
 
-func (k *knowing) TakeChangedViews(most int) ([]*Entry, bool) {
+func (k *knowing) DrainChangedViews(most int) ([]*Entry, bool) {
 	n := min(most, len(k.entries)-k.taken)
 	k.taken += n
 	return k.entries[k.taken-n : k.taken], k.taken < len(k.entries)
--- a/internal/standby/source.go
+++ b/internal/standby/source.go
@@ -14,27 +14,27 @@
 
 // Views is what a leader knows beyond its records.
 type Views interface {
-	// TakeChangedViews returns views that have changed since it was last called, at most
+	// DrainChangedViews returns views that have changed since it was last called, at most
 	// so many, and whether there are more. The first call after a while returns all.
-	TakeChangedViews(most int) (changed []*Entry, more bool)
+	DrainChangedViews(most int) (changed []*Entry, more bool)
 }
 
 // Limits of a source.
 const (
-	// leastLoggedChanges is how many changes a follower may lag behind at least before it has
+	// minLoggedChanges is how many changes a follower may lag behind at least before it has
 	// to take everything anew. It is more in a large fleet: see loggedChanges.
-	leastLoggedChanges = 1 << 10
-	// viewsAtOnce is how many views are taken in one go: the leader's rounds wait for no
+	minLoggedChanges = 1 << 10
+	// viewBatchSize is how many views are taken in one go: the leader's rounds wait for no
 	// more than these.
-	viewsAtOnce = 256
+	viewBatchSize = 256
 )
 
-// loggedChanges is how many changes a follower may lag behind: as many as there are entries.
+// maxLoggedChanges is how many changes a follower may lag behind: as many as there are entries.
 // One that lags further takes everything at less cost than the changes one by one. s.mu is
 // held.
-func (s *Source) loggedChanges() int { return max(leastLoggedChanges, s.contents.tree.Len()) }
+func (s *Source) maxLoggedChanges() int { return max(minLoggedChanges, s.contents.tree.Len()) }
 
-// change is what was changed by a sequence number.
+// setState is what was changed by a sequence number.
 type change struct {
 	sequence uint64
 	key      string
@@ -52,27 +52,27 @@
 	contents  contents
 	sequence  uint64
 	log       []change // the newest changes, oldest first
-	positions positions
+	positions positionTracker
 	transfers map[string]*transfer // by the standby's label
 	views     Views
-	sent      uint64 // bytes of bodies
+	sentBytes uint64 // bytes of bodies
 }
 
 // transfer is one that is under way: it reads what was held when it began.
 type transfer struct {
-	id       uint64
-	parts    int // that have been sent
-	contents contents
-	keys     []string         // that are still to be sent
-	frame    peer.FollowReply // what all its parts have in common
-	asked    time.Time
+	id            uint64
+	nextPart      int // that have been sent
+	contents      contents
+	remainingKeys []string         // that are still to be sent
+	header        peer.FollowReply // what all its parts have in common
+	lastRequested time.Time
 }
 
 // NewSource makes the source of a term. members are the labels of the other controllers;
 // a transfer that is not asked for is forgotten after lifetime.
 func NewSource(term uint64, members []string, lifetime time.Duration) *Source {
 	return &Source{term: term, members: members, lifetime: lifetime, now: time.Now, contents: emptyContents(),
-		positions: positions{open: map[uint64]*openCommit{}}, transfers: map[string]*transfer{}}
+		positions: positionTracker{open: map[uint64]*openCommit{}}, transfers: map[string]*transfer{}}
 }
 
 // Seed takes the records that a term began with: all that were committed before it did.
@@ -84,73 +84,73 @@
 		for _, row := range rows {
 			entry := &Entry{Key: row.Key, Value: row.Value, ModRevision: row.ModRevision}
 			if isRecord(entry.Key) {
-				edit.take(entry)
+				edit.apply(entry)
 			}
 		}
 	}
 	s.contents = edit.contents()
 	// Records of earlier terms are older than the term, and this term's own pass here.
-	s.positions.known = max(s.positions.known, s.term)
+	s.positions.newestRevision = max(s.positions.newestRevision, s.term)
 	s.seeded, s.views = true, views
 }
 
-// take takes entries in as one change each. s.mu is held.
-func (s *Source) take(entries []*Entry) {
+// admit takes entries in as one change each. s.mu is held.
+func (s *Source) apply(entries []*Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	edit := s.contents.edit()
 	for _, entry := range entries {
-		edit.take(entry)
+		edit.apply(entry)
 		s.sequence++
 		s.log = append(s.log, change{s.sequence, entry.Key})
 	}
 	s.contents = edit.contents()
-	if keep := s.loggedChanges(); len(s.log) > 2*keep {
+	if keep := s.maxLoggedChanges(); len(s.log) > 2*keep {
 		s.log = append([]change(nil), s.log[len(s.log)-keep:]...)
 	}
 }
 
 // Status is how much a source holds and has sent.
 type Status struct {
-	Sequence, Position, Sent uint64
-	Entries, Bytes           int
+	Sequence, Position, SentBytes uint64
+	Entries, Bytes                int
 }
 
 // Status tells how much it holds.
 func (s *Source) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Status{s.sequence, s.positions.position(), s.sent, s.contents.tree.Len(), s.contents.bytes}
+	return Status{s.sequence, s.positions.position(), s.sentBytes, s.contents.tree.Len(), s.contents.bytes}
 }
 
 // Follow answers a standby with one part of a transfer.
 func (s *Source) Follow(args peer.FollowArgs) (peer.FollowReply, error) {
-	if args.Term != s.term || !s.member(args.From) {
+	if args.Term != s.term || !s.isMember(args.From) {
 		return peer.FollowReply{Term: s.term}, nil
 	}
 	if args.Transfer == 0 {
-		s.takeViews()
+		s.applyChangedViews()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.seeded {
 		return peer.FollowReply{Term: s.term}, nil
 	}
-	s.forget()
+	s.dropAbandonedTransfers()
 	t := s.transfers[args.From]
 	if args.Transfer == 0 {
-		t = s.begin(args.Have)
+		t = s.beginTransfer(args.Have)
 		s.transfers[args.From] = t
 	}
 	if t == nil || args.Transfer != 0 && args.Transfer != t.id {
 		return peer.FollowReply{Term: s.term, Leading: true}, nil
 	}
-	t.asked = s.now()
-	return s.part(t, args)
+	t.lastRequested = s.now()
+	return s.nextPart(t, args)
 }
 
-func (s *Source) member(label string) bool {
+func (s *Source) isMember(label string) bool {
 	for _, m := range s.members {
 		if m == label {
 			return true
@@ -159,45 +159,45 @@
 	return false
 }
 
-// takeViews takes the views that have changed, a few at a time. It must not hold s.mu for
+// applyChangedViews takes the views that have changed, a few at a time. It must not hold s.mu for
 // long: commits pass here.
-func (s *Source) takeViews() {
+func (s *Source) applyChangedViews() {
 	s.mu.Lock()
 	views := s.views
 	s.mu.Unlock()
 	for more := views != nil; more; {
 		var changed []*Entry
-		changed, more = views.TakeChangedViews(viewsAtOnce)
+		changed, more = views.DrainChangedViews(viewBatchSize)
 		s.mu.Lock()
-		s.take(changed)
+		s.apply(changed)
 		s.mu.Unlock()
 	}
 }
 
-// forget drops transfers that are no longer asked for. s.mu is held.
-func (s *Source) forget() {
+// dropAbandonedTransfers drops transfers that are no longer asked for. s.mu is held.
+func (s *Source) dropAbandonedTransfers() {
 	for label, t := range s.transfers {
-		if s.now().Sub(t.asked) > s.lifetime {
+		if s.now().Sub(t.lastRequested) > s.lifetime {
 			delete(s.transfers, label)
 		}
 	}
 }
 
-// begin begins a transfer of what has changed since a sequence number, or of everything.
+// beginTransfer begins a transfer of what has changed since a sequence number, or of everything.
 // s.mu is held.
-func (s *Source) begin(have uint64) *transfer {
-	s.positions.next++
-	t := &transfer{id: s.positions.next, contents: s.contents}
-	t.frame = peer.FollowReply{Term: s.term, Leading: true, Transfer: t.id, Base: have, Sequence: s.sequence,
+func (s *Source) beginTransfer(have uint64) *transfer {
+	s.positions.lastID++
+	t := &transfer{id: s.positions.lastID, contents: s.contents}
+	t.header = peer.FollowReply{Term: s.term, Leading: true, Transfer: t.id, Base: have, Sequence: s.sequence,
 		Position: s.positions.position(), Digest: s.contents.digest}
 	if keys, ok := s.changedSince(have); ok {
-		t.keys = keys
+		t.remainingKeys = keys
 		return t
 	}
-	t.frame.Full, t.frame.Base = true, 0
-	t.keys = make([]string, 0, s.contents.tree.Len())
+	t.header.Full, t.header.Base = true, 0
+	t.remainingKeys = make([]string, 0, s.contents.tree.Len())
 	s.contents.tree.Root().Walk(func(_ []byte, entry *Entry) bool {
-		t.keys = append(t.keys, entry.Key)
+		t.remainingKeys = append(t.remainingKeys, entry.Key)
 		return false
 	})
 	return t
@@ -219,17 +219,17 @@
 	return keys, true
 }
 
-// part makes the next part of a transfer. s.mu is held.
-func (s *Source) part(t *transfer, args peer.FollowArgs) (peer.FollowReply, error) {
-	if args.Part != t.parts {
+// nextPart makes the next part of a transfer. s.mu is held.
+func (s *Source) nextPart(t *transfer, args peer.FollowArgs) (peer.FollowReply, error) {
+	if args.Part != t.nextPart {
 		delete(s.transfers, args.From)
 		return peer.FollowReply{Term: s.term, Leading: true}, nil
 	}
 	var entries []*Entry
-	for size := 0; len(t.keys) > 0 && size < partBytes; t.keys = t.keys[1:] {
-		entry, ok := t.contents.tree.Get([]byte(t.keys[0]))
+	for size := 0; len(t.remainingKeys) > 0 && size < partBytes; t.remainingKeys = t.remainingKeys[1:] {
+		entry, ok := t.contents.tree.Get([]byte(t.remainingKeys[0]))
 		if !ok {
-			entry = &Entry{Key: t.keys[0], Dropped: true, ModRevision: ^uint64(0)}
+			entry = &Entry{Key: t.remainingKeys[0], Dropped: true, ModRevision: ^uint64(0)}
 		}
 		entries = append(entries, entry)
 		size += entry.size()
@@ -238,11 +238,11 @@
 	if err != nil {
 		return peer.FollowReply{Term: s.term}, err
 	}
-	reply := t.frame
-	reply.Part, reply.Entries, reply.Size, reply.Body = t.parts, len(entries), size, body
-	reply.Last = len(t.keys) == 0
-	t.parts++
-	s.sent += uint64(len(body))
+	reply := t.header
+	reply.Part, reply.Entries, reply.Size, reply.Body = t.nextPart, len(entries), size, body
+	reply.Last = len(t.remainingKeys) == 0
+	t.nextPart++
+	s.sentBytes += uint64(len(body))
 	if reply.Last {
 		delete(s.transfers, args.From)
 	}
@@ -256,26 +256,26 @@
 	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 }
 
-// Recorder is a Store that tells a Source of every commit.
-type Recorder struct {
+// RecordingStore is a Store that tells a Source of every commit.
+type RecordingStore struct {
 	Store
 	source *Source
 }
 
-// NewRecorder makes the store of a controller whose commits a source offers.
-func NewRecorder(s Store, source *Source) *Recorder { return &Recorder{s, source} }
+// NewRecordingStore makes the store of a controller whose commits a source offers.
+func NewRecordingStore(s Store, source *Source) *RecordingStore { return &RecordingStore{s, source} }
 
 // Get reads a key. What it shows is at least as new as what the source holds.
-func (r *Recorder) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
+func (r *RecordingStore) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
 	item, found, err := r.Store.Get(ctx, key)
 	if err == nil && isRecord(key) {
-		r.source.read(key, item, found)
+		r.source.applyRead(key, item, found)
 	}
 	return item, found, err
 }
 
-// Commit passes a commit on and takes its outcome into the source.
-func (r *Recorder) Commit(ctx context.Context, tx wire.Transaction) (uint64, error) {
+// MarkCommitted passes a commit on and takes its outcome into the source.
+func (r *RecordingStore) Commit(ctx context.Context, tx wire.Transaction) (uint64, error) {
 	keys := recordKeys(tx)
 	if len(keys) == 0 {
 		return r.Store.Commit(ctx, tx)
@@ -284,11 +284,11 @@
 	revision, err := r.Store.Commit(ctx, tx)
 	switch {
 	case err == nil:
-		r.source.committed(id, tx, keys, revision)
+		r.source.commitSucceeded(id, tx, keys, revision)
 	case errors.Is(err, store.ErrUnknown):
-		r.source.lose(id, guardedKeys(tx, keys))
+		r.source.commitUnknown(id, guardedKeys(tx, keys))
 	default:
-		r.source.notCarriedOut(id)
+		r.source.commitFailed(id)
 	}
 	return revision, err
 }
@@ -315,20 +315,20 @@
 	return s.positions.begin()
 }
 
-func (s *Source) lose(id uint64, keys []string) {
+func (s *Source) commitUnknown(id uint64, keys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.positions.lose(id, keys)
+	s.positions.markUnknown(id, keys)
 }
 
-func (s *Source) notCarriedOut(id uint64) {
+func (s *Source) commitFailed(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.positions.close(id)
 }
 
-// committed takes a commit in that was carried out.
-func (s *Source) committed(id uint64, tx wire.Transaction, keys []string, revision uint64) {
+// commitSucceeded takes a commit in that was carried out.
+func (s *Source) commitSucceeded(id uint64, tx wire.Transaction, keys []string, revision uint64) {
 	var entries []*Entry
 	for _, c := range tx.Changes {
 		if key := c.Set + c.Drop; isRecord(key) {
@@ -337,17 +337,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.take(entries)
-	s.positions.changed(id, keys, revision)
+	s.apply(entries)
+	s.positions.markCommitted(id, keys, revision)
 }
 
-// read takes a record in as it was read.
-func (s *Source) read(key string, item wire.KeyValue, found bool) {
+// applyRead takes a record in as it was read.
+func (s *Source) applyRead(key string, item wire.KeyValue, found bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if found {
-		s.take([]*Entry{{Key: key, Value: item.Value, ModRevision: item.ModRevision}})
+		s.apply([]*Entry{{Key: key, Value: item.Value, ModRevision: item.ModRevision}})
 	} else {
-		s.take([]*Entry{{Key: key, Dropped: true, ModRevision: ^uint64(0)}})
+		s.apply([]*Entry{{Key: key, Dropped: true, ModRevision: ^uint64(0)}})
 	}
 }
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -60,7 +60,7 @@
 	ErrOversized    = errors.New("a part is larger than is allowed")
 	ErrUndecodable  = errors.New("a part cannot be decoded")
 	ErrDigest       = errors.New("the digest of what is held is not the leader's")
-	ErrNothingHeld  = errors.New("nothing is held that can be verified")
+	ErrNoCopy       = errors.New("nothing is held that can be verified")
 	ErrTooFarBehind = errors.New("the state service no longer keeps the changes since the followed position")
 )
 
@@ -83,8 +83,8 @@
 
 func (e *TransitionError) Error() string { return fmt.Sprintf("%s cannot follow on %s", e.To, e.From) }
 
-// move is the one function that changes the state of a follower. f.mu is held.
-func (f *Follower) move(to State, cause string) error {
+// transition is the one function that changes the state of a follower. f.mu is held.
+func (f *Follower) transition(to State, cause string) error {
 	from := f.state
 	if from == to {
 		return nil
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -28,7 +28,7 @@
 // leader is a term's writer of records.
 type leader struct {
 	service      *service
-	store        *Recorder
+	store        *RecordingStore
 	source       *Source
 	term         uint64
 	modRevisions map[string]uint64 // of the records, as it knows them
@@ -38,7 +38,7 @@
 func newLeader(s *service) *leader {
 	l := &leader{service: s, term: s.elect(), modRevisions: map[string]uint64{}}
 	l.source = NewSource(l.term, []string{"n1", "n2"}, time.Minute)
-	l.store = NewRecorder(s, l.source)
+	l.store = NewRecordingStore(s, l.source)
 	var lists [][]wire.KeyValue
 	for _, prefix := range recordPrefixes {
 		rows, _, _ := s.List(context.Background(), prefix)
@@ -139,7 +139,7 @@
 			s.deliverLate(0) // the guard of the leader's key refuses it
 		}
 		for _, f := range followers {
-			if !f.Holds() {
+			if !f.HasCopy() {
 				continue
 			}
 			p, err := f.Prove(context.Background(), s, term)
@@ -219,7 +219,7 @@
 			}})
 			f.Pull("l", l.term)
 			if !first {
-				if !f.Holds() {
+				if !f.HasCopy() {
 					t.Fatalf("%s: nothing is followed", tc.name)
 				}
 				l.write("new", false, "p/run-1/000000")
@@ -230,13 +230,13 @@
 			if st.State != Empty || st.Entries != 0 || st.Refused[tc.name] != 1 {
 				t.Errorf("%s: the state is %s with %d entries, refused %v", tc.name, st.State, st.Entries, st.Refused)
 			}
-			if _, err := f.Prove(context.Background(), l.service, l.service.elect()); !errors.Is(err, ErrNothingHeld) {
+			if _, err := f.Prove(context.Background(), l.service, l.service.elect()); !errors.Is(err, ErrNoCopy) {
 				t.Errorf("%s: proven with %v", tc.name, err)
 			}
 			spoil = false
-			f.Drop("no longer leading")
+			f.Discard("no longer leading")
 			f.Pull("l", l.term)
-			if !f.Holds() {
+			if !f.HasCopy() {
 				t.Errorf("%s: it does not start anew", tc.name)
 			}
 		}
@@ -257,7 +257,7 @@
 			return r, err
 		}})
 		f.Pull("l", l.term)
-		if f.Holds() && f.held.recomputed() != l.source.contents.digest {
+		if f.HasCopy() && f.copy.computeDigest() != l.source.contents.digest {
 			t.Fatalf("something else is held than the leader has")
 		}
 	})
@@ -312,7 +312,7 @@
 	}
 	delete(sources, "l")
 	now = now.Add(5 * time.Minute)
-	for i := range 2*leastLoggedChanges + 10 {
+	for i := range 2*minLoggedChanges + 10 {
 		l.write(fmt.Sprint(i), false, fmt.Sprintf("p/run-%d/000000", i%20))
 	}
 	for _, x := range []*Follower{f, g, h} {
@@ -358,12 +358,12 @@
 	if _, err := f.Prove(context.Background(), s, term); err != nil || f.Status().State != Ready {
 		t.Errorf("proven with %v, the state is %s", err, f.Status().State)
 	}
-	f.Promote("decides")
+	f.MarkPromoted("decides")
 	f.Pull("l", l.term) // the old leader goes on, and nobody listens
 	if f.Status().State != Promoted {
 		t.Errorf("the state is %s", f.Status().State)
 	}
-	f.Drop("over")
+	f.Discard("over")
 	if f.Status().State != Empty {
 		t.Errorf("the state is %s", f.Status().State)
 	}
@@ -376,7 +376,7 @@
 	l.write("1", false, "p/run-1/000000")
 	f := follow("n1", map[string]*Source{"l": l.source})
 	f.Pull("l", l.term)
-	entry, _ := f.held.tree.Get([]byte("p/run-1/000000"))
+	entry, _ := f.copy.tree.Get([]byte("p/run-1/000000"))
 	entry.Value = []byte("2")
 	if _, err := f.Prove(context.Background(), s, s.elect()); !errors.Is(err, ErrDigest) || f.Status().State != Empty {
 		t.Errorf("proven with %v, the state is %s", err, f.Status().State)
@@ -389,7 +389,7 @@
 	l := newLeader(s)
 	f := follow("n1", map[string]*Source{"l": l.source})
 	f.Pull("l", l.term)
-	if _, err := f.Prove(context.Background(), s, l.term); !errors.Is(err, ErrNothingHeld) {
+	if _, err := f.Prove(context.Background(), s, l.term); !errors.Is(err, ErrNoCopy) {
 		t.Errorf("proven with %v", err)
 	}
 }
@@ -397,7 +397,7 @@
 // viewsOf hands out views, a few at a time.
 type viewsOf struct{ entries []*Entry }
 
-func (v *viewsOf) TakeChangedViews(most int) ([]*Entry, bool) {
+func (v *viewsOf) DrainChangedViews(most int) ([]*Entry, bool) {
 	n := min(most, len(v.entries))
 	taken := v.entries[:n]
 	v.entries = v.entries[n:]
@@ -412,7 +412,7 @@
 	views := &viewsOf{}
 	want := map[string][]RunningTask{}
 	for i := range 700 {
-		v := JobView{UID: fmt.Sprintf("run-%06d", i), Begun: true}
+		v := JobView{UID: fmt.Sprintf("run-%06d", i), HasRun: true}
 		for task := range rng.IntN(60) {
 			if rng.IntN(3) > 0 {
 				want[v.UID] = append(want[v.UID], RunningTask{task, uint64(1 + rng.IntN(9)), 1_700_000_000 + rng.Int64N(5000)})
@@ -432,7 +432,7 @@
 		entry, _ := v.Entry()
 		views.entries = append(views.entries, entry)
 	}
-	views.entries = append(views.entries, NoMachine("m-7"), NoJob("run-000007"))
+	views.entries = append(views.entries, DroppedMachineView("m-7"), DroppedJobView("run-000007"))
 	delete(want, "run-000007")
 	l.source.Seed(views)
 	f := follow("n1", map[string]*Source{"l": l.source})
--- a/internal/standby/views.go
+++ b/internal/standby/views.go
@@ -27,7 +27,7 @@
 	Spot         bool     `cbor:"5,keyasint,omitempty"`
 	Incarnation  uint64   `cbor:"6,keyasint,omitempty"` // newest that has reported
 	FencingToken uint64   `cbor:"7,keyasint,omitempty"` // the leader's term, if the machine has reported with it
-	BornMs       int64    `cbor:"8,keyasint,omitempty"`
+	FirstSeenMs  int64    `cbor:"8,keyasint,omitempty"`
 	AvoidMs      int64    `cbor:"9,keyasint,omitempty"` // takes no launches until then
 	SpotNotice   bool     `cbor:"10,keyasint,omitempty"`
 	Images       []string `cbor:"12,keyasint,omitempty"`
@@ -35,12 +35,12 @@
 
 // JobView is what a leader knows of a job from reports.
 type JobView struct {
-	UID         string `cbor:"1,keyasint"`
-	Begun       bool   `cbor:"2,keyasint,omitempty"` // a task of it has run
-	Fails       int    `cbor:"3,keyasint,omitempty"` // how often in a row it was held back for failing
-	NotBeforeMs int64  `cbor:"4,keyasint,omitempty"` // it is not placed before
-	WaitMs      int64  `cbor:"5,keyasint,omitempty"` // since when nothing of it ran
-	Running     []byte `cbor:"6,keyasint,omitempty"` // bitmap of its running tasks, see RunningTasks
+	UID          string `cbor:"1,keyasint"`
+	HasRun       bool   `cbor:"2,keyasint,omitempty"` // a task of it has run
+	BackoffCount int    `cbor:"3,keyasint,omitempty"` // how often in a row it was held back for failing
+	NotBeforeMs  int64  `cbor:"4,keyasint,omitempty"` // it is not placed before
+	WaitMs       int64  `cbor:"5,keyasint,omitempty"` // since when nothing of it ran
+	Running      []byte `cbor:"6,keyasint,omitempty"` // bitmap of its running tasks, see RunningTasks
 	// By running task, in order: the attempt, and since when it runs in seconds of the time
 	// of day after SinceS.
 	Attempts []uint64 `cbor:"7,keyasint,omitempty"`
@@ -134,11 +134,11 @@
 // Entry makes the entry of a view.
 func (v *LeaderView) Entry() (*Entry, error) { return viewEntry(leaderViewKey, v) }
 
-// NoMachine is the entry that takes a machine's view away.
-func NoMachine(host string) *Entry { return &Entry{Key: machineViews + host, Dropped: true} }
+// DroppedMachineView is the entry that takes a machine's view away.
+func DroppedMachineView(host string) *Entry { return &Entry{Key: machineViews + host, Dropped: true} }
 
-// NoJob is the entry that takes a job's view away.
-func NoJob(uid string) *Entry { return &Entry{Key: jobViews + uid, Dropped: true} }
+// DroppedJobView is the entry that takes a job's view away.
+func DroppedJobView(uid string) *Entry { return &Entry{Key: jobViews + uid, Dropped: true} }
 
 func viewEntry(key string, view any) (*Entry, error) {
 	value, err := cbor.Marshal(view)
@@ -148,8 +148,8 @@
 	return &Entry{Key: key, Value: value}, nil
 }
 
-// views decodes all views into p.
-func (c contents) views(p *Proven) error {
+// decodeViews decodes all views into p.
+func (c contents) decodeViews(p *Proven) error {
 	var failed error
 	decode := func(entry *Entry, into any) {
 		if err := cbor.Unmarshal(entry.Value, into); err != nil && failed == nil {
