--- /dev/null
+++ b/internal/fleet/resources.go
@@ -0,0 +1,49 @@
+package fleet
+
+import "lotusstile.dev/lotusstile/wire"
+
+// Resources is an amount of what a machine offers, or of what a task requests.
+type Resources struct {
+	Cores, Gpus float64
+	RAM         float64 // GB
+}
+
+// roundingSlack is the amount by which a sum of resources may be off by floating-point rounding.
+const roundingSlack = 1e-6
+
+// TaskResources returns what one task of a job requests.
+func TaskResources(spec *wire.JobSpec) Resources { return Resources{spec.Cores, spec.Gpus, spec.RAMGb} }
+
+// Add returns r + o.
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.Cores + o.Cores, r.Gpus + o.Gpus, r.RAM + o.RAM}
+}
+
+// Sub returns r - o.
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.Cores - o.Cores, r.Gpus - o.Gpus, r.RAM - o.RAM}
+}
+
+// Fits reports whether the request fits into r.
+func (r Resources) Fits(request Resources) bool {
+	return request.Cores <= r.Cores+roundingSlack && request.Gpus <= r.Gpus+roundingSlack && request.RAM <= r.RAM+roundingSlack
+}
+
+// FitsRequested reports whether CountFitting is at least one. Unlike Fits it ignores a resource
+// that the request has none of, which may be overbooked.
+func (r Resources) FitsRequested(request Resources) bool {
+	return (request.Cores <= 0 || request.Cores <= r.Cores+roundingSlack) &&
+		(request.Gpus <= 0 || request.Gpus <= r.Gpus+roundingSlack) &&
+		(request.RAM <= 0 || request.RAM <= r.RAM+roundingSlack)
+}
+
+// CountFitting returns how many times the request fits into r, at most limit.
+func (r Resources) CountFitting(request Resources, limit int) int {
+	count := limit
+	for _, pair := range [...][2]float64{{r.Cores, request.Cores}, {r.Gpus, request.Gpus}, {r.RAM, request.RAM}} {
+		if available, needed := pair[0], pair[1]; needed > 0 {
+			count = min(count, int((available+roundingSlack)/needed))
+		}
+	}
+	return max(count, 0)
+}
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -8,41 +8,49 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Each of 4,096 and of 6,000 machines is held with its tasks: it takes its launches, reports
-// them, tells that it has changed, and loses them by its own new session alone.
-func TestLargeFleetIsHeld(t *testing.T) {
+// Each of 4,096 and of 6,000 machines keeps its tasks: it gets its launches, reports them, is
+// marked as changed, and loses them by its own new incarnation alone.
+func TestLargeFleetKeepsItsTasks(t *testing.T) {
 	const tasks = 8
 	for _, machines := range []int{4096, 6000} {
 		now := time.Unix(1000, 0)
-		f := New(5, 10*time.Second, nobody{})
-		report := func(i int, session, sequence uint64, running bool) *Machine {
-			r := &wire.Heartbeat{Host: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: "a", Incarnation: session, Sequence: sequence, FencingToken: 5}
+		f := New(5, 10*time.Second, noObserver{})
+		beat := func(i int, incarnation, sequence uint64, running bool) *Machine {
+			h := &wire.Heartbeat{
+				Host:         fmt.Sprintf("m-%06d", i),
+				MachineType:  "g8",
+				Zone:         "a",
+				Incarnation:  incarnation,
+				Sequence:     sequence,
+				FencingToken: 5,
+			}
 			for task := range tasks {
 				if running {
-					r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName(fmt.Sprint("run-", i), task), Attempt: 1, Status: wire.TaskRunning})
+					name := wire.TaskName(fmt.Sprint("run-", i), task)
+					h.Tasks = append(h.Tasks, wire.TaskReport{Task: name, Attempt: 1, Status: wire.TaskRunning})
 				}
 			}
-			m, _ := f.ApplyHeartbeat(r, now)
+			m, _ := f.ApplyHeartbeat(h, now)
 			return m
 		}
 		for i := range machines {
-			m := report(i, 1, 1, false)
+			m := beat(i, 1, 1, false)
 			for task := range tasks {
 				a := &Attempt{JobUID: fmt.Sprint("run-", i), TaskIndex: task, Number: 1, Resources: Resources{Cores: 1}}
 				f.AddAttempt(m, a, now)
 				f.MarkCommitted(a, now)
 			}
-			if orders := f.Commands(m, now, true); len(orders) != tasks {
-				t.Fatalf("%s gets %d orders", m.ID, len(orders))
+			if commands := f.Commands(m, now, true); len(commands) != tasks {
+				t.Fatalf("%s gets %d commands", m.ID, len(commands))
 			}
-			report(i, 1, 2, true)
+			beat(i, 1, 2, true)
 		}
 		changed := 0
 		f.DrainChanged(func(string, *Machine) { changed++ })
 		if f.Len() != machines || changed != machines {
-			t.Fatalf("%d of %d machines are held, %d have changed", f.Len(), machines, changed)
+			t.Fatalf("%d of %d machines are kept, %d have changed", f.Len(), machines, changed)
 		}
-		report(machines/2, 2, 1, false)
+		beat(machines/2, 2, 1, false)
 		f.MarkSuspected(now)
 		f.Each(func(m *Machine) {
 			want := tasks
@@ -53,9 +61,9 @@
 				t.Fatalf("%s is %s with %d tasks, not %d", m.ID, m.State, m.LiveCount(), want)
 			}
 		})
-		f.DrainChanged(func(id string, _ *Machine) { changed-- })
+		f.DrainChanged(func(string, *Machine) { changed-- })
 		if changed != machines-1 {
-			t.Errorf("%d machines have changed by one report", machines-changed)
+			t.Errorf("%d machines have changed by one heartbeat", machines-changed)
 		}
 	}
 }
