--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -44,7 +44,7 @@
 	}
 	c.pauseLiveness(now)
 	c.noteRenewedByPeers(now)
-	c.fleet.SuspectSilent(now)
+	c.fleet.MarkSuspected(now)
 	c.declareDead(now)
 	if c.catalog == nil {
 		return nil
@@ -77,10 +77,10 @@
 			continue
 		}
 		gracePeriod := 0.0
-		if v := c.jobs[a.UID].record.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.StartSlackS {
+		if v := c.jobs[a.JobUID].record.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.StartSlackS {
 			gracePeriod = v.CheckpointOnStopS + c.Config.Cluster.Workers.ReportS
 		}
-		slog.Info("preempted", "leg", a.Name(), "host", a.Machine.ID)
+		slog.Info("preempted", "leg", a.TaskName(), "host", a.Machine.ID)
 		c.stopAttempt(a, gracePeriod, now, "preempted")
 	}
 	c.lastRound = info
@@ -142,7 +142,7 @@
 			if !p.dirty || p.due.After(now) {
 				budget--
 			}
-			a := &fleet.Attempt{UID: j.uid, Task: task, Number: p.nextAttempt, Need: j.need, Image: j.record.Spec.Image}
+			a := &fleet.Attempt{JobUID: j.uid, TaskIndex: task, Number: p.nextAttempt, Resources: j.need, Image: j.record.Spec.Image}
 			if j.record.Spec.Kind == wire.Gang {
 				a.Number = j.gangAttempt()
 			}
@@ -150,7 +150,7 @@
 			p.live[task] = a
 			j.live++
 			p.markChanged(now)
-			c.fleet.Place(m, a, now)
+			c.fleet.AddAttempt(m, a, now)
 			started++
 		}
 	}
--- a/internal/simcluster/release_test.go
+++ b/internal/simcluster/release_test.go
@@ -46,7 +46,7 @@
 	if r.sc.olderRelease[r.node] {
 		a.Body = dropDependencies(a.Body)
 	}
-	return r.Handler.User(a)
+	return r.Handler.ServeUserRequest(a)
 }
 
 // withoutDependencies answers users as the release before, which ignores Awaits.
