--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -14,13 +14,13 @@
 
 // leaderWithArray is a leader beside services with usual limits, with machines that have reported
 // and an array.
-func leaderWithArray(t *testing.T, now *time.Time, machines, tasks int, need fleet.Res) (*limited, *Controller, *job) {
+func leaderWithArray(t *testing.T, now *time.Time, machines, tasks int, need fleet.Resources) (*limited, *Controller, *job) {
 	services := &limited{t: t, limits: config.StateLimits{Rps: 250, WriteRps: 100, ValueKb: 8, TxnOps: 24}, items: map[string]wire.KeyValue{}}
 	c := services.leaderOf(5, now)
 	spec := wire.JobSpec{UID: "run-000001", JobClass: "huge", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: need.Cores, RAMGb: need.RAM, Image: "img"}
 	rec := records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: records.TasksPerPlacement(8192, 8192)}
 	services.items[records.JobKey(spec.UID)] = wire.KeyValue{Key: records.JobKey(spec.UID), Value: records.Encode(rec), ModRevision: 1}
-	c.takeJob(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
+	c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
 	var hosts []wire.ListedHost
 	for i := range machines {
 		hosts = append(hosts, wire.ListedHost{UID: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: "a", Status: "running"})
@@ -44,9 +44,9 @@
 	c.fleet.Each(func(m *fleet.Machine) {
 		r := wire.Heartbeat{Host: m.ID, MachineType: "g8", Zone: m.Zone, Incarnation: 1, Sequence: sequence, FencingToken: c.term}
 		m.Each(func(a *fleet.Attempt) {
-			if a.State > fleet.Committed && a.State != fleet.Recorded {
+			if a.State > fleet.Committed && a.State != fleet.EndRecorded {
 				status, cause := how(a)
-				r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.Name(), Attempt: a.Number, Status: status, Cause: cause})
+				r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.TaskName(), Attempt: a.Number, Status: status, Cause: cause})
 			}
 		})
 		if body := len(records.Encode(r)); body > wire.MaxBody {
@@ -58,7 +58,7 @@
 
 // writeAll commits all that is due.
 func writeAll(t *testing.T, c *Controller) {
-	for b := c.collect(); b != nil; b = c.collect() {
+	for b := c.nextBatch(); b != nil; b = c.nextBatch() {
 		c.commit(t.Context(), b)
 	}
 }
@@ -69,11 +69,11 @@
 func TestHugeArrayIsFinished(t *testing.T) {
 	const tasks = 25_000
 	now := time.Unix(10_000, 0)
-	services, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Res{Cores: 0.25, RAM: 1})
+	services, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Resources{Cores: 0.25, RAM: 1})
 	sequence := uint64(1)
 	for rounds := 0; j.done < tasks && rounds < 1000; rounds++ {
 		now = now.Add(3 * time.Second)
-		c.round(time.Second)
+		c.runRound(time.Second)
 		writeAll(t, c)
 		reportAll(t, c, sequence+1, always(wire.TaskRunning, ""))
 		reportAll(t, c, sequence+2, always(wire.TaskEnded, wire.CauseDone))
@@ -85,15 +85,15 @@
 	now = now.Add(3 * time.Second)
 	writeAll(t, c)
 	if c.jobs[j.uid] != nil {
-		t.Errorf("the job is still in the picture as %s", j.rec.Status)
+		t.Errorf("the job is still in the picture as %s", j.record.Status)
 	}
 	if left := len(services.items); left != 1 || services.items[records.FinalKey(j.uid)].ModRevision == 0 {
 		t.Errorf("%d records are left", left)
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
 		m.Each(func(a *fleet.Attempt) {
-			if a.State != fleet.Recorded {
-				t.Fatalf("%s is %s", a.Name(), a.State)
+			if a.State != fleet.EndRecorded {
+				t.Fatalf("%s is %s", a.TaskName(), a.State)
 			}
 		})
 	})
@@ -104,17 +104,17 @@
 // started nothing at all.
 func TestReportsOfTinyTasksFitABody(t *testing.T) {
 	now := time.Unix(10_000, 0)
-	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Res{Cores: 0.02, RAM: 0.1})
-	c.round(time.Second)
+	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Resources{Cores: 0.02, RAM: 0.1})
+	c.runRound(time.Second)
 	writeAll(t, c)
-	if j.live != maxTasks {
-		t.Fatalf("%d tasks are started, want %d", j.live, maxTasks)
+	if j.live != maxTasksPerMachine {
+		t.Fatalf("%d tasks are started, want %d", j.live, maxTasksPerMachine)
 	}
 	reportAll(t, c, 2, always(wire.TaskEnded, wire.CauseDone))
-	c.round(time.Second) // nothing is reaped yet: the ends are written later
+	c.runRound(time.Second) // nothing is reaped yet: the ends are written later
 	writeAll(t, c)
 	reportAll(t, c, 3, always(wire.TaskEnded, wire.CauseDone))
 	if j.live != 0 {
-		t.Errorf("%d tasks are started beside %d that are not reaped", j.live, maxTasks)
+		t.Errorf("%d tasks are started beside %d that are not reaped", j.live, maxTasksPerMachine)
 	}
 }
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -14,19 +14,19 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// listing is a state service that only lists.
-type listing struct {
+// listOnlyStore is a state service that only lists.
+type listOnlyStore struct {
 	Store
 	rows   map[string][]wire.KeyValue
 	listed int
 }
 
-func (l *listing) List(_ context.Context, under string) ([]wire.KeyValue, uint64, error) {
+func (l *listOnlyStore) List(_ context.Context, under string) ([]wire.KeyValue, uint64, error) {
 	l.listed++
 	return l.rows[under], 4, nil
 }
 
-func (l *listing) Watch(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
+func (l *listOnlyStore) Watch(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
 	return wire.WatchResponse{Revision: 4}, nil
 }
 
@@ -44,7 +44,7 @@
 // misleading is a proof whose views say what is not so: that a machine is in a later session,
 // that another one which was returned takes work, and that nothing of the job runs.
 func misleading(t *testing.T, rows map[string][]wire.KeyValue) *standby.Proven {
-	job := standby.JobView{UID: "run-000001", Begun: true}
+	job := standby.JobView{UID: "run-000001", HasRun: true}
 	if err := job.SetRunning([]standby.RunningTask{{Task: 0, Attempt: 1, SinceS: 900}, {Task: 1, Attempt: 9, SinceS: 900}, {Task: 7, Attempt: 1, SinceS: 900}}); err != nil {
 		t.Fatal(err)
 	}
@@ -68,24 +68,24 @@
 		now := time.Unix(1000, 0)
 		c := watched(&now)
 		c.loaded = false
-		store := &listing{rows: rows}
+		store := &listOnlyStore{rows: rows}
 		c.Store = store
 		c.JobCache.Reset(rows[records.JobPrefix], 4, time.Now().Add(-time.Second))
-		c.JobCache.SetListener(c.jobEvent)
+		c.JobCache.SetListener(c.applyJobEvent)
 		c.Prove = func(context.Context, uint64) (*standby.Proven, error) { return misleading(t, rows), proof.err }
-		if err := c.load(context.Background()); err != nil {
+		if err := c.loadState(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if store.listed != proof.listed || c.takeover.rec.Warm != (proof.err == nil) {
-			t.Errorf("%s: %d listings, the takeover is %+v", proof.name, store.listed, c.takeover.rec)
+		if store.listed != proof.listed || c.failover.record.Warm != (proof.err == nil) {
+			t.Errorf("%s: %d listings, the takeover is %+v", proof.name, store.listed, c.failover.record)
 		}
 		j := c.jobs["run-000001"]
 		if j.live != 2 || c.fleet.Get("m-3").State != fleet.Returning {
 			t.Errorf("%s: %d attempts, the returned machine is %s", proof.name, j.live, c.fleet.Get("m-3").State)
 		}
-		j.each(func(a *fleet.Attempt) {
+		j.eachAttempt(func(a *fleet.Attempt) {
 			if a.State != fleet.Committed || !a.Inherited || a.Machine.State != fleet.Booting {
-				t.Errorf("%s: %s is %s on a machine that is %s", proof.name, a.Name(), a.State, a.Machine.State)
+				t.Errorf("%s: %s is %s on a machine that is %s", proof.name, a.TaskName(), a.State, a.Machine.State)
 			}
 		})
 		// The machine is in the session that its task is known from, whatever the view says.
@@ -102,16 +102,16 @@
 	now := time.Unix(1000, 0)
 	c := watched(&now)
 	c.loaded = false
-	store := &listing{rows: recordsOfTwoTasks()}
+	store := &listOnlyStore{rows: recordsOfTwoTasks()}
 	c.Store = store
 	attempts := 0
 	c.Prove = func(context.Context, uint64) (*standby.Proven, error) { attempts++; return nil, errors.New("503") }
-	for range warmAttempts {
-		if err := c.load(context.Background()); err == nil || store.listed > 0 {
+	for range maxProofAttempts {
+		if err := c.loadState(context.Background()); err == nil || store.listed > 0 {
 			t.Fatalf("after %d tries: loaded with %v, %d listings", attempts, err, store.listed)
 		}
 	}
-	if err := c.load(context.Background()); err != nil || attempts != warmAttempts || !c.loaded {
+	if err := c.loadState(context.Background()); err != nil || attempts != maxProofAttempts || !c.loaded {
 		t.Errorf("after %d tries: %v", attempts, err)
 	}
 }
@@ -126,7 +126,7 @@
 	take := func() (keys []string) {
 		for more := true; more; {
 			var entries []*standby.Entry
-			entries, more = c.TakeChangedViews(256)
+			entries, more = c.DrainChangedViews(256)
 			if len(entries) > 257 {
 				t.Fatalf("%d views at once", len(entries))
 			}
@@ -141,15 +141,15 @@
 		t.Errorf("%d views at first", len(keys))
 	}
 	m := c.fleet.Get("m-007")
-	c.fleet.Place(m, &fleet.Attempt{UID: "run-000001", Number: 1, Incarnation: 1, Inherited: true}, now)
+	c.fleet.AddAttempt(m, &fleet.Attempt{JobUID: "run-000001", Number: 1, Incarnation: 1, Inherited: true}, now)
 	c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m-007", Zone: "b", Incarnation: 1, Sequence: 2, FencingToken: 5,
 		Tasks: []wire.TaskReport{{Task: "run-000001/0", Attempt: 1, Status: wire.TaskRunning}}}, now)
 	if keys := fmt.Sprint(take()); keys != "[view/job/run-000001 view/leader view/machine/m-007]" {
 		t.Errorf("changed views are %s", keys)
 	}
 	now = now.Add(time.Minute)
-	c.stopIdleViews(now)
-	if c.views.on {
+	c.stopIdleViewTracking(now)
+	if c.views.enabled {
 		t.Error("changes are noted although nobody asks")
 	}
 	if keys := take(); len(keys) != 601 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -94,7 +94,7 @@
 		store:         store.New(cfg.Services.State, store.Limits{RequestsPerSecond: st.Rps, WritesPerSecond: st.WriteRps, Nodes: len(cfg.Members) + 1}, timeout, nw.State),
 		cloud:         cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, timeout, nw.Cloud),
 		jobCache:      watchcache.New(),
-		peers:         peer.Peers(cfg, cfg.LeaderLeaseTTL()/4, nw.DialPeer),
+		peers:         peer.NewPeers(cfg, cfg.LeaderLeaseTTL()/4, nw.DialPeer),
 		contacts:      map[string]contact{},
 		renewedLeases: map[string]time.Time{},
 		version:       clusterversion.NewTracker(),
@@ -175,14 +175,21 @@
 func (n *Node) leadTerm(ctx context.Context, term uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	deps := controller.Deps{Config: n.cfg, Store: n.store, Cloud: n.cloud, Worker: n, JobCache: n.jobCache,
-		Settings: func() wire.Settings { return *n.settings.Load() }, Rounded: n.rounded,
-		Version:     n.version,
-		ObserveTerm: func(t uint64) { n.elector.ObserveTerm(t, "") }, RenewedByPeers: n.renewedByPeers, Reached: n.reached, RelayReached: n.relayReached,
-		LeaderlessSince: n.elector.LeaderlessSince(), Final: n.finals.put}
-	n.beginStandby(&deps, term)
+	options := controller.Options{
+		Config:          n.cfg,
+		Settings:        func() wire.Settings { return *n.settings.Load() },
+		Store:           n.store,
+		Cloud:           n.cloud,
+		Worker:          n,
+		Peers:           controllerPeers{n},
+		Observer:        termObserver{n},
+		Version:         n.version,
+		JobCache:        n.jobCache,
+		LeaderlessSince: n.elector.LeaderlessSince(),
+	}
+	n.beginStandby(&options, term)
 	defer n.endStandby()
-	c := controller.New(deps, term)
+	c := controller.New(options, term)
 	n.lead.Store(c)
 	defer n.lead.Store(nil)
 	n.beginRelays(ctx, term)
@@ -288,7 +295,7 @@
 		if p.Label != v.Leader {
 			continue
 		}
-		if r, ok := p.Last(n.cfg.LeaderLeaseTTL() * 3 / 4); ok && r.Leading && r.Term >= v.Term {
+		if r, ok := p.LastPing(n.cfg.LeaderLeaseTTL() * 3 / 4); ok && r.Leading && r.Term >= v.Term {
 			return p
 		}
 	}
--- a/internal/sched/classes.go
+++ b/internal/sched/classes.go
@@ -19,7 +19,7 @@
 type classKey struct {
 	kind    int32
 	pulling int32
-	room    [layers]fleet.Res
+	room    [layers]fleet.Resources
 }
 
 // class is nodes that are alike.
@@ -33,7 +33,7 @@
 // memory is what a round uses again of the one before: made anew for each round and each
 // job, these lists were nearly all that a leader of 2,700 machines allocated.
 type memory struct {
-	room      [layers][]fleet.Res
+	room      [layers][]fleet.Resources
 	kind      []int32
 	pulling   []int32
 	class     []int32
@@ -62,11 +62,11 @@
 
 // takeNodes takes the nodes of the input into the round.
 func (r *round) takeNodes() {
-	view, n := r.view, r.view.Len()+len(r.in.Nodes)
+	view, n := r.view, r.view.SlotCount()+len(r.in.Nodes)
 	m := &view.memory
 	m.kind, m.pulling, m.class, m.reserved = resized(m.kind, n), resized(m.pulling, n), resized(m.class, n), resized(m.reserved, n)
 	m.room[now] = resized(m.room[now], n)
-	m.room[soon], m.room[later] = make([]fleet.Res, n), make([]fleet.Res, n) // the plan keeps these
+	m.room[soon], m.room[later] = make([]fleet.Resources, n), make([]fleet.Resources, n) // the plan keeps these
 	m.preempted, m.victims = m.preempted[:0], m.victims[:0]
 	if m.ordered == nil {
 		m.ordered, m.bounds = map[int32][]Victim{}, map[bound]int{}
@@ -84,23 +84,23 @@
 	}
 	r.lowest = view.lowestVictim()
 	for i := range r.in.Nodes {
-		node, slot := &r.in.Nodes[i], view.Len()+i
-		m.kind[slot], m.pulling[slot] = view.kinds.number(kindOf(node)), int32(node.Pulling)
-		r.room[now][slot], r.room[soon][slot], r.room[later][slot] = node.Free, node.Soon, node.Later
+		node, slot := &r.in.Nodes[i], view.SlotCount()+i
+		m.kind[slot], m.pulling[slot] = view.kinds.number(kindOf(node)), int32(node.ActiveFetches)
+		r.room[now][slot], r.room[soon][slot], r.room[later][slot] = node.Free, node.FreeAfterStops, node.FreeAfterBoot
 		for k := range node.Victims {
 			r.lowest = min(r.lowest, node.Victims[k].Level)
 		}
 	}
 	r.kinds = view.kinds.list
-	if after := r.in.After; after != nil {
-		copy(r.room[now], after.LeftSoon)
-		copy(r.room[soon], after.LeftSoon)
-		copy(r.room[later], after.LeftLater)
+	if after := r.in.Previous; after != nil {
+		copy(r.room[now], after.FreeAfterStops)
+		copy(r.room[soon], after.FreeAfterStops)
+		copy(r.room[later], after.FreeAfterBoot)
 	}
 }
 
 // makeClasses puts the nodes that have room for the least task of a window into classes.
-func (r *round) makeClasses(least fleet.Res) {
+func (r *round) makeClasses(least fleet.Resources) {
 	r.least = least
 	m := r.memory
 	if m.index == nil {
@@ -136,13 +136,13 @@
 // keyOf is the key of the class that a node belongs to as it stands.
 func (r *round) keyOf(slot int32) classKey {
 	m := r.memory
-	return classKey{m.kind[slot], m.pulling[slot], [layers]fleet.Res{r.room[now][slot], r.room[soon][slot], r.room[later][slot]}}
+	return classKey{m.kind[slot], m.pulling[slot], [layers]fleet.Resources{r.room[now][slot], r.room[soon][slot], r.room[later][slot]}}
 }
 
 // open reports whether nodes of a class have room for the least task, now or later.
 func (r *round) open(key *classKey) bool {
 	for l := range key.room {
-		if key.room[l].HoldsOne(r.least) {
+		if key.room[l].FitsRequested(r.least) {
 			return true
 		}
 	}
@@ -158,7 +158,7 @@
 		m.classes = append(m.classes, class{classKey: key})
 		m.index[key] = c
 		for l := range r.openClasses {
-			if key.room[l].HoldsOne(r.least) {
+			if key.room[l].FitsRequested(r.least) {
 				r.openClasses[l] = append(r.openClasses[l], c)
 			}
 		}
@@ -203,7 +203,7 @@
 // weigh lists the groups of nodes on which tasks of a job fit. The list is good until the
 // next call.
 func (r *round) weigh(j *Job, want int, l layer, zone string) []group {
-	m, need := r.memory, fleet.Need(j.Spec)
+	m, need := r.memory, fleet.TaskResources(j.Spec)
 	groups := m.groups[:0]
 	for _, c := range r.openClasses[l] {
 		class := &m.classes[c]
@@ -215,7 +215,7 @@
 			continue
 		}
 		free := class.room[l]
-		n := free.Count(need, want)
+		n := free.CountFitting(need, want)
 		if n == 0 {
 			continue
 		}
@@ -239,7 +239,7 @@
 
 // has reports whether a node has the image of the job that is looked at.
 func (r *round) has(slot int32) bool {
-	if retained := int32(r.view.Len()); slot >= retained {
+	if retained := int32(r.view.SlotCount()); slot >= retained {
 		return slices.Contains(r.in.Nodes[slot-retained].Images, r.job.Spec.Image)
 	}
 	return r.holders != nil && r.holders.Test(uint(slot))
@@ -249,7 +249,7 @@
 // those that need the fewest machines, then the tightest fit. The image goes first where its
 // fetch alone would make the start late. CPU-only work goes where the fewest GPUs are free.
 func better(j *Job, a, b *group) int {
-	if !j.Fetch && !j.Spec.AllowSpot {
+	if !j.FetchDelaysStart && !j.Spec.AllowSpot {
 		if order := cmp.Compare(a.price, b.price); order != 0 {
 			return order
 		}
@@ -257,16 +257,16 @@
 			cmp.Compare(b2i(b.image), b2i(a.image)), cmp.Compare(a.pulling, b.pulling))
 	}
 	price, image := cmp.Compare(a.price, b.price), cmp.Compare(b2i(b.image), b2i(a.image))
-	if j.Fetch {
+	if j.FetchDelaysStart {
 		price, image = image, price
 	}
 	return cmp.Or(price, image, cmp.Compare(a.pulling, b.pulling), cmp.Compare(b.count, a.count), cmp.Compare(a.headroom, b.headroom))
 }
 
 // choose picks nodes for up to want tasks, the best first.
-func (r *round) choose(j *Job, want int, l layer, zone string) []Place {
+func (r *round) choose(j *Job, want int, l layer, zone string) []Placement {
 	groups := newHeap(r.weigh(j, want, l, zone), func(a, b *group) bool { return better(j, a, b) < 0 })
-	var places []Place
+	var places []Placement
 	var taken map[string]int // by zone
 	if j.Spec.SpreadZones {
 		taken = map[string]int{}
@@ -288,7 +288,7 @@
 				}
 				taken[z] += c
 			}
-			places = append(places, Place{j, int(slot), c})
+			places = append(places, Placement{j, int(slot), c})
 			want -= c
 		}
 	}
@@ -346,10 +346,12 @@
 }
 
 // avoided reports whether a job is not to be placed on a node that it may use otherwise.
-func (r *round) avoided(j *Job, slot int32) bool { return j.Avoid != "" && r.id(slot) == j.Avoid }
+func (r *round) avoided(j *Job, slot int32) bool {
+	return j.AvoidedMachine != "" && r.id(slot) == j.AvoidedMachine
+}
 
 func (r *round) id(slot int32) string {
-	if retained := int32(r.view.Len()); slot >= retained {
+	if retained := int32(r.view.SlotCount()); slot >= retained {
 		return r.in.Nodes[slot-retained].ID
 	}
 	return r.view.nodes[slot].id
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -36,7 +36,7 @@
 	if r.bounded && len(places) < want {
 		r.bounds[b] = len(places)
 	}
-	if len(places) == 0 || (whole(j) && len(places) < j.Waiting) {
+	if len(places) == 0 || (whole(j) && len(places) < j.PendingTasks) {
 		return 0
 	}
 	r.stopVictims(j, chosen)
@@ -46,7 +46,7 @@
 
 // preemptsBelow is the level below which a job may displace work.
 func (r *round) preemptsBelow(j *Job) int {
-	if most := r.in.VictimsBelow; most > 0 {
+	if most := r.in.PreemptOnlyBelow; most > 0 {
 		return min(j.Level, most)
 	}
 	return j.Level
@@ -61,7 +61,7 @@
 }
 
 func (r *round) preemptorOf(j *Job) preemptor {
-	d := preemptor{below: r.preemptsBelow(j), overdue: j.Overdue}
+	d := preemptor{below: r.preemptsBelow(j), overdue: j.CannotAwaitBoot}
 	if r.in.WithinQuota != nil {
 		d.team, d.reclaims = j.Spec.Team, j.WithinQuota
 	}
@@ -72,14 +72,16 @@
 // guarantee stays, whatever its rank: displaced, it would be taken back in the next round. What
 // it runs beyond may be taken back, and who does need not wait for a machine to boot.
 func (d preemptor) preempts(v *Victim, withinQuota map[string]bool) bool {
-	if d.team != "" && v.Team != d.team && withinQuota[v.UID] {
+	if d.team != "" && v.Team != d.team && withinQuota[v.JobUID] {
 		return false
 	}
 	return d.byPriority(v) || d.reclaims && v.Team != d.team
 }
 
 // byPriority reports whether running work may be displaced for its rank alone.
-func (d preemptor) byPriority(v *Victim) bool { return v.Level < d.below && (!v.Serve || d.overdue) }
+func (d preemptor) byPriority(v *Victim) bool {
+	return v.Level < d.below && (!v.IsReplica || d.overdue)
+}
 
 // mayPreempt reports whether a job may displace running work.
 func (r *round) mayPreempt(j *Job, v *Victim) bool {
@@ -90,7 +92,7 @@
 // gives, and the least that any of it loses. With that, most nodes need no closer look.
 type preemptible struct {
 	by   preemptor
-	gain []fleet.Res
+	gain []fleet.Resources
 	loss []float64
 }
 
@@ -119,13 +121,13 @@
 
 // sum adds up what may be displaced on a node.
 func (d *preemptible) sum(r *round, slot int32) {
-	gain, loss := fleet.Res{}, math.Inf(1)
+	gain, loss := fleet.Resources{}, math.Inf(1)
 	victims := r.running(slot)
 	for i := range victims {
 		v := &victims[i]
 		if d.by.preempts(v, r.in.WithinQuota) {
 			gain = gain.Add(v.Need)
-			loss = min(loss, v.lossAt(r.in.Now)+1)
+			loss = min(loss, v.lossS(r.in.Now)+1)
 		}
 	}
 	d.gain[slot], d.loss[slot] = gain, loss
@@ -136,7 +138,7 @@
 	if sorted, known := r.victims[slot]; known {
 		return sorted
 	}
-	if retained := int32(r.view.Len()); slot >= retained {
+	if retained := int32(r.view.SlotCount()); slot >= retained {
 		return r.in.Nodes[slot-retained].Victims
 	}
 	return r.view.nodes[slot].victims
@@ -152,7 +154,7 @@
 		m.victims = append(m.victims, r.running(slot)...)
 		sorted = m.victims[begin:len(m.victims):len(m.victims)]
 		slices.SortFunc(sorted, func(a, b Victim) int {
-			return cmp.Or(cmp.Compare(a.Level, b.Level), cmp.Compare(a.lossAt(now), b.lossAt(now)), cmp.Compare(a.ID, b.ID))
+			return cmp.Or(cmp.Compare(a.Level, b.Level), cmp.Compare(a.lossS(now), b.lossS(now)), cmp.Compare(a.Serial, b.Serial))
 		})
 		r.victims[slot] = sorted
 	}
@@ -163,7 +165,7 @@
 // that it may displace were stopped, what loses least first on each node. If the job's tasks
 // may be in any zone, no more than it wants are listed: those with the least loss.
 func (r *round) preemptions(j *Job, want int) []choice {
-	need, d, m := fleet.Need(j.Spec), r.preemptibleBy(j), r.memory
+	need, d, m := fleet.TaskResources(j.Spec), r.preemptibleBy(j), r.memory
 	most := math.MaxInt
 	if !j.Spec.SingleZone && !j.Spec.SpreadZones {
 		most = want
@@ -179,10 +181,10 @@
 	}
 	for slot := range m.kind {
 		room := r.room[soon][slot]
-		if !room.Add(d.gain[slot]).Holds(need) {
+		if !room.Add(d.gain[slot]).Fits(need) {
 			continue
 		}
-		if worst.Len() >= most && d.loss[slot] >= worst.Least().loss && !room.HoldsOne(need) {
+		if worst.Len() >= most && d.loss[slot] >= worst.Least().loss && !room.FitsRequested(need) {
 			continue // all that it offers loses as much, and it is later in order
 		}
 		if r.empty(slot) || !r.usable(j, int32(slot)) {
@@ -195,9 +197,9 @@
 }
 
 // offers gives the room on a node for tasks of a job, one by one.
-func (r *round) offers(j *Job, slot int32, need fleet.Res, want int, add func(c choice)) {
+func (r *round) offers(j *Job, slot int32, need fleet.Resources, want int, add func(c choice)) {
 	room := r.room[soon][slot]
-	for range room.Count(need, want) {
+	for range room.CountFitting(need, want) {
 		add(choice{node: slot})
 		room = room.Sub(need)
 	}
@@ -210,8 +212,8 @@
 		}
 		room = room.Add(v.Need)
 		c.to = k + 1
-		c.loss += v.lossAt(r.in.Now) + 1
-		if room.Holds(need) {
+		c.loss += v.lossS(r.in.Now) + 1
+		if room.Fits(need) {
 			add(c)
 			c = choice{node: slot, from: c.to}
 			room = room.Sub(need)
@@ -221,15 +223,15 @@
 
 // leastHarm takes the choices with the least loss that the job's zones allow, for up to want
 // tasks.
-func (r *round) leastHarm(j *Job, want int, choices []choice) (places []Place, chosen []choice) {
+func (r *round) leastHarm(j *Job, want int, choices []choice) (places []Placement, chosen []choice) {
 	order := newHeap(choices, (*choice).before)
 	zone := ""
-	for z, n := range j.ByZone {
+	for z, n := range j.LiveByZone {
 		if j.Spec.SingleZone && n > 0 {
 			zone = z
 		}
 	}
-	taken, reclaimed := map[string]int{}, map[string]fleet.Res{}
+	taken, reclaimed := map[string]int{}, map[string]fleet.Resources{}
 	for order.Len() > 0 && len(places) < want {
 		c := order.Pop()
 		z := r.zone(c.node)
@@ -243,7 +245,7 @@
 			continue
 		}
 		taken[z]++
-		places = append(places, Place{j, int(c.node), 1})
+		places = append(places, Placement{j, int(c.node), 1})
 		chosen = append(chosen, c)
 	}
 	return places, chosen
@@ -252,12 +254,12 @@
 // leavesQuotas reports whether what a choice takes back from other teams leaves each of them
 // what it is guaranteed itself, beside what was taken back from it for the job already. If so, it
 // counts as taken back.
-func (r *round) leavesQuotas(j *Job, c *choice, reclaimed map[string]fleet.Res) bool {
+func (r *round) leavesQuotas(j *Job, c *choice, reclaimed map[string]fleet.Resources) bool {
 	d := r.preemptorOf(j)
 	if !d.reclaims || c.to == 0 {
 		return true
 	}
-	after := map[string]fleet.Res{}
+	after := map[string]fleet.Resources{}
 	victims := r.victims[c.node]
 	for k := c.from; k < c.to; k++ {
 		v := &victims[k]
@@ -295,12 +297,12 @@
 		victims := r.victims[c.node]
 		for k := c.from; k < c.to; k++ {
 			if v := &victims[k]; r.mayPreempt(j, v) {
-				stopped[v.ID] = true
+				stopped[v.Serial] = true
 				if t := r.in.Teams[v.Team]; t != nil {
 					t.Stopping.Cores += v.Need.Cores
 					t.Stopping.Gpus += v.Need.Gpus
 				}
-				r.plan.Stops = append(r.plan.Stops, Stop{int(c.node), v.ID, j.SlackS})
+				r.plan.Preemptions = append(r.plan.Preemptions, Preemption{int(c.node), v.Serial, j.StartSlackS})
 				r.grow(c.node, v.Need)
 			}
 		}
@@ -309,7 +311,7 @@
 		if c.to == 0 {
 			continue
 		}
-		r.victims[c.node] = slices.DeleteFunc(r.victims[c.node], func(v Victim) bool { return stopped[v.ID] })
+		r.victims[c.node] = slices.DeleteFunc(r.victims[c.node], func(v Victim) bool { return stopped[v.Serial] })
 		for i := range r.memory.preempted {
 			r.memory.preempted[i].sum(r, c.node)
 		}
@@ -317,7 +319,7 @@
 }
 
 // grow gives a node the room of a task that is stopped, once it has ended.
-func (r *round) grow(slot int32, room fleet.Res) {
+func (r *round) grow(slot int32, room fleet.Resources) {
 	clear(r.bounds)
 	r.room[soon][slot] = r.room[soon][slot].Add(room)
 	r.room[later][slot] = r.room[later][slot].Add(room)
