--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -11,7 +11,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Entry is one record or one view. The names of its fields are short, for they are sent
+// Entry is one record or one view. The names of its fields are short in CBOR, since they are sent
 // with each.
 type Entry struct {
 	Key         string `cbor:"k"`
@@ -21,7 +21,7 @@
 }
 
 // recordPrefixes are the keys of the records that only the leader writes and that a new
-// leader needs. Jobs are not among them: every node keeps a mirror of these.
+// leader needs. Jobs are not among them: every node keeps a watch cache of these.
 var recordPrefixes = []string{records.PlacementPrefix, records.ReturnsPrefix, records.ImagesPrefix}
 
 // isRecord reports whether a key is that of a followed record.
@@ -34,8 +34,8 @@
 	return false
 }
 
-// digest is a hash of an entry. That of a set is the sum of those of its entries, so that
-// it follows each change at the cost of the change.
+// digest returns a hash of the entry. The digest of a set is the sum of those of its entries, so that
+// it is updated at the cost of the change alone.
 func (e *Entry) digest() uint64 {
 	var hash xxhash.Digest
 	hash.Reset()
@@ -47,17 +47,24 @@
 	return hash.Sum64()
 }
 
-// contents is an immutable set of entries with its digest: whoever holds one may read it
-// for as long as it likes, whatever is changed meanwhile.
+// size returns the bytes of the key and the value.
+func (e *Entry) size() int { return len(e.Key) + len(e.Value) }
+
+// absentEntry returns the entry of a record that was read as absent: it drops the record whatever its
+// mod revision.
+func absentEntry(key string) *Entry { return &Entry{Key: key, Dropped: true, ModRevision: ^uint64(0)} }
+
+// contents is an immutable set of entries with its digest: it may be read for as long as it takes,
+// whatever is changed meanwhile.
 type contents struct {
 	tree   *iradix.Tree[*Entry]
-	digest uint64
-	bytes  int // of all keys and values
+	digest uint64 // sum of the digests of all entries
+	bytes  int    // of all keys and values
 }
 
 func emptyContents() contents { return contents{tree: iradix.New[*Entry]()} }
 
-// editor changes a copy of contents.
+// editor makes new contents from a copy of others.
 type editor struct {
 	txn    *iradix.Txn[*Entry]
 	digest uint64
@@ -66,7 +73,7 @@
 
 func (c contents) edit() *editor { return &editor{c.tree.Txn(), c.digest, c.bytes} }
 
-// admit takes an entry in, unless it holds a newer record of the key.
+// apply sets or drops an entry, unless the contents have a newer record of the key.
 func (e *editor) apply(entry *Entry) {
 	key := []byte(entry.Key)
 	old, known := e.txn.Get(key)
@@ -90,9 +97,7 @@
 
 func (e *editor) contents() contents { return contents{e.txn.Commit(), e.digest, e.bytes} }
 
-func (e *Entry) size() int { return len(e.Key) + len(e.Value) }
-
-// computeDigest is the digest made from all entries anew.
+// computeDigest computes the digest from all entries again.
 func (c contents) computeDigest() uint64 {
 	sum := uint64(0)
 	c.tree.Root().Walk(func(_ []byte, entry *Entry) bool {
@@ -102,7 +107,7 @@
 	return sum
 }
 
-// list lists the records under a prefix as the state service would.
+// list returns the records under a prefix as the state service would list them.
 func (c contents) list(prefix string) []wire.KeyValue {
 	var rows []wire.KeyValue
 	c.tree.Root().WalkPrefix([]byte(prefix), func(_ []byte, entry *Entry) bool {
--- /dev/null
+++ b/internal/standby/leader_test.go
@@ -0,0 +1,103 @@
+package standby
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// leader writes the records of a term.
+type leader struct {
+	service      *service
+	store        *RecordingStore
+	source       *Source
+	term         uint64
+	modRevisions map[string]uint64 // of the records, as it knows them
+}
+
+// newLeader is elected and reads all records, as a controller does.
+func newLeader(s *service) *leader {
+	l := &leader{service: s, term: s.elect(), modRevisions: map[string]uint64{}}
+	l.source = NewSource(l.term, []string{"n1", "n2"}, time.Minute)
+	l.store = NewRecordingStore(s, l.source)
+	lists := make([][]wire.KeyValue, 0, len(recordPrefixes))
+	for _, prefix := range recordPrefixes {
+		rows, _, _ := s.List(context.Background(), prefix)
+		for _, row := range rows {
+			l.modRevisions[row.Key] = row.ModRevision
+		}
+		lists = append(lists, rows)
+	}
+	l.source.Seed(nil, lists...)
+	return l
+}
+
+// write changes records in one commit with a controller's compares, and reads them again if
+// that fails.
+func (l *leader) write(value string, drop bool, keys ...string) {
+	tx := wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: l.term}}}
+	for _, key := range keys {
+		tx.Compares = append(tx.Compares, wire.Compare{Key: key, ModRevision: l.modRevisions[key]})
+		change := wire.Change{Set: key, Value: []byte(value)}
+		if drop {
+			change = wire.Change{Drop: key}
+		}
+		tx.Changes = append(tx.Changes, change)
+	}
+	revision, err := l.store.Commit(context.Background(), tx)
+	for _, key := range keys {
+		if err == nil {
+			l.modRevisions[key] = revision
+			if drop {
+				l.modRevisions[key] = 0
+			}
+			continue
+		}
+		item, _, _ := l.store.Get(context.Background(), key)
+		l.modRevisions[key] = item.ModRevision
+	}
+}
+
+// fetchFunc requests one part from a leader.
+type fetchFunc func(leader string, args peer.FollowArgs) (peer.FollowReply, error)
+
+// newFollower returns a follower that is behind after a second.
+func newFollower(label string, fetch fetchFunc) *Follower {
+	return NewFollower(FollowerConfig{Label: label, BehindAfter: time.Second, Fetch: fetch})
+}
+
+// follow returns a follower of sources by their leaders' names.
+func follow(label string, sources map[string]*Source) *Follower {
+	return newFollower(label, func(leader string, args peer.FollowArgs) (peer.FollowReply, error) {
+		source := sources[leader]
+		if source == nil {
+			return peer.FollowReply{}, errors.New("not reached")
+		}
+		return source.Follow(args)
+	})
+}
+
+// newLargeLeader has written so many records that its transfers take several parts.
+func newLargeLeader(s *service) *leader {
+	l := newLeader(s)
+	value := fmt.Sprintf("%q", make([]byte, 3000))
+	for i := range 200 {
+		l.write(value, false, fmt.Sprintf("p/run-%d/000000", i))
+	}
+	return l
+}
+
+// fakeViews hands out views, a few at a time.
+type fakeViews struct{ entries []*Entry }
+
+func (v *fakeViews) DrainChangedViews(most int) ([]*Entry, bool) {
+	count := min(most, len(v.entries))
+	drained := v.entries[:count]
+	v.entries = v.entries[count:]
+	return drained, len(v.entries) > 0
+}
--- a/internal/standby/part.go
+++ b/internal/standby/part.go
@@ -12,7 +12,7 @@
 
 // Limits of a part.
 const (
-	// partBytes is after how many bytes of entries a part ends.
+	// partBytes is the size of entries at which a part ends.
 	partBytes = 256 << 10
 	// runningTaskBytes is the most that a running task takes in the view of its job.
 	runningTaskBytes = 16
@@ -21,7 +21,7 @@
 	maxPartBytes = 2*partBytes + wire.MaxTasks*runningTaskBytes
 )
 
-// encodePart makes the body of a part.
+// encodePart returns the body of a part, and its size before compression.
 func encodePart(entries []*Entry) (body []byte, size int, err error) {
 	plain, err := cbor.Marshal(entries)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return s2.Encode(nil, plain), len(plain), nil
 }
 
-// decodePart takes the body of a part apart. Nothing larger than is allowed is unpacked.
+// decodePart returns the entries of a part. Nothing larger than is allowed is decompressed.
 func decodePart(reply *peer.FollowReply) ([]*Entry, error) {
 	size, err := s2.DecodedLen(reply.Body)
 	switch {
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -16,73 +16,76 @@
 // Proven is a copy that agrees with the state service: its records are those that a
 // listing begun after the election would show.
 type Proven struct {
-	Placements, Returns, Images []wire.KeyValue
-	// Hints are the views of the leader before: nothing is proven about them.
+	Placements []wire.KeyValue
+	Returns    []wire.KeyValue
+	Images     []wire.KeyValue
+	// Machines, Jobs and Leader are the views of the previous leader: nothing is proven about them.
 	Machines []MachineView
 	Jobs     []JobView
 	Leader   LeaderView
 
-	FollowedTerm, Position uint64
-	Digest                 uint64
-	Age                    time.Duration // of the copy, when the check began
-	Changes                int           // records that had changed since
+	FollowedTerm uint64
+	Position     uint64        // revision after which the changes were read
+	Digest       uint64        // of the copy
+	Age          time.Duration // of the copy when it was proven
+	Changes      int           // number of records that had changed since Position
 }
 
-// Prove checks what is held for a term that this node has been elected for. The election
-// itself shows that the leader before is silent: the state service has ended its lease, and
-// guards refuse its commits. The changes after the followed position are read after that,
+// Prove checks the copy for a term that this node has been elected for. The election
+// itself shows that the previous leader can change nothing any more: the state service has ended its
+// lease, and compares refuse its commits. The changes after the followed position are read after that,
 // so all commits of earlier terms are among them or part of the copy.
 //
-// An error that wraps ErrNothingHeld, ErrDigest, ErrTooFarBehind or ErrUndecodable is final:
+// An error that wraps ErrNoCopy, ErrDigest, ErrTooFarBehind or ErrUndecodable is final:
 // all records have to be listed. After any other the check can be tried again.
 func (f *Follower) Prove(ctx context.Context, r watchcache.Reader, term uint64) (*Proven, error) {
-	h, err := f.beginVerification(term)
+	followed, err := f.beginVerification(term)
 	if err != nil {
 		return nil, err
 	}
-	if sum := h.computeDigest(); sum != h.digest {
-		return nil, f.refuseLocked(fmt.Errorf("%w at %d", ErrDigest, h.sequence))
+	if sum := followed.computeDigest(); sum != followed.digest {
+		return nil, f.failVerification(fmt.Errorf("%w at %d", ErrDigest, followed.sequence))
 	}
-	events, err := changesSince(ctx, r, h.position)
+	events, err := changesSince(ctx, r, followed.position)
 	if errors.Is(err, store.ErrTooOld) {
-		return nil, f.refuseLocked(fmt.Errorf("%w: %d", ErrTooFarBehind, h.position))
+		return nil, f.failVerification(fmt.Errorf("%w: %d", ErrTooFarBehind, followed.position))
 	}
 	if err != nil {
-		return nil, fmt.Errorf("changes after %d: %w", h.position, err)
+		return nil, fmt.Errorf("changes after %d: %w", followed.position, err)
 	}
-	p, err := prove(h, events)
+	proven, err := applyEvents(followed, events)
 	if err != nil {
-		return nil, f.refuseLocked(err)
+		return nil, f.failVerification(err)
 	}
-	p.Age = f.now().Sub(h.requestedAt)
+	proven.Age = f.now().Sub(followed.requestedAt)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.setState(Ready, fmt.Sprintf("agrees with the state service: %d changes after %d", p.Changes, p.Position))
-	return p, nil
+	f.setState(Ready, fmt.Sprintf("agrees with the state service: %d changes after %d", proven.Changes, proven.Position))
+	return proven, nil
 }
 
-// beginVerification begins the check, or goes on with it.
+// beginVerification begins the check, or goes on with it, and returns the copy.
 func (f *Follower) beginVerification(term uint64) (*stateCopy, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.copy == nil || f.copy.term >= term {
 		f.copy = nil
-		f.setState(Empty, "nothing complete is held")
+		f.setState(Empty, "there is no complete copy")
 		return nil, ErrNoCopy
 	}
 	f.setState(Verifying, fmt.Sprintf("elected for term %d", term))
 	return f.copy, nil
 }
 
-// failAll gives the copy up.
-func (f *Follower) refuseLocked(err error) error {
+// failVerification discards the copy and returns the error.
+func (f *Follower) failVerification(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refuse(err)
+	f.discardRefused(err)
 	return err
 }
 
-// MarkPromoted notes that the controller of this node's term has taken over what is held.
+// MarkPromoted is called when the controller of this node's term has loaded the copy.
 func (f *Follower) MarkPromoted(cause string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,7 +93,7 @@
 	f.setState(Promoted, cause)
 }
 
-// changesSince reads what has changed of the followed records, all prefixes at once.
+// changesSince reads the changes of the followed records after a position, all prefixes at once.
 func changesSince(ctx context.Context, r watchcache.Reader, position uint64) ([]wire.WatchEvent, error) {
 	var wg sync.WaitGroup
 	changes := make([]wire.WatchResponse, len(recordPrefixes))
@@ -110,17 +113,29 @@
 	return events, errors.Join(errs...)
 }
 
-// prove takes changes into a copy and lists what it then holds.
-func prove(h *stateCopy, events []wire.WatchEvent) (*Proven, error) {
-	edit := h.edit()
-	for _, n := range events {
-		edit.apply(&Entry{Key: n.Set + n.Drop, Value: n.Value, ModRevision: n.ModRevision, Dropped: n.Drop != ""})
+// applyEvents applies changes to a copy and lists the result.
+func applyEvents(followed *stateCopy, events []wire.WatchEvent) (*Proven, error) {
+	edit := followed.edit()
+	for _, event := range events {
+		edit.apply(&Entry{
+			Key:         event.Set + event.Drop,
+			Value:       event.Value,
+			ModRevision: event.ModRevision,
+			Dropped:     event.Drop != "",
+		})
 	}
-	now := edit.contents()
-	p := &Proven{Placements: now.list(records.PlacementPrefix), Returns: now.list(records.ReturnsPrefix), Images: now.list(records.ImagesPrefix),
-		FollowedTerm: h.term, Position: h.position, Digest: h.digest, Changes: len(events)}
-	if err := now.decodeViews(p); err != nil {
+	current := edit.contents()
+	proven := &Proven{
+		Placements:   current.list(records.PlacementPrefix),
+		Returns:      current.list(records.ReturnsPrefix),
+		Images:       current.list(records.ImagesPrefix),
+		FollowedTerm: followed.term,
+		Position:     followed.position,
+		Digest:       followed.digest,
+		Changes:      len(events),
+	}
+	if err := current.decodeViews(proven); err != nil {
 		return nil, err
 	}
-	return p, nil
+	return proven, nil
 }
--- a/internal/standby/service_test.go
+++ b/internal/standby/service_test.go
@@ -17,10 +17,10 @@
 
 const (
 	carriedOut outcome = iota
-	refusedThen
+	refused
 	droppedAnswer  // carried out, and the answer is lost
 	droppedRequest // neither
-	lateRequest    // the answer is lost, and it is carried out later if its guards still hold
+	lateRequest    // the answer is lost, and it is carried out later if its compares still hold
 	outcomes
 )
 
@@ -44,8 +44,8 @@
 }
 
 func (s *service) apply(tx wire.Transaction) bool {
-	for _, g := range tx.Compares {
-		if s.items[g.Key].ModRevision != g.ModRevision {
+	for _, compare := range tx.Compares {
+		if s.items[compare.Key].ModRevision != compare.ModRevision {
 			return false
 		}
 	}
@@ -62,7 +62,7 @@
 	return true
 }
 
-// deliverLate carries out one of the held commits, if there are any.
+// deliverLate carries out one of the commits that are delayed, if there are any.
 func (s *service) deliverLate(i int) {
 	if len(s.late) == 0 {
 		return
@@ -76,7 +76,7 @@
 	how := s.next
 	s.next = carriedOut
 	switch how {
-	case refusedThen:
+	case refused:
 		return 0, store.ErrRefused
 	case droppedRequest:
 		return 0, store.ErrUnknown
@@ -115,11 +115,11 @@
 	if after < s.oldestKnown {
 		return wire.WatchResponse{}, store.ErrTooOld
 	}
-	ch := wire.WatchResponse{Revision: s.revision}
-	for _, n := range s.log {
-		if n.ModRevision > after && strings.HasPrefix(n.Set+n.Drop, under) {
-			ch.Events = append(ch.Events, n)
+	response := wire.WatchResponse{Revision: s.revision}
+	for _, event := range s.log {
+		if event.ModRevision > after && strings.HasPrefix(event.Set+event.Drop, under) {
+			response.Events = append(response.Events, event)
 		}
 	}
-	return ch, nil
+	return response, nil
 }
--- a/internal/standby/size_test.go
+++ b/internal/standby/size_test.go
@@ -7,26 +7,33 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// knowing is a leader that knows machines and a job all of whose tasks run.
-type knowing struct {
+// repeatedViews hands out the same views again once drained is reset.
+type repeatedViews struct {
 	entries []*Entry
-	taken   int
+	drained int
 }
 
-func (k *knowing) DrainChangedViews(most int) ([]*Entry, bool) {
-	n := min(most, len(k.entries)-k.taken)
-	k.taken += n
-	return k.entries[k.taken-n : k.taken], k.taken < len(k.entries)
+func (v *repeatedViews) DrainChangedViews(most int) ([]*Entry, bool) {
+	count := min(most, len(v.entries)-v.drained)
+	v.drained += count
+	return v.entries[v.drained-count : v.drained], v.drained < len(v.entries)
 }
 
-// A follower takes over the views of 4,096 and of 6,000 machines, of their jobs and of the
+// A follower receives the views of 4,096 and of 6,000 machines, of their jobs and of the
 // largest job that there may be, and keeps up while all of them change. That job's view was
-// larger than a part might be, and the follower began anew for ever.
+// larger than a part might be, and the follower started again for ever.
 func TestLargeFleetIsFollowed(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
-		views := &knowing{}
+		views := &repeatedViews{}
 		for i := range machines {
-			v := MachineView{Host: fmt.Sprintf("m-%06d", i), Address: "10.1.0.232:9000", Type: "g8", Zone: "zone-a", Incarnation: 1, Images: []string{"image-1", "image-2"}}
+			v := MachineView{
+				Host:        fmt.Sprintf("m-%06d", i),
+				Address:     "10.1.0.232:9000",
+				Type:        "g8",
+				Zone:        "zone-a",
+				Incarnation: 1,
+				Images:      []string{"image-1", "image-2"},
+			}
 			e, err := v.Entry()
 			if err != nil {
 				t.Fatal(err)
@@ -34,7 +41,7 @@
 			views.entries = append(views.entries, e)
 		}
 		largest := JobView{UID: "run-000001"}
-		var tasks []RunningTask
+		tasks := make([]RunningTask, 0, wire.MaxTasks)
 		for i := range wire.MaxTasks {
 			tasks = append(tasks, RunningTask{Task: i, Attempt: 1 << 40, SinceS: int64(i) << 10})
 		}
@@ -53,9 +60,10 @@
 			f.Pull("l", l.term)
 			st, has := f.Status(), l.source.Status()
 			if st.State != Following || st.Sequence != has.Sequence || st.Entries != machines+1 || len(st.Refused) > 0 {
-				t.Fatalf("with %d machines the follower is %s at %d of %d, has %d entries, refused %v", machines, st.State, st.Sequence, has.Sequence, st.Entries, st.Refused)
+				t.Fatalf("with %d machines the follower is %s at %d of %d, has %d entries, refused %v",
+					machines, st.State, st.Sequence, has.Sequence, st.Entries, st.Refused)
 			}
-			views.taken = 0 // all change
+			views.drained = 0 // all change
 		}
 	}
 }
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -5,7 +5,6 @@
 	"errors"
 	"flag"
 	"fmt"
-	"io"
 	"log/slog"
 	"math/rand/v2"
 	"slices"
@@ -22,74 +21,12 @@
 // The same inputs every run; -rapid.seed draws others.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
-	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
+	slog.SetDefault(slog.New(slog.DiscardHandler))
 }
 
-// leader is a term's writer of records.
-type leader struct {
-	service      *service
-	store        *RecordingStore
-	source       *Source
-	term         uint64
-	modRevisions map[string]uint64 // of the records, as it knows them
-}
-
-// newLeader is elected and reads what there is, as a controller does.
-func newLeader(s *service) *leader {
-	l := &leader{service: s, term: s.elect(), modRevisions: map[string]uint64{}}
-	l.source = NewSource(l.term, []string{"n1", "n2"}, time.Minute)
-	l.store = NewRecordingStore(s, l.source)
-	var lists [][]wire.KeyValue
-	for _, prefix := range recordPrefixes {
-		rows, _, _ := s.List(context.Background(), prefix)
-		for _, row := range rows {
-			l.modRevisions[row.Key] = row.ModRevision
-		}
-		lists = append(lists, rows)
-	}
-	l.source.Seed(nil, lists...)
-	return l
-}
-
-// write changes records in one commit, guarded like a controller's, and reads them again if
-// that fails.
-func (l *leader) write(value string, drop bool, keys ...string) {
-	tx := wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: l.term}}}
-	for _, key := range keys {
-		tx.Compares = append(tx.Compares, wire.Compare{Key: key, ModRevision: l.modRevisions[key]})
-		change := wire.Change{Set: key, Value: []byte(value)}
-		if drop {
-			change = wire.Change{Drop: key}
-		}
-		tx.Changes = append(tx.Changes, change)
-	}
-	revision, err := l.store.Commit(context.Background(), tx)
-	for _, key := range keys {
-		if err == nil {
-			l.modRevisions[key] = revision
-			if drop {
-				l.modRevisions[key] = 0
-			}
-			continue
-		}
-		item, _, _ := l.store.Get(context.Background(), key)
-		l.modRevisions[key] = item.ModRevision
-	}
-}
-
-// follow makes a follower of sources by their leaders' names.
-func follow(label string, sources map[string]*Source) *Follower {
-	return NewFollower(FollowerConfig{Label: label, BehindAfter: time.Second, Fetch: func(leader string, args peer.FollowArgs) (peer.FollowReply, error) {
-		s := sources[leader]
-		if s == nil {
-			return peer.FollowReply{}, errors.New("not reached")
-		}
-		return s.Follow(args)
-	}})
-}
-
-// sameAsListed compares what is proven with what the state service lists.
-func sameAsListed(t interface{ Fatalf(string, ...any) }, s *service, p *Proven) {
+// checkSameAsListed compares what is proven with what the state service lists.
+func checkSameAsListed(t rapid.TB, s *service, p *Proven) {
+	t.Helper()
 	for prefix, got := range map[string][]wire.KeyValue{records.PlacementPrefix: p.Placements, records.ReturnsPrefix: p.Returns} {
 		want, _, _ := s.List(context.Background(), prefix)
 		if len(got) != len(want) {
@@ -103,7 +40,7 @@
 	}
 }
 
-// Whatever became of the old leader's commits, also of those that were carried out late or
+// Whatever became of the old leader's commits, even of those that were carried out late or
 // whose outcome it never knew, what is proven after an election is what a listing shows:
 // while the leader is followed, after it was deposed, and by either of two standbys.
 func TestWhatIsProvenIsWhatIsListed(t *testing.T) {
@@ -136,7 +73,7 @@
 		}
 		term := s.elect()
 		for len(s.late) > 0 {
-			s.deliverLate(0) // the guard of the leader's key refuses it
+			s.deliverLate(0) // the compare of the leader's key refuses it
 		}
 		for _, f := range followers {
 			if !f.HasCopy() {
@@ -146,7 +83,7 @@
 			if err != nil {
 				t.Fatalf("not proven: %v", err)
 			}
-			sameAsListed(t, s, p)
+			checkSameAsListed(t, s, p)
 		}
 	})
 }
@@ -169,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameAsListed(t, s, p)
+	checkSameAsListed(t, s, p)
 	l.modRevisions["p/run-1/000000"] = s.items["p/run-1/000000"].ModRevision
 	l.term = s.items[records.LeaderKey].ModRevision
 	l.write("again", false, "p/run-1/000000")
@@ -178,23 +115,13 @@
 	}
 }
 
-// fullSource is a source of so many records that its transfers take several parts.
-func fullSource(s *service) *leader {
-	l := newLeader(s)
-	value := fmt.Sprintf("%q", make([]byte, 3000))
-	for i := range 200 {
-		l.write(value, false, fmt.Sprintf("p/run-%d/000000", i))
-	}
-	return l
-}
-
 // What is wrong is refused with a typed error and counted, and nothing of it is used: the
-// standby starts anew, and whoever is elected lists all records.
+// standby starts again, and whoever is elected lists all records.
 func TestWrongPartsAreRefused(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		spoil func(r *peer.FollowReply)
-		want  error
+		name    string
+		corrupt func(r *peer.FollowReply)
+		want    error
 	}{
 		{"wrong_term", func(r *peer.FollowReply) { r.Term-- }, ErrWrongTerm},
 		{"out_of_order", func(r *peer.FollowReply) { r.Part++ }, ErrOutOfOrder},
@@ -207,23 +134,26 @@
 		{"oversized", func(r *peer.FollowReply) { r.Body = []byte{0xff, 0xff, 0xff, 0x7f, 0} }, ErrOversized},
 		{"digest", func(r *peer.FollowReply) { r.Digest++ }, ErrDigest},
 	} {
+		if cause := causeOf(tc.want); cause != tc.name {
+			t.Errorf("%v is counted as %s, want %s", tc.want, cause, tc.name)
+		}
 		for _, first := range []bool{true, false} {
-			l := fullSource(newService())
-			spoil := first
-			f := NewFollower(FollowerConfig{Label: "n1", BehindAfter: time.Second, Fetch: func(_ string, args peer.FollowArgs) (peer.FollowReply, error) {
+			l := newLargeLeader(newService())
+			corrupt := first
+			f := newFollower("n1", func(_ string, args peer.FollowArgs) (peer.FollowReply, error) {
 				r, err := l.source.Follow(args)
-				if spoil {
-					tc.spoil(&r)
+				if corrupt {
+					tc.corrupt(&r)
 				}
 				return r, err
-			}})
+			})
 			f.Pull("l", l.term)
 			if !first {
 				if !f.HasCopy() {
-					t.Fatalf("%s: nothing is followed", tc.name)
+					t.Fatalf("%s: there is no copy", tc.name)
 				}
 				l.write("new", false, "p/run-1/000000")
-				spoil = true
+				corrupt = true
 				f.Pull("l", l.term)
 			}
 			st := f.Status()
@@ -233,21 +163,21 @@
 			if _, err := f.Prove(context.Background(), l.service, l.service.elect()); !errors.Is(err, ErrNoCopy) {
 				t.Errorf("%s: proven with %v", tc.name, err)
 			}
-			spoil = false
+			corrupt = false
 			f.Discard("no longer leading")
 			f.Pull("l", l.term)
 			if !f.HasCopy() {
-				t.Errorf("%s: it does not start anew", tc.name)
+				t.Errorf("%s: it does not start again", tc.name)
 			}
 		}
 	}
 }
 
-// Whatever happens to the bytes on their way, nothing is held whose digest is not the leader's.
-func TestSpoiledBytes(t *testing.T) {
-	l := fullSource(newService())
+// Whatever happens to the bytes on their way, no copy is kept whose digest is not the leader's.
+func TestCorruptedBytesAreNeverAccepted(t *testing.T) {
+	l := newLargeLeader(newService())
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFollower(FollowerConfig{Label: "n1", Fetch: func(_ string, args peer.FollowArgs) (peer.FollowReply, error) {
+		f := newFollower("n1", func(_ string, args peer.FollowArgs) (peer.FollowReply, error) {
 			r, err := l.source.Follow(args)
 			if args.Part == 0 && len(r.Body) > 0 {
 				r.Body = slices.Clone(r.Body)
@@ -255,25 +185,26 @@
 				r.Body[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 			}
 			return r, err
-		}})
+		})
 		f.Pull("l", l.term)
 		if f.HasCopy() && f.copy.computeDigest() != l.source.contents.digest {
-			t.Fatalf("something else is held than the leader has")
+			t.Fatalf("the copy differs from what the leader has")
 		}
 	})
 }
 
-// A stream that is cut in the middle of a transfer leaves what was held before, or nothing.
-func TestCutInTheMiddle(t *testing.T) {
+// A stream that is cut in the middle of a transfer leaves the copy as it was, or none.
+func TestCutTransferKeepsTheCopy(t *testing.T) {
 	s := newService()
-	l := fullSource(s)
+	l := newLargeLeader(s)
 	cutAt := 1
-	f := NewFollower(FollowerConfig{Label: "n1", BehindAfter: time.Minute, Fetch: func(_ string, args peer.FollowArgs) (peer.FollowReply, error) {
+	f := newFollower("n1", func(_ string, args peer.FollowArgs) (peer.FollowReply, error) {
 		if args.Part == cutAt {
 			return peer.FollowReply{}, errors.New("cut")
 		}
 		return l.source.Follow(args)
-	}})
+	})
+	f.BehindAfter = time.Minute
 	f.Pull("l", l.term)
 	if st := f.Status(); st.State != Empty || st.Entries != 0 {
 		t.Errorf("after a cut first transfer the state is %s with %d entries", st.State, st.Entries)
@@ -293,13 +224,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameAsListed(t, s, p)
+	checkSameAsListed(t, s, p)
 }
 
-// A standby that has lost touch is behind; what it holds can be proven for as long as the
+// A standby that has lost the leader is behind; its copy can be proven for as long as the
 // state service keeps the changes since, and not after that. One that comes back later than
-// the leader keeps changes takes everything anew.
-func TestBehind(t *testing.T) {
+// the leader keeps changes pulls everything again.
+func TestFollowerFallsBehindAndCatchesUp(t *testing.T) {
 	s := newService()
 	l := newLeader(s)
 	l.write("1", false, "p/run-1/000000")
@@ -331,7 +262,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameAsListed(t, s, p)
+	checkSameAsListed(t, s, p)
 	s.oldestKnown = s.revision - 100
 	if _, err := g.Prove(context.Background(), s, term); !errors.Is(err, ErrTooFarBehind) {
 		t.Errorf("proven with %v", err)
@@ -342,7 +273,7 @@
 }
 
 // While the state service refuses this node alone, the proof waits: nothing is ready, and
-// nothing is given up.
+// nothing is discarded.
 func TestStateServiceRefusesTheStandby(t *testing.T) {
 	s := newService()
 	l := newLeader(s)
@@ -359,7 +290,7 @@
 		t.Errorf("proven with %v, the state is %s", err, f.Status().State)
 	}
 	f.MarkPromoted("decides")
-	f.Pull("l", l.term) // the old leader goes on, and nobody listens
+	f.Pull("l", l.term) // the old leader goes on, and is not followed any more
 	if f.Status().State != Promoted {
 		t.Errorf("the state is %s", f.Status().State)
 	}
@@ -370,7 +301,7 @@
 }
 
 // Memory that has changed under a copy is noticed before anything is decided on it.
-func TestSpoiledCopyIsNotProven(t *testing.T) {
+func TestCorruptedCopyIsNotProven(t *testing.T) {
 	s := newService()
 	l := newLeader(s)
 	l.write("1", false, "p/run-1/000000")
@@ -384,7 +315,7 @@
 }
 
 // A term that is not older than the one that is to begin proves nothing about it.
-func TestOwnTermIsNotFollowed(t *testing.T) {
+func TestCopyOfTheSameTermIsNotProven(t *testing.T) {
 	s := newService()
 	l := newLeader(s)
 	f := follow("n1", map[string]*Source{"l": l.source})
@@ -394,22 +325,12 @@
 	}
 }
 
-// viewsOf hands out views, a few at a time.
-type viewsOf struct{ entries []*Entry }
-
-func (v *viewsOf) DrainChangedViews(most int) ([]*Entry, bool) {
-	n := min(most, len(v.entries))
-	taken := v.entries[:n]
-	v.entries = v.entries[n:]
-	return taken, len(v.entries) > 0
-}
-
-// Views arrive as they were made, and those that are taken away are gone.
+// Views arrive as they were made, and those that are dropped are gone.
 func TestViewsArrive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	s := newService()
 	l := newLeader(s)
-	views := &viewsOf{}
+	views := &fakeViews{}
 	want := map[string][]RunningTask{}
 	for i := range 700 {
 		v := JobView{UID: fmt.Sprintf("run-%06d", i), HasRun: true}
@@ -452,9 +373,9 @@
 	}
 }
 
-// A transfer that nobody asks for any more is forgotten, and strangers get nothing.
-func TestSourceKeepsNoOldTransfers(t *testing.T) {
-	l := fullSource(newService())
+// A transfer that nobody requests any more is dropped, and strangers get nothing.
+func TestSourceDropsAbandonedTransfersAndRefusesStrangers(t *testing.T) {
+	l := newLargeLeader(newService())
 	now := time.Unix(1000, 0)
 	l.source.now = func() time.Time { return now }
 	first, err := l.source.Follow(peer.FollowArgs{From: "n1", Term: l.term})
--- a/internal/standby/views.go
+++ b/internal/standby/views.go
@@ -17,32 +17,32 @@
 	leaderViewKey = "view/leader"
 )
 
-// MachineView is what a leader knows of a machine from its reports and from the cloud.
-// Times are milliseconds of the time of day, 0 for none.
+// MachineView is what a leader knows of a machine from its heartbeats and from the cloud.
+// Times are milliseconds of the Unix time, 0 for none.
 type MachineView struct {
 	Host         string   `cbor:"1,keyasint"`
 	Address      string   `cbor:"2,keyasint,omitempty"`
 	Type         string   `cbor:"3,keyasint,omitempty"`
 	Zone         string   `cbor:"4,keyasint,omitempty"`
 	Spot         bool     `cbor:"5,keyasint,omitempty"`
-	Incarnation  uint64   `cbor:"6,keyasint,omitempty"` // newest that has reported
-	FencingToken uint64   `cbor:"7,keyasint,omitempty"` // the leader's term, if the machine has reported with it
+	Incarnation  uint64   `cbor:"6,keyasint,omitempty"` // of its worker, by the newest heartbeat
+	FencingToken uint64   `cbor:"7,keyasint,omitempty"` // the leader's term, if the worker has its fencing token
 	FirstSeenMs  int64    `cbor:"8,keyasint,omitempty"`
-	AvoidMs      int64    `cbor:"9,keyasint,omitempty"` // takes no launches until then
+	AvoidMs      int64    `cbor:"9,keyasint,omitempty"` // gets no new attempts until then
 	SpotNotice   bool     `cbor:"10,keyasint,omitempty"`
 	Images       []string `cbor:"12,keyasint,omitempty"`
 }
 
-// JobView is what a leader knows of a job from reports.
+// JobView is what a leader knows of a job from heartbeats. Times are of the Unix time, 0 for none.
 type JobView struct {
 	UID          string `cbor:"1,keyasint"`
 	HasRun       bool   `cbor:"2,keyasint,omitempty"` // a task of it has run
-	BackoffCount int    `cbor:"3,keyasint,omitempty"` // how often in a row it was held back for failing
+	BackoffCount int    `cbor:"3,keyasint,omitempty"` // how often in a row it was delayed because it failed
 	NotBeforeMs  int64  `cbor:"4,keyasint,omitempty"` // it is not placed before
-	WaitMs       int64  `cbor:"5,keyasint,omitempty"` // since when nothing of it ran
+	WaitMs       int64  `cbor:"5,keyasint,omitempty"` // since when none of its tasks runs
 	Running      []byte `cbor:"6,keyasint,omitempty"` // bitmap of its running tasks, see RunningTasks
-	// By running task, in order: the attempt, and since when it runs in seconds of the time
-	// of day after SinceS.
+	// Attempts and AfterS have an element a running task, in order: the number of the attempt, and since
+	// when it runs, in seconds after SinceS.
 	Attempts []uint64 `cbor:"7,keyasint,omitempty"`
 	SinceS   int64    `cbor:"8,keyasint,omitempty"`
 	AfterS   []uint32 `cbor:"9,keyasint,omitempty"`
@@ -52,10 +52,10 @@
 type RunningTask struct {
 	Task    int
 	Attempt uint64
-	SinceS  int64 // seconds of the time of day
+	SinceS  int64 // since when it runs, in seconds of the Unix time
 }
 
-// SetRunning keeps the running tasks, which must be in order.
+// SetRunning sets the running tasks, which must be in order.
 func (v *JobView) SetRunning(tasks []RunningTask) error {
 	if len(tasks) == 0 {
 		return nil
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// RunningTasks lists the running tasks.
+// RunningTasks returns the running tasks, in order. An error wraps ErrUndecodable.
 func (v *JobView) RunningTasks() ([]RunningTask, error) {
 	if len(v.Running) == 0 {
 		return nil, nil
@@ -92,7 +92,7 @@
 		return nil, fmt.Errorf("%w: tasks of %s: %w", ErrUndecodable, v.UID, err)
 	}
 	if n := int(set.GetCardinality()); n != len(v.Attempts) || n != len(v.AfterS) {
-		return nil, fmt.Errorf("%w: %d tasks of %s have %d tries", ErrUndecodable, n, v.UID, len(v.Attempts))
+		return nil, fmt.Errorf("%w: %d tasks of %s have %d attempts", ErrUndecodable, n, v.UID, len(v.Attempts))
 	}
 	var tasks []RunningTask
 	for i, task := range set.ToArray() {
@@ -101,14 +101,15 @@
 	return tasks, nil
 }
 
-// LeaderView is what a leader has learned that belongs to no machine or job.
+// LeaderView is what a leader has learned that belongs to no machine or job. Its elements travel by
+// the Go names of their fields.
 type LeaderView struct {
 	Window   int       `cbor:"1,keyasint,omitempty"`
 	Refusals []Refusal `cbor:"2,keyasint,omitempty"`
 	Arrivals []Arrival `cbor:"3,keyasint,omitempty"`
 }
 
-// Refusal is a group of machines that the cloud had no more of.
+// Refusal is a machine type in a zone of which the cloud had no more. Times are milliseconds.
 type Refusal struct {
 	Type, Zone string
 	Spot       bool
@@ -116,28 +117,28 @@
 	PauseMs    int64
 }
 
-// Arrival is how often jobs of a class have come.
+// Arrival is how often jobs of a class are submitted.
 type Arrival struct {
 	Class       string
 	Job         wire.JobSpec // one of them
 	Count       float64
-	TasksSquare float64 // tasks of a job, squared, on the mean
+	TasksSquare float64 // mean of the squared number of tasks of a job
 	AtMs        int64
 }
 
-// Entry makes the entry of a view.
+// Entry returns the entry of the view.
 func (v *MachineView) Entry() (*Entry, error) { return viewEntry(machineViews+v.Host, v) }
 
-// Entry makes the entry of a view.
+// Entry returns the entry of the view.
 func (v *JobView) Entry() (*Entry, error) { return viewEntry(jobViews+v.UID, v) }
 
-// Entry makes the entry of a view.
+// Entry returns the entry of the view.
 func (v *LeaderView) Entry() (*Entry, error) { return viewEntry(leaderViewKey, v) }
 
-// DroppedMachineView is the entry that takes a machine's view away.
+// DroppedMachineView returns the entry that drops the view of a machine.
 func DroppedMachineView(host string) *Entry { return &Entry{Key: machineViews + host, Dropped: true} }
 
-// DroppedJobView is the entry that takes a job's view away.
+// DroppedJobView returns the entry that drops the view of a job.
 func DroppedJobView(uid string) *Entry { return &Entry{Key: jobViews + uid, Dropped: true} }
 
 func viewEntry(key string, view any) (*Entry, error) {
