--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -30,17 +30,16 @@
 	c.Config.Cluster.State.WriteRps, c.Config.Cluster.State.Next = 1000, &config.NextStateLimits{ValueKb: &kb}
 	c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 1, Gpus: 8, RAMGb: 512, Zones: []string{"a"}}}}
-	c.RenewedByPeers, c.Rounded = func() []string { return nil }, func(time.Duration) {}
 	c.JobCache.Reset(nil, 0, now)
 	for i := range 170 {
 		host := fmt.Sprintf("m-%03d-%s", i, strings.Repeat("x", 40))
 		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: host, MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, now)
-		m.Type, m.Cap = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
+		m.Type, m.Capacity = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
 	}
 	per := records.TasksPerPlacement(c.Config.CurrentValueBytes(), c.Config.ValueBytes())
 	spec := wire.JobSpec{UID: "run-000001", Team: "crew", Kind: wire.JobArray, TaskCount: 2 * per, Cores: 1, RAMGb: 1, Image: "i", Priority: wire.High}
-	c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: per}, ModRevision: 1})
-	c.round(time.Second)
+	c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: per}, ModRevision: 1})
+	c.runRound(time.Second)
 	j := c.jobs[spec.UID]
 	if j.live == 0 || j.live == spec.TaskCount {
 		t.Fatalf("%d of %d tasks are placed", j.live, spec.TaskCount)
@@ -55,7 +54,7 @@
 	for _, p := range j.placements {
 		for task, a := range p.live {
 			if task%2 == 0 {
-				c.fleet.Commit(a, now)
+				c.fleet.MarkCommitted(a, now)
 				a.Cause, a.State = wire.CauseDone, fleet.Ended
 				delete(p.live, task)
 				p.done.SetDone(task % per)
@@ -64,7 +63,7 @@
 			}
 		}
 	}
-	c.round(time.Second)
+	c.runRound(time.Second)
 	if j.live <= placed/2+1 {
 		t.Errorf("%d tasks are placed after the end of half of %d", j.live, placed)
 	}
--- a/internal/controller/lost.go
+++ b/internal/controller/lost.go
@@ -14,7 +14,7 @@
 
 // noteRenewedByPeers notes the machines that other nodes answer: they are not silent.
 func (c *Controller) noteRenewedByPeers(now time.Time) {
-	for _, id := range c.RenewedByPeers() {
+	for _, id := range c.Peers.RenewedHosts() {
 		if m := c.fleet.Get(id); m != nil {
 			m.LastHeartbeat = now
 		}
@@ -168,7 +168,7 @@
 		return
 	}
 	for via, reported := range l.newest {
-		if now.Sub(reported) > c.Config.HeartbeatInterval()/2 || via != "" && !c.RelayReached(via) {
+		if now.Sub(reported) > c.Config.HeartbeatInterval()/2 || via != "" && !c.Peers.RelayReached(via) {
 			c.relayUnreachableSince[via] = now
 		}
 	}
@@ -188,7 +188,7 @@
 		if why := d.causeOfDeath(m); why != "" {
 			c.startReturn(m, now, why)
 		}
-		if m.Warned {
+		if m.SpotNotice {
 			c.saveTasks(m, now)
 		}
 	})
@@ -198,7 +198,7 @@
 // together are cut off rather than lost, if no controller there is reached either: what they
 // run may go on, and they will be back. Where a controller is reached, they are lost.
 func (c *Controller) noteCutOffZones(around *liveness, now time.Time) {
-	reached := c.Reached()
+	reached := c.Peers.ReachedZones()
 	for zone, z := range around.zones {
 		if zone != "" && z.longSilent > 2 && 2*z.longSilent > z.total && !slices.Contains(reached, zone) {
 			c.cutOff[zone] = now
@@ -226,7 +226,7 @@
 	d := &doubts{c: c, now: now, around: around, part: 2, patience: 3 * every}
 	// It learns with its next report that one is gone, and each that does not answer costs
 	// it one try.
-	notReached := len(c.Config.Members) + 1 - len(c.Reached())
+	notReached := len(c.Config.Members) + 1 - len(c.Peers.ReachedZones())
 	d.search = every*5/4 + time.Duration(max(1, notReached))*workerAttempt
 	if around.manyRelayed() {
 		// It may be this node's own links: a leader that had lost the workers
@@ -271,13 +271,13 @@
 		return ""
 	case m.Failed:
 		return "failed"
-	case m.State == fleet.Silent && (!d.cutOff(m) || silent > d.tasksEndWithin()):
+	case m.State == fleet.Suspected && (!d.cutOff(m) || silent > d.tasksEndWithin()):
 		return "silent"
 	case d.silentAlone(m, silent):
 		return "silent while others report"
 	case d.neverCameUp(m):
 		return "never came up"
-	case m.Warned && m.LiveCount() == 0 && m.State == fleet.Ready:
+	case m.SpotNotice && m.LiveCount() == 0 && m.State == fleet.Ready:
 		return "is being taken back"
 	}
 	return ""
@@ -314,14 +314,14 @@
 		boot = r.BootS
 	}
 	settled := d.now.Sub(d.c.steady) > 2*d.c.Config.WorkerLease()
-	return settled && d.now.Sub(m.Born).Seconds() > boots*boot
+	return settled && d.now.Sub(m.FirstSeen).Seconds() > boots*boot
 }
 
 // saveTasks stops the tasks of a machine that the cloud takes back.
 func (c *Controller) saveTasks(m *fleet.Machine, now time.Time) {
 	m.Each(func(a *fleet.Attempt) {
-		if j := c.jobs[a.UID]; j != nil && a.Live() && !a.Stopping {
-			c.stop(a, j.rec.Spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
+		if j := c.jobs[a.JobUID]; j != nil && a.Live() && !a.Stopping {
+			c.stopAttempt(a, j.record.Spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
 		}
 	})
 }
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -22,8 +22,14 @@
 	cfg := &config.Config{}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS, cfg.Cluster.Cloud.Rps = 1, 10, 40, 6
 	cfg.Cluster.State.ValueKb = 8
-	c := New(Deps{Config: cfg, JobCache: watchcache.New(), Settings: func() wire.Settings { return records.DefaultSettings(1) }, Version: clusterversion.NewTracker(),
-		Reached: func() []string { return []string{"a"} }}, 5)
+	c := New(Options{
+		Config:   cfg,
+		Settings: func() wire.Settings { return records.DefaultSettings(1) },
+		Peers:    fakePeers{zones: []string{"a"}},
+		Observer: fakeObserver{finished: map[string]wire.JobStatus{}},
+		Version:  clusterversion.NewTracker(),
+		JobCache: watchcache.New(),
+	}, 5)
 	c.now = func() time.Time { return *now }
 	c.loaded, c.steady = true, now.Add(-time.Hour)
 	return c
@@ -80,7 +86,7 @@
 					c.fleet.Get(fmt.Sprintf("m-%03d", i)).LastHeartbeat = now
 				}
 			}
-			c.fleet.SuspectSilent(now)
+			c.fleet.MarkSuspected(now)
 			c.declareDead(now)
 			now = now.Add(step)
 		}
@@ -105,7 +111,7 @@
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, Zones: []string{"a", "b"}}, {Name: "g1", Cores: 8, Gpus: 1, RAMGb: 32, Zones: []string{"a"}}}}
 	w := &wire.JobSpec{Cores: 16, Gpus: 2, RAMGb: 64, AllowSpot: true}
 	spent := func(want bool, when string) {
-		if got := c.spotSpent(w, now); got != want {
+		if got := c.isSpotExhausted(w, now); got != want {
 			t.Errorf("%s: spent is %v", when, got)
 		}
 	}
@@ -140,7 +146,6 @@
 		now := time.Unix(1000, 0)
 		c := watched(&now)
 		c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, Zones: []string{"a", "b"}}}}
-		c.RenewedByPeers, c.Rounded = func() []string { return nil }, func(time.Duration) {}
 		dead := func() int {
 			n := 0
 			c.fleet.Each(func(m *fleet.Machine) {
@@ -162,7 +167,7 @@
 					c.hearFrom(i, sequence, now)
 				}
 			}
-			c.round(time.Second)
+			c.runRound(time.Second)
 		}
 		round(0, true, true)
 		for over := now.Add(tc.silent); now.Before(over); {
@@ -187,14 +192,14 @@
 	c := watched(&now)
 	c.steady = now
 	for i := range 20 {
-		m := c.fleet.Know(fmt.Sprintf("x-%03d", i), now)
-		c.fleet.Place(m, &fleet.Attempt{UID: "run-000001", Task: i, Number: 1, Incarnation: 1, Inherited: true}, now)
+		m := c.fleet.GetOrAdd(fmt.Sprintf("x-%03d", i), now)
+		c.fleet.AddAttempt(m, &fleet.Attempt{JobUID: "run-000001", TaskIndex: i, Number: 1, Incarnation: 1, Inherited: true}, now)
 	}
 	for sequence := uint64(1); sequence <= 12; sequence++ {
 		for i := range 100 {
 			c.hearFrom(i, sequence, now)
 		}
-		c.fleet.SuspectSilent(now)
+		c.fleet.MarkSuspected(now)
 		c.declareDead(now)
 		now = now.Add(time.Second)
 	}
@@ -219,26 +224,25 @@
 		c.Config.Cluster.State.WriteRps, c.Config.Cluster.State.TxnOps = 100, 24
 		c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 		c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, Zones: []string{"a", "b"}}}}
-		c.RenewedByPeers, c.Rounded = func() []string { return nil }, func(time.Duration) {}
 		c.JobCache.Reset(nil, 0, now)
 		for i := range 40 {
 			c.hearFrom(i, 1, now)
 			m := c.fleet.Get(fmt.Sprintf("m-%03d", i))
-			m.Type, m.Cap = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
+			m.Type, m.Capacity = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
 		}
 		spec := wire.JobSpec{Team: "crew", Kind: wire.Service, TaskCount: 1, Cores: 1, Gpus: 1, RAMGb: 1, Image: "i", Priority: wire.High}
 		for i := range 250 {
 			uid := fmt.Sprintf("run-%06d", i)
 			spec.UID = uid
-			c.takeJob(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: status, Per: 8}, ModRevision: 1})
-			c.jobs[uid].placement(0).touch(now)
+			c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: status, Per: 8}, ModRevision: 1})
+			c.jobs[uid].placement(0).markChanged(now)
 		}
 		spec.UID, spec.Priority = "run-000250", wire.Critical
-		c.takeJob(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
+		c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
 		if status == wire.JobQueued {
-			c.jobs[spec.UID].placement(0).touch(now)
+			c.jobs[spec.UID].placement(0).markChanged(now)
 		}
-		c.round(time.Second)
+		c.runRound(time.Second)
 		if c.jobs[spec.UID].live != 1 {
 			t.Errorf("with 250 jobs that are %s, nothing is started", status)
 		}
@@ -252,13 +256,13 @@
 func TestLargeArraysBegin(t *testing.T) {
 	now := time.Now()
 	c := watched(&now)
-	c.Deps.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
+	c.Options.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g", Cores: 8, Gpus: 8, RAMGb: 8, BootS: 30, Zones: []string{"a"}}}}
 	array := func(uid string, tasks int, ago time.Duration) *job {
 		spec := wire.JobSpec{UID: uid, JobClass: "batch", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: 1, Gpus: 1, RAMGb: 1}
 		e := watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 16, AtMs: now.Add(-ago).UnixMilli()}, ModRevision: 1}
-		c.takeJob(uid, e)
-		c.jobs[uid].waitFrom = now.Add(-ago)
+		c.applyJobEventLocked(uid, e)
+		c.jobs[uid].waitingSince = now.Add(-ago)
 		return c.jobs[uid]
 	}
 	for i := range 12 {
@@ -268,9 +272,9 @@
 	young := array("run-000101", 9, time.Minute)
 	order := func() (uids []string, waiting []int) {
 		p := c.snapshot(now, time.Second)
-		sched.Order(p.in.Jobs, 40)
+		sched.SortQueue(p.in.Jobs, 40)
 		for _, j := range p.in.Jobs {
-			uids, waiting = append(uids, j.Spec.UID), append(waiting, j.Waiting)
+			uids, waiting = append(uids, j.Spec.UID), append(waiting, j.PendingTasks)
 		}
 		return uids, waiting
 	}
@@ -279,15 +283,15 @@
 		t.Errorf("the order is %v, with %v tasks", uids, waiting)
 	}
 	// Once it has run, it waits its turn, also when its task has ended.
-	a := &fleet.Attempt{UID: large.uid, Task: 0, Number: 1, Need: large.need}
+	a := &fleet.Attempt{JobUID: large.uid, TaskIndex: 0, Number: 1, Resources: large.need}
 	large.placement(0).live[0] = a
 	large.live++
 	c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m", MachineType: "g", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 5}, now)
-	c.fleet.Place(c.fleet.Get("m"), a, now)
-	c.fleet.Commit(a, now)
+	c.fleet.AddAttempt(c.fleet.Get("m"), a, now)
+	c.fleet.MarkCommitted(a, now)
 	for sequence, status := range []wire.TaskStatus{wire.TaskRunning, wire.TaskEnded} {
 		c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m", MachineType: "g", Zone: "a", Incarnation: 1, Sequence: uint64(2 + sequence), FencingToken: 5,
-			Tasks: []wire.TaskReport{{Task: a.Name(), Attempt: 1, Status: status, Cause: wire.CauseStopped}}}, now)
+			Tasks: []wire.TaskReport{{Task: a.TaskName(), Attempt: 1, Status: status, Cause: wire.CauseStopped}}}, now)
 	}
 	if uids, _ := order(); len(uids) != 14 || uids[0] == large.uid || large.live != 0 {
 		t.Errorf("after it has begun, the order is %v", uids)
@@ -302,7 +306,6 @@
 	cut := time.Unix(1000, 0)
 	now := cut
 	c := watched(&now)
-	c.RelayReached = func(string) bool { return true }
 	report := func(i int, via string, at time.Time) {
 		host := fmt.Sprintf("m-%03d", i)
 		c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: host, Zone: "a", Incarnation: 1, Sequence: uint64(at.UnixMilli()), FencingToken: 5}, at)
@@ -319,7 +322,7 @@
 		for i := own; i < 5*own; i++ {
 			report(i, "follower", now)
 		}
-		c.fleet.SuspectSilent(now)
+		c.fleet.MarkSuspected(now)
 		c.declareDead(now)
 		now = now.Add(step)
 	}
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -20,7 +20,7 @@
 func (n *Node) unreachableFor(label string, patience time.Duration) bool {
 	for _, p := range n.peers {
 		if p.Label == label {
-			_, reached := p.Last(patience)
+			_, reached := p.LastPing(patience)
 			return !reached
 		}
 	}
@@ -50,12 +50,12 @@
 func (n *Node) better() bool {
 	c := n.lead.Load()
 	enough := handoverLeases * n.cfg.WorkerLease()
-	if c == nil || time.Since(c.Begun()) < enough {
+	if c == nil || time.Since(c.StartedAt()) < enough {
 		return false
 	}
 	unreachable := func(label string) bool { return !n.relayMode() && n.unreachableFor(label, n.cfg.WorkerLease()) }
 	own := n.delay(n.cfg.Label, unreachable)
 	return slices.ContainsFunc(n.peers, func(p *peer.Peer) bool {
-		return p.Well() > enough && n.delay(p.Label, unreachable) < own
+		return p.ServingFor() > enough && n.delay(p.Label, unreachable) < own
 	})
 }
--- a/internal/provision/provision.go
+++ b/internal/provision/provision.go
@@ -28,23 +28,23 @@
 
 type bin struct {
 	group MachineGroup
-	room  fleet.Res
+	room  fleet.Resources
 }
 
 // Capacity is what a machine of a type offers.
-func Capacity(r *wire.MachineType) fleet.Res {
-	return fleet.Res{Cores: r.Cores, Gpus: r.Gpus, RAM: r.RAMGb}
+func Capacity(r *wire.MachineType) fleet.Resources {
+	return fleet.Resources{Cores: r.Cores, Gpus: r.Gpus, RAM: r.RAMGb}
 }
 
 // Fits reports whether a task of the job fits some machine that it may use.
 func Fits(cat *wire.Catalog, w *wire.JobSpec) bool {
 	for i := range cat.MachineTypes {
 		r := &cat.MachineTypes[i]
-		if !Capacity(r).Holds(fleet.Need(w)) {
+		if !Capacity(r).Fits(fleet.TaskResources(w)) {
 			continue
 		}
 		for _, y := range r.Zones {
-			if sched.Allowed(w, r.Name, y, false) {
+			if sched.IsEligible(w, r.Name, y, false) {
 				return true
 			}
 		}
@@ -54,7 +54,7 @@
 
 // Demand is what is to be rented for, and what bounds it.
 type Demand struct {
-	Shorts     []sched.Short
+	Shorts     []sched.Shortfall
 	Population map[string]int          // machines of each zone
 	Refused    func(MachineGroup) bool // groups that are passed over
 	// Calls is how many rentals may be asked for at once, of wire.MaxProvision machines each at
@@ -113,17 +113,17 @@
 	cat        *wire.Catalog
 	population map[string]int
 	refused    func(MachineGroup) bool
-	least      fleet.Res // nothing that is short needs less of anything
+	least      fleet.Resources // nothing that is short needs less of anything
 	bins       []bin
 	open       []int // bins that have room for the least
 }
 
 // leastNeed is the least of each resource that any task that is short needs.
-func leastNeed(shorts []sched.Short) fleet.Res {
-	least := fleet.Res{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
+func leastNeed(shorts []sched.Shortfall) fleet.Resources {
+	least := fleet.Resources{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
 	for _, s := range shorts {
-		n := fleet.Need(s.Job.Spec)
-		least = fleet.Res{Cores: min(least.Cores, n.Cores), Gpus: min(least.Gpus, n.Gpus), RAM: min(least.RAM, n.RAM)}
+		n := fleet.TaskResources(s.Job.Spec)
+		least = fleet.Resources{Cores: min(least.Cores, n.Cores), Gpus: min(least.Gpus, n.Gpus), RAM: min(least.RAM, n.RAM)}
 	}
 	return least
 }
@@ -131,21 +131,21 @@
 // pack finds room for what a job is short of, in machines of the packing or new ones. Bins
 // that are full are passed over for good: at thousands of tasks, looking at each bin for each
 // task took longer than a round may.
-func (p *packing) pack(s sched.Short) {
-	need := fleet.Need(s.Job.Spec)
-	zones := maps.Clone(s.Job.ByZone)
+func (p *packing) pack(s sched.Shortfall) {
+	need := fleet.TaskResources(s.Job.Spec)
+	zones := maps.Clone(s.Job.LiveByZone)
 	if zones == nil {
 		zones = map[string]int{}
 	}
 	left := s.Count
 	p.open = slices.DeleteFunc(p.open, func(i int) bool {
 		b := &p.bins[i]
-		for left > 0 && b.room.Holds(need) && sched.Allowed(s.Job.Spec, b.group.Type, b.group.Zone, b.group.Spot) && zoneOK(s.Job, zones, b.group.Zone) {
+		for left > 0 && b.room.Fits(need) && sched.IsEligible(s.Job.Spec, b.group.Type, b.group.Zone, b.group.Spot) && zoneOK(s.Job, zones, b.group.Zone) {
 			b.room = b.room.Sub(need)
 			zones[b.group.Zone]++
 			left--
 		}
-		return !b.room.Holds(p.least)
+		return !b.room.Fits(p.least)
 	})
 	for left > 0 {
 		g, room, ok := cheapest(p.cat, s.Job, zones, left, p.population, p.refused)
@@ -153,12 +153,12 @@
 			return
 		}
 		b := bin{g, room}
-		for left > 0 && b.room.Holds(need) && zoneOK(s.Job, zones, g.Zone) {
+		for left > 0 && b.room.Fits(need) && zoneOK(s.Job, zones, g.Zone) {
 			b.room = b.room.Sub(need)
 			zones[g.Zone]++
 			left--
 		}
-		if b.room.Holds(p.least) {
+		if b.room.Fits(p.least) {
 			p.open = append(p.open, len(p.bins))
 		}
 		p.bins = append(p.bins, b)
@@ -189,13 +189,13 @@
 
 // cheapest picks the group with the lowest price for each task that it would
 // hold; among equals, the zone with the fewest machines.
-func cheapest(cat *wire.Catalog, j *sched.Job, zones map[string]int, left int, pop map[string]int, refused func(MachineGroup) bool) (MachineGroup, fleet.Res, bool) {
+func cheapest(cat *wire.Catalog, j *sched.Job, zones map[string]int, left int, pop map[string]int, refused func(MachineGroup) bool) (MachineGroup, fleet.Resources, bool) {
 	best, bestCost, bestPop := MachineGroup{}, math.Inf(1), 0
-	var room fleet.Res
-	need := fleet.Need(j.Spec)
+	var room fleet.Resources
+	need := fleet.TaskResources(j.Spec)
 	for i := range cat.MachineTypes {
 		r := &cat.MachineTypes[i]
-		n := Capacity(r).Count(need, left)
+		n := Capacity(r).CountFitting(need, left)
 		if n == 0 {
 			continue
 		}
@@ -205,10 +205,10 @@
 			}
 			for _, spot := range []bool{true, false} {
 				g := MachineGroup{r.Name, y, spot}
-				if !sched.Allowed(j.Spec, r.Name, y, spot) || refused(g) {
+				if !sched.IsEligible(j.Spec, r.Name, y, spot) || refused(g) {
 					continue
 				}
-				if j.Spec.AllowSpot && !spot && !j.WaitedPastBoot && !j.Dear {
+				if j.Spec.AllowSpot && !spot && !j.WaitedPastBoot && !j.SpotUnavailable {
 					continue // spot machines are many times cheaper: worth a wait
 				}
 				price := r.Hourly
