--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -5,157 +5,176 @@
 	"fmt"
 	"time"
 
+	"golang.org/x/time/rate"
+
 	"lotusstile.dev/lotusstile/internal/aimd"
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// lane says how a request is fitted into the node's share of the limits.
-type lane int
+// RecordWriteShare is the share of the store's write limit that the leader has for records.
+const RecordWriteShare = 0.6
 
+// Shares of any single node: over half of the store's limits. When many users come at once, what
+// leaves room for records is that the store refuses the rest.
 const (
-	recordsLane    lane = iota // waits its turn
-	urgentLane                 // never waits: the leader's hold depends on it
-	userLane                   // is refused at once if there is no room now
-	backgroundLane             // only takes what records leave
-	lookupLane                 // a single record that a user asks about: it has a budget of its own
-	sharedReadLane             // a read for many users at once, which whoever sends it has paced
+	// RequestShare is the share of the store's request limit.
+	RequestShare = 0.6
+	// userWriteShare is the share of the store's write limit for changes that users ask for.
+	userWriteShare = 0.6
 )
 
-type laneKey struct{}
-
-// reservedShareKey holds the part of a budget's burst that a commit leaves to others.
-type reservedShareKey struct{}
-
-// WithUrgentLane marks requests that must not queue behind others of this node for its
-// share of the rate.
-func WithUrgentLane(ctx context.Context) context.Context {
-	return context.WithValue(ctx, laneKey{}, urgentLane)
-}
+// Shares of the store's request limit that all nodes together have for users' reads. With what the
+// leader takes they stay below the limit: each node once asked up to RequestShare for users
+// alone, and when they asked eight times as often the leader's lease was not renewed, a new
+// leader could not read the records for 12 s, and users got 503.
+const (
+	sharedReadShare = 0.15
+	lookupShare     = 0.2
+)
 
-// WithUserLane marks what a user asks for. A commit that has no room in the budget is
-// refused at once with a BusyError: the user is told when to come back. leave is
-// the part of the budget's burst that it leaves to those of higher rank.
-func WithUserLane(ctx context.Context, leave float64) context.Context {
-	return context.WithValue(context.WithValue(ctx, laneKey{}, userLane), reservedShareKey{}, leave)
-}
+// maxRetryAfterTimeouts bounds the times promised to refused users: no later than so many request
+// time-outs from now.
+const maxRetryAfterTimeouts = 5
 
-// WithBackgroundLane marks commits that are useful, but that nothing waits for. They are
-// refused while less than half of the budget's burst is left for records.
-func WithBackgroundLane(ctx context.Context) context.Context {
-	return context.WithValue(ctx, laneKey{}, backgroundLane)
+// Limits are the rate limits of the state store, which all nodes share.
+type Limits struct {
+	RequestsPerSecond float64
+	WritesPerSecond   float64 // changes in commits; a commit may have several
+	Nodes             int     // how many nodes share the limits
 }
 
-// WithLookupLane marks reads of single records that answer a user's question. They are refused with an
-// *aimd.BusyError if their own budget has no room in time.
-func WithLookupLane(ctx context.Context) context.Context {
-	return context.WithValue(ctx, laneKey{}, lookupLane)
+// budget is one node's share of the store's limits, by kind of request.
+type budget struct {
+	requests     *rate.Limiter
+	recordWrites *rate.Limiter // recordsLane and backgroundLane
+	userWrites   *rate.Limiter // userLane; nobody waits for it
+	sharedReads  *aimd.Limiter // sharedReadLane
+	lookups      *aimd.Limiter // lookupLane
 }
 
-// WithSharedReadLane marks reads that answer many users at once. They wait for no budget: their sender
-// has waited for Client.SharedReadLimiter.
-func WithSharedReadLane(ctx context.Context) context.Context {
-	return context.WithValue(ctx, laneKey{}, sharedReadLane)
+func newBudget(limits Limits) budget {
+	limiter := func(perSecond float64) *rate.Limiter {
+		return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
+	}
+	nodes := float64(max(1, limits.Nodes))
+	return budget{
+		requests:     limiter(limits.RequestsPerSecond * RequestShare),
+		recordWrites: limiter(limits.WritesPerSecond * RecordWriteShare),
+		userWrites:   limiter(limits.WritesPerSecond * userWriteShare),
+		sharedReads:  aimd.New(limits.RequestsPerSecond * sharedReadShare / nodes),
+		lookups:      aimd.New(limits.RequestsPerSecond * lookupShare / nodes),
+	}
 }
 
 // SharedReadLimiter paces the reads that answer many users at once.
-func (c *Client) SharedReadLimiter() *aimd.Limiter { return c.sharedReads }
+func (c *Client) SharedReadLimiter() *aimd.Limiter { return c.budget.sharedReads }
 
-// LookupLimiter is the budget of the reads of single records that answer users.
-func (c *Client) LookupLimiter() *aimd.Limiter { return c.lookups }
+// LookupLimiter paces the reads of single records that answer users.
+func (c *Client) LookupLimiter() *aimd.Limiter { return c.budget.lookups }
 
-// waitForRequestBudget waits for room for one request in the budget of the context's lane.
+// waitForRequestBudget waits for room for one request in the budget of the context's lane. Its
+// error wraps ErrRefused.
 func (c *Client) waitForRequestBudget(ctx context.Context) error {
 	switch laneOf(ctx) {
 	case sharedReadLane:
 		return nil
 	case lookupLane:
-		if err := c.lookups.Wait(ctx); err != nil {
+		if err := c.budget.lookups.Wait(ctx); err != nil {
 			return fmt.Errorf("%w: %w", ErrRefused, err)
 		}
 		return nil
 	case urgentLane:
-		c.requestBudget.Allow() // counts against the budget but never waits for it
+		c.budget.requests.Allow() // counts against the budget but never waits for it
 		return nil
 	}
-	if err := c.requestBudget.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: over this node's budget", ErrRefused)
+	if err := c.budget.requests.Wait(ctx); err != nil {
+		return fmt.Errorf("%w: over this node's request budget", ErrRefused)
 	}
 	return nil
 }
 
-// onThrottled notes that the service refused a request since it gets too many. What users ask
-// gives way first, whatever was refused: a leader whose hold is not renewed helps nobody. Only a
-// commit that changes something may have been refused for its changes, of which questions make
-// none.
+// onThrottled records that the store refused a request because it gets too many. The budgets of
+// users' reads give way first, whatever was refused: a leader whose lease is not renewed helps
+// nobody. A commit that changes something cuts no budget, since it may have been refused for
+// exceeding the write limit, on which reads do not count.
 func (c *Client) onThrottled(body any) {
 	c.throttledRequests.Add(1)
 	if tx, ok := body.(wire.Transaction); ok && len(tx.Changes) > 0 {
 		return
 	}
 	now := time.Now()
-	c.sharedReads.OnThrottled(now)
-	c.lookups.OnThrottled(now)
+	c.budget.sharedReads.OnThrottled(now)
+	c.budget.lookups.OnThrottled(now)
 }
 
-// onExecuted notes that the service has carried out a request.
+// onExecuted records that the store executed a request.
 func (c *Client) onExecuted(ctx context.Context) {
 	switch laneOf(ctx) {
 	case sharedReadLane:
-		c.sharedReads.OnAnswered(time.Now())
+		c.budget.sharedReads.OnAnswered(time.Now())
 	case lookupLane:
-		c.lookups.OnAnswered(time.Now())
+		c.budget.lookups.OnAnswered(time.Now())
 	}
 }
 
-func laneOf(ctx context.Context) lane {
-	l, _ := ctx.Value(laneKey{}).(lane)
-	return l
-}
-
-// fit finds room for n changes in the budget of the context's lane.
-func (c *Client) reserveWrites(ctx context.Context, n int) error {
-	now := time.Now()
+// reserveWrites finds room for a number of changes in the write budget of the context's lane.
+// Its error is a *BusyError (userLane) or wraps ErrRefused.
+func (c *Client) reserveWrites(ctx context.Context, changes int) error {
 	switch laneOf(ctx) {
 	case urgentLane:
 		return nil
 	case userLane:
-		leave, _ := ctx.Value(reservedShareKey{}).(float64)
-		short := float64(n) + leave*float64(c.userWrites.Burst()) - c.userWrites.TokensAt(now)
-		if short <= 0 && c.userWrites.AllowN(now, n) {
-			return nil
-		}
-		wait := time.Duration(max(short, 0) / float64(c.userWrites.Limit()) * float64(time.Second))
-		return &BusyError{RetryAfter: c.nextRetryAfter(now, wait)}
+		return c.reserveUserWrites(ctx, changes)
 	case backgroundLane:
-		burst := c.recordWrites.Burst()
-		n = min(n, max(1, burst/2))
-		if c.recordWrites.TokensAt(now) < float64(n+burst/2) || !c.recordWrites.AllowN(now, n) {
-			return fmt.Errorf("%w: left for later", ErrRefused)
-		}
-		return nil
+		return c.reserveBackgroundWrites(changes)
 	}
-	wctx, cancel := context.WithTimeout(ctx, c.timeout)
+	waitCtx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	// One wait for all: to take a part and fail on the rest would spend the
 	// budget on nothing, again and again.
-	if err := c.recordWrites.WaitN(wctx, min(n, c.recordWrites.Burst())); err != nil {
+	if err := c.budget.recordWrites.WaitN(waitCtx, min(changes, c.budget.recordWrites.Burst())); err != nil {
 		return fmt.Errorf("%w: over this node's write budget", ErrRefused)
 	}
 	return nil
 }
 
-// nextRetryAfter tells a user that was refused when there will be room. Each gets a
-// later time, so that they do not all come back at once.
+// reserveUserWrites takes room for a user's changes, or returns a *BusyError at once.
+func (c *Client) reserveUserWrites(ctx context.Context, changes int) error {
+	now := time.Now()
+	limiter := c.budget.userWrites
+	reservedShare, _ := ctx.Value(reservedShareKey{}).(float64)
+	missing := float64(changes) + reservedShare*float64(limiter.Burst()) - limiter.TokensAt(now)
+	if missing <= 0 && limiter.AllowN(now, changes) {
+		return nil
+	}
+	wait := time.Duration(max(missing, 0) / float64(limiter.Limit()) * float64(time.Second))
+	return &BusyError{RetryAfter: c.nextRetryAfter(now, wait)}
+}
+
+// reserveBackgroundWrites takes room for changes while it leaves half of the burst to records.
+func (c *Client) reserveBackgroundWrites(changes int) error {
+	now := time.Now()
+	limiter := c.budget.recordWrites
+	burst := limiter.Burst()
+	changes = min(changes, max(1, burst/2))
+	if limiter.TokensAt(now) < float64(changes+burst/2) || !limiter.AllowN(now, changes) {
+		return fmt.Errorf("%w: write budget is left to records", ErrRefused)
+	}
+	return nil
+}
+
+// nextRetryAfter returns when a refused user should come back. Each user gets a later time, so
+// that they do not all come back at once.
 func (c *Client) nextRetryAfter(now time.Time, wait time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next := now.Add(wait)
-	if c.nextRetryAt.After(next) {
-		next = c.nextRetryAt
+	retryAt := now.Add(wait)
+	if c.nextRetryAt.After(retryAt) {
+		retryAt = c.nextRetryAt
 	}
-	c.nextRetryAt = next.Add(time.Duration(float64(time.Second) / float64(c.userWrites.Limit())))
-	if most := now.Add(5 * c.timeout); c.nextRetryAt.After(most) {
-		c.nextRetryAt = most
+	c.nextRetryAt = retryAt.Add(time.Duration(float64(time.Second) / float64(c.budget.userWrites.Limit())))
+	if latest := now.Add(maxRetryAfterTimeouts * c.timeout); c.nextRetryAt.After(latest) {
+		c.nextRetryAt = latest
 	}
-	return next.Sub(now)
+	return retryAt.Sub(now)
 }
