--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -15,15 +15,15 @@
 // The same inputs every run; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// A token in a worker's report, or a ping, may tell a newer term before the
-// leader of that term has told its name. The name must still be taken when it
-// comes: a node that cannot read the state service has no other source for it,
-// and else keeps workers that belong to the leader.
-func TestNameOfNewerTermIsTakenLater(t *testing.T) {
-	e := New(nil, "a", 1, func(context.Context, uint64) {})
+// A fencing token in a worker's heartbeat, or a ping, may show a newer term before the
+// leader of that term has announced its name. The name must still be learned when it
+// comes: a node that cannot read the state store has no other source for it,
+// and else keeps workers that it should redirect to the leader.
+func TestLeaderOfNewerTermIsLearnedLater(t *testing.T) {
+	e := New(Options{Node: "a", LeaseTTL: 1, Lead: func(context.Context, uint64) {}})
 	e.ObserveTerm(7, "")
 	if v := e.View(); v.Term != 7 || v.ConfirmedTerm != 0 {
-		t.Fatalf("after a worker's token the view is %+v", v)
+		t.Fatalf("after a worker's fencing token the view is %+v", v)
 	}
 	e.ObserveTerm(7, "b")
 	if v := e.View(); v.Term != 7 || v.ConfirmedTerm != 7 || v.Leader != "b" {
@@ -35,12 +35,12 @@
 	}
 }
 
-// Whatever order news of the leadership comes in, over watches, pings and
-// tokens, the known term never falls, a leader is only known for the newest
+// In whatever order events of the leadership arrive, over watches, pings and
+// fencing tokens, the known term never falls, a leader is only known for the newest
 // term, and a node that leads an older term is stopped.
 func TestTermNeverFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := New(nil, "a", 1, func(context.Context, uint64) {})
+		e := New(Options{Node: "a", LeaseTTL: 1, Lead: func(context.Context, uint64) {}})
 		names := map[uint64]string{} // who leads a term
 		stopped := false
 		e.ownTerm = rapid.Uint64Range(1, 10).Draw(t, "own")
@@ -59,9 +59,12 @@
 			case 1:
 				e.ObserveTerm(term, names[term])
 			case 2:
-				e.Apply(wire.WatchResponse{Events: []wire.WatchEvent{{Set: records.LeaderKey, Value: records.Encode(records.Leader{Node: names[term]}), ModRevision: term}}}, 0, time.Time{})
+				record := records.Encode(records.Leader{Node: names[term]})
+				event := wire.WatchEvent{Set: records.LeaderKey, Value: record, ModRevision: term}
+				e.Apply(wire.WatchResponse{Events: []wire.WatchEvent{event}}, 0, time.Time{})
 			case 3:
-				e.Apply(wire.WatchResponse{Events: []wire.WatchEvent{{Drop: records.LeaderKey, ModRevision: term}}}, 0, time.Time{})
+				event := wire.WatchEvent{Drop: records.LeaderKey, ModRevision: term}
+				e.Apply(wire.WatchResponse{Events: []wire.WatchEvent{event}}, 0, time.Time{})
 			}
 			v := e.View()
 			if v.ConfirmedTerm > v.Term {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,10 +110,16 @@
 	n.reserve = newReserve(cfg.Cluster.Limits.MaxConnections)
 	n.load.limit, n.load.most = cfg.HeartbeatInterval()/2, int64(cfg.Cluster.Limits.MaxConnections/8)
 	n.echo = n.routes()
-	n.elector = election.New(n.store, cfg.Label, cfg.LeaderLeaseTTL(), n.leadTerm)
-	n.elector.Align(cfg.TimerGrid())
-	n.elector.Prefer(n.campaignDelay, n.better)
-	n.elector.DeferTo(n.otherStandsBy)
+	n.elector = election.New(election.Options{
+		Store:              n.store,
+		Node:               cfg.Label,
+		LeaseTTL:           cfg.LeaderLeaseTTL(),
+		Lead:               n.leadTerm,
+		Timers:             cfg.TimerGrid(),
+		CampaignDelaySteps: n.campaignDelay,
+		DeferToStandby:     n.otherStandsBy,
+		TransferWanted:     n.better,
+	})
 	return n
 }
 
