--- a/internal/watchcache/bench_test.go
+++ b/internal/watchcache/bench_test.go
@@ -11,30 +11,47 @@
 
 func benchRecord(i int) wire.KeyValue {
 	uid := fmt.Sprintf("run-%06d", i)
-	job := records.Job{Spec: wire.JobSpec{UID: uid, JobClass: "serve", Team: "team", Kind: wire.Service, Priority: wire.High, TaskCount: 8, Cores: 8, Gpus: 1, RAMGb: 40,
-		Image: "img-1", ImageGb: 20}, Status: wire.JobQueued, AcceptedAtMs: 1_800_000_000_000, TasksPerPlacement: 80}
+	job := records.Job{
+		Spec: wire.JobSpec{
+			UID:       uid,
+			JobClass:  "serve",
+			Team:      "team",
+			Kind:      wire.Service,
+			Priority:  wire.High,
+			TaskCount: 8,
+			Cores:     8,
+			Gpus:      1,
+			RAMGb:     40,
+			Image:     "img-1",
+			ImageGb:   20,
+		},
+		Status:            wire.JobQueued,
+		AcceptedAtMs:      1_800_000_000_000,
+		TasksPerPlacement: 80,
+	}
 	return wire.KeyValue{Key: records.JobKey(uid), Value: records.Encode(job), ModRevision: uint64(i + 1)}
 }
 
 // One job's record changes.
 func BenchmarkApplyChange(b *testing.B) {
-	m, row := New(), benchRecord(1)
-	m.Reset([]wire.KeyValue{row}, 1, time.Now())
+	cache, item := New(), benchRecord(1)
+	cache.Reset([]wire.KeyValue{item}, 1, time.Now())
 	b.ReportAllocs()
 	for i := range b.N {
 		revision := uint64(i + 2)
-		m.Apply(wire.WatchResponse{Revision: revision, Events: []wire.WatchEvent{{Set: row.Key, Value: row.Value, ModRevision: revision}}}, revision-1, time.Now())
+		event := wire.WatchEvent{Set: item.Key, Value: item.Value, ModRevision: revision}
+		cache.Apply(wire.WatchResponse{Revision: revision, Events: []wire.WatchEvent{event}}, revision-1, time.Now())
 	}
 }
 
 // A node starts and lists 500 jobs.
 func BenchmarkListing(b *testing.B) {
-	rows := make([]wire.KeyValue, 500)
-	for i := range rows {
-		rows[i] = benchRecord(i)
+	items := make([]wire.KeyValue, 500)
+	for i := range items {
+		items[i] = benchRecord(i)
 	}
 	b.ReportAllocs()
 	for range b.N {
-		New().Reset(rows, 500, time.Now())
+		New().Reset(items, 500, time.Now())
 	}
 }
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -14,131 +14,50 @@
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/records"
-	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Reader is what a mirror needs of the state service.
-type Reader interface {
-	List(ctx context.Context, under string) ([]wire.KeyValue, uint64, error)
-	Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error)
-}
-
-// Handler is what a prefix is followed for. begun is when the read that an
-// update stems from began: whatever was committed before is part of it.
-type Handler interface {
-	// Reset takes a whole listing, made at epoch.
-	Reset(rows []wire.KeyValue, revision uint64, begun time.Time)
-	// Apply takes what changed after the epoch after.
-	Apply(ch wire.WatchResponse, after uint64, begun time.Time)
-}
-
-// Follow keeps f up to date with the keys under a prefix: it lists them, then
-// watches. It returns when ctx ends.
-func Follow(ctx context.Context, r Reader, under string, wait, pause time.Duration, f Handler) {
-	sleep := func() {
-		select {
-		case <-ctx.Done():
-		case <-time.After(pause):
-		}
-	}
-	for ctx.Err() == nil {
-		begun := time.Now()
-		rows, revision, err := r.List(ctx, under)
-		if err != nil {
-			slog.Debug("cannot list", "under", under, "err", err)
-			sleep()
-			continue
-		}
-		f.Reset(rows, revision, begun)
-		for ctx.Err() == nil {
-			begun := time.Now()
-			ch, err := r.Watch(ctx, under, revision, wait)
-			if errors.Is(err, store.ErrCompacted) {
-				break
-			}
-			if err != nil {
-				slog.Debug("watch failed", "under", under, "err", err)
-				sleep()
-				continue
-			}
-			f.Apply(ch, revision, begun)
-			revision = max(revision, ch.Revision)
-		}
-	}
-}
-
-// KeysListableWithin is how many keys one node can list in a time, of a state service that allows rps
-// requests a second.
-func KeysListableWithin(rps float64, within time.Duration) int {
-	return int(rps*store.RequestShare*within.Seconds()) * store.ListPageSize
-}
-
-// HandlerFuncs makes a Handler of functions that get one key's news each: Listed those
-// of a listing, Changed those of a later change. Either may be nil.
-type HandlerFuncs struct{ OnListed, OnChanged func(n wire.WatchEvent) }
-
-// Reset hands on the keys of a listing.
-func (f HandlerFuncs) Reset(rows []wire.KeyValue, _ uint64, _ time.Time) {
-	if f.OnListed == nil {
-		return
-	}
-	for _, row := range rows {
-		f.OnListed(wire.WatchEvent{Set: row.Key, Value: row.Value, ModRevision: row.ModRevision})
-	}
-}
-
-// Apply hands on changes.
-func (f HandlerFuncs) Apply(ch wire.WatchResponse, _ uint64, _ time.Time) {
-	if f.OnChanged == nil {
-		return
-	}
-	for _, n := range ch.Events {
-		f.OnChanged(n)
-	}
-}
-
-// Entry is a job and the stamp of its record.
+// Entry is a job with the modification revision of its record.
 type Entry struct {
-	Job         *records.Job
+	Job         *records.Job // nil if the record was dropped
 	ModRevision uint64
 }
 
-// Listener is told of every change of a job's record; e.Job is nil when the
+// Listener is called for every change of a job's record; entry.Job is nil when the
 // record was dropped (the job is archived).
-type Listener func(uid string, e Entry)
+type Listener func(uid string, entry Entry)
 
 // Cache is a node's copy of the jobs that are not archived. Every node keeps
-// one, so that a follower knows which jobs are withdrawn and a new leader
-// starts warm.
+// one, so that a follower knows which jobs are cancelled and a new leader
+// starts warm. It is safe for concurrent use.
 //
-// It knows how old its knowledge is. That is not when a request was last
+// It knows how old its copy is. That is not when a request was last
 // answered: a watch may wait through a refusal, hang on a dead connection or
 // sleep after an error while other requests of the node succeed. It is when the
 // read began that it was last brought up to date by.
 type Cache struct {
 	mu        sync.Mutex
 	jobs      map[string]Entry
-	revision  uint64                    // all changes up to here are taken
-	freshAsOf atomic.Pointer[time.Time] // all that was committed before is taken; nil before the first listing
+	revision  uint64                    // all changes up to here are applied
+	freshAsOf atomic.Pointer[time.Time] // every commit before it is applied; nil before the first listing
 	listener  Listener
 }
 
-// New makes an empty mirror.
+// New makes an empty cache.
 func New() *Cache { return &Cache{jobs: map[string]Entry{}} }
 
-// Run keeps the mirror up to date until ctx ends.
-func (c *Cache) Run(ctx context.Context, r Reader, wait, pause time.Duration) {
-	Follow(ctx, r, records.JobPrefix, wait, pause, c)
+// Run keeps the cache up to date until ctx ends. See Follow for wait and pause.
+func (c *Cache) Run(ctx context.Context, reader Reader, wait, pause time.Duration) {
+	Follow(ctx, reader, records.JobPrefix, wait, pause, c)
 }
 
-// ErrNotSynced means that the mirror has to be listed before it can be refreshed.
+// ErrNotSynced means that the cache has to be listed before it can be refreshed.
 var ErrNotSynced = errors.New("jobs are not listed yet")
 
-// Refresh brings the mirror up to date with now, past the watch: it asks for
-// what has changed, without waiting for a change. Before the first listing it
-// does nothing.
-func (c *Cache) Refresh(ctx context.Context, r Reader) error {
+// Refresh brings the cache up to date with now, past the watch: it asks for
+// the changes since its revision, without waiting for one. Before the first listing it
+// sends nothing and returns ErrNotSynced.
+func (c *Cache) Refresh(ctx context.Context, reader Reader) error {
 	c.mu.Lock()
 	after := c.revision
 	c.mu.Unlock()
@@ -146,101 +65,104 @@
 		return ErrNotSynced
 	}
 	begun := time.Now()
-	ch, err := r.Watch(ctx, records.JobPrefix, after, 0)
+	changes, err := reader.Watch(ctx, records.JobPrefix, after, 0)
 	if err != nil {
 		return fmt.Errorf("refresh jobs: %w", err)
 	}
-	c.Apply(ch, after, begun)
+	c.Apply(changes, after, begun)
 	if c.FreshAsOf().Before(begun) {
-		return ErrNotSynced // a listing was taken meanwhile that the changes do not follow on
+		return ErrNotSynced // a listing was applied meanwhile that the changes do not follow on
 	}
 	return nil
 }
 
-// Reset takes a listing. It was made over a while: only what was committed
-// before it began is sure to be in it, and later changes are taken once more
-// from its epoch on.
-func (c *Cache) Reset(rows []wire.KeyValue, revision uint64, begun time.Time) {
+// Reset applies a listing. It was made over a while: only what was committed
+// before it began is sure to be in it, and later changes are applied once more
+// from its revision on. It implements Handler.
+func (c *Cache) Reset(items []wire.KeyValue, revision uint64, begun time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	seen := make(map[string]bool, len(rows))
-	for _, row := range rows {
-		uid := strings.TrimPrefix(row.Key, records.JobPrefix)
-		seen[uid] = true
-		c.decodeAndSet(uid, row.Value, row.ModRevision)
+	listed := make(map[string]bool, len(items))
+	for _, item := range items {
+		uid := strings.TrimPrefix(item.Key, records.JobPrefix)
+		listed[uid] = true
+		c.decodeAndSet(uid, item.Value, item.ModRevision)
 	}
 	for uid := range c.jobs {
-		if !seen[uid] {
+		if !listed[uid] {
 			c.deleteEntry(uid, revision)
 		}
 	}
-	// A listing may be older than what is known: what came between is then
-	// gone through again, or a job that was listed and has been archived since
+	// A listing may be older than what is known: the changes between are then
+	// applied again, or a job that was listed and has been archived since
 	// would stay for ever.
 	c.revision = revision
 	c.advanceFreshness(begun)
 }
 
-// Apply takes what changed after an epoch. Two reads may overlap, a watch and a
-// Refresh: what is known already is passed over, and changes that do not
-// follow on what is known are not taken at all.
-func (c *Cache) Apply(ch wire.WatchResponse, after uint64, begun time.Time) {
+// Apply applies the changes after a revision. Two reads may overlap, a watch and a
+// Refresh: changes that are known already are skipped, and changes that do not
+// follow on what is known are not applied at all. It implements Handler.
+func (c *Cache) Apply(changes wire.WatchResponse, after uint64, begun time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if after > c.revision {
 		return // a listing went back behind it
 	}
-	for _, n := range ch.Events {
-		if n.ModRevision <= c.revision {
+	for _, event := range changes.Events {
+		if event.ModRevision <= c.revision {
 			continue
 		}
-		if n.Drop != "" {
-			c.deleteEntry(strings.TrimPrefix(n.Drop, records.JobPrefix), n.ModRevision)
+		if event.Drop != "" {
+			c.deleteEntry(strings.TrimPrefix(event.Drop, records.JobPrefix), event.ModRevision)
 		} else {
-			c.decodeAndSet(strings.TrimPrefix(n.Set, records.JobPrefix), n.Value, n.ModRevision)
+			c.decodeAndSet(strings.TrimPrefix(event.Set, records.JobPrefix), event.Value, event.ModRevision)
 		}
 	}
-	c.revision = max(c.revision, ch.Revision)
+	c.revision = max(c.revision, changes.Revision)
 	c.advanceFreshness(begun)
 }
 
-// advanceFreshness notes that all that was committed before begun is known. m.mu is held.
+// advanceFreshness records that every commit before begun is applied. c.mu is held.
 func (c *Cache) advanceFreshness(begun time.Time) {
 	if begun.After(c.FreshAsOf()) {
 		c.freshAsOf.Store(&begun)
 	}
 }
 
-// ApplyFromPeer takes a job's record that another node tells of, ahead of the state
-// service. It changes nothing about how old the mirror's knowledge is. A job
+// ApplyFromPeer applies a job's record that another node sends ahead of the state
+// store's watch. It does not change FreshAsOf. A job
 // that is not known may be archived already and is left alone.
-func (c *Cache) ApplyFromPeer(uid string, rec records.Job, modRevision uint64) {
+func (c *Cache) ApplyFromPeer(uid string, job records.Job, modRevision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if old, ok := c.jobs[uid]; ok && old.ModRevision < modRevision {
-		c.setEntry(uid, Entry{&rec, modRevision})
+		c.setEntry(uid, Entry{&job, modRevision})
 	}
 }
 
+// decodeAndSet sets a job from the value of its record, unless a newer one is known. c.mu is held.
 func (c *Cache) decodeAndSet(uid string, value json.RawMessage, modRevision uint64) {
 	if old, ok := c.jobs[uid]; ok && old.ModRevision >= modRevision {
 		return
 	}
-	var j records.Job
-	if err := wire.Decode(value, &j); err != nil {
+	var job records.Job
+	if err := wire.Decode(value, &job); err != nil {
 		slog.Error("job record cannot be read", "uid", uid, "err", err)
 		return
 	}
-	c.setEntry(uid, Entry{&j, modRevision})
+	c.setEntry(uid, Entry{&job, modRevision})
 }
 
-func (c *Cache) setEntry(uid string, e Entry) {
-	c.jobs[uid] = e
+// setEntry is the one function that sets a job. c.mu is held.
+func (c *Cache) setEntry(uid string, entry Entry) {
+	c.jobs[uid] = entry
 	if c.listener != nil {
-		c.listener(uid, e)
+		c.listener(uid, entry)
 	}
 }
 
+// deleteEntry is the one function that removes a job, unless a newer record is known. c.mu is held.
 func (c *Cache) deleteEntry(uid string, modRevision uint64) {
 	if old, ok := c.jobs[uid]; ok && old.ModRevision > modRevision {
 		return
@@ -251,7 +173,7 @@
 	}
 }
 
-// FreshAsOf is the time up to which every commit is known: the zero time before the
+// FreshAsOf returns the time up to which every commit is applied: the zero time before the
 // first listing. It takes no lock: a Listener's locks may be held by the caller.
 func (c *Cache) FreshAsOf() time.Time {
 	if at := c.freshAsOf.Load(); at != nil {
@@ -260,37 +182,37 @@
 	return time.Time{}
 }
 
-// HasSynced reports whether the mirror has caught up once.
+// HasSynced reports whether the jobs were listed once.
 func (c *Cache) HasSynced() bool { return !c.FreshAsOf().IsZero() }
 
-// Len is the number of jobs.
+// Len returns the number of jobs.
 func (c *Cache) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.jobs)
 }
 
-// Job finds a job that is not archived, as far as is known.
+// Job finds a job that is not archived, as far as the cache knows.
 func (c *Cache) Job(uid string) (Entry, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e, ok := c.jobs[uid]
-	return e, ok
+	entry, found := c.jobs[uid]
+	return entry, found
 }
 
 // Has reports whether a job is known and not archived.
 func (c *Cache) Has(uid string) bool {
-	_, ok := c.Job(uid)
-	return ok
+	_, found := c.Job(uid)
+	return found
 }
 
-// CancelledAmong tells which of the jobs are withdrawn, as far as is known, and up to
-// which time every withdrawal is known.
-func (c *Cache) CancelledAmong(uids []string) (cancelled map[string]bool, fresh time.Time) {
+// CancelledAmong returns which of the jobs are cancelled, as far as the cache knows (nil if none
+// is), and the time up to which every cancellation is known.
+func (c *Cache) CancelledAmong(uids []string) (cancelled map[string]bool, freshAsOf time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, uid := range uids {
-		if e, ok := c.jobs[uid]; ok && e.Job.Status == wire.JobAborted {
+		if entry, ok := c.jobs[uid]; ok && entry.Job.Status == wire.JobAborted {
 			if cancelled == nil {
 				cancelled = map[string]bool{}
 			}
@@ -300,15 +222,15 @@
 	return cancelled, c.FreshAsOf()
 }
 
-// SetListener hands every known job and then every change to l, one at a time, or
-// ends that if l is nil. l must not call back into the mirror.
-func (c *Cache) SetListener(l Listener) {
+// SetListener calls a listener for every known job and then for every change, one at a time; nil
+// ends the calls. The listener must not call methods of the cache other than FreshAsOf and HasSynced.
+func (c *Cache) SetListener(listener Listener) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.listener = l
-	if l != nil {
-		for uid, e := range c.jobs {
-			l(uid, e)
+	c.listener = listener
+	if listener != nil {
+		for uid, entry := range c.jobs {
+			listener(uid, entry)
 		}
 	}
 }
--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -1,7 +1,6 @@
 package watchcache
 
 import (
-	"context"
 	"fmt"
 	"maps"
 	"slices"
@@ -12,183 +11,175 @@
 	"pgregory.net/rapid"
 
 	"lotusstile.dev/lotusstile/internal/records"
-	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// termRecords is a state service of job termRecords with a history.
-type fakeStore struct {
-	revision    uint64
-	items       map[string]wire.KeyValue
-	log         []wire.WatchEvent
-	oldestKnown uint64 // changes up to here are forgotten
+// storeAt is the content of the store at a time.
+type storeAt struct {
+	at    time.Time
+	items map[string]wire.KeyValue
 }
 
-func (s *fakeStore) set(uid string, status wire.JobStatus) {
-	s.revision++
-	key := records.JobKey(uid)
-	item := wire.KeyValue{Key: key, Value: records.Encode(records.Job{Status: status}), ModRevision: s.revision}
-	s.items[key] = item
-	s.log = append(s.log, wire.WatchEvent{Set: key, Value: item.Value, ModRevision: s.revision})
+// cacheModel drives a cache with reads that overlap, and knows what the store held at each time.
+type cacheModel struct {
+	store   *fakeStore
+	cache   *Cache
+	clock   time.Time
+	history []storeAt
+	late    []func() // answers that are under way
 }
 
-func (s *fakeStore) drop(uid string) {
-	s.revision++
-	delete(s.items, records.JobKey(uid))
-	s.log = append(s.log, wire.WatchEvent{Drop: records.JobKey(uid), ModRevision: s.revision})
+// deliver gives the cache an answer now, or keeps it for later.
+func (m *cacheModel) deliver(t *rapid.T, answer func()) {
+	if rapid.Bool().Draw(t, "late") {
+		m.late = append(m.late, answer)
+	} else {
+		answer()
+	}
 }
 
-func (s *fakeStore) List(context.Context, string) ([]wire.KeyValue, uint64, error) {
-	var rows []wire.KeyValue
-	for _, it := range s.items {
-		rows = append(rows, it)
+// step changes the store, sends a read or delivers a late answer.
+func (m *cacheModel) step(t *rapid.T) {
+	uid := fmt.Sprintf("run-%06d", rapid.IntRange(0, 1).Draw(t, "job"))
+	_, exists := m.store.items[records.JobKey(uid)]
+	begun := m.clock
+	switch rapid.IntRange(0, 14).Draw(t, "step") {
+	case 0, 1, 2, 3:
+		m.submitOrCancel(t, uid)
+	case 4, 5:
+		if exists {
+			m.store.drop(uid)
+		}
+	case 6, 7, 8:
+		m.cache.mu.Lock()
+		after := m.cache.revision
+		m.cache.mu.Unlock()
+		if changes, err := m.store.Watch(t.Context(), records.JobPrefix, after, 0); err == nil && m.cache.HasSynced() {
+			m.deliver(t, func() { m.cache.Apply(changes, after, begun) })
+		}
+	case 9, 10:
+		items, revision, _ := m.store.List(t.Context(), records.JobPrefix)
+		m.deliver(t, func() { m.cache.Reset(items, revision, begun) })
+	case 11, 12, 13:
+		if len(m.late) > 0 {
+			i := rapid.IntRange(0, len(m.late)-1).Draw(t, "which")
+			m.late[i]()
+			m.late = append(m.late[:i], m.late[i+1:]...)
+		}
+	case 14:
+		if rapid.IntRange(0, 9).Draw(t, "compact") == 0 {
+			m.store.compacted = m.store.revision
+		}
 	}
-	return rows, s.revision, nil
 }
 
-func (s *fakeStore) Watch(_ context.Context, _ string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
-	if after < s.oldestKnown {
-		return wire.WatchResponse{}, store.ErrCompacted
+// submitOrCancel submits a job, or cancels it and perhaps sends the record as a peer does.
+func (m *cacheModel) submitOrCancel(t *rapid.T, uid string) {
+	item, exists := m.store.items[records.JobKey(uid)]
+	if !exists {
+		m.store.set(uid, wire.JobQueued)
+		return
+	}
+	if strings.Contains(string(item.Value), string(wire.JobAborted)) {
+		return
 	}
-	ch := wire.WatchResponse{Revision: s.revision}
-	for _, n := range s.log {
-		if n.ModRevision > after {
-			ch.Events = append(ch.Events, n)
+	m.store.set(uid, wire.JobAborted)
+	if modRevision := m.store.revision; rapid.Bool().Draw(t, "from a peer") {
+		m.deliver(t, func() { m.cache.ApplyFromPeer(uid, records.Job{Status: wire.JobAborted}, modRevision) })
+	}
+}
+
+// check compares the cache with the store at the latest time up to which the cache is fresh.
+func (m *cacheModel) check(t *rapid.T) {
+	for _, then := range slices.Backward(m.history) {
+		if then.at.After(m.cache.FreshAsOf()) {
+			continue
+		}
+		for key, item := range then.items {
+			if m.store.items[key].ModRevision == item.ModRevision { // else its record has changed since
+				m.checkJob(t, strings.TrimPrefix(key, records.JobPrefix), item.ModRevision)
+			}
 		}
+		return
+	}
+}
+
+// checkJob checks that a job is known as of a revision, and whether it is cancelled.
+func (m *cacheModel) checkJob(t *rapid.T, uid string, modRevision uint64) {
+	known := m.cache.jobs[uid]
+	if known.ModRevision != modRevision {
+		t.Fatalf("fresh as of %v, but %s is known as of %d, not %d",
+			m.cache.FreshAsOf().Unix(), uid, known.ModRevision, modRevision)
+	}
+	cancelled, freshAsOf := m.cache.CancelledAmong([]string{uid})
+	if cancelled[uid] != (known.Job.Status == wire.JobAborted) || !freshAsOf.Equal(m.cache.FreshAsOf()) {
+		t.Fatalf("%s cancelled: %v as of %v", uid, cancelled[uid], freshAsOf)
 	}
-	return ch, nil
 }
 
-// A mirror that says that it is fresh up to a time knows every withdrawal that
+// finish delivers all answers, refreshes the cache and checks that it holds what the store does.
+func (m *cacheModel) finish(t *rapid.T) {
+	for _, answer := range m.late {
+		answer()
+	}
+	if err := m.cache.Refresh(t.Context(), m.store); err != nil {
+		items, revision, _ := m.store.List(t.Context(), records.JobPrefix)
+		m.cache.Reset(items, revision, m.clock)
+	}
+	if len(m.cache.jobs) != len(m.store.items) {
+		t.Fatalf("%d jobs are known, there are %d", len(m.cache.jobs), len(m.store.items))
+	}
+	for uid, entry := range m.cache.jobs {
+		if m.store.items[records.JobKey(uid)].ModRevision != entry.ModRevision {
+			t.Fatalf("%s is known as of %d", uid, entry.ModRevision)
+		}
+	}
+}
+
+// A cache that is fresh as of a time knows every cancellation that
 // was committed before, and no job stays in it that was dropped before, however
-// reads overlap: listings, watches and refreshes that are answered late, hints,
-// and changes that are no longer kept. A withdrawal that it knew once is not
+// reads overlap: listings, watches and refreshes that are answered late, records from peers,
+// and changes that are no longer kept. A cancellation that it knew once is not
 // forgotten while the job has a record.
-func TestCacheKnowsWhatItSays(t *testing.T) {
+func TestCacheKnowsAllCommitsBeforeFreshAsOf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &fakeStore{items: map[string]wire.KeyValue{}}
-		m := New()
-		clock := time.Unix(1000, 0)
-		type then struct { // the records as they stood at a time
-			at       time.Time
-			revision uint64
-			items    map[string]wire.KeyValue
-		}
-		var history []then
-		var late []func() // answers that are under way
+		model := &cacheModel{store: newFakeStore(), cache: New(), clock: time.Unix(1000, 0)}
 		for range rapid.IntRange(5, 100).Draw(t, "steps") {
-			clock = clock.Add(time.Second)
-			uid := fmt.Sprintf("run-%06d", rapid.IntRange(0, 1).Draw(t, "job"))
-			it, exists := s.items[records.JobKey(uid)]
-			begun := clock
-			answer := func(f func()) {
-				if rapid.Bool().Draw(t, "late") {
-					late = append(late, f)
-				} else {
-					f()
-				}
-			}
-			switch rapid.IntRange(0, 14).Draw(t, "step") {
-			case 0, 1, 2, 3:
-				if exists && !strings.Contains(string(it.Value), string(wire.JobAborted)) {
-					s.set(uid, wire.JobAborted)
-					if modRevision := s.revision; rapid.Bool().Draw(t, "hint") {
-						answer(func() { m.ApplyFromPeer(uid, records.Job{Status: wire.JobAborted}, modRevision) })
-					}
-				} else if !exists {
-					s.set(uid, wire.JobQueued)
-				}
-			case 4, 5:
-				if exists {
-					s.drop(uid)
-				}
-			case 6, 7, 8:
-				m.mu.Lock()
-				after := m.revision
-				m.mu.Unlock()
-				if ch, err := s.Watch(t.Context(), records.JobPrefix, after, 0); err == nil && m.HasSynced() {
-					answer(func() { m.Apply(ch, after, begun) })
-				}
-			case 9, 10:
-				rows, revision, _ := s.List(t.Context(), records.JobPrefix)
-				answer(func() { m.Reset(rows, revision, begun) })
-			case 11, 12, 13:
-				if len(late) > 0 {
-					i := rapid.IntRange(0, len(late)-1).Draw(t, "which")
-					late[i]()
-					late = append(late[:i], late[i+1:]...)
-				}
-			case 14:
-				if rapid.IntRange(0, 9).Draw(t, "forget") == 0 {
-					s.oldestKnown = s.revision
-				}
-			}
-			history = append(history, then{clock, s.revision, maps.Clone(s.items)})
-			for _, h := range slices.Backward(history) {
-				if h.at.After(m.FreshAsOf()) {
-					continue
-				}
-				for key, it := range h.items {
-					uid := strings.TrimPrefix(key, records.JobPrefix)
-					if s.items[key].ModRevision != it.ModRevision {
-						continue // its record has changed since
-					}
-					if m.jobs[uid].ModRevision != it.ModRevision {
-						t.Fatalf("fresh up to %v, but %s is known as of %d, not %d", m.FreshAsOf().Unix(), uid, m.jobs[uid].ModRevision, it.ModRevision)
-					}
-					w, fresh := m.CancelledAmong([]string{uid})
-					if w[uid] != (m.jobs[uid].Job.Status == wire.JobAborted) || !fresh.Equal(m.FreshAsOf()) {
-						t.Fatalf("%s withdrawn: %v up to %v", uid, w[uid], fresh)
-					}
-				}
-				break
-			}
-		}
-		// Once all is told, the mirror is what the records are.
-		for _, f := range late {
-			f()
-		}
-		if err := m.Refresh(t.Context(), s); err != nil {
-			rows, revision, _ := s.List(t.Context(), records.JobPrefix)
-			m.Reset(rows, revision, clock)
-		}
-		if len(m.jobs) != len(s.items) {
-			t.Fatalf("%d jobs are known, there are %d", len(m.jobs), len(s.items))
-		}
-		for uid, e := range m.jobs {
-			if s.items[records.JobKey(uid)].ModRevision != e.ModRevision {
-				t.Fatalf("%s is known as of %d", uid, e.ModRevision)
-			}
+			model.clock = model.clock.Add(time.Second)
+			model.step(t)
+			model.history = append(model.history, storeAt{model.clock, maps.Clone(model.store.items)})
+			model.check(t)
 		}
+		model.finish(t)
 	})
 }
 
 // A listing that is answered late, after what it shows was archived, and a change
 // that was asked for before it: the job must not stay for ever.
-func TestCacheForgetsWhatIsArchived(t *testing.T) {
-	s := &fakeStore{items: map[string]wire.KeyValue{}}
-	m := New()
+func TestCacheForgetsArchivedJobsAfterALateListing(t *testing.T) {
+	fake := newFakeStore()
+	cache := New()
 	at := time.Unix(1000, 0)
 	refresh := func() func() {
-		ch, err := s.Watch(t.Context(), records.JobPrefix, m.revision, 0)
+		changes, err := fake.Watch(t.Context(), records.JobPrefix, cache.revision, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		after := m.revision
-		return func() { m.Apply(ch, after, at) }
+		after := cache.revision
+		return func() { cache.Apply(changes, after, at) }
 	}
-	m.Reset(nil, 0, at)
-	s.set("run-000001", wire.JobQueued)
-	rows, revision, _ := s.List(t.Context(), records.JobPrefix)
+	cache.Reset(nil, 0, at)
+	fake.set("run-000001", wire.JobQueued)
+	items, revision, _ := fake.List(t.Context(), records.JobPrefix)
 	refresh()()
-	s.drop("run-000001")
+	fake.drop("run-000001")
 	refresh()()
-	s.set("run-000002", wire.JobQueued)
+	fake.set("run-000002", wire.JobQueued)
 	late := refresh()
-	m.Reset(rows, revision, at)
+	cache.Reset(items, revision, at)
 	late() // follows on what the listing went back behind
 	refresh()()
-	if _, known := m.jobs["run-000001"]; known || m.jobs["run-000002"].Job == nil {
-		t.Errorf("known are %v", m.jobs)
+	if _, known := cache.jobs["run-000001"]; known || cache.jobs["run-000002"].Job == nil {
+		t.Errorf("known are %v", cache.jobs)
 	}
 }
--- a/internal/watchcache/linearizable.go
+++ b/internal/watchcache/linearizable.go
@@ -8,44 +8,57 @@
 	"lotusstile.dev/lotusstile/internal/store"
 )
 
-// Pacer lets whoever asks a service wait for its turn.
+// Pacer limits how often reads are sent: Wait returns when the next one may be. It is implemented by
+// aimd.Limiter.
 type Pacer interface {
 	Wait(ctx context.Context) error
 }
 
-// LinearizableReader brings a mirror up to date for many callers at once. Every caller gets
-// a read that began after it called; callers that come while one read is under way, or
+// LinearizableReader brings a cache up to date for many callers at once. Every caller gets
+// a read that began after its call; callers that arrive while one read is under way, or
 // waits for its turn, share the next. This is the one place that decides which read
-// answers which question. So however many ask, the state service gets no more reads
-// than the pace allows.
+// answers which question. So however many callers there are, the state store gets no more reads
+// than the pacer allows. It is safe for concurrent use.
+//
+// A read belongs to all who wait for it, so it does not end with the context of any of them; it
+// ends after the reader's time-out.
 type LinearizableReader struct {
 	cache    *Cache
 	reader   Reader
-	pace     Pacer
+	pacer    Pacer
 	timeout  time.Duration // of one read
-	patience time.Duration // after it, a read that is not answered holds up no other
+	patience time.Duration // after it, a read that is not answered delays no other
 
 	mu      sync.Mutex
 	running *sharedRead // the read that began last; nil if it has ended
 	waiting *sharedRead // the read that begins next; nil if nobody waits for one
 }
 
-// sharedRead is one read and those who wait for it.
+// sharedRead is one read that several callers wait for.
 type sharedRead struct {
 	begun time.Time
 	done  chan struct{} // closed when it has ended
 	err   error         // set before done is closed
 }
 
-// NewLinearizableReader makes a Refresher whose reads keep to a pace.
-func NewLinearizableReader(cache *Cache, r Reader, pace Pacer, timeout time.Duration) *LinearizableReader {
-	const patienceShare = 20
-	return &LinearizableReader{cache: cache, reader: r, pace: pace, timeout: timeout, patience: timeout / patienceShare}
+// patienceDivisor of the time-out of a read is how long it may delay the next one.
+const patienceDivisor = 20
+
+// NewLinearizableReader makes a LinearizableReader. timeout is for one read.
+func NewLinearizableReader(cache *Cache, reader Reader, pacer Pacer, timeout time.Duration) *LinearizableReader {
+	return &LinearizableReader{
+		cache:    cache,
+		reader:   reader,
+		pacer:    pacer,
+		timeout:  timeout,
+		patience: timeout / patienceDivisor,
+	}
 }
 
-// Refresh returns nil once the mirror knows all that was committed before the call.
+// Refresh returns nil once the cache has applied everything that was committed before the call. Its
+// error is that of the read, or of ctx if that ends first.
 func (r *LinearizableReader) Refresh(ctx context.Context) error {
-	read := r.joinNextRead()
+	read := r.joinNextRead() //nolint:contextcheck // the read belongs to all who wait for it and has a time-out of its own
 	select {
 	case <-read.done:
 		return read.err
@@ -54,7 +67,7 @@
 	}
 }
 
-// joinNextRead finds a read that has not begun yet, or makes one.
+// joinNextRead returns the read that has not begun yet, or makes one.
 func (r *LinearizableReader) joinNextRead() *sharedRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,17 +99,17 @@
 
 // startReadAfter starts the next read in its turn, when the one before, if there is any, has ended
 // or has taken too long.
-func (r *LinearizableReader) startReadAfter(before, next *sharedRead) {
-	if before != nil {
-		patience := time.NewTimer(r.patience - time.Since(before.begun))
+func (r *LinearizableReader) startReadAfter(previous, next *sharedRead) {
+	if previous != nil {
+		patience := time.NewTimer(r.patience - time.Since(previous.begun))
 		select {
-		case <-before.done:
+		case <-previous.done:
 		case <-patience.C:
 		}
 		patience.Stop()
 	}
-	// Its turn comes: the pace has no other askers, and it has a least rate.
-	err := r.pace.Wait(context.Background())
+	// Its turn always comes: nobody else waits for the pacer, and its rate never falls to zero.
+	err := r.pacer.Wait(context.Background())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waiting = nil
--- a/internal/watchcache/linearizable_test.go
+++ b/internal/watchcache/linearizable_test.go
@@ -11,39 +11,11 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// slowRecords is a state service whose reads show it as it was when they were
-// carried out and are answered later.
-type slowRecords struct {
-	*fakeStore
-	mu     sync.Mutex
-	reads  int
-	answer func(read int) time.Duration
-}
-
-func (s *slowRecords) Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error) {
-	s.mu.Lock()
-	read := s.reads
-	s.reads++
-	ch, err := s.fakeStore.Watch(ctx, under, after, wait)
-	s.mu.Unlock()
-	select {
-	case <-time.After(s.answer(read)):
-		return ch, err
-	case <-ctx.Done():
-		return wire.WatchResponse{}, ctx.Err()
-	}
-}
-
-// unpaced lets every read begin at once.
-type unpaced struct{}
-
-func (unpaced) Wait(context.Context) error { return nil }
-
-// Whoever asks gets a read that began after the question: what was committed before
+// Every caller gets a read that began after its call: what was committed before
 // is known then, also when another read was under way already. An answer from the
 // read under way would have missed it. Callers share reads, and one that is not
-// answered holds up no other for long.
-func TestRefreshBeginsAfterTheQuestion(t *testing.T) {
+// answered delays no other for long.
+func TestRefreshReadBeginsAfterTheCall(t *testing.T) {
 	const callers, timeout = 40, 2 * time.Second
 	for _, tc := range []struct {
 		name      string
@@ -62,10 +34,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				service := &slowRecords{fakeStore: &fakeStore{items: map[string]wire.KeyValue{}}, answer: tc.answer}
+				service := &slowStore{fakeStore: newFakeStore(), answer: tc.answer}
 				cache := New()
 				cache.Reset(nil, 0, time.Now())
-				refresher := NewLinearizableReader(cache, service, unpaced{}, timeout)
+				reader := NewLinearizableReader(cache, service, unpaced{}, timeout)
 				var wg sync.WaitGroup
 				for i := range callers {
 					time.Sleep(3 * time.Millisecond)
@@ -77,7 +49,7 @@
 						began := time.Now()
 						ctx, cancel := context.WithTimeout(context.Background(), tc.mostWait)
 						defer cancel()
-						err := refresher.Refresh(ctx)
+						err := reader.Refresh(ctx)
 						if err != nil && i == 0 && tc.name == "one is lost" {
 							return // its own read is the lost one
 						}
@@ -85,13 +57,13 @@
 							t.Errorf("%s: %v after %s", uid, err, time.Since(began))
 						}
 						if !cache.Has(uid) {
-							t.Errorf("%s was committed before the question and is not known", uid)
+							t.Errorf("%s was committed before the call and is not known", uid)
 						}
 					})
 				}
 				wg.Wait()
 				if service.reads > tc.mostReads {
-					t.Errorf("%d reads for %d questions, want at most %d", service.reads, callers, tc.mostReads)
+					t.Errorf("%d reads for %d calls, want at most %d", service.reads, callers, tc.mostReads)
 				}
 				time.Sleep(timeout)
 			})
