--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -10,22 +10,47 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files again")
 
 // Stored records keep their keys, whatever the Go names are: a new release reads
 // what an older one has written.
 func TestGoldenRecords(t *testing.T) {
 	due := 900.5
+	spec := wire.JobSpec{
+		UID:                 "run-000412",
+		JobClass:            "train",
+		Team:                "vision",
+		Kind:                wire.JobArray,
+		Priority:            wire.High,
+		TaskCount:           16,
+		Cores:               8,
+		Gpus:                1,
+		RAMGb:               64,
+		Image:               "img-07",
+		ImageGb:             6.2,
+		MachineTypes:        []string{"g8"},
+		Zone:                "a",
+		SingleZone:          true,
+		SpreadZones:         true,
+		AllowSpot:           true,
+		ExpectedRunS:        240,
+		CheckpointIntervalS: 30,
+		CheckpointOnStopS:   4,
+		DeadlineS:           &due,
+	}
+	placement := Placement{
+		NextAttempt: 3,
+		DoneBits:    []byte{5},
+		Live:        []PlacedAttempt{{Task: 1, Attempt: 2, Host: "m-1", Incarnation: 4}},
+	}
 	for name, record := range map[string]struct{ value, empty any }{
-		"leader": {Leader{Node: "n"}, new(Leader)},
-		"job": {Job{Spec: wire.JobSpec{UID: "run-000412", JobClass: "train", Team: "vision", Kind: wire.JobArray, Priority: wire.High, TaskCount: 16, Cores: 8, Gpus: 1, RAMGb: 64,
-			Image: "img-07", ImageGb: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SingleZone: true, SpreadZones: true, AllowSpot: true, ExpectedRunS: 240, CheckpointIntervalS: 30, CheckpointOnStopS: 4, DeadlineS: &due},
-			Status: wire.JobQueued, AcceptedAtMs: 1, TasksPerPlacement: 85}, new(Job)},
+		"leader":  {Leader{Node: "n"}, new(Leader)},
+		"job":     {Job{Spec: spec, Status: wire.JobQueued, AcceptedAtMs: 1, TasksPerPlacement: 85}, new(Job)},
 		"final":   {Final{Status: wire.JobDone}, new(Final)},
 		"returns": {ScaleIns{Hosts: []string{"m-1"}}, new(ScaleIns)},
 		"images":  {Images{Names: []string{"img-07"}}, new(Images)},
 		"kept":    {RenewedLeases{Hosts: []string{"m-1"}}, new(RenewedLeases)},
-		"piece":   {Placement{NextAttempt: 3, DoneBits: []byte{5}, Live: []PlacedAttempt{{Task: 1, Attempt: 2, Host: "m-1", Incarnation: 4}}}, new(Placement)},
+		"piece":   {placement, new(Placement)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join("testdata", "golden", name+".json")
@@ -52,11 +77,22 @@
 			}
 		})
 	}
-	keys := []string{JobKey("run-000412"), FinalKey("run-000412"), ImagesKey("m-1"), PlacementKey("run-000412", 7), LeaderKey, TermKey, SettingsKey, ScaleInPrefix, RenewedLeasesPrefix}
-	want := []string{"j/run-000412", "f/run-000412", "i/m-1", "p/run-000412/000007", "e/leader", "e/term", "o/settings", "r/", "k/"}
-	for i := range keys {
-		if keys[i] != want[i] {
-			t.Errorf("key %s, want %s", keys[i], want[i])
+	for _, tc := range []struct{ key, want string }{
+		{JobKey("run-000412"), "j/run-000412"},
+		{FinalKey("run-000412"), "f/run-000412"},
+		{ImagesKey("m-1"), "i/m-1"},
+		{PlacementKey("run-000412", 7), "p/run-000412/000007"},
+		{ReleaseKey("n1"), "o/release/n1"},
+		{LeaderKey, "e/leader"},
+		{TermKey, "e/term"},
+		{FailoverKey, "t/last"},
+		{SettingsKey, "o/settings"},
+		{VersionKey, "o/version"},
+		{ScaleInPrefix, "r/"},
+		{RenewedLeasesPrefix, "k/"},
+	} {
+		if tc.key != tc.want {
+			t.Errorf("key %s, want %s", tc.key, tc.want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/records/keys.go
@@ -0,0 +1,57 @@
+package records
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Fixed keys and prefixes of keys. The package comment says what each one holds.
+const (
+	ElectionPrefix      = "e/"
+	LeaderKey           = "e/leader"
+	TermKey             = "e/term"
+	JobPrefix           = "j/"
+	PlacementPrefix     = "p/"
+	FinalPrefix         = "f/"
+	ScaleInPrefix       = "r/"
+	ImagesPrefix        = "i/"
+	RenewedLeasesPrefix = "k/"
+	FailoverKey         = "t/last"
+	SettingsPrefix      = "o/"
+	SettingsKey         = "o/settings"
+	VersionKey          = "o/version"
+	ReleasePrefix       = "o/release/"
+)
+
+// JobKey returns the key of a job.
+func JobKey(uid string) string { return JobPrefix + uid }
+
+// FinalKey returns the key of a job's final status.
+func FinalKey(uid string) string { return FinalPrefix + uid }
+
+// ReleaseKey returns the key of the version that a node understands.
+func ReleaseKey(node string) string { return ReleasePrefix + node }
+
+// ImagesKey returns the key of a machine's images.
+func ImagesKey(host string) string { return ImagesPrefix + host }
+
+// PlacementKey returns the key of the placement record with a number, from 0, of a job.
+func PlacementKey(uid string, number int) string {
+	return fmt.Sprintf("%s%s/%06d", PlacementPrefix, uid, number)
+}
+
+// SplitPlacementKey returns the job and the number of a placement record's key; ok is false for
+// other keys.
+func SplitPlacementKey(key string) (uid string, number int, ok bool) {
+	rest, found := strings.CutPrefix(key, PlacementPrefix)
+	if !found {
+		return "", 0, false
+	}
+	uid, digits, found := strings.Cut(rest, "/")
+	if !found {
+		return "", 0, false
+	}
+	number, err := strconv.Atoi(digits)
+	return uid, number, err == nil && number >= 0
+}
--- a/internal/records/settings.go
+++ b/internal/records/settings.go
@@ -2,28 +2,51 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// DefaultSettings derives the defaults from the interval of workers' reports.
-// The paper's default interval is 3 s; the fetch of an image takes most of the
-// time that users wait, so a round is a third of a report's interval here.
-func DefaultSettings(reportS float64) wire.Settings {
-	return wire.Settings{IntervalS: reportS / 3, Window: 200, Headroom: 2}
+// Defaults of the operators' own settings.
+const (
+	// cyclesPerHeartbeat is how many scheduling cycles there are in a heartbeat interval. The
+	// paper's default interval between cycles is 3 s; the fetch of an image takes most of the time
+	// that users wait, so a cycle takes a third of a heartbeat interval here.
+	cyclesPerHeartbeat = 3
+	defaultWindow      = 200 // jobs
+	defaultHeadroom    = 2   // times the usual headroom
+)
+
+// Bounds of the operators' own settings.
+const (
+	minIntervalS = 0.1
+	maxIntervalS = 60
+	minWindow    = 1
+	maxWindow    = 10000
+	maxHeadroom  = 100
+)
+
+// DefaultSettings returns the defaults for a heartbeat interval in seconds.
+func DefaultSettings(heartbeatIntervalS float64) wire.Settings {
+	return wire.Settings{
+		IntervalS: heartbeatIntervalS / cyclesPerHeartbeat,
+		Window:    defaultWindow,
+		Headroom:  defaultHeadroom,
+	}
 }
 
-// ValidateSettings reports what is wrong with the operators' own settings.
-func ValidateSettings(s wire.Settings) error {
+// ValidateSettings returns what is wrong with the operators' own settings, one joined error per
+// fault under the setting's published name; nil if they are valid.
+func ValidateSettings(settings wire.Settings) error {
 	var faults []error
-	if !(s.IntervalS >= 0.1 && s.IntervalS <= 60) {
-		faults = append(faults, errors.New("setting IntervalS must be from 0.1 to 60"))
+	if !(settings.IntervalS >= minIntervalS && settings.IntervalS <= maxIntervalS) { // NaN is a fault too
+		faults = append(faults, fmt.Errorf("setting IntervalS must be from %v to %v", minIntervalS, maxIntervalS))
 	}
-	if s.Window < 1 || s.Window > 10000 {
-		faults = append(faults, errors.New("setting Window must be from 1 to 10000"))
+	if settings.Window < minWindow || settings.Window > maxWindow {
+		faults = append(faults, fmt.Errorf("setting Window must be from %v to %v", minWindow, maxWindow))
 	}
-	if !(s.Headroom >= 0 && s.Headroom <= 100) {
-		faults = append(faults, errors.New("setting Spare must be from 0 to 100"))
+	if !(settings.Headroom >= 0 && settings.Headroom <= maxHeadroom) {
+		faults = append(faults, fmt.Errorf("setting Spare must be from 0 to %v", maxHeadroom))
 	}
 	return errors.Join(faults...)
 }
