--- a/internal/admission/connections.go
+++ b/internal/admission/connections.go
@@ -63,11 +63,11 @@
 		WorkerReserve: Slots{limit: max(1, reserve*workersParts/reserveParts)},
 		UserReserve:   Slots{limit: max(1, reserve*usersParts/reserveParts)},
 		limits: connlimit.Limits{
-			Places:  int(placesShare * connections),
+			MaxOpen: int(placesShare * connections),
 			Reserve: int(reserveShare * connections),
 			// A worker that is well is idle for no longer than one interval.
-			MinIdle:  2 * heartbeatInterval,
-			Patience: heartbeatInterval,
+			MinIdle:        2 * heartbeatInterval,
+			ReserveTimeout: heartbeatInterval,
 		},
 	}
 }
--- a/internal/controller/returns.go
+++ b/internal/controller/returns.go
@@ -28,7 +28,7 @@
 
 // startReturn starts the return of a machine.
 func (c *Controller) startReturn(m *fleet.Machine, now time.Time, why string) {
-	c.fleet.Return(m, now, why)
+	c.fleet.MarkReturning(m, now, why)
 	if c.returns[m.ID] == nil {
 		c.returns[m.ID] = &pendingReturn{}
 		notify(c.returnsWake)
@@ -83,7 +83,7 @@
 	})
 	if err != nil {
 		slog.Warn("returns not recorded", "hosts", hosts, "err", err)
-		c.checkDeposed(err) // takes the lock itself
+		c.stepDownOnLeaderConflict(err) // takes the lock itself
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +124,7 @@
 	now := c.now()
 	for _, id := range hosts {
 		c.returns[id].goneAt = now
-		c.fleet.Confirm(c.fleet.Get(id), now, "returned")
+		c.fleet.MarkGone(c.fleet.Get(id), now, "returned")
 	}
 	notify(c.placementWake) // what they ran can be placed
 	return true
@@ -134,7 +134,7 @@
 // that no list shows them, those of their images first.
 func (c *Controller) forgetReturned(ctx context.Context) {
 	keep := 6*c.Config.ListLag() + 3*c.Config.WorkerLease()
-	ops := max(4, c.batchOps()/3)
+	ops := max(4, c.maxBatchChanges()/3)
 	c.mu.Lock()
 	now := c.now()
 	over := func(id string) bool {
@@ -170,7 +170,7 @@
 	}
 	if _, err := c.Store.Commit(store.Note(ctx), tx); err != nil {
 		slog.Debug("returned machines not forgotten", "err", err)
-		c.checkDeposed(err)
+		c.stepDownOnLeaderConflict(err)
 		return
 	}
 	c.mu.Lock()
--- a/internal/controller/returns_test.go
+++ b/internal/controller/returns_test.go
@@ -114,14 +114,14 @@
 	j := newJob("run-000001", watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{TaskCount: 3}, Status: wire.JobQueued, Per: 2}, ModRevision: 7}, now)
 	c.jobs[j.uid] = j
 	p := j.placement(0)
-	a := &fleet.Attempt{UID: j.uid, Number: 1}
-	p.live[0], p.next = a, 2
+	a := &fleet.Attempt{JobUID: j.uid, Number: 1}
+	p.live[0], p.nextAttempt = a, 2
 	j.live++
-	p.touch(now)
-	c.fleet.Place(c.fleet.Get("m-000"), a, now)
+	p.markChanged(now)
+	c.fleet.AddAttempt(c.fleet.Get("m-000"), a, now)
 	c.fleet.StopAttempt(a, 0, now, "its machine has a new session") // before it was recorded
-	now = now.Add(c.endsWait())
-	b := c.collect()
+	now = now.Add(c.endRecordDelay())
+	b := c.nextBatch()
 	if b == nil || len(b.placements) != 1 || len(b.placements[0].planned) != 0 {
 		t.Fatalf("the batch is %+v", b)
 	}
--- a/internal/controller/spare.go
+++ b/internal/controller/spare.go
@@ -35,11 +35,11 @@
 
 // arrived notes a new job.
 func (c *Controller) arrived(j *job, now time.Time) {
-	s, tasks := &j.rec.Spec, float64(j.rec.Spec.TaskCount)
-	a := c.arrive[s.JobClass]
+	s, tasks := &j.record.Spec, float64(j.record.Spec.TaskCount)
+	a := c.arrivalsByClass[s.JobClass]
 	if a == nil {
 		a = &arrivals{at: now, tasksSquared: tasks * tasks}
-		c.arrive[s.JobClass] = a
+		c.arrivalsByClass[s.JobClass] = a
 	}
 	a.spec, a.level = s, s.Priority.Level()
 	a.tasksSquared += (tasks*tasks - a.tasksSquared) / 8
@@ -52,18 +52,18 @@
 func (c *Controller) headroom(now time.Time) []*sched.Job {
 	var jobs []*sched.Job
 	factor := c.Settings().Headroom
-	for _, a := range c.arrive {
+	for _, a := range c.arrivalsByClass {
 		if a.level < wire.High.Level() || factor == 0 {
 			continue
 		}
 		a.fade(now, c.fadeS())
 		perS := a.count / c.fadeS()
-		n := int(math.Ceil(factor * float64(provision.Headroom(perS, a.tasksSquared, c.bootS(a.spec)))))
+		n := int(math.Ceil(factor * float64(provision.Headroom(perS, a.tasksSquared, c.bootSeconds(a.spec)))))
 		spec := *a.spec // of all phantoms of the class
 		spec.UID, spec.TaskCount, spec.Kind, spec.SingleZone, spec.SpreadZones = "", 1, wire.JobArray, false, false
-		fetch := c.slackS(a.spec) < 0
+		fetch := c.slackSeconds(a.spec) < 0
 		for i := range n {
-			jobs = append(jobs, &sched.Job{Spec: &spec, Level: a.level, AtMs: int64(i), Waiting: 1, ByZone: map[string]int{}, Fetch: fetch})
+			jobs = append(jobs, &sched.Job{Spec: &spec, Level: a.level, QueuedSinceMs: int64(i), PendingTasks: 1, LiveByZone: map[string]int{}, FetchDelaysStart: fetch})
 		}
 	}
 	return jobs
@@ -80,7 +80,7 @@
 	}
 	population := map[string]int{}
 	c.fleet.Each(func(m *fleet.Machine) { population[m.Zone]++ })
-	shorts := append(append([]sched.Short{}, plan.Shorts...), headroom.Shorts...)
+	shorts := append(append([]sched.Shortfall{}, plan.Shortfalls...), headroom.Shortfalls...)
 	provisionRequests := provision.Plan(c.catalog, provision.Demand{Shorts: shorts, Population: population, Calls: c.provisionCalls(),
 		Refused: func(g provision.MachineGroup) bool { return now.Before(c.refused[g].until) }})
 	var out []*provisionRequest
@@ -88,7 +88,7 @@
 		out = append(out, c.book(r))
 	}
 	if settled {
-		c.idle(plan.Shorts, now)
+		c.idle(plan.Shortfalls, now)
 	}
 	return out
 }
@@ -96,8 +96,8 @@
 // planHeadroom plans for the work that must start at once when it comes, with the room that a
 // round has left, and keeps the machines that it would use.
 func (c *Controller) planHeadroom(p *snapshot, plan *sched.Plan, now time.Time) *sched.Plan {
-	in := &sched.Input{Now: now, View: p.in.View, Nodes: p.in.Nodes, After: plan, VictimsBelow: p.in.VictimsBelow,
-		Window: math.MaxInt, ReserveS: math.Inf(1), Jobs: c.headroom(now), Teams: map[string]*sched.Team{}}
+	in := &sched.Input{Now: now, View: p.in.View, Nodes: p.in.Nodes, Previous: plan, PreemptOnlyBelow: p.in.PreemptOnlyBelow,
+		Window: math.MaxInt, ReserveAfterS: math.Inf(1), Jobs: c.headroom(now), Teams: map[string]*sched.Team{}}
 	for name := range p.in.Teams {
 		in.Teams[name] = &sched.Team{}
 	}
@@ -105,12 +105,12 @@
 	if len(in.Jobs) > 0 {
 		headroom = sched.Run(in)
 	}
-	for _, place := range headroom.Places {
+	for _, place := range headroom.Placements {
 		if m := p.machine(place.Node); m != nil {
 			retained[m.ID] = true
 		}
 	}
-	c.keepAsHeadroom(retained)
+	c.setHeadroomMachines(retained)
 	return headroom
 }
 
@@ -135,12 +135,12 @@
 // not kept as spare room, the dearest first. A part of them at a time: the next
 // round sees what is left. It is a part and not a number, or what a large fleet
 // no longer needs stays for minutes: one machine a round left 250 of 450 idle.
-func (c *Controller) idle(shorts []sched.Short, now time.Time) {
+func (c *Controller) idle(shorts []sched.Shortfall, now time.Time) {
 	// Machines that what waits cannot use are returned even while work waits:
 	// else they could hold the last capacity that the cloud has, for ever.
 	wanted := func(m *fleet.Machine) bool {
-		return slices.ContainsFunc(shorts, func(s sched.Short) bool {
-			return sched.Allowed(s.Job.Spec, m.Type, m.Zone, m.Spot) && m.Cap.Holds(fleet.Need(s.Job.Spec))
+		return slices.ContainsFunc(shorts, func(s sched.Shortfall) bool {
+			return sched.IsEligible(s.Job.Spec, m.Type, m.Zone, m.Spot) && m.Capacity.Fits(fleet.TaskResources(s.Job.Spec))
 		})
 	}
 	var idle []*fleet.Machine
@@ -151,13 +151,13 @@
 		}
 		// A machine costs at least a minute; what comes back within a
 		// fraction of a boot saves a boot.
-		if now.Sub(m.IdleAt).Seconds() < r.BootS/2 || now.Sub(m.Born).Seconds() < r.BootS+10 {
+		if now.Sub(m.IdleSince).Seconds() < r.BootS/2 || now.Sub(m.FirstSeen).Seconds() < r.BootS+10 {
 			return
 		}
 		idle = append(idle, m)
 	})
 	slices.SortFunc(idle, func(a, b *fleet.Machine) int {
-		return cmp.Or(cmp.Compare(c.price(b.Type, b.Spot), c.price(a.Type, a.Spot)), cmp.Compare(b.ID, a.ID))
+		return cmp.Or(cmp.Compare(c.hourlyPrice(b.Type, b.Spot), c.hourlyPrice(a.Type, a.Spot)), cmp.Compare(b.ID, a.ID))
 	})
 	for _, m := range idle[:(len(idle)+3)/4] {
 		c.startReturn(m, now, "idle")
--- a/internal/httpapi/health.go
+++ b/internal/httpapi/health.go
@@ -21,7 +21,7 @@
 // peerServes reports whether a peer reaches the state service.
 func (s *Server) peerServes() bool {
 	for _, p := range s.Peers {
-		if r, ok := p.Last(s.Config.LeaderLeaseTTL()); ok && r.Serving {
+		if r, ok := p.LastPing(s.Config.LeaderLeaseTTL()); ok && r.Serving {
 			return true
 		}
 	}
@@ -33,7 +33,7 @@
 // answer.
 func (s *Server) isIsolated() bool {
 	for _, p := range s.Peers {
-		if _, ok := p.Last(s.Config.LeaderLeaseTTL() * 3 / 2); ok {
+		if _, ok := p.LastPing(s.Config.LeaderLeaseTTL() * 3 / 2); ok {
 			return false
 		}
 	}
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -104,8 +104,8 @@
 func (s *Server) Serve(l net.Listener) error {
 	limited := s.Connections.Listen(l)
 	srv := &http.Server{
-		ConnState:         limited.Track,
-		ConnContext:       limited.Context,
+		ConnState:         limited.ConnState,
+		ConnContext:       limited.ConnContext,
 		Handler:           s.Connections.CloseUnderPressure(s.Handler()),
 		ReadHeaderTimeout: s.Config.WorkerLease() / 2,
 		ReadTimeout:       s.Config.WorkerLease() / 2,
--- a/internal/httpapi/users.go
+++ b/internal/httpapi/users.go
@@ -74,11 +74,11 @@
 // forward asks the peers that reach the state service, one after another, until one answers.
 func (s *Server) forward(req *http.Request, body []byte) (peer.UserReply, bool) {
 	for _, p := range s.Peers {
-		r, ok := p.Last(s.Config.LeaderLeaseTTL())
-		if !ok || !r.Serving || !understands(p.Understands(), req.Method, req.URL.Path, body) {
+		r, ok := p.LastPing(s.Config.LeaderLeaseTTL())
+		if !ok || !r.Serving || !understands(p.SupportedVersion(), req.Method, req.URL.Path, body) {
 			continue
 		}
-		reply, err := p.User(peer.UserArgs{Method: req.Method, Path: req.URL.Path, Body: body}, pollWait*2/3)
+		reply, err := p.ForwardUserRequest(peer.UserArgs{Method: req.Method, Path: req.URL.Path, Body: body}, pollWait*2/3)
 		if err == nil && reply.Status != 0 {
 			return reply, true
 		}
--- a/internal/node/campaigndelay.go
+++ b/internal/node/campaigndelay.go
@@ -52,12 +52,12 @@
 func (c *campaign) shouldTransfer() bool {
 	own := c.controller()
 	enough := transferLeases * c.cfg.WorkerLease()
-	if own == nil || time.Since(own.Begun()) < enough {
+	if own == nil || time.Since(own.StartedAt()) < enough {
 		return false
 	}
 	unreachable := func(label string) bool { return !c.isRelaying() && c.isUnreachable(label, c.cfg.WorkerLease()) }
 	delay := c.delayOf(c.cfg.Label, unreachable)
 	return slices.ContainsFunc(c.peers, func(p *peer.Peer) bool {
-		return p.Well() > enough && c.delayOf(p.Label, unreachable) < delay
+		return p.ServingFor() > enough && c.delayOf(p.Label, unreachable) < delay
 	})
 }
--- a/internal/node/connectionpressure_test.go
+++ b/internal/node/connectionpressure_test.go
@@ -56,10 +56,10 @@
 	go func() { served <- n.api.Serve(l) }()
 	t.Cleanup(func() { l.Close(); <-served })
 	address := l.Addr().String()
-	for range n.connections.Limits().Places {
+	for range n.connections.Limits().MaxOpen {
 		request(t, address, "POST /checkin", "", true)
 	}
-	for deadline := time.Now().Add(2 * time.Second); n.connections.Open() < n.connections.Limits().Places; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(2 * time.Second); n.connections.Open() < n.connections.Limits().MaxOpen; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("%d places are taken", n.connections.Open())
 		}
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -149,11 +149,11 @@
 func (h *heartbeats) relayBatched(
 	ctx context.Context, leader *peer.Peer, heartbeat *wire.Heartbeat, body []byte, pressure relay.Pressure,
 ) (*wire.Commands, error) {
-	last, ok := leader.Last(h.cfg.LeaderLeaseTTL())
+	last, ok := leader.LastPing(h.cfg.LeaderLeaseTTL())
 	if !ok {
 		return h.renewals.answer(heartbeat)
 	}
-	a, err := h.relays.sender.Report(ctx, relay.Leader{Label: leader.Label, Term: last.Term}, heartbeat, body, pressure)
+	a, err := h.relays.sender.Relay(ctx, relay.Leader{Label: leader.Label, Term: last.Term}, heartbeat, body, pressure)
 	switch {
 	case errors.Is(err, relay.ErrSuperseded):
 		return nil, httpapi.ErrNoTerm // nobody waits for an answer to this one any more
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -28,7 +28,7 @@
 		if p.Label != v.Leader {
 			continue
 		}
-		if r, ok := p.Last(l.cfg.LeaderLeaseTTL() * 3 / 4); ok && r.Leading && r.Term >= v.Term {
+		if r, ok := p.LastPing(l.cfg.LeaderLeaseTTL() * 3 / 4); ok && r.Leading && r.Term >= v.Term {
 			return p
 		}
 	}
@@ -52,33 +52,6 @@
 	if p == nil {
 		return false
 	}
-	_, reached := p.Last(within)
+	_, reached := p.LastPing(within)
 	return reached
 }
-
-// answersPings reports whether a peer has answered a ping within a leader's lease.
-func (l *leadership) answersPings(label string) bool {
-	return l.isReached(label, l.cfg.LeaderLeaseTTL())
-}
-
-// reachedZones lists the zones of the controllers that answer, this one's own included.
-func (l *leadership) reachedZones() []string {
-	zones := []string{l.cfg.Location}
-	for _, p := range l.peers {
-		if _, ok := p.Last(l.cfg.LeaderLeaseTTL()); ok {
-			zones = append(zones, p.Location)
-		}
-	}
-	return zones
-}
-
-// renewedByPeers lists the machines whose leases peers renew on the leader's behalf.
-func (l *leadership) renewedByPeers() []string {
-	var hosts []string
-	for _, p := range l.peers {
-		if r, ok := p.Last(l.cfg.LeaderLeaseTTL()); ok {
-			hosts = append(hosts, r.RenewedHosts...)
-		}
-	}
-	return hosts
-}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -54,7 +54,7 @@
 }
 
 // countRelayed counts heartbeats by how they were relayed.
-func (m *nodeMetrics) countRelayed(kind relay.ReportKind, count int) {
+func (m *nodeMetrics) countRelayed(kind relay.DeliveryKind, count int) {
 	if count > 0 {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`lotusstile_relayed_reports_total{kind=%q}`, string(kind))).Add(count)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,7 +60,7 @@
 	timeout := cfg.WorkerLease() / 5
 	limits := cfg.StateLimits()
 	n := &Node{
-		leadership: &leadership{cfg: cfg, peers: peer.Peers(cfg, cfg.LeaderLeaseTTL()/4, network.DialPeer)},
+		leadership: &leadership{cfg: cfg, peers: peer.NewPeers(cfg, cfg.LeaderLeaseTTL()/4, network.DialPeer)},
 		store: store.New(
 			cfg.Services.State,
 			store.Limits{Rps: limits.Rps, WriteRps: limits.WriteRps, Nodes: len(cfg.Members) + 1},
@@ -220,25 +220,21 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer n.relays.watch.Wait()
 	defer cancel()
-	deps := controller.Deps{
+	options := controller.Options{
 		Config:          n.cfg,
+		Settings:        func() wire.Settings { return *n.settings.Current() },
 		Store:           n.store,
 		Cloud:           n.cloud,
 		Worker:          n.workers,
-		JobCache:        n.jobCache,
-		Settings:        func() wire.Settings { return *n.settings.Current() },
-		Rounded:         n.metrics.observeCycle,
+		Peers:           controllerPeers{n.leadership},
+		Observer:        termObserver{n},
 		Version:         n.version,
-		ObserveTerm:     func(t uint64) { n.elector.ObserveTerm(t, "") },
-		RenewedByPeers:  n.renewedByPeers,
-		Reached:         n.reachedZones,
-		RelayReached:    n.answersPings,
+		JobCache:        n.jobCache,
 		LeaderlessSince: n.elector.LeaderlessSince(),
-		Final:           n.statuses.RecordFinal,
 	}
-	n.standby.beginTerm(&deps, term)
+	n.standby.beginTerm(&options, term)
 	defer n.standby.endTerm()
-	c := controller.New(deps, term)
+	c := controller.New(options, term)
 	n.own.Store(c)
 	defer n.own.Store(nil)
 	n.relays.beginTerm(ctx, term, n.heartbeats.answerBatched)
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -11,8 +11,8 @@
 // what they tell of.
 var _ peer.Handler = (*Node)(nil)
 
-// User answers a user's request that a peer forwards.
-func (n *Node) User(a peer.UserArgs) peer.UserReply { return n.api.AnswerForwarded(a) }
+// ServeUserRequest answers a user's request that a peer forwards.
+func (n *Node) ServeUserRequest(a peer.UserArgs) peer.UserReply { return n.api.AnswerForwarded(a) }
 
 // RelayHeartbeat answers a heartbeat that a peer relays outside batches.
 func (n *Node) RelayHeartbeat(a peer.CheckInArgs) peer.CheckInReply {
@@ -28,8 +28,8 @@
 // FollowState answers a warm standby.
 func (n *Node) FollowState(a peer.FollowArgs) (peer.FollowReply, error) { return n.standby.answer(a) }
 
-// Cancelled applies a committed cancellation that a peer announces.
-func (n *Node) Cancelled(c peer.Cancellation) {
+// ApplyCancellation applies a committed cancellation that a peer announces.
+func (n *Node) ApplyCancellation(c peer.Cancellation) {
 	n.statuses.RecordFinal(c.UID, c.Record.Status)
 	n.jobCache.Hint(c.UID, c.Record, c.ModRevision)
 }
@@ -39,9 +39,9 @@
 // rule rests on it: a peer that it does not reach learns of the cancellation by
 // reading, or stops renewing leases.
 func (n *Node) announceCancelled(c peer.Cancellation) {
-	n.Cancelled(c)
+	n.ApplyCancellation(c)
 	for _, p := range n.peers {
-		if _, ok := p.Last(n.cfg.LeaderLeaseTTL()); !ok {
+		if _, ok := p.LastPing(n.cfg.LeaderLeaseTTL()); !ok {
 			continue
 		}
 		n.background.Go(func() {
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -38,12 +38,12 @@
 	callTimeout := l.cfg.LeaderLeaseTTL() / 4
 	r := &relays{leadership: l, malformed: m.malformedBatches}
 	r.sender = relay.NewSender(relay.SenderConfig{
-		Label:    l.cfg.Label,
-		Exchange: r.sendBatch,
-		Grid:     l.cfg.Grid(),
-		Period:   interval / batchesPerInterval,
-		Patience: min(interval/2+3*interval/batchesPerInterval+callTimeout, relay.WorkerPatience*7/8),
-		Observe:  m.countRelayed,
+		Label:         l.cfg.Label,
+		Exchange:      r.sendBatch,
+		Grid:          l.cfg.Grid(),
+		Period:        interval / batchesPerInterval,
+		AnswerTimeout: min(interval/2+3*interval/batchesPerInterval+callTimeout, relay.WorkerTimeout*7/8),
+		Observe:       m.countRelayed,
 	})
 	return r
 }
@@ -53,7 +53,7 @@
 	if p := r.peer(to.Label); p != nil {
 		return p.RelayHeartbeats(batch)
 	}
-	return peer.HeartbeatBatchReply{}, relay.ErrLeaderNotReached
+	return peer.HeartbeatBatchReply{}, relay.ErrLeaderUnreachable
 }
 
 // beginTerm makes this node's router and receiver of a term that ends with ctx. endTerm
@@ -69,11 +69,11 @@
 		members = append(members, p.Label)
 	}
 	r.router.Store(relay.NewRouter(relay.RouterConfig{
-		Self:        r.cfg.Label,
-		Zones:       zones,
-		Connections: r.cfg.Cluster.Limits.MaxConnections,
-		ReportEvery: r.cfg.HeartbeatInterval(),
-		Lease:       r.cfg.WorkerLease(),
+		Self:              r.cfg.Label,
+		Zones:             zones,
+		Connections:       r.cfg.Cluster.Limits.MaxConnections,
+		HeartbeatInterval: r.cfg.HeartbeatInterval(),
+		Lease:             r.cfg.WorkerLease(),
 	}, relay.Mode(r.leaderMode.Load())))
 	r.receiver.Store(relay.NewReceiver(ctx, term, members, answer))
 	r.watch.Go(func() { r.watchFleetSize(ctx) })
@@ -93,7 +93,7 @@
 		if c := r.controller(); c != nil && r.resizeRouter(c) && time.Since(forgotten) > r.cfg.WorkerLease() {
 			forgotten = time.Now()
 			if receiver := r.receiver.Load(); receiver != nil {
-				receiver.Forget(c.HasMachine)
+				receiver.Retain(c.HasMachine)
 			}
 		}
 		timeralign.Sleep(ctx, r.cfg.Grid().Next(time.Now(), r.cfg.LeaderLeaseTTL()/4))
@@ -108,7 +108,7 @@
 	}
 	machines, known := c.Machines()
 	if known {
-		router.Resize(machines)
+		router.SetFleetSize(machines)
 	}
 	return known
 }
@@ -128,7 +128,7 @@
 
 // wantedBy reports whether a leader wants its followers to relay heartbeats.
 func (r *relays) wantedBy(leader *peer.Peer) bool {
-	last, ok := leader.Last(r.cfg.LeaderLeaseTTL())
+	last, ok := leader.LastPing(r.cfg.LeaderLeaseTTL())
 	return ok && last.WantsRelays && r.cfg.RelayHeartbeats
 }
 
@@ -144,7 +144,7 @@
 // recordPing records what a ping says of a peer's part in relaying.
 func (r *relays) recordPing(label string, reply peer.PingResult, reached bool) {
 	if router := r.router.Load(); router != nil {
-		router.Usable(label, reached && reply.CanRelay)
+		router.SetUsable(label, reached && reply.CanRelay)
 	}
 	if reached && reply.Leading {
 		mode := relay.Direct
--- a/internal/node/warmstandby.go
+++ b/internal/node/warmstandby.go
@@ -70,7 +70,7 @@
 
 // beginTerm lets a term start from what this node has followed, and offer what it knows.
 // endTerm has to be called when the term is over.
-func (w *warmStandby) beginTerm(deps *controller.Deps, term uint64) {
+func (w *warmStandby) beginTerm(options *controller.Options, term uint64) {
 	if !w.enabled() {
 		return
 	}
@@ -79,18 +79,17 @@
 		members = append(members, p.Label)
 	}
 	source := standby.NewSource(term, members, 2*w.cfg.LeaderLeaseTTL())
-	deps.Source, deps.Store = source, standby.NewRecorder(w.store, source)
-	deps.Prove = func(ctx context.Context, term uint64) (*standby.Proven, error) {
+	options.Source, options.Store = source, standby.NewRecordingStore(w.store, source)
+	options.Prove = func(ctx context.Context, term uint64) (*standby.Proven, error) {
 		return w.follower.Prove(ctx, w.store, term)
 	}
-	deps.Promoted = w.recordFailover
 	w.source.Store(source)
 }
 
 // recordFailover records how the failover to this node went.
 func (w *warmStandby) recordFailover(failover records.Takeover) {
 	if failover.Warm {
-		w.follower.Promote(fmt.Sprintf("decides after %d ms", failover.DecidedMs))
+		w.follower.MarkPromoted(fmt.Sprintf("decides after %d ms", failover.DecidedMs))
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -110,7 +109,7 @@
 		return
 	}
 	w.source.Store(nil)
-	w.follower.Drop("this node's term is over")
+	w.follower.Discard("this node's term is over")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.chosen, w.announced = "", ""
@@ -149,7 +148,7 @@
 // canFollow reports whether a peer is reached, reads the state service and understands
 // how to follow a leader.
 func (w *warmStandby) canFollow(p *peer.Peer) bool {
-	last, ok := p.Last(w.cfg.LeaderLeaseTTL())
+	last, ok := p.LastPing(w.cfg.LeaderLeaseTTL())
 	return ok && last.Serving && last.CanFollow
 }
 
@@ -170,11 +169,11 @@
 		w.mu.Unlock()
 		switch {
 		case leader == "":
-			w.follower.LeaderNotReached()
+			w.follower.MarkLeaderUnreachable()
 		case announced == w.cfg.Label:
 			w.follower.Pull(leader, term)
 		case announced != "":
-			w.follower.Drop("another node follows the leader")
+			w.follower.Discard("another node follows the leader")
 		}
 	}
 }
@@ -185,7 +184,7 @@
 	if p == nil {
 		return "", 0, ""
 	}
-	last, ok := p.Last(w.cfg.LeaderLeaseTTL())
+	last, ok := p.LastPing(w.cfg.LeaderLeaseTTL())
 	if !ok || !last.Leading {
 		return "", 0, ""
 	}
@@ -195,7 +194,7 @@
 // peerIsPreferred reports whether a peer that is reached follows the leader and this node
 // does not: it is the better successor.
 func (w *warmStandby) peerIsPreferred() bool {
-	if !w.enabled() || w.follower.Holds() {
+	if !w.enabled() || w.follower.HasCopy() {
 		return false
 	}
 	w.mu.Lock()
@@ -219,12 +218,12 @@
 		LagS:     f.Lag.Seconds(),
 		Entries:  f.Entries,
 		Bytes:    f.Bytes,
-		Moved:    f.Taken,
+		Moved:    f.ReceivedBytes,
 		Refused:  f.Refused,
 	}
 	if source := w.source.Load(); source != nil {
 		s := source.Status()
-		status.Sequence, status.Position, status.Entries, status.Bytes, status.Moved = s.Sequence, s.Position, s.Entries, s.Bytes, s.Sent
+		status.Sequence, status.Position, status.Entries, status.Bytes, status.Moved = s.Sequence, s.Position, s.Entries, s.Bytes, s.SentBytes
 		status.LagS = 0
 		w.mu.Lock()
 		status.Standby = w.chosen
