--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -277,7 +277,7 @@
 		if t == nil {
 			return false
 		}
-		if left := t.beyond(taken); left.Cores < -tolerance || left.Gpus < -tolerance {
+		if left := t.beyondQuota(taken); left.Cores < -roundingTolerance || left.Gpus < -roundingTolerance {
 			return false
 		}
 	}
@@ -287,8 +287,8 @@
 	return true
 }
 
-// tolerance is for the rounding of sums of cores and GPUs.
-const tolerance = 1e-6
+// roundingTolerance is for the rounding of sums of cores and GPUs.
+const roundingTolerance = 1e-6
 
 // stopVictims stops the work that choices displace, and gives the job their room.
 func (r *round) stopVictims(j *Job, chosen []choice) {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -88,8 +88,8 @@
 	Stopping struct{ Cores, Gpus float64 }
 }
 
-// beyond is how much a team would have beyond its guarantee if some more of it were stopped.
-func (t *Team) beyond(more fleet.Res) fleet.Res {
+// beyondQuota is how much a team would have beyondQuota its guarantee if some more of it were stopped.
+func (t *Team) beyondQuota(more fleet.Res) fleet.Res {
 	return fleet.Res{Cores: t.Used.Cores - t.Stopping.Cores - t.Quota.Cores - more.Cores, Gpus: t.Used.Gpus - t.Stopping.Gpus - t.Quota.Gpus - more.Gpus}
 }
 
