--- /dev/null
+++ b/internal/sched/fit.go
@@ -0,0 +1,114 @@
+package sched
+
+import (
+	"slices"
+
+	"lotusstile.dev/lotusstile/internal/fleet"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// startsWhole reports whether a job starts with all its tasks or not at all. A job that runs already
+// only gets back the tasks that it has lost.
+func startsWhole(job *Job) bool {
+	return (job.Spec.Kind != wire.JobArray || job.Spec.SingleZone) && job.LiveAttempts == 0
+}
+
+// fitTasks finds room for up to want tasks of a job at a horizon, books it, and returns the number of
+// tasks. With start set the plan launches the tasks; otherwise the room is only kept for them.
+func (c *cycle) fitTasks(job *Job, want int, at horizon, start bool) int {
+	shape := c.shapeAt(at)
+	if c.isKnownNotToFit(job, shape) {
+		return 0
+	}
+	var placements []Placement
+	if job.Spec.SingleZone {
+		placements = c.chooseSingleZone(job, want, at)
+	} else {
+		placements = c.chooseNodes(job, want, at, "")
+	}
+	placed := countTasks(placements)
+	if c.current.shapeDecidesFit && placed < want {
+		c.maxFit[shape] = placed
+	}
+	if placed == 0 || (startsWhole(job) && placed < job.PendingTasks) {
+		return 0
+	}
+	c.commitPlacements(job, placements, start)
+	return placed
+}
+
+// countTasks returns the number of tasks of several placements.
+func countTasks(placements []Placement) int {
+	tasks := 0
+	for _, p := range placements {
+		tasks += p.Count
+	}
+	return tasks
+}
+
+// chooseSingleZone tries each zone and chooses the one that has room for most tasks, on the fewest
+// machines. A job that has live attempts in a zone stays there.
+func (c *cycle) chooseSingleZone(job *Job, want int, at horizon) []Placement {
+	for zone, attempts := range job.LiveByZone {
+		if attempts > 0 {
+			return c.chooseNodes(job, want, at, zone)
+		}
+	}
+	var best []Placement
+	for _, zone := range c.zoneNames() {
+		placements := c.chooseNodes(job, want, at, zone)
+		tasks, bestTasks := countTasks(placements), countTasks(best)
+		if tasks > bestTasks || (tasks == bestTasks && len(placements) < len(best)) {
+			best = placements
+		}
+	}
+	return best
+}
+
+// zoneNames lists the zones of all nodes in order.
+func (c *cycle) zoneNames() []string {
+	var names []string
+	for i := range c.profiles {
+		if name := c.profiles[i].zone; !slices.Contains(names, name) {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// zoneAllowance returns how many more tasks of a job a zone may hold.
+func zoneAllowance(job *Job, zone string) int {
+	if !job.Spec.SpreadZones {
+		return job.Spec.TaskCount
+	}
+	return (job.Spec.TaskCount+1)/2 - job.LiveByZone[zone]
+}
+
+// commitPlacements books placements against every horizon, so that no later job of the window uses the
+// room, and against the limit of the team.
+func (c *cycle) commitPlacements(job *Job, placements []Placement, start bool) {
+	need := fleet.Need(job.Spec)
+	placed := 0
+	for _, placement := range placements {
+		for at := range c.free {
+			for range placement.Count {
+				c.free[at][placement.Node] = c.free[at][placement.Node].Sub(need)
+			}
+		}
+		c.reclassify(int32(placement.Node))
+		placed += placement.Count
+		job.LiveByZone[c.zoneOf(int32(placement.Node))] += placement.Count
+	}
+	job.LiveAttempts += placed
+	job.PendingTasks -= placed
+	team := c.input.Teams[job.Spec.Team]
+	team.Used.Cores += float64(placed) * need.Cores
+	team.Used.Gpus += float64(placed) * need.Gpus
+	if start {
+		c.plan.Placements = append(c.plan.Placements, placements...)
+		machines := c.view.MachineCount() + len(c.input.Nodes)
+		machineShare := float64(len(placements)) / float64(2*max(1, machines))
+		c.plan.Objective += c.input.PriorityWeights[job.Level] * (1 - machineShare)
+	}
+}
--- a/internal/sched/heap.go
+++ b/internal/sched/heap.go
@@ -1,33 +1,34 @@
 package sched
 
-// heap gives items in order without sorting those that nobody asks for: a job needs a few of
-// many. It works in the memory of the list that it is made of.
+// heap is a binary heap: it yields items in order without sorting those that nobody asks for, since a
+// job needs a few of many. It works in the memory of the list that it is made of.
 type heap[T any] struct {
-	items  []T
-	before func(a, b *T) bool
+	items []T
+	less  func(a, b *T) bool
 }
 
-func newHeap[T any](items []T, before func(a, b *T) bool) *heap[T] {
-	h := &heap[T]{items, before}
+// newHeap makes a heap of a list, whose memory it uses.
+func newHeap[T any](items []T, less func(a, b *T) bool) *heap[T] {
+	h := &heap[T]{items: items, less: less}
 	for i := len(items)/2 - 1; i >= 0; i-- {
-		h.down(i)
+		h.siftDown(i)
 	}
 	return h
 }
 
-// Len is the number of items.
+// Len returns the number of items.
 func (h *heap[T]) Len() int { return len(h.items) }
 
-// Least is the first item in order.
-func (h *heap[T]) Least() *T { return &h.items[0] }
+// Min returns the first item in order, which stays in the heap.
+func (h *heap[T]) Min() *T { return &h.items[0] }
 
-// Pop takes the first item off.
+// Pop removes the first item and returns it.
 func (h *heap[T]) Pop() T {
 	last := len(h.items) - 1
 	first := h.items[0]
 	h.items[0] = h.items[last]
 	h.items = h.items[:last]
-	h.down(0)
+	h.siftDown(0)
 	return first
 }
 
@@ -36,7 +37,7 @@
 	h.items = append(h.items, item)
 	for i := len(h.items) - 1; i > 0; {
 		parent := (i - 1) / 2
-		if !h.before(&h.items[i], &h.items[parent]) {
+		if !h.less(&h.items[i], &h.items[parent]) {
 			return
 		}
 		h.items[i], h.items[parent] = h.items[parent], h.items[i]
@@ -44,23 +45,23 @@
 	}
 }
 
-// Replace puts an item in the place of the first one.
+// Replace replaces the first item by another one.
 func (h *heap[T]) Replace(item T) {
 	h.items[0] = item
-	h.down(0)
+	h.siftDown(0)
 }
 
-// down moves an item to its place among those below it.
-func (h *heap[T]) down(i int) {
+// siftDown moves an item to its place among those below it.
+func (h *heap[T]) siftDown(i int) {
 	for {
 		child := 2*i + 1
 		if child >= len(h.items) {
 			return
 		}
-		if child+1 < len(h.items) && h.before(&h.items[child+1], &h.items[child]) {
+		if child+1 < len(h.items) && h.less(&h.items[child+1], &h.items[child]) {
 			child++
 		}
-		if !h.before(&h.items[child], &h.items[i]) {
+		if !h.less(&h.items[child], &h.items[i]) {
 			return
 		}
 		h.items[i], h.items[child] = h.items[child], h.items[i]
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -3,325 +3,170 @@
 import (
 	"cmp"
 	"math"
-	"slices"
 
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// choice is room for one task on a node once some of its victims are stopped.
-type choice struct {
-	node     int32
-	from, to int // its victims are among these
-	loss     float64
+// preemptionOption is room for one task on a node once some of its victims are stopped.
+type preemptionOption struct {
+	node                   int32
+	firstVictim, endVictim int // in stop order: those of them that the job may preempt are stopped
+	lossS                  float64
 }
 
-// before orders choices: what loses least goes first.
-func (c *choice) before(o *choice) bool {
-	return cmp.Or(cmp.Compare(c.loss, o.loss), cmp.Compare(c.node, o.node), cmp.Compare(c.from, o.from)) < 0
+// isBetterThan orders options: the least loss goes first.
+func (o *preemptionOption) isBetterThan(other *preemptionOption) bool {
+	return cmp.Or(
+		cmp.Compare(o.lossS, other.lossS),
+		cmp.Compare(o.node, other.node),
+		cmp.Compare(o.firstVictim, other.firstVictim),
+	) < 0
 }
 
-// preempt stops work of lower levels so that up to want tasks of j fit, and
-// keeps the room for them. It never stops work for nothing: a job that starts
-// whole gets all its room or none. Replicas are only displaced for a job that
-// waited as long as a new machine takes.
-func (r *round) preempt(j *Job, want int) int {
-	if r.lowest >= r.preemptsBelow(j) && !j.WithinQuota {
+// preempt stops work of lower priority so that up to want tasks of a job fit, keeps the room for them,
+// and returns their number. It never stops work for nothing: a job that starts whole gets all its room
+// or none. Replicas are preempted only for a job that has waited as long as a new machine takes.
+func (c *cycle) preempt(job *Job, want int) int {
+	if c.lowestVictimLevel >= c.preemptionLevel(job) && !job.WithinQuota {
 		return 0
 	}
-	b := r.boundIn(preempted)
-	if r.foundNoRoom(j, b) {
+	shape := c.shapeAt(byPreemption)
+	if c.isKnownNotToFit(job, shape) {
 		return 0
 	}
-	places, chosen := r.leastHarm(j, want, r.preemptions(j, want))
-	if r.bounded && len(places) < want {
-		r.bounds[b] = len(places)
+	placements, chosen := c.chooseLeastDisruptive(job, want, c.preemptionOptions(job, want))
+	if c.current.shapeDecidesFit && len(placements) < want {
+		c.maxFit[shape] = len(placements)
 	}
-	if len(places) == 0 || (whole(j) && len(places) < j.PendingTasks) {
+	if len(placements) == 0 || (startsWhole(job) && len(placements) < job.PendingTasks) {
 		return 0
 	}
-	r.stopVictims(j, chosen)
-	r.take(j, places, false)
-	return len(places)
+	c.stopVictims(job, chosen)
+	c.commitPlacements(job, placements, false)
+	return len(placements)
 }
 
-// preemptsBelow is the level below which a job may displace work.
-func (r *round) preemptsBelow(j *Job) int {
-	if most := r.in.PreemptOnlyBelow; most > 0 {
-		return min(j.Level, most)
+// preemptionOptions lists the room that there is for tasks of a job, and that there would be if work
+// that it may preempt were stopped, the least loss first on each node. If the job's tasks may be in
+// any zone, no more options than wanted tasks are listed: those with the least loss.
+func (c *cycle) preemptionOptions(job *Job, want int) []preemptionOption {
+	need, preemptible, scratch := fleet.Need(job.Spec), c.preemptibleBy(job), c.scratch
+	maxOptions := math.MaxInt
+	if !job.Spec.SingleZone && !job.Spec.SpreadZones {
+		maxOptions = want
 	}
-	return j.Level
-}
-
-// preemptor is what decides which running work a job may displace.
-type preemptor struct {
-	below    int    // work of lower levels
-	overdue  bool   // replicas too
-	team     string // of the job, where teams have guarantees
-	reclaims bool   // the job is within its team's guarantee
-}
-
-func (r *round) preemptorOf(j *Job) preemptor {
-	d := preemptor{below: r.preemptsBelow(j), overdue: j.CannotAwaitBoot}
-	if r.in.WithinQuota != nil {
-		d.team, d.reclaims = j.Spec.Team, j.WithinQuota
-	}
-	return d
-}
-
-// preempts reports whether running work may be displaced. What another team runs within its
-// guarantee stays, whatever its rank: displaced, it would be taken back in the next round. What
-// it runs beyond may be taken back, and who does need not wait for a machine to boot.
-func (d preemptor) preempts(v *Victim, withinQuota map[string]bool) bool {
-	if d.team != "" && v.Team != d.team && withinQuota[v.JobUID] {
-		return false
-	}
-	return d.byPriority(v) || d.reclaims && v.Team != d.team
-}
-
-// byPriority reports whether running work may be displaced for its rank alone.
-func (d preemptor) byPriority(v *Victim) bool {
-	return v.Level < d.below && (!v.IsReplica || d.overdue)
-}
-
-// mayPreempt reports whether a job may displace running work.
-func (r *round) mayPreempt(j *Job, v *Victim) bool {
-	return r.preemptorOf(j).preempts(v, r.in.WithinQuota)
-}
-
-// preemptible is what jobs of one kind may displace on each node: how much room that
-// gives, and the least that any of it loses. With that, most nodes need no closer look.
-type preemptible struct {
-	by   preemptor
-	gain []fleet.Res
-	loss []float64
-}
-
-// preemptibleBy finds or makes what a job may displace.
-func (r *round) preemptibleBy(j *Job) *preemptible {
-	by, m := r.preemptorOf(j), r.memory
-	for i := range m.preempted {
-		if d := &m.preempted[i]; d.by == by {
-			return d
-		}
-	}
-	// A list that an earlier round has made is used again.
-	if len(m.preempted) < cap(m.preempted) {
-		m.preempted = m.preempted[:len(m.preempted)+1]
-	} else {
-		m.preempted = append(m.preempted, preemptible{})
-	}
-	d := &m.preempted[len(m.preempted)-1]
-	d.by = by
-	d.gain, d.loss = resized(d.gain, len(m.kind)), resized(d.loss, len(m.kind))
-	for slot := range m.kind {
-		d.sum(r, int32(slot))
-	}
-	return d
-}
-
-// sum adds up what may be displaced on a node.
-func (d *preemptible) sum(r *round, slot int32) {
-	gain, loss := fleet.Res{}, math.Inf(1)
-	victims := r.running(slot)
-	for i := range victims {
-		v := &victims[i]
-		if d.by.preempts(v, r.in.WithinQuota) {
-			gain = gain.Add(v.Need)
-			loss = min(loss, v.lossS(r.in.Now)+1)
-		}
-	}
-	d.gain[slot], d.loss[slot] = gain, loss
-}
-
-// running lists the victims of a node that are not stopped yet, in any order.
-func (r *round) running(slot int32) []Victim {
-	if sorted, known := r.victims[slot]; known {
-		return sorted
-	}
-	if retained := int32(r.view.SlotCount()); slot >= retained {
-		return r.in.Nodes[slot-retained].Victims
-	}
-	return r.view.nodes[slot].victims
-}
-
-// leastDisruption gives the victims of a node in the order in which they are stopped.
-func (r *round) leastDisruption(slot int32) []Victim {
-	sorted, known := r.victims[slot]
-	if !known {
-		now := r.in.Now
-		m := r.memory
-		begin := len(m.victims)
-		m.victims = append(m.victims, r.running(slot)...)
-		sorted = m.victims[begin:len(m.victims):len(m.victims)]
-		slices.SortFunc(sorted, func(a, b Victim) int {
-			return cmp.Or(cmp.Compare(a.Level, b.Level), cmp.Compare(a.lossS(now), b.lossS(now)), cmp.Compare(a.Serial, b.Serial))
-		})
-		r.victims[slot] = sorted
-	}
-	return sorted
-}
-
-// preemptions lists room that there is for tasks of a job, and that there would be if work
-// that it may displace were stopped, what loses least first on each node. If the job's tasks
-// may be in any zone, no more than it wants are listed: those with the least loss.
-func (r *round) preemptions(j *Job, want int) []choice {
-	need, d, m := fleet.Need(j.Spec), r.preemptibleBy(j), r.memory
-	most := math.MaxInt
-	if !j.Spec.SingleZone && !j.Spec.SpreadZones {
-		most = want
-	}
-	worst := newHeap(m.choices[:0], func(a, b *choice) bool { return b.before(a) })
-	add := func(c choice) {
+	kept := newHeap(scratch.options[:0], func(a, b *preemptionOption) bool { return b.isBetterThan(a) })
+	add := func(option preemptionOption) {
 		switch {
-		case worst.Len() < most:
-			worst.Push(c)
-		case c.before(worst.Least()):
-			worst.Replace(c)
+		case kept.Len() < maxOptions:
+			kept.Push(option)
+		case option.isBetterThan(kept.Min()): // the minimum of this heap is the worst option
+			kept.Replace(option)
 		}
 	}
-	for slot := range m.kind {
-		room := r.room[soon][slot]
-		if !room.Add(d.gain[slot]).Holds(need) {
+	for slot := range scratch.profile {
+		room := c.free[afterStops][slot]
+		if !room.Add(preemptible.releasable[slot]).Holds(need) {
 			continue
 		}
-		if worst.Len() >= most && d.loss[slot] >= worst.Least().loss && !room.HoldsOne(need) {
-			continue // all that it offers loses as much, and it is later in order
+		if kept.Len() >= maxOptions && preemptible.minLossS[slot] >= kept.Min().lossS && !room.HoldsOne(need) {
+			continue // every option here loses as much, and comes later in order
 		}
-		if r.empty(slot) || !r.usable(j, int32(slot)) {
+		if c.isVacant(slot) || !c.isNodeEligible(job, int32(slot)) {
 			continue
 		}
-		r.offers(j, int32(slot), need, want, add)
+		c.addOptionsOnNode(job, int32(slot), need, want, add)
 	}
-	m.choices = worst.items
-	return worst.items
+	scratch.options = kept.items
+	return kept.items
 }
 
-// offers gives the room on a node for tasks of a job, one by one.
-func (r *round) offers(j *Job, slot int32, need fleet.Res, want int, add func(c choice)) {
-	room := r.room[soon][slot]
+// addOptionsOnNode adds the room on a node for tasks of a job, one by one.
+func (c *cycle) addOptionsOnNode(job *Job, slot int32, need fleet.Res, want int, add func(option preemptionOption)) {
+	room := c.free[afterStops][slot]
 	for range room.Count(need, want) {
-		add(choice{node: slot})
+		add(preemptionOption{node: slot})
 		room = room.Sub(need)
 	}
-	victims := r.leastDisruption(slot)
-	c := choice{node: slot}
+	victims := c.victimsInStopOrder(slot)
+	option := preemptionOption{node: slot}
 	for k := range victims {
 		v := &victims[k]
-		if !r.mayPreempt(j, v) {
+		if !c.jobMayPreempt(job, v) {
 			continue
 		}
 		room = room.Add(v.Need)
-		c.to = k + 1
-		c.loss += v.lossS(r.in.Now) + 1
+		option.endVictim = k + 1
+		option.lossS += v.lossS(c.input.Now) + 1
 		if room.Holds(need) {
-			add(c)
-			c = choice{node: slot, from: c.to}
+			add(option)
+			option = preemptionOption{node: slot, firstVictim: option.endVictim}
 			room = room.Sub(need)
 		}
 	}
 }
 
-// leastHarm takes the choices with the least loss that the job's zones allow, for up to want
-// tasks.
-func (r *round) leastHarm(j *Job, want int, choices []choice) (places []Placement, chosen []choice) {
-	order := newHeap(choices, (*choice).before)
-	zone := ""
-	for z, n := range j.LiveByZone {
-		if j.Spec.SingleZone && n > 0 {
-			zone = z
+// chooseLeastDisruptive chooses the options with the least loss that the job's zones and the quotas of
+// other teams allow, for up to want tasks.
+func (c *cycle) chooseLeastDisruptive(job *Job, want int, options []preemptionOption) (placements []Placement, chosen []preemptionOption) {
+	order := newHeap(options, (*preemptionOption).isBetterThan)
+	jobZone := ""
+	for zone, attempts := range job.LiveByZone {
+		if job.Spec.SingleZone && attempts > 0 {
+			jobZone = zone
 		}
 	}
-	taken, reclaimed := map[string]int{}, map[string]fleet.Res{}
-	for order.Len() > 0 && len(places) < want {
-		c := order.Pop()
-		z := r.zone(c.node)
-		if (j.Spec.SingleZone && zone != "" && z != zone) || zoneRoom(j, z)-taken[z] <= 0 {
+	takenByZone, reclaimed := map[string]int{}, map[string]fleet.Res{}
+	for order.Len() > 0 && len(placements) < want {
+		option := order.Pop()
+		zone := c.zoneOf(option.node)
+		if (job.Spec.SingleZone && jobZone != "" && zone != jobZone) || zoneAllowance(job, zone)-takenByZone[zone] <= 0 {
 			continue
 		}
-		if j.Spec.SingleZone {
-			zone = z
+		if job.Spec.SingleZone {
+			jobZone = zone
 		}
-		if !r.leavesQuotas(j, &c, reclaimed) {
+		if !c.reclaimWithinQuotas(job, &option, reclaimed) {
 			continue
 		}
-		taken[z]++
-		places = append(places, Placement{j, int(c.node), 1})
-		chosen = append(chosen, c)
+		takenByZone[zone]++
+		placements = append(placements, Placement{Job: job, Node: int(option.node), Count: 1})
+		chosen = append(chosen, option)
 	}
-	return places, chosen
+	return placements, chosen
 }
 
-// leavesQuotas reports whether what a choice takes back from other teams leaves each of them
-// what it is guaranteed itself, beside what was taken back from it for the job already. If so, it
-// counts as taken back.
-func (r *round) leavesQuotas(j *Job, c *choice, reclaimed map[string]fleet.Res) bool {
-	d := r.preemptorOf(j)
-	if !d.reclaims || c.to == 0 {
+// reclaimWithinQuotas reports whether what an option reclaims from other teams leaves each of them its
+// own quota, on top of what was reclaimed from it for the job already. If so, it adds it to reclaimed.
+func (c *cycle) reclaimWithinQuotas(job *Job, option *preemptionOption, reclaimed map[string]fleet.Res) bool {
+	by := c.preemptorOf(job)
+	if !by.reclaimsQuota || option.endVictim == 0 {
 		return true
 	}
 	after := map[string]fleet.Res{}
-	victims := r.victims[c.node]
-	for k := c.from; k < c.to; k++ {
+	victims := c.sortedVictims[option.node]
+	for k := option.firstVictim; k < option.endVictim; k++ {
 		v := &victims[k]
-		if d.byPriority(v) || !d.preempts(v, r.in.WithinQuota) {
+		if by.mayPreemptByPriority(v) || !by.mayPreempt(v, c.input.WithinQuota) {
 			continue
 		}
-		taken, known := after[v.Team]
+		amount, known := after[v.Team]
 		if !known {
-			taken = reclaimed[v.Team]
+			amount = reclaimed[v.Team]
 		}
-		after[v.Team] = taken.Add(v.Need)
+		after[v.Team] = amount.Add(v.Need)
 	}
-	for team, taken := range after {
-		t := r.in.Teams[team]
-		if t == nil {
+	for name, amount := range after {
+		team := c.input.Teams[name]
+		if team == nil {
 			return false
 		}
-		if left := t.beyondQuota(taken); left.Cores < -roundingTolerance || left.Gpus < -roundingTolerance {
+		if left := team.beyondQuota(amount); left.Cores < -roundingTolerance || left.Gpus < -roundingTolerance {
 			return false
 		}
 	}
-	for team, taken := range after {
-		reclaimed[team] = taken
+	for name, amount := range after {
+		reclaimed[name] = amount
 	}
 	return true
 }
-
-// roundingTolerance is for the rounding of sums of cores and GPUs.
-const roundingTolerance = 1e-6
-
-// stopVictims stops the work that choices displace, and gives the job their room.
-func (r *round) stopVictims(j *Job, chosen []choice) {
-	stopped := map[int]bool{}
-	for _, c := range chosen {
-		victims := r.victims[c.node]
-		for k := c.from; k < c.to; k++ {
-			if v := &victims[k]; r.mayPreempt(j, v) {
-				stopped[v.Serial] = true
-				if t := r.in.Teams[v.Team]; t != nil {
-					t.Stopping.Cores += v.Need.Cores
-					t.Stopping.Gpus += v.Need.Gpus
-				}
-				r.plan.Preemptions = append(r.plan.Preemptions, Preemption{int(c.node), v.Serial, j.StartSlackS})
-				r.grow(c.node, v.Need)
-			}
-		}
-	}
-	for _, c := range chosen {
-		if c.to == 0 {
-			continue
-		}
-		r.victims[c.node] = slices.DeleteFunc(r.victims[c.node], func(v Victim) bool { return stopped[v.Serial] })
-		for i := range r.memory.preempted {
-			r.memory.preempted[i].sum(r, c.node)
-		}
-	}
-}
-
-// grow gives a node the room of a task that is stopped, once it has ended.
-func (r *round) grow(slot int32, room fleet.Res) {
-	clear(r.bounds)
-	r.room[soon][slot] = r.room[soon][slot].Add(room)
-	r.room[later][slot] = r.room[later][slot].Add(room)
-	r.move(slot)
-}
--- /dev/null
+++ b/internal/sched/profile.go
@@ -0,0 +1,47 @@
+package sched
+
+import "lotusstile.dev/lotusstile/internal/fleet"
+
+// nodeProfile is what a machine has in common with others whatever room they have.
+type nodeProfile struct {
+	machineType, zone string
+	spot              bool
+	runsOnDemandWork  bool
+	scaleInCandidate  bool
+	registered        bool
+	capacity          fleet.Res
+	hourlyPrice       float64
+}
+
+func profileOf(n *Node) nodeProfile {
+	return nodeProfile{
+		machineType:      n.Type,
+		zone:             n.Zone,
+		spot:             n.Spot,
+		runsOnDemandWork: n.RunsOnDemandWork,
+		scaleInCandidate: n.ScaleInCandidate,
+		registered:       n.Registered,
+		capacity:         n.Capacity,
+		hourlyPrice:      n.HourlyPrice,
+	}
+}
+
+// profileTable assigns IDs to profiles: their index in the list.
+type profileTable struct {
+	list  []nodeProfile
+	index map[nodeProfile]int32
+}
+
+// idOf returns the ID of a profile, which it adds if it is new.
+func (t *profileTable) idOf(profile nodeProfile) int32 {
+	id, known := t.index[profile]
+	if !known {
+		id = int32(len(t.list))
+		t.list = append(t.list, profile)
+		if t.index == nil {
+			t.index = map[nodeProfile]int32{}
+		}
+		t.index[profile] = id
+	}
+	return id
+}
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -19,8 +19,8 @@
 type refRound struct {
 	in       *Input
 	plan     *Plan
-	room     [layers][]fleet.Res
-	open     [layers]refOpenNodes
+	room     [horizons][]fleet.Res
+	open     [horizons]refOpenNodes
 	victims  [][]Victim       // by node, the least lost first; nil until one is needed
 	lowest   int              // level of the least victim
 	least    fleet.Res        // no task of the window needs less of anything
@@ -42,7 +42,7 @@
 	}
 	for i := range in.Nodes {
 		n := &in.Nodes[i]
-		r.room[now][i], r.room[soon][i], r.room[later][i] = n.Free, n.FreeAfterStops, n.FreeAfterBoot
+		r.room[atOnce][i], r.room[afterStops][i], r.room[afterBoot][i] = n.Free, n.FreeAfterStops, n.FreeAfterBoot
 		for _, v := range n.Victims {
 			r.lowest = min(r.lowest, v.Level)
 		}
@@ -67,7 +67,7 @@
 			top = false
 		}
 	}
-	r.plan.FreeAfterStops, r.plan.FreeAfterBoot = r.room[soon], r.room[later]
+	r.plan.FreeAfterStops, r.plan.FreeAfterBoot = r.room[afterStops], r.room[afterBoot]
 	return r.plan
 }
 
@@ -82,9 +82,9 @@
 		// Its start would be late on a machine without its image: machines
 		// that have it come first, even if lesser work must leave them.
 		r.warm = true
-		left -= r.fit(j, left, now, true)
+		left -= r.fit(j, left, atOnce, true)
 		if left > 0 {
-			left -= r.fit(j, left, soon, false)
+			left -= r.fit(j, left, afterStops, false)
 		}
 		if left > 0 {
 			left -= r.preempt(j, left)
@@ -94,17 +94,17 @@
 			return
 		}
 	}
-	if left -= r.fit(j, left, now, true); left == 0 {
+	if left -= r.fit(j, left, atOnce, true); left == 0 {
 		return
 	}
-	if left -= r.fit(j, left, soon, false); left == 0 {
+	if left -= r.fit(j, left, afterStops, false); left == 0 {
 		return // room is being made
 	}
 	if left -= r.preempt(j, left); left == 0 {
 		return
 	}
 	nothing := left == want
-	if left -= r.fit(j, left, later, false); left == 0 {
+	if left -= r.fit(j, left, afterBoot, false); left == 0 {
 		return // a machine that boots will take it
 	}
 	if top && nothing && j.WaitedS > r.in.ReserveAfterS {
@@ -113,7 +113,7 @@
 	r.plan.Shortfalls = append(r.plan.Shortfalls, Shortfall{j, left})
 }
 
-// quota is how many waiting tasks the limit of the job's team allows.
+// tasksWithinTeamLimit is how many waiting tasks the limit of the job's team allows.
 func (r *refRound) quota(j *Job) int {
 	want := j.PendingTasks
 	t := r.in.Teams[j.Spec.Team]
@@ -125,7 +125,7 @@
 			want = min(want, int((q[0]-q[1]+1e-6)/q[2]))
 		}
 	}
-	if want < j.PendingTasks && whole(j) {
+	if want < j.PendingTasks && startsWhole(j) {
 		return 0
 	}
 	return max(want, 0)
@@ -142,9 +142,9 @@
 
 // fit finds room for up to want tasks of j in a layer and takes it. With start
 // set the tasks are launched; otherwise the room is only kept for them.
-func (r *refRound) fit(j *Job, want int, l layer, start bool) int {
+func (r *refRound) fit(j *Job, want int, l horizon, start bool) int {
 	b, bounded := r.bound(j, l)
-	if most, ok := r.bounds[b]; bounded && ok && (most == 0 || whole(j) && most < j.PendingTasks) {
+	if most, ok := r.bounds[b]; bounded && ok && (most == 0 || startsWhole(j) && most < j.PendingTasks) {
 		return 0 // one of its like has found no room
 	}
 	var places []Placement
@@ -153,20 +153,20 @@
 	} else {
 		places = r.choose(j, want, l, "")
 	}
-	n := count(places)
+	n := countTasks(places)
 	if bounded && n < want {
 		r.bounds[b] = n
 	}
-	if n == 0 || (whole(j) && n < j.PendingTasks) {
+	if n == 0 || (startsWhole(j) && n < j.PendingTasks) {
 		return 0
 	}
 	r.take(j, places, start)
 	return n
 }
 
-// singleZone tries each zone and takes the one that holds most, on the fewest
+// chooseSingleZone tries each zone and takes the one that holds most, on the fewest
 // machines. A job that has tasks in a zone stays there.
-func (r *refRound) singleZone(j *Job, want int, l layer) []Placement {
+func (r *refRound) singleZone(j *Job, want int, l horizon) []Placement {
 	for zone, n := range j.LiveByZone {
 		if n > 0 {
 			return r.choose(j, want, l, zone)
@@ -175,7 +175,7 @@
 	var best []Placement
 	for _, zone := range r.zones() {
 		p := r.choose(j, want, l, zone)
-		if count(p) > count(best) || (count(p) == count(best) && len(p) < len(best)) {
+		if countTasks(p) > countTasks(best) || (countTasks(p) == countTasks(best) && len(p) < len(best)) {
 			best = p
 		}
 	}
@@ -221,7 +221,7 @@
 	return n.HourlyPrice * share
 }
 
-// price is what placing a task there costs: nothing for work that may be stopped
+// placementCost is what placing a task there costs: nothing for work that may be stopped
 // and fills the gaps of a machine that stays anyway.
 func (r *refRound) price(j *Job, n *Node) float64 {
 	if j.Spec.AllowSpot && n.RunsOnDemandWork {
@@ -232,7 +232,7 @@
 
 // options lists where tasks of j fit, at most want on each node. The list is good until
 // the next call.
-func (r *refRound) options(j *Job, want int, l layer, zone string) []refOption {
+func (r *refRound) options(j *Job, want int, l horizon, zone string) []refOption {
 	need := fleet.Need(j.Spec)
 	opts := r.optionsBuffer[:0]
 	for _, i := range r.candidates(l) {
@@ -256,14 +256,14 @@
 	return opts
 }
 
-// better orders options: the cheapest for the task first, then those that have
+// compareGroups orders options: the cheapest for the task first, then those that have
 // the image, then those that need the fewest machines, then the tightest fit. The
 // image goes first where its fetch alone would make the start late. CPU-only
 // work goes where the fewest GPUs are free.
 func (r *refRound) better(j *Job) func(a, b refOption) int {
 	return func(a, b refOption) int {
 		na, nb := &r.in.Nodes[a.node], &r.in.Nodes[b.node]
-		price, image := cmp.Compare(a.price, b.price), cmp.Compare(b2i(b.image), b2i(a.image))
+		price, image := cmp.Compare(a.price, b.price), cmp.Compare(boolToInt(b.image), boolToInt(a.image))
 		if j.FetchDelaysStart {
 			price, image = image, price
 		}
@@ -271,7 +271,7 @@
 		if image == 0 && !a.image {
 			pulls = cmp.Compare(a.pulling, b.pulling)
 		}
-		stays, count, headroom := cmp.Compare(b2i(nb.RunsOnDemandWork), b2i(na.RunsOnDemandWork)), cmp.Compare(b.count, a.count), cmp.Compare(a.headroom, b.headroom)
+		stays, count, headroom := cmp.Compare(boolToInt(nb.RunsOnDemandWork), boolToInt(na.RunsOnDemandWork)), cmp.Compare(b.count, a.count), cmp.Compare(a.headroom, b.headroom)
 		last := cmp.Or(cmp.Compare(na.ID, nb.ID), cmp.Compare(a.node, b.node))
 		if j.FetchDelaysStart || j.Spec.AllowSpot {
 			return cmp.Or(price, image, pulls, count, headroom, last)
@@ -280,8 +280,8 @@
 	}
 }
 
-// choose picks nodes for up to want tasks, the best first.
-func (r *refRound) choose(j *Job, want int, l layer, zone string) []Placement {
+// chooseNodes picks nodes for up to want tasks, the best first.
+func (r *refRound) choose(j *Job, want int, l horizon, zone string) []Placement {
 	order := refLeast[refOption]{items: r.options(j, want, l, zone), cmp: r.better(j)}
 	var places []Placement
 	taken := map[string]int{}
@@ -300,7 +300,7 @@
 	return places
 }
 
-// take books the places against every layer, so that nobody later in the
+// commitPlacements books the places against every layer, so that nobody later in the
 // window uses the room, and against the limit of the team.
 func (r *refRound) take(j *Job, places []Placement, start bool) {
 	need := fleet.Need(j.Spec)
@@ -326,7 +326,7 @@
 	}
 }
 
-// reserve keeps the machines for j that have most room already, until their
+// reserveNodes keeps the machines for j that have most room already, until their
 // whole capacity would hold it. Later jobs start only elsewhere.
 func (r *refRound) reserve(j *Job, want int) {
 	need := fleet.Need(j.Spec)
@@ -337,7 +337,7 @@
 		}
 	}
 	slices.SortFunc(nodes, func(a, b int) int {
-		return cmp.Or(cmp.Compare(r.room[soon][b].Gpus, r.room[soon][a].Gpus), cmp.Compare(r.room[soon][b].Cores, r.room[soon][a].Cores), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(r.room[afterStops][b].Gpus, r.room[afterStops][a].Gpus), cmp.Compare(r.room[afterStops][b].Cores, r.room[afterStops][a].Cores), cmp.Compare(a, b))
 	})
 	taken := map[string]int{}
 	zone := ""
@@ -392,7 +392,7 @@
 
 // candidates lists the nodes of a layer that may have room, and drops those
 // that no longer have.
-func (r *refRound) candidates(l layer) []int {
+func (r *refRound) candidates(l horizon) []int {
 	o := &r.open[l]
 	o.nodes = slices.DeleteFunc(o.nodes, func(i int) bool {
 		o.in[i] = r.room[l][i].Count(r.least, 1) > 0
@@ -401,10 +401,10 @@
 	return o.nodes
 }
 
-// grow gives a node the room of a task that is stopped, once it has ended.
+// releaseRoom gives a node the room of a task that is stopped, once it has ended.
 func (r *refRound) grow(node int, room fleet.Res) {
 	clear(r.bounds)
-	for _, l := range [...]layer{soon, later} {
+	for _, l := range [...]horizon{afterStops, afterBoot} {
 		r.room[l][node] = r.room[l][node].Add(room)
 		if o := &r.open[l]; !o.in[node] && r.room[l][node].Count(r.least, 1) > 0 {
 			o.nodes, o.in[node] = append(o.nodes, node), true
@@ -412,7 +412,7 @@
 	}
 }
 
-// leastDisruption gives, for each node, the victims in the order in which they are
+// victimsInStopOrder gives, for each node, the victims in the order in which they are
 // stopped.
 func (r *refRound) leastDisruption() [][]Victim {
 	if r.victims == nil {
@@ -429,7 +429,7 @@
 // bound names a kind of job and a layer. Room only shrinks in a round, but for
 // what is stopped: of a kind that fitted so many times, no more fit later.
 type refBound struct {
-	layer                   layer
+	layer                   horizon
 	level                   int // of a job that displaces
 	need                    fleet.Res
 	machineTypes, zone      string
@@ -439,8 +439,8 @@
 	image                   string // if only nodes that have it will do
 }
 
-// bound names the job's kind. ok is false if what fits depends on more.
-func (r *refRound) bound(j *Job, l layer) (b refBound, ok bool) {
+// demandShape names the job's kind. ok is false if what fits depends on more.
+func (r *refRound) bound(j *Job, l horizon) (b refBound, ok bool) {
 	s := j.Spec
 	if s.SingleZone || s.SpreadZones || j.AvoidedMachine != "" {
 		return b, false
@@ -449,7 +449,7 @@
 	if r.warm {
 		b.image = s.Image
 	}
-	if l == preempted {
+	if l == byPreemption {
 		b.level = j.Level
 	}
 	return b, true
@@ -503,8 +503,8 @@
 	if r.lowest >= j.Level {
 		return 0
 	}
-	b, bounded := r.bound(j, preempted)
-	if most, ok := r.bounds[b]; bounded && ok && (most == 0 || whole(j) && most < j.PendingTasks) {
+	b, bounded := r.bound(j, byPreemption)
+	if most, ok := r.bounds[b]; bounded && ok && (most == 0 || startsWhole(j) && most < j.PendingTasks) {
 		return 0
 	}
 	choices := r.preemptions(j, want)
@@ -512,7 +512,7 @@
 	if bounded && len(places) < want {
 		r.bounds[b] = len(places)
 	}
-	if len(places) == 0 || (whole(j) && len(places) < j.PendingTasks) {
+	if len(places) == 0 || (startsWhole(j) && len(places) < j.PendingTasks) {
 		return 0
 	}
 	r.stopVictims(j, chosen)
@@ -520,12 +520,12 @@
 	return len(places)
 }
 
-// mayPreempt reports whether a job may displace running work.
+// jobMayPreempt reports whether a job may displace running work.
 func refMayPreempt(j *Job, v *Victim) bool {
 	return v.Level < j.Level && (!v.IsReplica || j.CannotAwaitBoot)
 }
 
-// preemptions lists, by node, the room that there is for tasks of a job, and that there
+// preemptionOptions lists, by node, the room that there is for tasks of a job, and that there
 // would be if work that it may displace were stopped, what loses least first.
 func (r *refRound) preemptions(j *Job, want int) []refChoice {
 	need := fleet.Need(j.Spec)
@@ -534,7 +534,7 @@
 		if !r.couldHold(j, need, i, victims) || !r.usable(j, i, "") {
 			continue
 		}
-		room := r.room[soon][i]
+		room := r.room[afterStops][i]
 		for range room.Count(need, want) {
 			choices = append(choices, refChoice{node: i})
 			room = room.Sub(need)
@@ -562,7 +562,7 @@
 // couldHold reports whether a node holds a task of a job once all that it may displace is
 // stopped.
 func (r *refRound) couldHold(j *Job, need fleet.Res, node int, victims []Victim) bool {
-	gain := r.room[soon][node]
+	gain := r.room[afterStops][node]
 	if gain.Holds(need) {
 		return true
 	}
@@ -574,7 +574,7 @@
 	return gain.Holds(need)
 }
 
-// leastHarm takes the choices with the least loss that the job's zones allow, for up to want
+// chooseLeastDisruptive takes the choices with the least loss that the job's zones allow, for up to want
 // tasks.
 func (r *refRound) leastHarm(j *Job, want int, choices []refChoice) (places []Placement, chosen []refChoice) {
 	order := refLeast[refChoice]{items: choices, cmp: func(a, b refChoice) int {
