--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -186,8 +186,8 @@
 	}
 	for i := range c.catalog.MachineTypes {
 		if c.catalog.MachineTypes[i].Name == m.Type {
-			m.Cap = provision.Capacity(&c.catalog.MachineTypes[i])
-			c.fleet.Touch(m)
+			m.Capacity = provision.Capacity(&c.catalog.MachineTypes[i])
+			c.fleet.MarkChanged(m)
 		}
 	}
 }
--- a/internal/controller/placementwriter.go
+++ b/internal/controller/placementwriter.go
@@ -299,7 +299,7 @@
 			continue
 		}
 		for _, a := range w.planned {
-			c.fleet.Commit(a, now)
+			c.fleet.MarkCommitted(a, now)
 		}
 		if w.placement.changes == w.changes {
 			w.placement.setDirty(false)
@@ -308,7 +308,7 @@
 		}
 		w.placement.ended = slices.DeleteFunc(w.placement.ended, func(a *fleet.Attempt) bool { return slices.Contains(w.ended, a) })
 		for _, a := range w.ended {
-			c.fleet.Record(a, now)
+			c.fleet.MarkEndRecorded(a, now)
 		}
 	}
 	for _, w := range b.jobs {
--- a/internal/sched/candidates.go
+++ b/internal/sched/candidates.go
@@ -21,7 +21,7 @@
 // candidateGroups lists the groups of nodes on which tasks of a job fit, in zone only unless that is
 // "". The list is valid until the next call.
 func (c *cycle) candidateGroups(job *Job, want int, at horizon, zone string) []candidateGroup {
-	scratch, need := c.scratch, fleet.Need(job.Spec)
+	scratch, need := c.scratch, fleet.TaskResources(job.Spec)
 	groups := scratch.groups[:0]
 	for _, classID := range c.openClasses[at] {
 		class := &scratch.classes[classID]
@@ -33,7 +33,7 @@
 			continue
 		}
 		free := class.free[at]
-		tasks := free.Count(need, want)
+		tasks := free.CountFitting(need, want)
 		if tasks == 0 {
 			continue
 		}
@@ -60,7 +60,7 @@
 
 // residualRoom measures what tasks leave free on a node: whole GPUs, and the share of its cores. For
 // CPU-only work only free GPUs count, so that it goes where the fewest are free.
-func residualRoom(free, need fleet.Res, tasks int, cores float64) float64 {
+func residualRoom(free, need fleet.Resources, tasks int, cores float64) float64 {
 	if need.Gpus == 0 {
 		return free.Gpus
 	}
@@ -69,7 +69,7 @@
 
 // placementCost returns what placing a task on a machine costs per hour: nothing for work that may use
 // spot machines and fills the gaps of a machine that stays anyway.
-func placementCost(job *Job, profile *nodeProfile, need fleet.Res) float64 {
+func placementCost(job *Job, profile *nodeProfile, need fleet.Resources) float64 {
 	if job.Spec.AllowSpot && profile.runsOnDemandWork {
 		return 0
 	}
@@ -77,7 +77,7 @@
 }
 
 // taskPrice returns the price of a task's dominant share of a machine.
-func taskPrice(profile *nodeProfile, need fleet.Res) float64 {
+func taskPrice(profile *nodeProfile, need fleet.Resources) float64 {
 	share := 0.0
 	for _, resource := range [...]struct{ need, capacity float64 }{
 		{need.Cores, profile.capacity.Cores},
--- a/internal/sched/classindex.go
+++ b/internal/sched/classindex.go
@@ -18,7 +18,7 @@
 type classKey struct {
 	profile       int32
 	activeFetches int32
-	free          [horizons]fleet.Res
+	free          [horizons]fleet.Resources
 }
 
 // class is a set of nodes that are alike.
@@ -30,7 +30,7 @@
 }
 
 // buildClassIndex puts the nodes that have room for the smallest need of the window into classes.
-func (c *cycle) buildClassIndex(smallest fleet.Res) {
+func (c *cycle) buildClassIndex(smallest fleet.Resources) {
 	c.smallestNeed = smallest
 	scratch := c.scratch
 	if scratch.classIndex == nil {
@@ -73,14 +73,14 @@
 	return classKey{
 		profile:       c.scratch.profile[slot],
 		activeFetches: c.scratch.activeFetches[slot],
-		free:          [horizons]fleet.Res{c.free[atOnce][slot], c.free[afterStops][slot], c.free[afterBoot][slot]},
+		free:          [horizons]fleet.Resources{c.free[atOnce][slot], c.free[afterStops][slot], c.free[afterBoot][slot]},
 	}
 }
 
 // hasRoomForSmallest reports whether nodes of a class have room for the smallest need, now or later.
 func (c *cycle) hasRoomForSmallest(key *classKey) bool {
 	for at := range key.free {
-		if key.free[at].HoldsOne(c.smallestNeed) {
+		if key.free[at].FitsRequested(c.smallestNeed) {
 			return true
 		}
 	}
@@ -96,7 +96,7 @@
 		scratch.classes = append(scratch.classes, class{classKey: key})
 		scratch.classIndex[key] = classID
 		for at := range c.openClasses {
-			if key.free[at].HoldsOne(c.smallestNeed) {
+			if key.free[at].FitsRequested(c.smallestNeed) {
 				c.openClasses[at] = append(c.openClasses[at], classID)
 			}
 		}
--- a/internal/sched/cycle.go
+++ b/internal/sched/cycle.go
@@ -26,9 +26,9 @@
 	scratch           *scratchSpace
 	plan              *Plan
 	profiles          []nodeProfile
-	free              [horizons][]fleet.Res // by horizon and slot
-	openClasses       [horizons][]int32     // classes that had room for smallestNeed when they were made
-	smallestNeed      fleet.Res             // no task of the window needs less of any resource
+	free              [horizons][]fleet.Resources // by horizon and slot
+	openClasses       [horizons][]int32           // classes that had room for smallestNeed when they were made
+	smallestNeed      fleet.Resources             // no task of the window needs less of any resource
 	lowestVictimLevel int
 	sortedVictims     map[int32][]Victim  // by slot, in stop order: those that were asked for
 	maxFit            map[demandShape]int // how many tasks at most fit, of shapes that were tried
@@ -82,11 +82,11 @@
 }
 
 // smallestNeed returns the least of each resource that any job's tasks need.
-func smallestNeed(window []*Job) fleet.Res {
-	smallest := fleet.Need(window[0].Spec)
+func smallestNeed(window []*Job) fleet.Resources {
+	smallest := fleet.TaskResources(window[0].Spec)
 	for _, job := range window[1:] {
-		need := fleet.Need(job.Spec)
-		smallest = fleet.Res{
+		need := fleet.TaskResources(job.Spec)
+		smallest = fleet.Resources{
 			Cores: min(smallest.Cores, need.Cores),
 			Gpus:  min(smallest.Gpus, need.Gpus),
 			RAM:   min(smallest.RAM, need.RAM),
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -88,7 +88,7 @@
 // commitPlacements books placements against every horizon, so that no later job of the window uses the
 // room, and against the limit of the team.
 func (c *cycle) commitPlacements(job *Job, placements []Placement, start bool) {
-	need := fleet.Need(job.Spec)
+	need := fleet.TaskResources(job.Spec)
 	placed := 0
 	for _, placement := range placements {
 		for at := range c.free {
--- a/internal/sched/fitshape.go
+++ b/internal/sched/fitshape.go
@@ -15,7 +15,7 @@
 type demandShape struct {
 	horizon                         horizon
 	preemptor                       preemptor // of a job that preempts
-	need                            fleet.Res
+	need                            fleet.Resources
 	machineTypes, zone              string
 	allowSpot                       bool
 	cannotAwaitBoot, waitedPastBoot bool
@@ -38,7 +38,7 @@
 		imageHolders:     holders,
 		imageMayBeCached: holders != nil || len(c.input.Nodes) > 0,
 		shape: demandShape{
-			need:            fleet.Need(spec),
+			need:            fleet.TaskResources(spec),
 			machineTypes:    strings.Join(spec.MachineTypes, " "),
 			zone:            spec.Zone,
 			allowSpot:       spec.AllowSpot,
--- a/internal/sched/generators_test.go
+++ b/internal/sched/generators_test.go
@@ -16,7 +16,7 @@
 // genNode draws a machine: few different amounts, so that many are alike, and some that are
 // overbooked.
 func genNode(t *rapid.T, id string, victims *int) Node {
-	size := rapid.SampledFrom([]fleet.Res{{Cores: 16, Gpus: 4, RAM: 100}, {Cores: 8, Gpus: 0, RAM: 60}}).Draw(t, "size")
+	size := rapid.SampledFrom([]fleet.Resources{{Cores: 16, Gpus: 4, RAM: 100}, {Cores: 8, Gpus: 0, RAM: 60}}).Draw(t, "size")
 	n := Node{
 		ID:               id,
 		Type:             fmt.Sprint("t", size.Gpus),
@@ -43,7 +43,7 @@
 	}
 	n.FreeAfterStops = n.Free
 	if rapid.Bool().Draw(t, "ending") {
-		n.FreeAfterStops = n.FreeAfterStops.Add(fleet.Res{Cores: 2, Gpus: 1, RAM: 10})
+		n.FreeAfterStops = n.FreeAfterStops.Add(fleet.Resources{Cores: 2, Gpus: 1, RAM: 10})
 	}
 	n.FreeAfterBoot = n.FreeAfterStops
 	return n
@@ -54,7 +54,7 @@
 	v := Victim{
 		Serial:    serial,
 		Level:     rapid.IntRange(1, 4).Draw(t, "level"),
-		Need:      fleet.Res{Cores: float64(rapid.IntRange(1, 4).Draw(t, "cores")), Gpus: gpus, RAM: 10},
+		Need:      fleet.Resources{Cores: float64(rapid.IntRange(1, 4).Draw(t, "cores")), Gpus: gpus, RAM: 10},
 		MaxLossS:  float64(rapid.IntRange(0, 3).Draw(t, "loss")),
 		IsReplica: rapid.Bool().Draw(t, "replica"),
 	}
--- a/internal/sched/input.go
+++ b/internal/sched/input.go
@@ -13,17 +13,17 @@
 	Type             string
 	Zone             string
 	Spot             bool
-	Capacity         fleet.Res
-	Free             fleet.Res // usable now; zero for a machine that accepts no launches
-	FreeAfterStops   fleet.Res // usable once the tasks that are being stopped have ended
-	FreeAfterBoot    fleet.Res // usable once the machine is up
-	Registered       bool      // it sends heartbeats: it has images, or fetches them
-	Images           []string  // images that it has or fetches
-	ActiveFetches    int       // images that it fetches now; they share its fetch rate
-	Victims          []Victim  // running tasks that may be preempted, in any order
-	HourlyPrice      float64   // 0 if unknown
-	ScaleInCandidate bool      // will be scaled in unless work that may not use spot machines needs it
-	RunsOnDemandWork bool      // stays because it runs work that may not use spot machines
+	Capacity         fleet.Resources
+	Free             fleet.Resources // usable now; zero for a machine that accepts no launches
+	FreeAfterStops   fleet.Resources // usable once the tasks that are being stopped have ended
+	FreeAfterBoot    fleet.Resources // usable once the machine is up
+	Registered       bool            // it sends heartbeats: it has images, or fetches them
+	Images           []string        // images that it has or fetches
+	ActiveFetches    int             // images that it fetches now; they share its fetch rate
+	Victims          []Victim        // running tasks that may be preempted, in any order
+	HourlyPrice      float64         // 0 if unknown
+	ScaleInCandidate bool            // will be scaled in unless work that may not use spot machines needs it
+	RunsOnDemandWork bool            // stays because it runs work that may not use spot machines
 }
 
 // Victim is a running task that a job of a higher priority may preempt, or a job within its team's
@@ -33,7 +33,7 @@
 	JobUID        string
 	Team          string
 	Level         int // priority level, below maxLevels
-	Need          fleet.Res
+	Need          fleet.Resources
 	MaxLossS      float64   // seconds of work lost if it is stopped; the upper bound if LossGrowsFrom is set
 	LossGrowsFrom time.Time // if set, the loss grows from this time on
 	IsReplica     bool      // a replica of a service: users notice at once that it is stopped
@@ -76,8 +76,8 @@
 }
 
 // beyondQuota returns how much a team would still use beyond its quota if more of its work were stopped.
-func (t *Team) beyondQuota(more fleet.Res) fleet.Res {
-	return fleet.Res{
+func (t *Team) beyondQuota(more fleet.Resources) fleet.Resources {
+	return fleet.Resources{
 		Cores: t.Used.Cores - t.Stopping.Cores - t.Quota.Cores - more.Cores,
 		Gpus:  t.Used.Gpus - t.Stopping.Gpus - t.Quota.Gpus - more.Gpus,
 	}
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -27,9 +27,9 @@
 	Placements     []Placement
 	Preemptions    []Preemption
 	Shortfalls     []Shortfall
-	Objective      float64     // sum of p_j(s_j - c_j) over the jobs that start
-	JobsConsidered int         // jobs in the window
-	ReservedFor    string      // UID of the job that nodes are reserved for; "" if none
-	FreeAfterStops []fleet.Res // what the cycle leaves of each node once stops have ended
-	FreeAfterBoot  []fleet.Res // what it leaves once machines are up, too
+	Objective      float64           // sum of p_j(s_j - c_j) over the jobs that start
+	JobsConsidered int               // jobs in the window
+	ReservedFor    string            // UID of the job that nodes are reserved for; "" if none
+	FreeAfterStops []fleet.Resources // what the cycle leaves of each node once stops have ended
+	FreeAfterBoot  []fleet.Resources // what it leaves once machines are up, too
 }
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -50,7 +50,7 @@
 // that it may preempt were stopped, the least loss first on each node. If the job's tasks may be in
 // any zone, no more options than wanted tasks are listed: those with the least loss.
 func (c *cycle) preemptionOptions(job *Job, want int) []preemptionOption {
-	need, preemptible, scratch := fleet.Need(job.Spec), c.preemptibleBy(job), c.scratch
+	need, preemptible, scratch := fleet.TaskResources(job.Spec), c.preemptibleBy(job), c.scratch
 	maxOptions := math.MaxInt
 	if !job.Spec.SingleZone && !job.Spec.SpreadZones {
 		maxOptions = want
@@ -66,10 +66,10 @@
 	}
 	for slot := range scratch.profile {
 		room := c.free[afterStops][slot]
-		if !room.Add(preemptible.releasable[slot]).Holds(need) {
+		if !room.Add(preemptible.releasable[slot]).Fits(need) {
 			continue
 		}
-		if kept.Len() >= maxOptions && preemptible.minLossS[slot] >= kept.Min().lossS && !room.HoldsOne(need) {
+		if kept.Len() >= maxOptions && preemptible.minLossS[slot] >= kept.Min().lossS && !room.FitsRequested(need) {
 			continue // every option here loses as much, and comes later in order
 		}
 		if c.isVacant(slot) || !c.isNodeEligible(job, int32(slot)) {
@@ -82,9 +82,9 @@
 }
 
 // addOptionsOnNode adds the room on a node for tasks of a job, one by one.
-func (c *cycle) addOptionsOnNode(job *Job, slot int32, need fleet.Res, want int, add func(option preemptionOption)) {
+func (c *cycle) addOptionsOnNode(job *Job, slot int32, need fleet.Resources, want int, add func(option preemptionOption)) {
 	room := c.free[afterStops][slot]
-	for range room.Count(need, want) {
+	for range room.CountFitting(need, want) {
 		add(preemptionOption{node: slot})
 		room = room.Sub(need)
 	}
@@ -98,7 +98,7 @@
 		room = room.Add(v.Need)
 		option.endVictim = k + 1
 		option.lossS += v.lossS(c.input.Now) + 1
-		if room.Holds(need) {
+		if room.Fits(need) {
 			add(option)
 			option = preemptionOption{node: slot, firstVictim: option.endVictim}
 			room = room.Sub(need)
@@ -116,7 +116,7 @@
 			jobZone = zone
 		}
 	}
-	takenByZone, reclaimed := map[string]int{}, map[string]fleet.Res{}
+	takenByZone, reclaimed := map[string]int{}, map[string]fleet.Resources{}
 	for order.Len() > 0 && len(placements) < want {
 		option := order.Pop()
 		zone := c.zoneOf(option.node)
@@ -138,12 +138,12 @@
 
 // reclaimWithinQuotas reports whether what an option reclaims from other teams leaves each of them its
 // own quota, on top of what was reclaimed from it for the job already. If so, it adds it to reclaimed.
-func (c *cycle) reclaimWithinQuotas(job *Job, option *preemptionOption, reclaimed map[string]fleet.Res) bool {
+func (c *cycle) reclaimWithinQuotas(job *Job, option *preemptionOption, reclaimed map[string]fleet.Resources) bool {
 	by := c.preemptorOf(job)
 	if !by.reclaimsQuota || option.endVictim == 0 {
 		return true
 	}
-	after := map[string]fleet.Res{}
+	after := map[string]fleet.Resources{}
 	victims := c.sortedVictims[option.node]
 	for k := option.firstVictim; k < option.endVictim; k++ {
 		v := &victims[k]
--- a/internal/sched/profile.go
+++ b/internal/sched/profile.go
@@ -9,7 +9,7 @@
 	runsOnDemandWork  bool
 	scaleInCandidate  bool
 	registered        bool
-	capacity          fleet.Res
+	capacity          fleet.Resources
 	hourlyPrice       float64
 }
 
--- a/internal/sched/quota_test.go
+++ b/internal/sched/quota_test.go
@@ -14,14 +14,14 @@
 type runningTask struct {
 	team        string
 	level       int
-	need        fleet.Res
+	need        fleet.Resources
 	isReplica   bool
 	withinQuota bool
 	stopping    bool // it is being stopped already and is no victim
 }
 
 // teamsInput is the input of a cycle with three teams, of which "guest" has no quota.
-func teamsInput(otherQuota fleet.Res) *Input {
+func teamsInput(otherQuota fleet.Resources) *Input {
 	in := &Input{
 		Window:          200,
 		ReserveAfterS:   30,
@@ -59,7 +59,7 @@
 }
 
 // addPending makes a job of team "owner" the one that waits.
-func (in *Input) addPending(level, tasks int, need fleet.Res, withinQuota bool) {
+func (in *Input) addPending(level, tasks int, need fleet.Resources, withinQuota bool) {
 	j := job("run-900000", level, tasks, need.Cores, need.Gpus)
 	j.Spec.Team, j.WithinQuota = "owner", withinQuota
 	in.WithinQuota[j.Spec.UID] = withinQuota
@@ -67,11 +67,11 @@
 }
 
 // genRunningTask draws a task that fits what is free on a machine.
-func genRunningTask(t *rapid.T, free fleet.Res) runningTask {
+func genRunningTask(t *rapid.T, free fleet.Resources) runningTask {
 	task := runningTask{
 		team:      rapid.SampledFrom([]string{"owner", "other", "guest"}).Draw(t, "team"),
 		level:     rapid.IntRange(1, 4).Draw(t, "level"),
-		need:      fleet.Res{Cores: float64(rapid.IntRange(1, int(free.Cores)).Draw(t, "need"))},
+		need:      fleet.Resources{Cores: float64(rapid.IntRange(1, int(free.Cores)).Draw(t, "need"))},
 		isReplica: rapid.Bool().Draw(t, "replica"),
 	}
 	task.need.Gpus = min(free.Gpus, float64(rapid.IntRange(0, 2).Draw(t, "needGpus")))
@@ -84,7 +84,7 @@
 func genTeamsInput(t *rapid.T) *Input {
 	cores := rapid.IntRange(1, 12).Draw(t, "cores")
 	gpus := rapid.IntRange(0, 4).Draw(t, "gpus")
-	in := teamsInput(fleet.Res{Cores: float64(cores), Gpus: float64(gpus)})
+	in := teamsInput(fleet.Resources{Cores: float64(cores), Gpus: float64(gpus)})
 	serial := 0
 	for i := range rapid.IntRange(1, 4).Draw(t, "machines") {
 		n := node(fmt.Sprint("m", i), 8, 4)
@@ -95,7 +95,7 @@
 		in.Nodes = append(in.Nodes, n)
 	}
 	level, tasks := rapid.IntRange(1, 3).Draw(t, "level"), rapid.IntRange(1, 3).Draw(t, "tasks")
-	need := fleet.Res{Cores: float64(rapid.IntRange(1, 6).Draw(t, "cores")), Gpus: float64(rapid.IntRange(0, 2).Draw(t, "gpus"))}
+	need := fleet.Resources{Cores: float64(rapid.IntRange(1, 6).Draw(t, "cores")), Gpus: float64(rapid.IntRange(0, 2).Draw(t, "gpus"))}
 	in.addPending(level, tasks, need, rapid.Bool().Draw(t, "withinQuota"))
 	return in
 }
@@ -112,9 +112,9 @@
 // machine, and nothing is stopped in vain.
 func checkReclaim(t failer, in *Input) {
 	t.Helper()
-	used, beyond := map[string]Team{}, map[string]fleet.Res{}
+	used, beyond := map[string]Team{}, map[string]fleet.Resources{}
 	for name, team := range in.Teams {
-		used[name], beyond[name] = *team, team.beyondQuota(fleet.Res{})
+		used[name], beyond[name] = *team, team.beyondQuota(fleet.Resources{})
 	}
 	pending := in.Jobs[0].PendingTasks
 	plan := Run(in)
@@ -136,7 +136,7 @@
 }
 
 // checkVictim checks one preemption and takes it off what its team has beyond its quota.
-func checkVictim(t failer, in *Input, v *Victim, beyond map[string]fleet.Res) {
+func checkVictim(t failer, in *Input, v *Victim, beyond map[string]fleet.Resources) {
 	t.Helper()
 	j := in.Jobs[0]
 	if v.Team != "owner" && in.WithinQuota[v.JobUID] {
@@ -163,42 +163,42 @@
 // higher priority.
 func TestReclaimOnInputsThatOnceFailed(t *testing.T) {
 	for name, c := range map[string]struct {
-		otherQuota fleet.Res
+		otherQuota fleet.Resources
 		machines   [][]runningTask
 		level      int
-		need       fleet.Res
+		need       fleet.Resources
 	}{
 		"a team is left below its quota": {
-			otherQuota: fleet.Res{Cores: 1},
+			otherQuota: fleet.Resources{Cores: 1},
 			machines: [][]runningTask{{
-				{team: "other", level: 1, need: fleet.Res{Cores: 1}},
-				{team: "guest", level: 1, need: fleet.Res{Cores: 7}, stopping: true},
+				{team: "other", level: 1, need: fleet.Resources{Cores: 1}},
+				{team: "guest", level: 1, need: fleet.Resources{Cores: 7}, stopping: true},
 			}},
 			level: 1,
-			need:  fleet.Res{Cores: 1},
+			need:  fleet.Resources{Cores: 1},
 		},
 		"the job's own team loses a replica of a higher priority": {
-			otherQuota: fleet.Res{Cores: 5, Gpus: 1},
+			otherQuota: fleet.Resources{Cores: 5, Gpus: 1},
 			machines: [][]runningTask{
-				{{team: "owner", level: 3, need: fleet.Res{Cores: 8}, isReplica: true}},
+				{{team: "owner", level: 3, need: fleet.Resources{Cores: 8}, isReplica: true}},
 				{
-					{team: "guest", level: 4, need: fleet.Res{Cores: 1, Gpus: 2}, isReplica: true},
-					{team: "other", level: 2, need: fleet.Res{Cores: 7, Gpus: 2}},
+					{team: "guest", level: 4, need: fleet.Resources{Cores: 1, Gpus: 2}, isReplica: true},
+					{team: "other", level: 2, need: fleet.Resources{Cores: 7, Gpus: 2}},
 				},
 				{
-					{team: "other", level: 3, need: fleet.Res{Cores: 4, Gpus: 2}, isReplica: true},
-					{team: "owner", level: 3, need: fleet.Res{Cores: 3}, stopping: true},
-					{team: "owner", level: 2, need: fleet.Res{Cores: 1, Gpus: 2}, isReplica: true, withinQuota: true},
+					{team: "other", level: 3, need: fleet.Resources{Cores: 4, Gpus: 2}, isReplica: true},
+					{team: "owner", level: 3, need: fleet.Resources{Cores: 3}, stopping: true},
+					{team: "owner", level: 2, need: fleet.Resources{Cores: 1, Gpus: 2}, isReplica: true, withinQuota: true},
 				},
 				{
-					{team: "other", level: 1, need: fleet.Res{Cores: 1, Gpus: 1}},
-					{team: "guest", level: 4, need: fleet.Res{Cores: 3, Gpus: 2}, isReplica: true},
-					{team: "guest", level: 4, need: fleet.Res{Cores: 2, Gpus: 1}},
-					{team: "guest", level: 2, need: fleet.Res{Cores: 2}, isReplica: true},
+					{team: "other", level: 1, need: fleet.Resources{Cores: 1, Gpus: 1}},
+					{team: "guest", level: 4, need: fleet.Resources{Cores: 3, Gpus: 2}, isReplica: true},
+					{team: "guest", level: 4, need: fleet.Resources{Cores: 2, Gpus: 1}},
+					{team: "guest", level: 2, need: fleet.Resources{Cores: 2}, isReplica: true},
 				},
 			},
 			level: 2,
-			need:  fleet.Res{Cores: 3, Gpus: 1},
+			need:  fleet.Resources{Cores: 3, Gpus: 1},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -227,10 +227,10 @@
 			JobUID:    "run-000001",
 			Team:      "guest",
 			Level:     4,
-			Need:      fleet.Res{Cores: 8, Gpus: 4},
+			Need:      fleet.Resources{Cores: 8, Gpus: 4},
 			IsReplica: true,
 		}}
-		full.Free, full.FreeAfterStops, full.FreeAfterBoot = fleet.Res{RAM: 1}, fleet.Res{RAM: 1}, fleet.Res{RAM: 1}
+		full.Free, full.FreeAfterStops, full.FreeAfterBoot = fleet.Resources{RAM: 1}, fleet.Resources{RAM: 1}, fleet.Resources{RAM: 1}
 		in := &Input{
 			Window:          1,
 			ReserveAfterS:   30,
--- a/internal/sched/reservation.go
+++ b/internal/sched/reservation.go
@@ -9,13 +9,13 @@
 // reserveNodes reserves nodes for a job, those with the most free room first, until their whole
 // capacity would hold it. Later jobs of the window start only elsewhere.
 func (c *cycle) reserveNodes(job *Job, want int) {
-	need := fleet.Need(job.Spec)
+	need := fleet.TaskResources(job.Spec)
 	var nodes []int32
 	for slot := range c.scratch.profile {
 		if c.isVacant(slot) || !c.isNodeEligible(job, int32(slot)) {
 			continue
 		}
-		if c.profiles[c.scratch.profile[slot]].capacity.Count(need, 1) > 0 {
+		if c.profiles[c.scratch.profile[slot]].capacity.CountFitting(need, 1) > 0 {
 			nodes = append(nodes, int32(slot))
 		}
 	}
@@ -32,7 +32,7 @@
 			continue
 		}
 		capacity := c.profiles[c.scratch.profile[slot]].capacity
-		tasks := min(capacity.Count(need, want), zoneAllowance(job, zone)-reserved[zone])
+		tasks := min(capacity.CountFitting(need, want), zoneAllowance(job, zone)-reserved[zone])
 		if tasks <= 0 {
 			continue
 		}
--- a/internal/sched/scratch.go
+++ b/internal/sched/scratch.go
@@ -5,7 +5,7 @@
 // scratchSpace is memory that a cycle reuses from the one before: allocated again for each cycle and
 // each job, these lists were nearly all that a leader of 2,700 machines allocated.
 type scratchSpace struct {
-	free          [horizons][]fleet.Res
+	free          [horizons][]fleet.Resources
 	profile       []int32 // by slot
 	activeFetches []int32 // by slot
 	class         []int32 // by slot
@@ -27,7 +27,7 @@
 	s.profile, s.activeFetches = resize(s.profile, nodes), resize(s.activeFetches, nodes)
 	s.class, s.reserved = resize(s.class, nodes), resize(s.reserved, nodes)
 	s.free[atOnce] = resize(s.free[atOnce], nodes)
-	s.free[afterStops], s.free[afterBoot] = make([]fleet.Res, nodes), make([]fleet.Res, nodes) // the plan keeps these
+	s.free[afterStops], s.free[afterBoot] = make([]fleet.Resources, nodes), make([]fleet.Resources, nodes) // the plan keeps these
 	s.preemptible, s.victims = s.preemptible[:0], s.victims[:0]
 	if s.sortedVictims == nil {
 		s.sortedVictims, s.maxFit = map[int32][]Victim{}, map[demandShape]int{}
--- a/internal/sched/victims.go
+++ b/internal/sched/victims.go
@@ -12,8 +12,8 @@
 // the least loss of any of it. With that, most nodes need no closer look.
 type preemptible struct {
 	by         preemptor
-	releasable []fleet.Res // by slot
-	minLossS   []float64   // by slot
+	releasable []fleet.Resources // by slot
+	minLossS   []float64         // by slot
 }
 
 // preemptibleBy returns what a job may preempt; it is summed up once for each rule.
@@ -42,7 +42,7 @@
 
 // update sums up what may be preempted on a node.
 func (p *preemptible) update(c *cycle, slot int32) {
-	releasable, minLossS := fleet.Res{}, math.Inf(1)
+	releasable, minLossS := fleet.Resources{}, math.Inf(1)
 	victims := c.runningVictims(slot)
 	for i := range victims {
 		v := &victims[i]
@@ -119,7 +119,7 @@
 }
 
 // releaseRoom adds the room of a task that is stopped to what its node has once it has ended.
-func (c *cycle) releaseRoom(slot int32, room fleet.Res) {
+func (c *cycle) releaseRoom(slot int32, room fleet.Resources) {
 	clear(c.maxFit) // more may fit than was found before
 	c.free[afterStops][slot] = c.free[afterStops][slot].Add(room)
 	c.free[afterBoot][slot] = c.free[afterBoot][slot].Add(room)
--- a/internal/sched/view.go
+++ b/internal/sched/view.go
@@ -29,7 +29,7 @@
 	id            string // "": the slot is vacant
 	profile       int32
 	activeFetches int32
-	free          [horizons]fleet.Res
+	free          [horizons]fleet.Resources
 	victims       []Victim
 	images        []string // sorted
 }
@@ -66,7 +66,7 @@
 		id:            n.ID,
 		profile:       v.profiles.idOf(profileOf(n)),
 		activeFetches: int32(n.ActiveFetches),
-		free:          [horizons]fleet.Res{n.Free, n.FreeAfterStops, n.FreeAfterBoot},
+		free:          [horizons]fleet.Resources{n.Free, n.FreeAfterStops, n.FreeAfterBoot},
 		victims:       n.Victims,
 		images:        n.Images,
 	}
--- a/internal/standby/late_commit_test.go
+++ b/internal/standby/late_commit_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatalf("not proven: %v", err)
 	}
-	sameAsListed(t, s, proven)
+	checkSameAsListed(t, s, proven)
 	if item := s.items[machineReturn]; string(item.Value) != "11" || item.ModRevision != 25 {
 		t.Errorf("the late commit was carried out as %s at revision %d, want 11 at revision 25", item.Value, item.ModRevision)
 	}
--- a/internal/standby/source.go
+++ b/internal/standby/source.go
@@ -1,50 +1,41 @@
 package standby
 
 import (
-	"context"
-	"errors"
+	"slices"
 	"sync"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/peer"
-	"lotusstile.dev/lotusstile/internal/store"
-	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Views is what a leader knows beyond its records.
+// Views gives access to what a leader knows beyond its records.
 type Views interface {
-	// TakeChangedViews returns views that have changed since it was last called, at most
-	// so many, and whether there are more. The first call after a while returns all.
-	TakeChangedViews(most int) (changed []*Entry, more bool)
+	// DrainChangedViews returns views that have changed since the last call, at most so many, and
+	// whether there are more. The first call of a term returns all.
+	DrainChangedViews(most int) (changed []*Entry, more bool)
 }
 
 // Limits of a source.
 const (
-	// leastLoggedChanges is how many changes a follower may lag behind at least before it has
-	// to take everything anew. It is more in a large fleet: see loggedChanges.
-	leastLoggedChanges = 1 << 10
-	// viewsAtOnce is how many views are taken in one go: the leader's rounds wait for no
-	// more than these.
-	viewsAtOnce = 256
+	// minLoggedChanges is the least number of changes that a follower may lag behind before it has
+	// to pull everything again. It is more in a large fleet: see maxLoggedChanges.
+	minLoggedChanges = 1 << 10
+	// viewBatchSize is the number of views that are drained at a time: the leader's scheduling cycles
+	// wait for no more than these.
+	viewBatchSize = 256
 )
 
-// loggedChanges is how many changes a follower may lag behind: as many as there are entries.
-// One that lags further takes everything at less cost than the changes one by one. s.mu is
-// held.
-func (s *Source) loggedChanges() int { return max(leastLoggedChanges, s.contents.tree.Len()) }
-
-// change is what was changed by a sequence number.
+// change names the key that was changed at a sequence number.
 type change struct {
 	sequence uint64
 	key      string
 }
 
-// Source is what a leader's term offers to its standby.
+// Source offers the state of a leader's term to its standby. It is safe for concurrent use.
 type Source struct {
 	term     uint64
 	members  []string
-	lifetime time.Duration // of a transfer that nobody asks for
+	lifetime time.Duration // of a transfer that is not requested any more
 	now      func() time.Time
 
 	mu        sync.Mutex
@@ -52,30 +43,27 @@
 	contents  contents
 	sequence  uint64
 	log       []change // the newest changes, oldest first
-	positions positions
+	positions positionTracker
 	transfers map[string]*transfer // by the standby's label
 	views     Views
-	sent      uint64 // bytes of bodies
-}
-
-// transfer is one that is under way: it reads what was held when it began.
-type transfer struct {
-	id       uint64
-	parts    int // that have been sent
-	contents contents
-	keys     []string         // that are still to be sent
-	frame    peer.FollowReply // what all its parts have in common
-	asked    time.Time
+	sentBytes uint64 // of bodies
 }
 
-// NewSource makes the source of a term. members are the labels of the other controllers;
-// a transfer that is not asked for is forgotten after lifetime.
+// NewSource returns the source of a term, which offers nothing until it is seeded. members are the
+// labels of the other controllers; a transfer that is not requested for the lifetime is dropped.
 func NewSource(term uint64, members []string, lifetime time.Duration) *Source {
-	return &Source{term: term, members: members, lifetime: lifetime, now: time.Now, contents: emptyContents(),
-		positions: positions{open: map[uint64]*openCommit{}}, transfers: map[string]*transfer{}}
+	return &Source{
+		term:      term,
+		members:   members,
+		lifetime:  lifetime,
+		now:       time.Now,
+		contents:  emptyContents(),
+		positions: positionTracker{open: map[uint64]*openCommit{}},
+		transfers: map[string]*transfer{},
+	}
 }
 
-// Seed takes the records that a term began with: all that were committed before it did.
+// Seed adds the records that a term began with: all that were committed before it did.
 func (s *Source) Seed(views Views, lists ...[]wire.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,270 +72,120 @@
 		for _, row := range rows {
 			entry := &Entry{Key: row.Key, Value: row.Value, ModRevision: row.ModRevision}
 			if isRecord(entry.Key) {
-				edit.take(entry)
+				edit.apply(entry)
 			}
 		}
 	}
 	s.contents = edit.contents()
 	// Records of earlier terms are older than the term, and this term's own pass here.
-	s.positions.known = max(s.positions.known, s.term)
+	s.positions.newestRevision = max(s.positions.newestRevision, s.term)
 	s.seeded, s.views = true, views
 }
 
-// take takes entries in as one change each. s.mu is held.
-func (s *Source) take(entries []*Entry) {
-	if len(entries) == 0 {
-		return
-	}
-	edit := s.contents.edit()
-	for _, entry := range entries {
-		edit.take(entry)
-		s.sequence++
-		s.log = append(s.log, change{s.sequence, entry.Key})
-	}
-	s.contents = edit.contents()
-	if keep := s.loggedChanges(); len(s.log) > 2*keep {
-		s.log = append([]change(nil), s.log[len(s.log)-keep:]...)
-	}
-}
-
 // Status is how much a source holds and has sent.
 type Status struct {
-	Sequence, Position, Sent uint64
-	Entries, Bytes           int
+	Sequence  uint64
+	Position  uint64 // revision up to which all commits of the term are part of the contents
+	SentBytes uint64
+	Entries   int
+	Bytes     int // of all keys and values
 }
 
-// Status tells how much it holds.
+// Status returns how much the source holds and has sent.
 func (s *Source) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Status{s.sequence, s.positions.position(), s.sent, s.contents.tree.Len(), s.contents.bytes}
+	return Status{
+		Sequence:  s.sequence,
+		Position:  s.positions.position(),
+		SentBytes: s.sentBytes,
+		Entries:   s.contents.tree.Len(),
+		Bytes:     s.contents.bytes,
+	}
 }
 
-// Follow answers a standby with one part of a transfer.
-func (s *Source) Follow(args peer.FollowArgs) (peer.FollowReply, error) {
-	if args.Term != s.term || !s.member(args.From) {
-		return peer.FollowReply{Term: s.term}, nil
-	}
-	if args.Transfer == 0 {
-		s.takeViews()
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.seeded {
-		return peer.FollowReply{Term: s.term}, nil
+// isMember reports whether a label is that of another controller.
+func (s *Source) isMember(label string) bool { return slices.Contains(s.members, label) }
+
+// apply applies entries as one change each. s.mu is held.
+func (s *Source) apply(entries []*Entry) {
+	if len(entries) == 0 {
+		return
 	}
-	s.forget()
-	t := s.transfers[args.From]
-	if args.Transfer == 0 {
-		t = s.begin(args.Have)
-		s.transfers[args.From] = t
+	edit := s.contents.edit()
+	for _, entry := range entries {
+		edit.apply(entry)
+		s.sequence++
+		s.log = append(s.log, change{s.sequence, entry.Key})
 	}
-	if t == nil || args.Transfer != 0 && args.Transfer != t.id {
-		return peer.FollowReply{Term: s.term, Leading: true}, nil
+	s.contents = edit.contents()
+	if keep := s.maxLoggedChanges(); len(s.log) > 2*keep {
+		s.log = append([]change(nil), s.log[len(s.log)-keep:]...)
 	}
-	t.asked = s.now()
-	return s.part(t, args)
 }
 
-func (s *Source) member(label string) bool {
-	for _, m := range s.members {
-		if m == label {
-			return true
-		}
-	}
-	return false
-}
+// maxLoggedChanges returns how many changes a follower may lag behind: as many as there are entries.
+// One that lags further pulls everything at less cost than the changes one by one. s.mu is
+// held.
+func (s *Source) maxLoggedChanges() int { return max(minLoggedChanges, s.contents.tree.Len()) }
 
-// takeViews takes the views that have changed, a few at a time. It must not hold s.mu for
-// long: commits pass here.
-func (s *Source) takeViews() {
+// applyChangedViews drains the views that have changed, a few at a time. It must not hold s.mu for
+// long: commits wait for it.
+func (s *Source) applyChangedViews() {
 	s.mu.Lock()
 	views := s.views
 	s.mu.Unlock()
 	for more := views != nil; more; {
 		var changed []*Entry
-		changed, more = views.TakeChangedViews(viewsAtOnce)
+		changed, more = views.DrainChangedViews(viewBatchSize)
 		s.mu.Lock()
-		s.take(changed)
+		s.apply(changed)
 		s.mu.Unlock()
 	}
 }
 
-// forget drops transfers that are no longer asked for. s.mu is held.
-func (s *Source) forget() {
-	for label, t := range s.transfers {
-		if s.now().Sub(t.asked) > s.lifetime {
-			delete(s.transfers, label)
-		}
-	}
-}
-
-// begin begins a transfer of what has changed since a sequence number, or of everything.
-// s.mu is held.
-func (s *Source) begin(have uint64) *transfer {
-	s.positions.next++
-	t := &transfer{id: s.positions.next, contents: s.contents}
-	t.frame = peer.FollowReply{Term: s.term, Leading: true, Transfer: t.id, Base: have, Sequence: s.sequence,
-		Position: s.positions.position(), Digest: s.contents.digest}
-	if keys, ok := s.changedSince(have); ok {
-		t.keys = keys
-		return t
-	}
-	t.frame.Full, t.frame.Base = true, 0
-	t.keys = make([]string, 0, s.contents.tree.Len())
-	s.contents.tree.Root().Walk(func(_ []byte, entry *Entry) bool {
-		t.keys = append(t.keys, entry.Key)
-		return false
-	})
-	return t
-}
-
-// changedSince lists the keys that have changed since a sequence number, each once. ok is
-// false if that is no longer known. s.mu is held.
-func (s *Source) changedSince(have uint64) (keys []string, ok bool) {
-	if have == 0 || have > s.sequence || have < s.sequence && (len(s.log) == 0 || s.log[0].sequence > have+1) {
-		return nil, false
-	}
-	seen := map[string]bool{}
-	for i := len(s.log) - 1; i >= 0 && s.log[i].sequence > have; i-- {
-		if key := s.log[i].key; !seen[key] {
-			seen[key] = true
-			keys = append(keys, key)
-		}
-	}
-	return keys, true
+// beginCommit is called before a commit is sent, and returns the number by which its outcome is told.
+func (s *Source) beginCommit() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.positions.begin()
 }
 
-// part makes the next part of a transfer. s.mu is held.
-func (s *Source) part(t *transfer, args peer.FollowArgs) (peer.FollowReply, error) {
-	if args.Part != t.parts {
-		delete(s.transfers, args.From)
-		return peer.FollowReply{Term: s.term, Leading: true}, nil
-	}
+// commitSucceeded applies a commit that was carried out.
+func (s *Source) commitSucceeded(id uint64, tx wire.Transaction, keys []string, revision uint64) {
 	var entries []*Entry
-	for size := 0; len(t.keys) > 0 && size < partBytes; t.keys = t.keys[1:] {
-		entry, ok := t.contents.tree.Get([]byte(t.keys[0]))
-		if !ok {
-			entry = &Entry{Key: t.keys[0], Dropped: true, ModRevision: ^uint64(0)}
-		}
-		entries = append(entries, entry)
-		size += entry.size()
-	}
-	body, size, err := encodePart(entries)
-	if err != nil {
-		return peer.FollowReply{Term: s.term}, err
-	}
-	reply := t.frame
-	reply.Part, reply.Entries, reply.Size, reply.Body = t.parts, len(entries), size, body
-	reply.Last = len(t.keys) == 0
-	t.parts++
-	s.sent += uint64(len(body))
-	if reply.Last {
-		delete(s.transfers, args.From)
-	}
-	return reply, nil
-}
-
-// Store is what a controller needs of the state service.
-type Store interface {
-	watchcache.Reader
-	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
-	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
-}
-
-// Recorder is a Store that tells a Source of every commit.
-type Recorder struct {
-	Store
-	source *Source
-}
-
-// NewRecorder makes the store of a controller whose commits a source offers.
-func NewRecorder(s Store, source *Source) *Recorder { return &Recorder{s, source} }
-
-// Get reads a key. What it shows is at least as new as what the source holds.
-func (r *Recorder) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
-	item, found, err := r.Store.Get(ctx, key)
-	if err == nil && isRecord(key) {
-		r.source.read(key, item, found)
-	}
-	return item, found, err
-}
-
-// Commit passes a commit on and takes its outcome into the source.
-func (r *Recorder) Commit(ctx context.Context, tx wire.Transaction) (uint64, error) {
-	keys := recordKeys(tx)
-	if len(keys) == 0 {
-		return r.Store.Commit(ctx, tx)
-	}
-	id := r.source.beginCommit()
-	revision, err := r.Store.Commit(ctx, tx)
-	switch {
-	case err == nil:
-		r.source.committed(id, tx, keys, revision)
-	case errors.Is(err, store.ErrUnknown):
-		r.source.lose(id, guardedKeys(tx, keys))
-	default:
-		r.source.notCarriedOut(id)
-	}
-	return revision, err
-}
-
-// guardedKeys leaves out the keys of hints, which nothing rests on: a machine's images are
-// written without a guard of their own.
-func guardedKeys(tx wire.Transaction, keys []string) []string {
-	guarded := map[string]bool{}
-	for _, guard := range tx.Compares {
-		guarded[guard.Key] = true
-	}
-	var out []string
-	for _, key := range keys {
-		if guarded[key] {
-			out = append(out, key)
+	for _, c := range tx.Changes {
+		if key := c.Set + c.Drop; isRecord(key) {
+			entries = append(entries, &Entry{Key: key, Value: c.Value, ModRevision: revision, Dropped: c.Drop != ""})
 		}
 	}
-	return out
-}
-
-func (s *Source) beginCommit() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.positions.begin()
+	s.apply(entries)
+	s.positions.markCommitted(id, keys, revision)
 }
 
-func (s *Source) lose(id uint64, keys []string) {
+// commitUnknown is called for a commit whose outcome is unknown: it may be carried out late.
+func (s *Source) commitUnknown(id uint64, keys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.positions.lose(id, keys)
+	s.positions.markUnknown(id, keys)
 }
 
-func (s *Source) notCarriedOut(id uint64) {
+// commitFailed is called for a commit that was not carried out, and will not be.
+func (s *Source) commitFailed(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.positions.close(id)
 }
 
-// committed takes a commit in that was carried out.
-func (s *Source) committed(id uint64, tx wire.Transaction, keys []string, revision uint64) {
-	var entries []*Entry
-	for _, c := range tx.Changes {
-		if key := c.Set + c.Drop; isRecord(key) {
-			entries = append(entries, &Entry{Key: key, Value: c.Value, ModRevision: revision, Dropped: c.Drop != ""})
-		}
+// applyRead applies a record as it was read.
+func (s *Source) applyRead(key string, item wire.KeyValue, found bool) {
+	entry := absentEntry(key)
+	if found {
+		entry = &Entry{Key: key, Value: item.Value, ModRevision: item.ModRevision}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.take(entries)
-	s.positions.changed(id, keys, revision)
-}
-
-// read takes a record in as it was read.
-func (s *Source) read(key string, item wire.KeyValue, found bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if found {
-		s.take([]*Entry{{Key: key, Value: item.Value, ModRevision: item.ModRevision}})
-	} else {
-		s.take([]*Entry{{Key: key, Dropped: true, ModRevision: ^uint64(0)}})
-	}
+	s.apply([]*Entry{entry})
 }
