--- a/internal/jobdag/graph.go
+++ b/internal/jobdag/graph.go
@@ -1,6 +1,6 @@
-// Package jobdag keeps the dependencies between jobs: which job waits for which,
-// what a job's end or cancellation means for those that need it, and which priority
-// and due time a job has from them. It is pure: it knows no records and no clock.
+// Package jobdag is the graph of dependencies between jobs: which job depends on which, what a job's end or
+// cancellation means for its dependents, and which priority and due time a job inherits from them. It is
+// pure: it knows no records and no clock.
 package jobdag
 
 import (
@@ -9,15 +9,15 @@
 	"slices"
 )
 
-// State is where a job stands in the graph.
+// State is the state of a job in the graph.
 type State int
 
 // The states of a job. Done and Cancelled are final.
 const (
-	Unresolved State = iota // named by a successor; nothing is known of it yet
+	Unresolved State = iota // named by a dependent; its record is not known yet
 	Open                    // accepted and neither done nor cancelled
 	Done                    // its end is committed
-	Cancelled               // its cancellation is committed, or that of a job that it needs
+	Cancelled               // its cancellation is committed, or that of a job that it depends on
 )
 
 var stateNames = [...]string{"unresolved", "open", "done", "cancelled"}
@@ -27,18 +27,18 @@
 // Final reports whether a state never changes again.
 func (s State) Final() bool { return s == Done || s == Cancelled }
 
-// Job is what the graph needs to know of a job.
+// Job is what the graph needs to know of a job. Times are in milliseconds.
 type Job struct {
 	Dependencies  []string // the jobs that have to be done first
 	Level         int      // its own priority
 	DueMs         float64  // its own due time; +Inf if it has none
-	ExpectedRunMs float64  // how long it is expected to take once nothing holds it up
+	ExpectedRunMs float64  // how long it is expected to run once its dependencies are done
 }
 
-// Effects is what a change of the graph means for other jobs.
+// Effects is what a change of the graph means for jobs, by UID.
 type Effects struct {
-	Released  []string // all that they wait for is done
-	Cancelled []string // a job that they need is cancelled
+	Released  []string // all that they depend on is done
+	Cancelled []string // a job that they depend on is cancelled
 	Urgency   []string // their priority or due time has changed
 }
 
@@ -46,26 +46,26 @@
 type node struct {
 	Job
 	state        State
-	archived     bool // has no record: it is kept only while others name it
+	archived     bool // has no record: it stays only while others name it
 	predecessors []*node
-	successors   map[string]*node // that are not archived
+	successors   map[string]*node // dependents that are not archived
 	pending      int              // predecessors that are not done
 	uid          string
-	level        int     // the highest of its own and those of its open successors
-	dueMs        float64 // the earliest that its own and its open successors' due times ask for
+	level        int     // the highest of its own priority and those of its open successors
+	dueMs        float64 // the earliest that its own and its open successors' due times require
 }
 
-// Graph holds the jobs that are not archived, and archived ones while others name
-// them. It is not safe for concurrent use.
+// Graph holds the jobs that are not archived, and archived ones while others name them. It is not safe for
+// concurrent use.
 type Graph struct {
 	nodes      map[string]*node
 	unresolved map[string]*node
 }
 
-// New makes an empty graph.
+// New returns an empty graph.
 func New() *Graph { return &Graph{nodes: map[string]*node{}, unresolved: map[string]*node{}} }
 
-// Add takes an accepted job in. A job that is known already is left as it is.
+// Add adds an accepted job. A job that is in the graph already is left as it is.
 func (g *Graph) Add(uid string, job Job) Effects {
 	var effects Effects
 	n := g.nodes[uid]
@@ -93,14 +93,14 @@
 		effects.Cancelled = append(effects.Cancelled, uid)
 	}
 	g.updateUrgency(n, &effects)
-	// What its successors ask for may have been known before it was itself.
+	// Its successors may have been added before it: their urgency counts for its predecessors, too.
 	for _, predecessor := range n.predecessors {
 		g.updateUrgency(predecessor, &effects)
 	}
 	return effects
 }
 
-// newNode adds a node of which nothing is known yet.
+// newNode adds an unresolved node.
 func (g *Graph) newNode(uid string) *node {
 	n := &node{uid: uid, archived: true, successors: map[string]*node{}, dueMs: math.Inf(1)}
 	n.DueMs = math.Inf(1)
@@ -108,8 +108,7 @@
 	return n
 }
 
-// Finish notes that a job's end or cancellation is committed. A final state never
-// changes.
+// Finish records that a job's end or cancellation is committed. A final state never changes.
 func (g *Graph) Finish(uid string, state State) Effects {
 	var effects Effects
 	if n := g.nodes[uid]; n != nil && state.Final() {
@@ -144,8 +143,8 @@
 	}
 }
 
-// updateUrgency derives a job's priority and due time anew, and those of the jobs
-// that it needs if they have changed.
+// updateUrgency derives a job's priority and due time again, and if they have changed, those of the jobs
+// that it depends on.
 func (g *Graph) updateUrgency(n *node, effects *Effects) {
 	level, dueMs := n.Level, n.DueMs
 	for _, successor := range n.successors {
@@ -161,15 +160,15 @@
 	n.level, n.dueMs = level, dueMs
 	effects.Urgency = append(effects.Urgency, n.uid)
 	if n.state != Open {
-		return // nobody waits for it any more
+		return // no dependent waits for it any more
 	}
 	for _, predecessor := range n.predecessors {
 		g.updateUrgency(predecessor, effects)
 	}
 }
 
-// Archive notes that a job's record is gone. If it has not finished here, what
-// became of it has to be read from its final status.
+// Archive records that a job's record is gone. If the job has not finished here, its outcome has to be read
+// from its final status.
 func (g *Graph) Archive(uid string) {
 	n := g.nodes[uid]
 	if n == nil {
@@ -183,7 +182,7 @@
 	g.removeIfUnused(n)
 }
 
-// removeIfUnused forgets an archived job that no other names any more.
+// removeIfUnused removes an archived job that no other names any more.
 func (g *Graph) removeIfUnused(n *node) {
 	if !n.archived || len(n.successors) > 0 {
 		return
@@ -196,7 +195,7 @@
 	}
 }
 
-// State tells where a job stands; Unresolved if it is not known.
+// State returns the state of a job; Unresolved if it is not in the graph.
 func (g *Graph) State(uid string) State {
 	if n := g.nodes[uid]; n != nil {
 		return n.state
@@ -204,13 +203,13 @@
 	return Unresolved
 }
 
-// Ready reports whether a job is open and all that it needs is known to be done.
+// Ready reports whether a job is open and all that it depends on is known to be done.
 func (g *Graph) Ready(uid string) bool {
 	n := g.nodes[uid]
 	return n != nil && n.state == Open && n.pending == 0
 }
 
-// HasOpenDependents reports whether an open job waits for this one.
+// HasOpenDependents reports whether an open job depends on this one.
 func (g *Graph) HasOpenDependents(uid string) bool {
 	n := g.nodes[uid]
 	if n == nil {
@@ -224,7 +223,8 @@
 	return false
 }
 
-// Urgency tells a job's priority and due time, those that it has from others included.
+// Urgency returns a job's priority level and due time, which it may have inherited from its dependents;
+// 0 and +Inf if it is not in the graph.
 func (g *Graph) Urgency(uid string) (level int, dueMs float64) {
 	if n := g.nodes[uid]; n != nil {
 		return n.level, n.dueMs
@@ -232,11 +232,11 @@
 	return 0, math.Inf(1)
 }
 
-// Unresolved names the jobs whose final status has to be read.
+// Unresolved returns the UIDs of the jobs whose final status has to be read, in order.
 func (g *Graph) Unresolved() []string { return slices.Sorted(maps.Keys(g.unresolved)) }
 
 // HasUnresolved reports whether there are any such jobs.
 func (g *Graph) HasUnresolved() bool { return len(g.unresolved) > 0 }
 
-// Len is the number of jobs that the graph holds.
+// Len returns the number of jobs in the graph.
 func (g *Graph) Len() int { return len(g.nodes) }
--- a/internal/jobdag/graph_test.go
+++ b/internal/jobdag/graph_test.go
@@ -13,8 +13,8 @@
 // The same inputs every run; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// model is what the graph is checked against: the jobs and their own committed states,
-// from which all else is computed anew each time.
+// model is what the graph is checked against: the jobs and their own committed states, from which all else
+// is computed each time.
 type model struct {
 	jobs     map[string]Job
 	finished map[string]State // committed, of jobs that the model or only the records know
@@ -36,7 +36,8 @@
 }
 
 func (m *model) ready(uid string) bool {
-	return m.state(uid) == Open && !slices.ContainsFunc(m.jobs[uid].Dependencies, func(name string) bool { return m.state(name) != Done })
+	isUnfinished := func(name string) bool { return m.state(name) != Done }
+	return m.state(uid) == Open && !slices.ContainsFunc(m.jobs[uid].Dependencies, isUnfinished)
 }
 
 // urgency derives a job's priority and due time from all open jobs that need it.
@@ -52,129 +53,185 @@
 	return level, dueMs
 }
 
-// The graph says the same as the plain model, whatever happens in whichever order:
-// jobs that come before or after those that they name, ends, cancellations, records
-// that are archived, and final statuses that are read later.
-func TestGraphAgreesWithAPlainModel(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		m := &model{jobs: map[string]Job{}, finished: map[string]State{}, archived: map[string]bool{}}
-		g := New()
-		ready, cancelled := map[string]bool{}, map[string]bool{}
-		take := func(e Effects) {
-			for _, uid := range e.Released {
-				if ready[uid] {
-					t.Fatalf("%s is released twice", uid)
-				}
-				ready[uid] = true
-			}
-			for _, uid := range e.Cancelled {
-				cancelled[uid] = true
-			}
+// harness applies the same changes to a graph and to its model, and keeps what the graph has reported.
+type harness struct {
+	model     *model
+	graph     *Graph
+	released  map[string]bool
+	cancelled map[string]bool
+	pending   []string // accepted, and not added to the graph yet
+}
+
+func newHarness(t *rapid.T) *harness {
+	h := &harness{
+		model:     &model{jobs: map[string]Job{}, finished: map[string]State{}, archived: map[string]bool{}},
+		graph:     New(),
+		released:  map[string]bool{},
+		cancelled: map[string]bool{},
+	}
+	// An archived job is known to the graph only by its final status.
+	if rapid.Bool().Draw(t, "old") {
+		h.model.finished["old"] = rapid.SampledFrom([]State{Done, Cancelled}).Draw(t, "oldState")
+		h.model.archived["old"] = true
+		h.model.order = append(h.model.order, "old")
+	}
+	return h
+}
+
+// apply keeps effects; no job may be released twice.
+func (h *harness) apply(t *rapid.T, effects Effects) {
+	for _, uid := range effects.Released {
+		if h.released[uid] {
+			t.Fatalf("%s is released twice", uid)
 		}
-		// An archived job is known to the graph only by its final status.
-		if rapid.Bool().Draw(t, "old") {
-			m.finished["old"] = rapid.SampledFrom([]State{Done, Cancelled}).Draw(t, "oldState")
-			m.archived["old"] = true
-			m.order = append(m.order, "old")
+		h.released[uid] = true
+	}
+	for _, uid := range effects.Cancelled {
+		h.cancelled[uid] = true
+	}
+}
+
+func (h *harness) add(t *rapid.T, uid string) {
+	h.apply(t, h.graph.Add(uid, h.model.jobs[uid]))
+	if h.graph.Ready(uid) {
+		h.released[uid] = true
+	}
+	if state, ok := h.model.finished[uid]; ok {
+		h.apply(t, h.graph.Finish(uid, state))
+	}
+}
+
+// accept draws a job; it and others that wait are added to the graph at once or later, in any order.
+func (h *harness) accept(t *rapid.T, uid string) {
+	job := Job{
+		Level:         rapid.IntRange(1, 4).Draw(t, "level"),
+		DueMs:         math.Inf(1),
+		ExpectedRunMs: float64(rapid.IntRange(0, 50).Draw(t, "run")),
+	}
+	if rapid.Bool().Draw(t, "due") {
+		job.DueMs = float64(rapid.IntRange(0, 1000).Draw(t, "dueMs"))
+	}
+	if len(h.model.order) > 0 {
+		names := rapid.SliceOfN(rapid.SampledFrom(h.model.order), 0, 3).Draw(t, "dependencies")
+		job.Dependencies = slices.Compact(slices.Sorted(slices.Values(names)))
+	}
+	h.model.jobs[uid] = job
+	h.model.order = append(h.model.order, uid)
+	if h.pending = append(h.pending, uid); rapid.Bool().Draw(t, "atOnce") {
+		for _, uid := range rapid.Permutation(h.pending).Draw(t, "order") {
+			h.add(t, uid)
 		}
-		var late []string // accepted, and not added yet
-		add := func(uid string) {
-			take(g.Add(uid, m.jobs[uid]))
-			if g.Ready(uid) {
-				ready[uid] = true
-			}
-			if state, ok := m.finished[uid]; ok {
-				take(g.Finish(uid, state))
-			}
+		h.pending = nil
+	}
+}
+
+// finish draws a job that ends or is cancelled.
+func (h *harness) finish(t *rapid.T) {
+	if len(h.model.order) == 0 {
+		return
+	}
+	uid := rapid.SampledFrom(h.model.order).Draw(t, "finish")
+	if _, known := h.model.finished[uid]; known || slices.Contains(h.pending, uid) {
+		return
+	}
+	to := Cancelled
+	if h.model.ready(uid) && rapid.Bool().Draw(t, "done") {
+		to = Done
+	}
+	h.model.finished[uid] = to
+	h.apply(t, h.graph.Finish(uid, to))
+}
+
+// archive draws a job whose record is removed if it is final.
+func (h *harness) archive(t *rapid.T) {
+	if len(h.model.order) == 0 {
+		return
+	}
+	uid := rapid.SampledFrom(h.model.order).Draw(t, "archive")
+	if h.model.finished[uid].Final() && !slices.Contains(h.pending, uid) {
+		h.model.archived[uid] = true
+		h.graph.Archive(uid)
+	}
+}
+
+// resolve reads the final statuses that the graph asks for, if there are any.
+func (h *harness) resolve(t *rapid.T) {
+	for _, uid := range h.graph.Unresolved() {
+		if state, ok := h.model.finished[uid]; ok {
+			h.apply(t, h.graph.Finish(uid, state))
+		}
+	}
+}
+
+// settle adds all jobs that wait and resolves all that is unresolved.
+func (h *harness) settle(t *rapid.T) {
+	for _, uid := range h.pending {
+		h.add(t, uid)
+	}
+	for _, uid := range h.graph.Unresolved() {
+		h.apply(t, h.graph.Finish(uid, h.model.finished[uid]))
+	}
+}
+
+// check compares what the graph and the model say of a job.
+func (h *harness) check(t *rapid.T, uid string) {
+	if got, want := h.graph.State(uid), h.model.state(uid); got != want {
+		t.Fatalf("%s is %s, want %s", uid, got, want)
+	}
+	if got, want := h.graph.Ready(uid), h.model.ready(uid); got != want || want && !h.released[uid] {
+		t.Fatalf("%s: ready %v, released %v, want %v", uid, got, h.released[uid], want)
+	}
+	if _, own := h.model.finished[uid]; !own && h.model.state(uid) == Cancelled && !h.cancelled[uid] {
+		t.Fatalf("%s is cancelled and no effect said so", uid)
+	}
+	if h.model.state(uid) != Open {
+		return
+	}
+	level, dueMs := h.graph.Urgency(uid)
+	if wantLevel, wantDueMs := h.model.urgency(uid); level != wantLevel || dueMs != wantDueMs {
+		t.Fatalf("%s has level %d, due %v, want %d, %v", uid, level, dueMs, wantLevel, wantDueMs)
+	}
+}
+
+// archiveAll cancels and archives all jobs: the graph must be empty then.
+func (h *harness) archiveAll(t *rapid.T) {
+	for _, uid := range h.model.order {
+		if !h.model.archived[uid] {
+			h.model.finished[uid] = Cancelled
+			h.graph.Finish(uid, Cancelled)
+			h.graph.Archive(uid)
 		}
-		steps := rapid.IntRange(5, 60).Draw(t, "steps")
-		for step := range steps {
+	}
+	if h.graph.Len() > 0 || h.graph.HasUnresolved() {
+		t.Fatalf("%d jobs are left when all are archived", h.graph.Len())
+	}
+}
+
+// The graph says the same as the plain model, whatever happens in whichever order: jobs that come before
+// or after those that they name, ends, cancellations, records that are archived, and final statuses that
+// are read later.
+func TestGraphAgreesWithAPlainModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		h := newHarness(t)
+		for step := range rapid.IntRange(5, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0, 1:
-				uid := fmt.Sprintf("j%d", step)
-				job := Job{Level: rapid.IntRange(1, 4).Draw(t, "level"), DueMs: math.Inf(1), ExpectedRunMs: float64(rapid.IntRange(0, 50).Draw(t, "run"))}
-				if rapid.Bool().Draw(t, "due") {
-					job.DueMs = float64(rapid.IntRange(0, 1000).Draw(t, "dueMs"))
-				}
-				if len(m.order) > 0 {
-					job.Dependencies = slices.Compact(slices.Sorted(slices.Values(rapid.SliceOfN(rapid.SampledFrom(m.order), 0, 3).Draw(t, "awaits"))))
-				}
-				m.jobs[uid] = job
-				m.order = append(m.order, uid)
-				if late = append(late, uid); rapid.Bool().Draw(t, "atOnce") {
-					for _, uid := range rapid.Permutation(late).Draw(t, "order") {
-						add(uid)
-					}
-					late = nil
-				}
+				h.accept(t, fmt.Sprintf("j%d", step))
 			case 2, 3:
-				if len(m.order) == 0 {
-					continue
-				}
-				uid := rapid.SampledFrom(m.order).Draw(t, "finish")
-				if _, known := m.finished[uid]; known || slices.Contains(late, uid) {
-					continue
-				}
-				to := Cancelled
-				if m.ready(uid) && rapid.Bool().Draw(t, "done") {
-					to = Done
-				}
-				m.finished[uid] = to
-				take(g.Finish(uid, to))
+				h.finish(t)
 			case 4:
-				if len(m.order) == 0 {
-					continue
-				}
-				uid := rapid.SampledFrom(m.order).Draw(t, "archive")
-				if m.finished[uid].Final() && !slices.Contains(late, uid) {
-					m.archived[uid] = true
-					g.Archive(uid)
-				}
-			case 5: // all final statuses that are asked for are read
-				for _, uid := range g.Unresolved() {
-					if state, ok := m.finished[uid]; ok {
-						take(g.Finish(uid, state))
-					}
-				}
-			}
-		}
-		for _, uid := range late {
-			add(uid)
-		}
-		for _, uid := range g.Unresolved() {
-			take(g.Finish(uid, m.finished[uid]))
-		}
-		for _, uid := range m.order {
-			if m.archived[uid] {
-				continue
-			}
-			if got, want := g.State(uid), m.state(uid); got != want {
-				t.Fatalf("%s is %s, want %s", uid, got, want)
-			}
-			if got, want := g.Ready(uid), m.ready(uid); got != want || want && !ready[uid] {
-				t.Fatalf("%s: ready %v, released %v, want %v", uid, got, ready[uid], want)
-			}
-			if _, own := m.finished[uid]; !own && m.state(uid) == Cancelled && !cancelled[uid] {
-				t.Fatalf("%s is cancelled and nobody was told", uid)
-			}
-			if m.state(uid) != Open {
-				continue
-			}
-			level, dueMs := g.Urgency(uid)
-			if wantLevel, wantDueMs := m.urgency(uid); level != wantLevel || dueMs != wantDueMs {
-				t.Fatalf("%s has level %d, due %v, want %d, %v", uid, level, dueMs, wantLevel, wantDueMs)
+				h.archive(t)
+			case 5:
+				h.resolve(t)
 			}
 		}
-		for _, uid := range m.order {
-			if !m.archived[uid] {
-				m.finished[uid] = Cancelled
-				g.Finish(uid, Cancelled)
-				g.Archive(uid)
+		h.settle(t)
+		for _, uid := range h.model.order {
+			if !h.model.archived[uid] {
+				h.check(t, uid)
 			}
 		}
-		if g.Len() > 0 || g.HasUnresolved() {
-			t.Fatalf("%d jobs are left when all are archived", g.Len())
-		}
+		h.archiveAll(t)
 	})
 }
 
@@ -207,7 +264,12 @@
 		"middle": {Dependencies: []string{"first"}, Level: 1, DueMs: math.Inf(1), ExpectedRunMs: 20},
 		"last":   {Dependencies: []string{"middle"}, Level: 3, DueMs: 100, ExpectedRunMs: 30},
 	}
-	for _, order := range [][]string{{"first", "middle", "last"}, {"last", "first", "middle"}, {"first", "last", "middle"}, {"last", "middle", "first"}} {
+	for _, order := range [][]string{
+		{"first", "middle", "last"},
+		{"last", "first", "middle"},
+		{"first", "last", "middle"},
+		{"last", "middle", "first"},
+	} {
 		g := New()
 		for _, uid := range order {
 			g.Add(uid, jobs[uid])
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota decides which jobs lie within the guarantees of their teams. Such a job does
-// not wait for work of other teams: that is stopped for it if it is beyond the guarantee of its own
-// team, whatever its rank. It is pure and does no I/O.
+// Package quota decides which jobs lie within the quotas of their teams. Such a job does not wait for
+// work of other teams: that work is preempted for it if it is beyond the quota of its own team, whatever
+// its priority. The package is pure and does no I/O.
 package quota
 
 import (
@@ -8,33 +8,37 @@
 	"slices"
 )
 
-// Amount is cores and GPUs.
+// Amount is a number of cores and GPUs.
 type Amount struct{ Cores, Gpus float64 }
 
-// Job is an unfinished job as guarantees see it.
+// Job is an unfinished job as quotas see it.
 type Job struct {
 	UID        string
 	Team       string
-	Level      int    // of its rank: higher goes first
+	Level      int    // priority level: higher goes first
 	AcceptedMs int64  // when it was accepted: earlier goes first
 	Needs      Amount // of all its unfinished tasks together
 }
 
-// rounding is how much more than a guarantee counts as within it.
-const rounding = 1e-6
+// roundingTolerance is how much more than a quota counts as within it.
+const roundingTolerance = 1e-6
 
-// fitsIn reports whether an amount fits what is left of a guarantee. A guarantee of 0 is none:
-// what needs any of it is beyond.
+// fitsIn reports whether an amount fits what is left of a quota.
 func (a Amount) fitsIn(left Amount) bool {
-	return a.Cores <= left.Cores+rounding && a.Gpus <= left.Gpus+rounding
+	return a.Cores <= left.Cores+roundingTolerance && a.Gpus <= left.Gpus+roundingTolerance
 }
 
-// Set is the jobs that lie within guarantees, by id. Teams that no job of is in it may be absent.
+func (a Amount) minus(other Amount) Amount {
+	return Amount{Cores: a.Cores - other.Cores, Gpus: a.Gpus - other.Gpus}
+}
+
+// Set is the jobs that lie within quotas, by UID.
 type Set map[string]bool
 
-// JobsWithinQuota finds the jobs that lie within the guarantees of their teams: of each team those of the
-// highest ranks, and of a rank the oldest, as far as they fit together. If all unfinished jobs of
-// a team fit, all of them are within. One that does not fit leaves what is left to others.
+// JobsWithinQuota returns the jobs that lie within the quotas of their teams: of each team those of the
+// highest priority, and of a priority the oldest, as far as they fit together. If all unfinished jobs of
+// a team fit, all of them are within. A job that does not fit leaves the rest of the quota to later ones.
+// A quota of 0 is none: what needs any of it is beyond.
 func JobsWithinQuota(quotas map[string]Amount, jobs []Job) Set {
 	left := map[string]Amount{}
 	for team, amount := range quotas {
@@ -46,17 +50,21 @@
 	if len(left) == 0 {
 		return within
 	}
-	ordered := slices.DeleteFunc(slices.Clone(jobs), func(j Job) bool { _, has := left[j.Team]; return !has })
+	hasNoQuota := func(job Job) bool {
+		_, has := left[job.Team]
+		return !has
+	}
+	ordered := slices.DeleteFunc(slices.Clone(jobs), hasNoQuota)
 	slices.SortFunc(ordered, func(a, b Job) int {
 		return cmp.Or(cmp.Compare(b.Level, a.Level), cmp.Compare(a.AcceptedMs, b.AcceptedMs), cmp.Compare(a.UID, b.UID))
 	})
-	for _, j := range ordered {
-		rest := left[j.Team]
-		if !j.Needs.fitsIn(rest) {
+	for _, job := range ordered {
+		rest := left[job.Team]
+		if !job.Needs.fitsIn(rest) {
 			continue
 		}
-		left[j.Team] = Amount{rest.Cores - j.Needs.Cores, rest.Gpus - j.Needs.Gpus}
-		within[j.UID] = true
+		left[job.Team] = rest.minus(job.Needs)
+		within[job.UID] = true
 	}
 	return within
 }
