--- a/internal/sched/equivalence_test.go
+++ b/internal/sched/equivalence_test.go
@@ -13,27 +13,27 @@
 	"pgregory.net/rapid"
 )
 
-// forBoth is an input for one of the two rounds that are compared: rounds change jobs and teams.
-func forBoth(in Input, limit float64) *Input {
-	var jobs []*Job
+// cloneInput returns an input for one of two cycles that are compared: cycles change jobs and teams.
+func cloneInput(in Input, gpuLimit float64) *Input {
+	jobs := make([]*Job, 0, len(in.Jobs))
 	for _, j := range in.Jobs {
 		next := *j
 		next.LiveByZone = maps.Clone(j.LiveByZone)
 		jobs = append(jobs, &next)
 	}
 	in.Jobs, in.Teams = jobs, map[string]*Team{"crew": {}}
-	in.Teams["crew"].Limit.Gpus = limit
+	in.Teams["crew"].Limit.Gpus = gpuLimit
 	return &in
 }
 
-// described is a plan in terms of IDs.
-func described(plan *Plan, id func(node int) string) string {
+// describePlan describes a plan in terms of IDs.
+func describePlan(plan *Plan, id func(node int) string) string {
 	out := fmt.Sprintf("reserved %q, objective %.9f, window %d\n", plan.ReservedFor, plan.Objective, plan.JobsConsidered)
 	for _, p := range plan.Placements {
 		out += fmt.Sprintf("%s on %s: %d\n", p.Job.Spec.UID, id(p.Node), p.Count)
 	}
-	for _, s := range plan.Preemptions {
-		out += fmt.Sprintf("stop %d on %s\n", s.Serial, id(s.Node))
+	for _, p := range plan.Preemptions {
+		out += fmt.Sprintf("stop %d on %s\n", p.Serial, id(p.Node))
 	}
 	for _, s := range plan.Shortfalls {
 		out += fmt.Sprintf("%s is short of %d\n", s.Job.Spec.UID, s.Count)
@@ -65,10 +65,10 @@
 			ReserveAfterS:   30,
 			PriorityWeights: DefaultPriorityWeights,
 		}
-		first := compare(t, view, in, nodes, step.GPULimit, nil)
+		first := compareWithReference(t, view, in, nodes, step.GPULimit, nil)
 		cycles, placed, stopped = cycles+1, placed+len(first.Placements), stopped+len(first.Preemptions)
 		in.Jobs = step.JobsAfter
-		compare(t, view, in, nodes, step.GPULimit, first)
+		compareWithReference(t, view, in, nodes, step.GPULimit, first)
 	}
 	return cycles, placed, stopped
 }
@@ -105,10 +105,11 @@
 	}
 }
 
-// compare lets both rounds decide and returns the plan of the one over classes.
-func compare(t failer, view *View, in Input, machines map[string]Node, limit float64, after *Plan) *Plan {
-	in.View, in.Previous = view, after
-	plan := Run(forBoth(in, limit))
+// compareWithReference lets both cycles decide and returns the plan of the one over classes.
+func compareWithReference(t failer, view *View, in Input, machines map[string]Node, gpuLimit float64, previous *Plan) *Plan {
+	t.Helper()
+	in.View, in.Previous = view, previous
+	plan := Run(cloneInput(in, gpuLimit))
 	id := func(node int) string {
 		if node < view.SlotCount() {
 			return view.MachineID(node)
@@ -125,46 +126,46 @@
 		reference.Nodes = append(reference.Nodes, machines[name])
 	}
 	reference.Nodes = append(reference.Nodes, in.Nodes...)
-	if after != nil {
+	if previous != nil {
 		reference.Nodes = slices.Clone(reference.Nodes)
 		for i := range reference.Nodes {
 			n := &reference.Nodes[i]
 			slot := slotOf[n.ID]
-			n.Free, n.FreeAfterStops, n.FreeAfterBoot = after.FreeAfterStops[slot], after.FreeAfterStops[slot], after.FreeAfterBoot[slot]
+			n.Free, n.FreeAfterStops, n.FreeAfterBoot = previous.FreeAfterStops[slot], previous.FreeAfterStops[slot], previous.FreeAfterBoot[slot]
 		}
 	}
-	want := refRun(forBoth(reference, limit))
-	wantText := described(want, func(node int) string { return reference.Nodes[node].ID })
-	if got := described(plan, id); got != wantText {
-		t.Fatalf("the round over classes:\n%s\nthe one over all machines:\n%s", got, wantText)
+	want := runReference(cloneInput(reference, gpuLimit))
+	wantText := describePlan(want, func(node int) string { return reference.Nodes[node].ID })
+	if got := describePlan(plan, id); got != wantText {
+		t.Fatalf("the cycle over classes:\n%s\nthe reference cycle:\n%s", got, wantText)
 	}
 	for i := range reference.Nodes {
 		slot := slotOf[reference.Nodes[i].ID]
-		if plan.FreeAfterStops[slot] != want.FreeAfterStops[i] || plan.FreeAfterBoot[slot] != want.FreeAfterBoot[i] {
-			t.Fatalf("%s has %v and %v left, not %v and %v", id(slot), plan.FreeAfterStops[slot], plan.FreeAfterBoot[slot], want.FreeAfterStops[i], want.FreeAfterBoot[i])
+		afterStops, afterBoot := plan.FreeAfterStops[slot], plan.FreeAfterBoot[slot]
+		if afterStops != want.FreeAfterStops[i] || afterBoot != want.FreeAfterBoot[i] {
+			t.Fatalf("%s has %v and %v left, not %v and %v", id(slot), afterStops, afterBoot, want.FreeAfterStops[i], want.FreeAfterBoot[i])
 		}
 	}
 	return plan
 }
 
-// On fleets of 4,096 and 6,000 machines, hundreds of jobs and thousands of tasks that may be
-// displaced, rounds over classes choose what the round over all machines chose, and leave no
-// machine out.
-func TestLargeFleetsAreChosenFromAsBefore(t *testing.T) {
+// On fleets of 4,096 and 6,000 machines, with hundreds of jobs and thousands of tasks that may be preempted,
+// cycles over classes decide as the reference cycle, and leave no machine out.
+func TestClassIndexDecidesAsReferenceOnLargeFleets(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
-		retained, all := large(machines, 300), large(machines, 300)
+		retained, all := largeInput(machines, 300), largeInput(machines, 300)
 		retained.Window, all.Window = 300, 300
 		retained.View, retained.Nodes = viewOf(retained.Nodes), nil
 		if n := retained.View.MachineCount(); n != machines {
-			t.Fatalf("%d of %d machines are kept", n, machines)
+			t.Fatalf("%d of %d machines are retained", n, machines)
 		}
-		plan, want := Run(retained), refRun(all)
-		got, wanted := described(plan, retained.View.MachineID), described(want, func(node int) string { return all.Nodes[node].ID })
+		plan, want := Run(retained), runReference(all)
+		got, wanted := describePlan(plan, retained.View.MachineID), describePlan(want, func(node int) string { return all.Nodes[node].ID })
 		if got != wanted {
-			t.Errorf("with %d machines the rounds differ", machines)
+			t.Errorf("with %d machines the cycles differ", machines)
 		}
 		if len(plan.Placements) == 0 || len(plan.Preemptions) == 0 {
-			t.Errorf("with %d machines there are %d places and %d stops", machines, len(plan.Placements), len(plan.Preemptions))
+			t.Errorf("with %d machines there are %d placements and %d preemptions", machines, len(plan.Placements), len(plan.Preemptions))
 		}
 	}
 }
--- a/internal/sched/generators_test.go
+++ b/internal/sched/generators_test.go
@@ -131,10 +131,10 @@
 
 // genSteps draws the changes and inputs of several cycles.
 func genSteps(t *rapid.T) []cycleStep {
-	var steps []cycleStep
+	steps := make([]cycleStep, rapid.IntRange(1, 30).Draw(t, "steps"))
 	victims := 0
-	for range rapid.IntRange(1, 30).Draw(t, "steps") {
-		var step cycleStep
+	for i := range steps {
+		step := &steps[i]
 		for range rapid.IntRange(1, 5).Draw(t, "changes") {
 			id := fmt.Sprintf("m-%03d", rapid.IntRange(0, 12).Draw(t, "machine"))
 			if rapid.IntRange(0, 5).Draw(t, "gone") == 0 {
@@ -145,12 +145,11 @@
 		}
 		step.Jobs = genJobs(t)
 		step.Window = rapid.SampledFrom([]int{3, 200}).Draw(t, "window")
-		for i := range rapid.IntRange(0, 2).Draw(t, "rentals") {
-			step.Rentals = append(step.Rentals, genNode(t, fmt.Sprintf("rental-%d", i), &victims))
+		for k := range rapid.IntRange(0, 2).Draw(t, "rentals") {
+			step.Rentals = append(step.Rentals, genNode(t, fmt.Sprintf("rental-%d", k), &victims))
 		}
 		step.GPULimit = float64(rapid.SampledFrom([]int{0, 0, 5}).Draw(t, "limit"))
 		step.JobsAfter = genJobs(t)
-		steps = append(steps, step)
 	}
 	return steps
 }
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"cmp"
-	stdheap "container/heap"
-	"iter"
 	"math"
 	"slices"
 	"strings"
@@ -11,40 +9,45 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// The round as it was before machines were kept in classes: it looks at every machine for every
-// job. It is the oracle that rounds are compared with, and what their speed is measured
-// against. It differs from what it was in the form of its input, and in that choices on one
-// machine which lose the same have an order.
-
-type refRound struct {
-	in       *Input
-	plan     *Plan
-	room     [horizons][]fleet.Resources
-	open     [horizons]refOpenNodes
-	victims  [][]Victim       // by node, the least lost first; nil until one is needed
-	lowest   int              // level of the least victim
-	least    fleet.Resources  // no task of the window needs less of anything
-	bounds   map[refBound]int // how many tasks at most fit, of kinds that were tried
-	reserved []bool           // nodes kept for the job that has a reservation
-	warm     bool             // only nodes that have the job's image
-
-	// What a job is offered, in memory that the next job uses again: made anew for each
-	// job, these lists were nearly all that a leader of 2,700 machines allocated.
-	optionsBuffer []refOption
-	choicesBuffer []refChoice
-}
-
-// Run does one round.
-func refRun(in *Input) *Plan {
-	r := &refRound{in: in, plan: &Plan{}, lowest: math.MaxInt, bounds: map[refBound]int{}, reserved: make([]bool, len(in.Nodes))}
-	for l := range r.room {
-		r.room[l] = make([]fleet.Resources, len(in.Nodes))
+// referenceCycle is the cycle as it was before nodes were kept in classes: it looks at every node for every
+// job. It is the oracle that cycles are compared with, and what their speed is measured against. It differs
+// from what it was in the form of its input, and in that preemption options of equal loss on one node have
+// an order.
+type referenceCycle struct {
+	input             *Input
+	plan              *Plan
+	free              [horizons][]fleet.Resources
+	openNodes         [horizons]referenceOpenNodes
+	victims           [][]Victim // by node, in stop order; nil until one is needed
+	lowestVictimLevel int
+	smallestNeed      fleet.Resources        // no task of the window needs less of any resource
+	maxFit            map[referenceShape]int // how many tasks at most fit, of shapes that were tried
+	reserved          []bool                 // nodes of the job that has a reservation
+	warmOnly          bool                   // only nodes that have the job's image
+
+	// Memory that the next job reuses: allocated again for each job, these lists were nearly all that a
+	// leader of 2,700 machines allocated.
+	optionsBuffer     []referenceOption
+	preemptionsBuffer []referencePreemption
+}
+
+// runReference does one cycle.
+func runReference(in *Input) *Plan {
+	r := &referenceCycle{
+		input:             in,
+		plan:              &Plan{},
+		lowestVictimLevel: math.MaxInt,
+		maxFit:            map[referenceShape]int{},
+		reserved:          make([]bool, len(in.Nodes)),
+	}
+	for at := range r.free {
+		r.free[at] = make([]fleet.Resources, len(in.Nodes))
 	}
 	for i := range in.Nodes {
 		n := &in.Nodes[i]
-		r.room[atOnce][i], r.room[afterStops][i], r.room[afterBoot][i] = n.Free, n.FreeAfterStops, n.FreeAfterBoot
+		r.free[atOnce][i], r.free[afterStops][i], r.free[afterBoot][i] = n.Free, n.FreeAfterStops, n.FreeAfterBoot
 		for _, v := range n.Victims {
-			r.lowest = min(r.lowest, v.Level)
+			r.lowestVictimLevel = min(r.lowestVictimLevel, v.Level)
 		}
 	}
 	window := slices.Clone(in.Jobs)
@@ -53,76 +56,79 @@
 		window = window[:in.Window]
 	}
 	r.plan.JobsConsidered = len(window)
-	r.index(window)
-	// GPU work first, CPU-only work on what is left; one that waited long
-	// keeps its turn.
+	r.buildOpenNodes(window)
+	// GPU work goes first, CPU-only work onto what is left; a CPU-only job that has waited long keeps
+	// its turn.
 	cpuOnly := func(j *Job) bool { return j.Spec.Gpus == 0 && j.WaitedS <= in.ReserveAfterS }
-	top := true
+	first := true
 	for pass := range 2 {
 		for _, j := range window {
 			if cpuOnly(j) != (pass == 1) {
 				continue
 			}
-			r.job(j, top)
-			top = false
+			r.scheduleJob(j, first)
+			first = false
 		}
 	}
-	r.plan.FreeAfterStops, r.plan.FreeAfterBoot = r.room[afterStops], r.room[afterBoot]
+	r.plan.FreeAfterStops, r.plan.FreeAfterBoot = r.free[afterStops], r.free[afterBoot]
 	return r.plan
 }
 
-// job starts what fits of j, and plans for the rest.
-func (r *refRound) job(j *Job, top bool) {
-	want := r.quota(j)
+// scheduleJob starts what fits of a job and plans for the rest.
+func (r *referenceCycle) scheduleJob(j *Job, first bool) {
+	want := r.tasksWithinTeamLimit(j)
 	if want == 0 {
 		return
 	}
 	left := want
 	if j.FetchDelaysStart {
-		// Its start would be late on a machine without its image: machines
-		// that have it come first, even if lesser work must leave them.
-		r.warm = true
-		left -= r.fit(j, left, atOnce, true)
+		// Its start would be late on a machine without its image: machines that have the image come
+		// first, even if work of lower priority must leave them.
+		r.warmOnly = true
+		left -= r.fitTasks(j, left, atOnce, true)
 		if left > 0 {
-			left -= r.fit(j, left, afterStops, false)
+			left -= r.fitTasks(j, left, afterStops, false)
 		}
 		if left > 0 {
 			left -= r.preempt(j, left)
 		}
-		r.warm = false
+		r.warmOnly = false
 		if left == 0 {
 			return
 		}
 	}
-	if left -= r.fit(j, left, atOnce, true); left == 0 {
+	if left -= r.fitTasks(j, left, atOnce, true); left == 0 {
 		return
 	}
-	if left -= r.fit(j, left, afterStops, false); left == 0 {
-		return // room is being made
+	if left -= r.fitTasks(j, left, afterStops, false); left == 0 {
+		return // the room is becoming free
 	}
 	if left -= r.preempt(j, left); left == 0 {
 		return
 	}
 	nothing := left == want
-	if left -= r.fit(j, left, afterBoot, false); left == 0 {
-		return // a machine that boots will take it
+	if left -= r.fitTasks(j, left, afterBoot, false); left == 0 {
+		return // a booting machine will run it
 	}
-	if top && nothing && j.WaitedS > r.in.ReserveAfterS {
-		r.reserve(j, left)
+	if first && nothing && j.WaitedS > r.input.ReserveAfterS {
+		r.reserveNodes(j, left)
 	}
-	r.plan.Shortfalls = append(r.plan.Shortfalls, Shortfall{j, left})
+	r.plan.Shortfalls = append(r.plan.Shortfalls, Shortfall{Job: j, Count: left})
 }
 
-// tasksWithinTeamLimit is how many waiting tasks the limit of the job's team allows.
-func (r *refRound) quota(j *Job) int {
+// tasksWithinTeamLimit returns how many pending tasks of a job the limit of its team allows.
+func (r *referenceCycle) tasksWithinTeamLimit(j *Job) int {
 	want := j.PendingTasks
-	t := r.in.Teams[j.Spec.Team]
+	t := r.input.Teams[j.Spec.Team]
 	if t == nil {
 		return 0
 	}
-	for _, q := range [...][3]float64{{t.Limit.Cores, t.Used.Cores, j.Spec.Cores}, {t.Limit.Gpus, t.Used.Gpus, j.Spec.Gpus}} {
-		if q[0] > 0 && q[2] > 0 {
-			want = min(want, int((q[0]-q[1]+1e-6)/q[2]))
+	for _, resource := range [...]struct{ limit, used, need float64 }{
+		{t.Limit.Cores, t.Used.Cores, j.Spec.Cores},
+		{t.Limit.Gpus, t.Used.Gpus, j.Spec.Gpus},
+	} {
+		if resource.limit > 0 && resource.need > 0 {
+			want = min(want, int((resource.limit-resource.used+1e-6)/resource.need))
 		}
 	}
 	if want < j.PendingTasks && startsWhole(j) {
@@ -131,50 +137,51 @@
 	return max(want, 0)
 }
 
-type refOption struct {
-	node     int
-	count    int
-	image    bool
-	pulling  int
-	price    float64
-	headroom float64
+// referenceOption is a node on which tasks of a job fit.
+type referenceOption struct {
+	node          int
+	count         int
+	hasImage      bool
+	activeFetches int
+	cost          float64
+	residual      float64
 }
 
-// fit finds room for up to want tasks of j in a layer and takes it. With start
-// set the tasks are launched; otherwise the room is only kept for them.
-func (r *refRound) fit(j *Job, want int, l horizon, start bool) int {
-	b, bounded := r.bound(j, l)
-	if most, ok := r.bounds[b]; bounded && ok && (most == 0 || startsWhole(j) && most < j.PendingTasks) {
-		return 0 // one of its like has found no room
+// fitTasks finds room for up to want tasks of a job at a horizon and books it. With start set the tasks are
+// launched; otherwise the room is only kept for them.
+func (r *referenceCycle) fitTasks(j *Job, want int, at horizon, start bool) int {
+	shape, bounded := r.shapeAt(j, at)
+	if most, ok := r.maxFit[shape]; bounded && ok && (most == 0 || startsWhole(j) && most < j.PendingTasks) {
+		return 0 // a job of the same shape has found too little room
 	}
 	var places []Placement
 	if j.Spec.SingleZone {
-		places = r.singleZone(j, want, l)
+		places = r.chooseSingleZone(j, want, at)
 	} else {
-		places = r.choose(j, want, l, "")
+		places = r.chooseNodes(j, want, at, "")
 	}
 	n := countTasks(places)
 	if bounded && n < want {
-		r.bounds[b] = n
+		r.maxFit[shape] = n
 	}
 	if n == 0 || (startsWhole(j) && n < j.PendingTasks) {
 		return 0
 	}
-	r.take(j, places, start)
+	r.commitPlacements(j, places, start)
 	return n
 }
 
-// chooseSingleZone tries each zone and takes the one that holds most, on the fewest
-// machines. A job that has tasks in a zone stays there.
-func (r *refRound) singleZone(j *Job, want int, l horizon) []Placement {
+// chooseSingleZone tries each zone and chooses the one that has room for most tasks, on the fewest machines.
+// A job that has live attempts in a zone stays there.
+func (r *referenceCycle) chooseSingleZone(j *Job, want int, at horizon) []Placement {
 	for zone, n := range j.LiveByZone {
 		if n > 0 {
-			return r.choose(j, want, l, zone)
+			return r.chooseNodes(j, want, at, zone)
 		}
 	}
 	var best []Placement
-	for _, zone := range r.zones() {
-		p := r.choose(j, want, l, zone)
+	for _, zone := range r.zoneNames() {
+		p := r.chooseNodes(j, want, at, zone)
 		if countTasks(p) > countTasks(best) || (countTasks(p) == countTasks(best) && len(p) < len(best)) {
 			best = p
 		}
@@ -182,73 +189,81 @@
 	return best
 }
 
-func (r *refRound) zones() []string {
+func (r *referenceCycle) zoneNames() []string {
 	var zones []string
-	for i := range r.in.Nodes {
-		if y := r.in.Nodes[i].Zone; !slices.Contains(zones, y) {
-			zones = append(zones, y)
+	for i := range r.input.Nodes {
+		if nodeZone := r.input.Nodes[i].Zone; !slices.Contains(zones, nodeZone) {
+			zones = append(zones, nodeZone)
 		}
 	}
 	slices.Sort(zones)
 	return zones
 }
 
-// yardCap is how many more tasks of j each zone may hold.
-func refZoneCap(j *Job, zone string) int {
+// referenceZoneAllowance returns how many more tasks of a job a zone may hold.
+func referenceZoneAllowance(j *Job, zone string) int {
 	if !j.Spec.SpreadZones {
 		return j.Spec.TaskCount
 	}
 	return (j.Spec.TaskCount+1)/2 - j.LiveByZone[zone]
 }
 
-func (r *refRound) usable(j *Job, i int, zone string) bool {
-	n := &r.in.Nodes[i]
-	if !n.Spot && !n.RunsOnDemandWork && j.Spec.AllowSpot && !j.SpotUnavailable && (!j.CannotAwaitBoot || n.ScaleInCandidate && !j.WaitedPastBoot) || r.warm && (!n.Registered || !slices.Contains(n.Images, j.Spec.Image)) {
+// isNodeEligible reports whether a job may use a node, whatever room it has.
+func (r *referenceCycle) isNodeEligible(j *Job, i int, zone string) bool {
+	n := &r.input.Nodes[i]
+	waitsForSpot := !j.CannotAwaitBoot || n.ScaleInCandidate && !j.WaitedPastBoot
+	if !n.Spot && !n.RunsOnDemandWork && j.Spec.AllowSpot && !j.SpotUnavailable && waitsForSpot {
+		return false
+	}
+	if r.warmOnly && (!n.Registered || !slices.Contains(n.Images, j.Spec.Image)) {
 		return false
 	}
 	return !r.reserved[i] && (zone == "" || n.Zone == zone) &&
 		IsEligible(j.Spec, n.Type, n.Zone, n.Spot) && (j.AvoidedMachine == "" || n.ID != j.AvoidedMachine)
 }
 
-// taskPrice is what a task's share of the machine costs.
-func refTaskPrice(n *Node, need fleet.Resources) float64 {
+// referenceTaskPrice returns the price of a task's dominant share of a machine.
+func referenceTaskPrice(n *Node, need fleet.Resources) float64 {
 	share := 0.0
-	for _, p := range [...][2]float64{{need.Cores, n.Capacity.Cores}, {need.Gpus, n.Capacity.Gpus}, {need.RAM, n.Capacity.RAM}} {
-		if p[1] > 0 {
-			share = max(share, p[0]/p[1])
+	for _, resource := range [...]struct{ need, capacity float64 }{
+		{need.Cores, n.Capacity.Cores},
+		{need.Gpus, n.Capacity.Gpus},
+		{need.RAM, n.Capacity.RAM},
+	} {
+		if resource.capacity > 0 {
+			share = max(share, resource.need/resource.capacity)
 		}
 	}
 	return n.HourlyPrice * share
 }
 
-// placementCost is what placing a task there costs: nothing for work that may be stopped
-// and fills the gaps of a machine that stays anyway.
-func (r *refRound) price(j *Job, n *Node) float64 {
+// referencePlacementCost returns what placing a task on a node costs per hour: nothing for work that may use
+// spot machines and fills the gaps of a machine that stays anyway.
+func referencePlacementCost(j *Job, n *Node) float64 {
 	if j.Spec.AllowSpot && n.RunsOnDemandWork {
 		return 0
 	}
-	return refTaskPrice(n, fleet.TaskResources(j.Spec))
+	return referenceTaskPrice(n, fleet.TaskResources(j.Spec))
 }
 
-// options lists where tasks of j fit, at most want on each node. The list is good until
-// the next call.
-func (r *refRound) options(j *Job, want int, l horizon, zone string) []refOption {
+// options lists where tasks of a job fit, at most want on each node. The list is valid until the next call.
+func (r *referenceCycle) options(j *Job, want int, at horizon, zone string) []referenceOption {
 	need := fleet.TaskResources(j.Spec)
 	opts := r.optionsBuffer[:0]
-	for _, i := range r.candidates(l) {
-		free := r.room[l][i]
+	for _, i := range r.candidateNodes(at) {
+		free := r.free[at][i]
 		c := free.CountFitting(need, want)
-		if c == 0 || !r.usable(j, i, zone) {
+		if c == 0 || !r.isNodeEligible(j, i, zone) {
 			continue
 		}
-		n := &r.in.Nodes[i]
-		headroom := free.Gpus - float64(c)*need.Gpus + (free.Cores-float64(c)*need.Cores)/max(n.Capacity.Cores, 1)
+		n := &r.input.Nodes[i]
+		residual := free.Gpus - float64(c)*need.Gpus + (free.Cores-float64(c)*need.Cores)/max(n.Capacity.Cores, 1)
 		if need.Gpus == 0 {
-			headroom = free.Gpus
+			residual = free.Gpus
 		}
-		o := refOption{node: i, count: c, price: r.price(j, n), headroom: headroom}
+		o := referenceOption{node: i, count: c, cost: referencePlacementCost(j, n), residual: residual}
 		if n.Registered {
-			o.image, o.pulling = slices.Contains(n.Images, j.Spec.Image), n.ActiveFetches
+			o.hasImage, o.activeFetches = slices.Contains(n.Images, j.Spec.Image), n.ActiveFetches
 		}
 		opts = append(opts, o)
 	}
@@ -256,43 +271,43 @@
 	return opts
 }
 
-// compareGroups orders options: the cheapest for the task first, then those that have
-// the image, then those that need the fewest machines, then the tightest fit. The
-// image goes first where its fetch alone would make the start late. CPU-only
-// work goes where the fewest GPUs are free.
-func (r *refRound) better(j *Job) func(a, b refOption) int {
-	return func(a, b refOption) int {
-		na, nb := &r.in.Nodes[a.node], &r.in.Nodes[b.node]
-		price, image := cmp.Compare(a.price, b.price), cmp.Compare(boolToInt(b.image), boolToInt(a.image))
+// compareOptions orders options: the cheapest for the task first, then those that have the image, then those
+// that need the fewest machines, then the tightest fit. The image goes first where its fetch alone would
+// make the start late. CPU-only work goes where the fewest GPUs are free.
+func (r *referenceCycle) compareOptions(j *Job) func(a, b referenceOption) int {
+	return func(a, b referenceOption) int {
+		na, nb := &r.input.Nodes[a.node], &r.input.Nodes[b.node]
+		price, image := cmp.Compare(a.cost, b.cost), cmp.Compare(boolToInt(b.hasImage), boolToInt(a.hasImage))
 		if j.FetchDelaysStart {
 			price, image = image, price
 		}
-		pulls := 0
-		if image == 0 && !a.image {
-			pulls = cmp.Compare(a.pulling, b.pulling)
+		fetches := 0
+		if image == 0 && !a.hasImage {
+			fetches = cmp.Compare(a.activeFetches, b.activeFetches)
 		}
-		stays, count, headroom := cmp.Compare(boolToInt(nb.RunsOnDemandWork), boolToInt(na.RunsOnDemandWork)), cmp.Compare(b.count, a.count), cmp.Compare(a.headroom, b.headroom)
+		stays := cmp.Compare(boolToInt(nb.RunsOnDemandWork), boolToInt(na.RunsOnDemandWork))
+		count, residual := cmp.Compare(b.count, a.count), cmp.Compare(a.residual, b.residual)
 		last := cmp.Or(cmp.Compare(na.ID, nb.ID), cmp.Compare(a.node, b.node))
 		if j.FetchDelaysStart || j.Spec.AllowSpot {
-			return cmp.Or(price, image, pulls, count, headroom, last)
+			return cmp.Or(price, image, fetches, count, residual, last)
 		}
-		return cmp.Or(price, count, stays, headroom, image, pulls, last)
+		return cmp.Or(price, count, stays, residual, image, fetches, last)
 	}
 }
 
 // chooseNodes picks nodes for up to want tasks, the best first.
-func (r *refRound) choose(j *Job, want int, l horizon, zone string) []Placement {
-	order := refLeast[refOption]{items: r.options(j, want, l, zone), cmp: r.better(j)}
+func (r *referenceCycle) chooseNodes(j *Job, want int, at horizon, zone string) []Placement {
+	order := referenceHeap[referenceOption]{items: r.options(j, want, at, zone), cmp: r.compareOptions(j)}
 	var places []Placement
 	taken := map[string]int{}
 	for o := range order.all() {
-		y := r.in.Nodes[o.node].Zone
-		c := min(o.count, want, refZoneCap(j, y)-taken[y])
+		nodeZone := r.input.Nodes[o.node].Zone
+		c := min(o.count, want, referenceZoneAllowance(j, nodeZone)-taken[nodeZone])
 		if c <= 0 {
 			continue
 		}
-		places = append(places, Placement{j, o.node, c})
-		taken[y] += c
+		places = append(places, Placement{Job: j, Node: o.node, Count: c})
+		taken[nodeZone] += c
 		if want -= c; want == 0 {
 			break
 		}
@@ -300,44 +315,45 @@
 	return places
 }
 
-// commitPlacements books the places against every layer, so that nobody later in the
-// window uses the room, and against the limit of the team.
-func (r *refRound) take(j *Job, places []Placement, start bool) {
+// commitPlacements books placements against every horizon, so that no later job of the window uses the room,
+// and against the limit of the team.
+func (r *referenceCycle) commitPlacements(j *Job, places []Placement, start bool) {
 	need := fleet.TaskResources(j.Spec)
 	n := 0
 	for _, p := range places {
 		for range p.Count {
-			for l := range r.room {
-				r.room[l][p.Node] = r.room[l][p.Node].Sub(need)
+			for at := range r.free {
+				r.free[at][p.Node] = r.free[at][p.Node].Sub(need)
 			}
 		}
 		n += p.Count
-		j.LiveByZone[r.in.Nodes[p.Node].Zone] += p.Count
+		j.LiveByZone[r.input.Nodes[p.Node].Zone] += p.Count
 	}
 	j.LiveAttempts += n
 	j.PendingTasks -= n
-	t := r.in.Teams[j.Spec.Team]
+	t := r.input.Teams[j.Spec.Team]
 	t.Used.Cores += float64(n) * need.Cores
 	t.Used.Gpus += float64(n) * need.Gpus
 	if start {
 		r.plan.Placements = append(r.plan.Placements, places...)
-		c := float64(len(places)) / float64(2*max(1, len(r.in.Nodes)))
-		r.plan.Objective += r.in.PriorityWeights[j.Level] * (1 - c)
+		c := float64(len(places)) / float64(2*max(1, len(r.input.Nodes)))
+		r.plan.Objective += r.input.PriorityWeights[j.Level] * (1 - c)
 	}
 }
 
-// reserveNodes keeps the machines for j that have most room already, until their
-// whole capacity would hold it. Later jobs start only elsewhere.
-func (r *refRound) reserve(j *Job, want int) {
+// reserveNodes reserves nodes for a job, those with the most free room first, until their whole capacity would
+// hold it. Later jobs start only elsewhere.
+func (r *referenceCycle) reserveNodes(j *Job, want int) {
 	need := fleet.TaskResources(j.Spec)
 	var nodes []int
-	for i := range r.in.Nodes {
-		if r.usable(j, i, "") && r.in.Nodes[i].Capacity.CountFitting(need, 1) > 0 {
+	for i := range r.input.Nodes {
+		if r.isNodeEligible(j, i, "") && r.input.Nodes[i].Capacity.CountFitting(need, 1) > 0 {
 			nodes = append(nodes, i)
 		}
 	}
 	slices.SortFunc(nodes, func(a, b int) int {
-		return cmp.Or(cmp.Compare(r.room[afterStops][b].Gpus, r.room[afterStops][a].Gpus), cmp.Compare(r.room[afterStops][b].Cores, r.room[afterStops][a].Cores), cmp.Compare(a, b))
+		x, y := r.free[afterStops][a], r.free[afterStops][b]
+		return cmp.Or(cmp.Compare(y.Gpus, x.Gpus), cmp.Compare(y.Cores, x.Cores), cmp.Compare(a, b))
 	})
 	taken := map[string]int{}
 	zone := ""
@@ -345,279 +361,120 @@
 		if want <= 0 {
 			break
 		}
-		y := r.in.Nodes[i].Zone
-		if j.Spec.SingleZone && zone != "" && y != zone {
+		nodeZone := r.input.Nodes[i].Zone
+		if j.Spec.SingleZone && zone != "" && nodeZone != zone {
 			continue
 		}
-		c := min(r.in.Nodes[i].Capacity.CountFitting(need, want), refZoneCap(j, y)-taken[y])
+		c := min(r.input.Nodes[i].Capacity.CountFitting(need, want), referenceZoneAllowance(j, nodeZone)-taken[nodeZone])
 		if c <= 0 {
 			continue
 		}
-		zone = y
-		taken[y] += c
+		zone = nodeZone
+		taken[nodeZone] += c
 		want -= c
 		r.reserved[i] = true
 	}
 	r.plan.ReservedFor = j.Spec.UID
 }
 
-// refOpenNodes are the nodes of a layer that may have room for a task of the
-// window.
-type refOpenNodes struct {
-	nodes []int
-	in    []bool // by node
+// referenceOpenNodes are the nodes that may have room for a task of the window at a horizon.
+type referenceOpenNodes struct {
+	nodes    []int
+	contains []bool // by node
 }
 
-// index prepares the lists of open nodes for the jobs of a window.
-func (r *refRound) index(window []*Job) {
+// buildOpenNodes prepares the lists of open nodes for the jobs of a window.
+func (r *referenceCycle) buildOpenNodes(window []*Job) {
 	if len(window) == 0 {
 		return
 	}
-	least := fleet.TaskResources(window[0].Spec)
+	smallest := fleet.TaskResources(window[0].Spec)
 	for _, j := range window[1:] {
-		n := fleet.TaskResources(j.Spec)
-		least = fleet.Resources{Cores: min(least.Cores, n.Cores), Gpus: min(least.Gpus, n.Gpus), RAM: min(least.RAM, n.RAM)}
-	}
-	r.least = least
-	for l := range r.open {
-		o := &r.open[l]
-		o.in = make([]bool, len(r.in.Nodes))
-		for i := range r.in.Nodes {
-			if r.room[l][i].CountFitting(least, 1) > 0 {
-				o.nodes, o.in[i] = append(o.nodes, i), true
+		need := fleet.TaskResources(j.Spec)
+		smallest.Cores = min(smallest.Cores, need.Cores)
+		smallest.Gpus = min(smallest.Gpus, need.Gpus)
+		smallest.RAM = min(smallest.RAM, need.RAM)
+	}
+	r.smallestNeed = smallest
+	for at := range r.openNodes {
+		o := &r.openNodes[at]
+		o.contains = make([]bool, len(r.input.Nodes))
+		for i := range r.input.Nodes {
+			if r.free[at][i].CountFitting(r.smallestNeed, 1) > 0 {
+				o.nodes, o.contains[i] = append(o.nodes, i), true
 			}
 		}
 	}
 }
 
-// candidates lists the nodes of a layer that may have room, and drops those
-// that no longer have.
-func (r *refRound) candidates(l horizon) []int {
-	o := &r.open[l]
+// candidateNodes lists the nodes that may have room at a horizon, and drops those that no longer have.
+func (r *referenceCycle) candidateNodes(at horizon) []int {
+	o := &r.openNodes[at]
 	o.nodes = slices.DeleteFunc(o.nodes, func(i int) bool {
-		o.in[i] = r.room[l][i].CountFitting(r.least, 1) > 0
-		return !o.in[i]
+		o.contains[i] = r.free[at][i].CountFitting(r.smallestNeed, 1) > 0
+		return !o.contains[i]
 	})
 	return o.nodes
 }
 
-// releaseRoom gives a node the room of a task that is stopped, once it has ended.
-func (r *refRound) grow(node int, room fleet.Resources) {
-	clear(r.bounds)
-	for _, l := range [...]horizon{afterStops, afterBoot} {
-		r.room[l][node] = r.room[l][node].Add(room)
-		if o := &r.open[l]; !o.in[node] && r.room[l][node].CountFitting(r.least, 1) > 0 {
-			o.nodes, o.in[node] = append(o.nodes, node), true
+// releaseRoom adds the room of a task that is stopped to what its node has once it has ended.
+func (r *referenceCycle) releaseRoom(node int, room fleet.Resources) {
+	clear(r.maxFit)
+	for _, at := range [...]horizon{afterStops, afterBoot} {
+		r.free[at][node] = r.free[at][node].Add(room)
+		if o := &r.openNodes[at]; !o.contains[node] && r.free[at][node].CountFitting(r.smallestNeed, 1) > 0 {
+			o.nodes, o.contains[node] = append(o.nodes, node), true
 		}
 	}
 }
 
-// victimsInStopOrder gives, for each node, the victims in the order in which they are
-// stopped.
-func (r *refRound) leastDisruption() [][]Victim {
+// victimsInStopOrder returns the victims by node, in the order in which they are stopped.
+func (r *referenceCycle) victimsInStopOrder() [][]Victim {
 	if r.victims == nil {
-		r.victims = make([][]Victim, len(r.in.Nodes))
-		for i := range r.in.Nodes {
-			r.victims[i] = slices.SortedFunc(slices.Values(r.in.Nodes[i].Victims), func(a, b Victim) int {
-				return cmp.Or(cmp.Compare(a.Level, b.Level), cmp.Compare(a.lossS(r.in.Now), b.lossS(r.in.Now)), cmp.Compare(a.Serial, b.Serial))
+		r.victims = make([][]Victim, len(r.input.Nodes))
+		for i := range r.input.Nodes {
+			r.victims[i] = slices.SortedFunc(slices.Values(r.input.Nodes[i].Victims), func(a, b Victim) int {
+				loss := cmp.Compare(a.lossS(r.input.Now), b.lossS(r.input.Now))
+				return cmp.Or(cmp.Compare(a.Level, b.Level), loss, cmp.Compare(a.Serial, b.Serial))
 			})
 		}
 	}
 	return r.victims
 }
 
-// bound names a kind of job and a layer. Room only shrinks in a round, but for
-// what is stopped: of a kind that fitted so many times, no more fit later.
-type refBound struct {
-	layer                   horizon
-	level                   int // of a job that displaces
-	need                    fleet.Resources
-	machineTypes, zone      string
-	spot                    bool
-	overdue, waitedPastBoot bool
-	dear                    bool
-	image                   string // if only nodes that have it will do
+// referenceShape is an equivalence class of jobs at a horizon, as demandShape.
+type referenceShape struct {
+	horizon                         horizon
+	preemptorLevel                  int // of a job that preempts
+	need                            fleet.Resources
+	machineTypes, zone              string
+	allowSpot                       bool
+	cannotAwaitBoot, waitedPastBoot bool
+	spotUnavailable                 bool
+	requiredImage                   string // if only nodes that have it will do
 }
 
-// demandShape names the job's kind. ok is false if what fits depends on more.
-func (r *refRound) bound(j *Job, l horizon) (b refBound, ok bool) {
+// shapeAt returns the shape of a job. ok is false if what fits depends on more.
+func (r *referenceCycle) shapeAt(j *Job, at horizon) (shape referenceShape, ok bool) {
 	s := j.Spec
 	if s.SingleZone || s.SpreadZones || j.AvoidedMachine != "" {
-		return b, false
-	}
-	b = refBound{layer: l, need: fleet.TaskResources(s), machineTypes: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.CannotAwaitBoot, waitedPastBoot: j.WaitedPastBoot, dear: j.SpotUnavailable}
-	if r.warm {
-		b.image = s.Image
-	}
-	if l == byPreemption {
-		b.level = j.Level
-	}
-	return b, true
-}
-
-// least gives items in order without sorting those that nobody asks for: a job
-// needs a few of many.
-type refLeast[T any] struct {
-	items []T
-	cmp   func(a, b T) int
-}
-
-func (h *refLeast[T]) Len() int           { return len(h.items) }
-func (h *refLeast[T]) Less(i, k int) bool { return h.cmp(h.items[i], h.items[k]) < 0 }
-func (h *refLeast[T]) Swap(i, k int)      { h.items[i], h.items[k] = h.items[k], h.items[i] }
-
-// Push adds an item.
-func (h *refLeast[T]) Push(x any) { h.items = append(h.items, x.(T)) }
-
-// Pop takes the last item off.
-func (h *refLeast[T]) Pop() any {
-	x := h.items[len(h.items)-1]
-	h.items = h.items[:len(h.items)-1]
-	return x
-}
-
-// all gives the items, the least first.
-func (h *refLeast[T]) all() iter.Seq[T] {
-	return func(yield func(T) bool) {
-		stdheap.Init(h)
-		for len(h.items) > 0 {
-			if !yield(stdheap.Pop(h).(T)) {
-				return
-			}
-		}
-	}
-}
-
-// choice is room for one task on a node once some of its victims are stopped.
-type refChoice struct {
-	node     int
-	from, to int // its victims are among these
-	loss     float64
-}
-
-// preempt stops work of lower levels so that up to want tasks of j fit, and
-// keeps the room for them. It never stops work for nothing: a job that starts
-// whole gets all its room or none. Replicas are only displaced for a job that
-// waited as long as a new machine takes.
-func (r *refRound) preempt(j *Job, want int) int {
-	if r.lowest >= j.Level {
-		return 0
-	}
-	b, bounded := r.bound(j, byPreemption)
-	if most, ok := r.bounds[b]; bounded && ok && (most == 0 || startsWhole(j) && most < j.PendingTasks) {
-		return 0
-	}
-	choices := r.preemptions(j, want)
-	places, chosen := r.leastHarm(j, want, choices)
-	if bounded && len(places) < want {
-		r.bounds[b] = len(places)
-	}
-	if len(places) == 0 || (startsWhole(j) && len(places) < j.PendingTasks) {
-		return 0
-	}
-	r.stopVictims(j, chosen)
-	r.take(j, places, false)
-	return len(places)
-}
-
-// jobMayPreempt reports whether a job may displace running work.
-func refMayPreempt(j *Job, v *Victim) bool {
-	return v.Level < j.Level && (!v.IsReplica || j.CannotAwaitBoot)
-}
-
-// preemptionOptions lists, by node, the room that there is for tasks of a job, and that there
-// would be if work that it may displace were stopped, what loses least first.
-func (r *refRound) preemptions(j *Job, want int) []refChoice {
-	need := fleet.TaskResources(j.Spec)
-	choices := r.choicesBuffer[:0]
-	for i, victims := range r.leastDisruption() {
-		if !r.couldHold(j, need, i, victims) || !r.usable(j, i, "") {
-			continue
-		}
-		room := r.room[afterStops][i]
-		for range room.CountFitting(need, want) {
-			choices = append(choices, refChoice{node: i})
-			room = room.Sub(need)
-		}
-		c := refChoice{node: i}
-		for k := range victims {
-			v := &victims[k]
-			if !refMayPreempt(j, v) {
-				continue
-			}
-			room = room.Add(v.Need)
-			c.to = k + 1
-			c.loss += v.lossS(r.in.Now) + 1
-			if room.Fits(need) {
-				choices = append(choices, c)
-				c = refChoice{node: i, from: c.to}
-				room = room.Sub(need)
-			}
-		}
+		return shape, false
 	}
-	r.choicesBuffer = choices
-	return choices
-}
-
-// couldHold reports whether a node holds a task of a job once all that it may displace is
-// stopped.
-func (r *refRound) couldHold(j *Job, need fleet.Resources, node int, victims []Victim) bool {
-	gain := r.room[afterStops][node]
-	if gain.Fits(need) {
-		return true
-	}
-	for k := range victims {
-		if refMayPreempt(j, &victims[k]) {
-			gain = gain.Add(victims[k].Need)
-		}
+	shape = referenceShape{
+		horizon:         at,
+		need:            fleet.TaskResources(s),
+		machineTypes:    strings.Join(s.MachineTypes, " "),
+		zone:            s.Zone,
+		allowSpot:       s.AllowSpot,
+		cannotAwaitBoot: j.CannotAwaitBoot,
+		waitedPastBoot:  j.WaitedPastBoot,
+		spotUnavailable: j.SpotUnavailable,
 	}
-	return gain.Fits(need)
-}
-
-// chooseLeastDisruptive takes the choices with the least loss that the job's zones allow, for up to want
-// tasks.
-func (r *refRound) leastHarm(j *Job, want int, choices []refChoice) (places []Placement, chosen []refChoice) {
-	order := refLeast[refChoice]{items: choices, cmp: func(a, b refChoice) int {
-		return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.node, b.node), cmp.Compare(a.from, b.from))
-	}}
-	zone := ""
-	for z, n := range j.LiveByZone {
-		if j.Spec.SingleZone && n > 0 {
-			zone = z
-		}
-	}
-	taken := map[string]int{}
-	for c := range order.all() {
-		z := r.in.Nodes[c.node].Zone
-		if (j.Spec.SingleZone && zone != "" && z != zone) || refZoneCap(j, z)-taken[z] <= 0 {
-			continue
-		}
-		if j.Spec.SingleZone {
-			zone = z
-		}
-		taken[z]++
-		places = append(places, Placement{j, c.node, 1})
-		chosen = append(chosen, c)
-		if len(places) == want {
-			break
-		}
-	}
-	return places, chosen
-}
-
-// stopVictims stops the work that choices displace, and gives the job their room.
-func (r *refRound) stopVictims(j *Job, chosen []refChoice) {
-	stopped := map[int]bool{}
-	for _, c := range chosen {
-		for _, v := range r.victims[c.node][c.from:c.to] {
-			if refMayPreempt(j, &v) {
-				stopped[v.Serial] = true
-				r.plan.Preemptions = append(r.plan.Preemptions, Preemption{c.node, v.Serial, j.StartSlackS})
-				r.grow(c.node, v.Need)
-			}
-		}
+	if r.warmOnly {
+		shape.requiredImage = s.Image
 	}
-	for _, c := range chosen {
-		r.victims[c.node] = slices.DeleteFunc(r.victims[c.node], func(v Victim) bool { return stopped[v.Serial] })
+	if at == byPreemption {
+		shape.preemptorLevel = j.Level
 	}
+	return shape, true
 }
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -15,91 +15,144 @@
 // The same inputs every run; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
+// genInput draws free machines and jobs of one team that wait.
 func genInput(t *rapid.T, maxNodes, maxJobs int) *Input {
-	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}}}
+	in := &Input{
+		Window:          200,
+		ReserveAfterS:   30,
+		PriorityWeights: DefaultPriorityWeights,
+		Teams:           map[string]*Team{"crew": {}},
+	}
 	if rapid.Bool().Draw(t, "limited") {
 		in.Teams["crew"].Limit.Gpus = float64(rapid.IntRange(1, 20).Draw(t, "limit"))
 	}
 	for i := range rapid.IntRange(1, maxNodes).Draw(t, "nodes") {
-		c := fleet.Resources{Cores: float64(rapid.IntRange(1, 16).Draw(t, "cores")), Gpus: float64(rapid.IntRange(0, 4).Draw(t, "gpus")), RAM: 100}
-		in.Nodes = append(in.Nodes, Node{ID: fmt.Sprint("m", i), Type: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "rig"),
-			Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "yard"), Spot: rapid.Bool().Draw(t, "spot"), Capacity: c, Free: c, FreeAfterStops: c, FreeAfterBoot: c})
+		capacity := fleet.Resources{
+			Cores: float64(rapid.IntRange(1, 16).Draw(t, "cores")),
+			Gpus:  float64(rapid.IntRange(0, 4).Draw(t, "gpus")),
+			RAM:   100,
+		}
+		in.Nodes = append(in.Nodes, Node{
+			ID:             fmt.Sprint("m", i),
+			Type:           rapid.SampledFrom([]string{"x", "y"}).Draw(t, "type"),
+			Zone:           rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
+			Spot:           rapid.Bool().Draw(t, "spot"),
+			Capacity:       capacity,
+			Free:           capacity,
+			FreeAfterStops: capacity,
+			FreeAfterBoot:  capacity,
+		})
 	}
 	for i := range rapid.IntRange(1, maxJobs).Draw(t, "jobs") {
-		w := &wire.JobSpec{UID: fmt.Sprintf("run-%06d", i), Team: "crew", TaskCount: rapid.IntRange(1, 4).Draw(t, "legs"),
-			Cores: float64(rapid.IntRange(1, 8).Draw(t, "need")), Gpus: float64(rapid.IntRange(0, 2).Draw(t, "needGpus")),
-			Kind:      rapid.SampledFrom([]wire.JobKind{wire.JobArray, wire.Service}).Draw(t, "shape"),
-			AllowSpot: rapid.Bool().Draw(t, "standby"), SingleZone: rapid.Bool().Draw(t, "together"), SpreadZones: rapid.Bool().Draw(t, "scatter")}
-		if rapid.IntRange(0, 3).Draw(t, "picky") == 0 {
-			w.MachineTypes = []string{"x"}
-		}
-		in.Jobs = append(in.Jobs, &Job{Spec: w, Level: rapid.IntRange(1, 4).Draw(t, "level"), QueuedSinceMs: int64(i), PendingTasks: w.TaskCount, CannotAwaitBoot: true, WaitedPastBoot: true, LiveByZone: map[string]int{}})
+		in.Jobs = append(in.Jobs, genFreshJob(t, i))
 	}
 	return in
 }
 
-// Whatever a round plans is feasible.
+// genFreshJob draws a job of which nothing runs, and which may use any machine that its specification allows.
+func genFreshJob(t *rapid.T, i int) *Job {
+	spec := &wire.JobSpec{
+		UID:         fmt.Sprintf("run-%06d", i),
+		Team:        "crew",
+		TaskCount:   rapid.IntRange(1, 4).Draw(t, "tasks"),
+		Cores:       float64(rapid.IntRange(1, 8).Draw(t, "need")),
+		Gpus:        float64(rapid.IntRange(0, 2).Draw(t, "needGpus")),
+		Kind:        rapid.SampledFrom([]wire.JobKind{wire.JobArray, wire.Service}).Draw(t, "kind"),
+		AllowSpot:   rapid.Bool().Draw(t, "allowSpot"),
+		SingleZone:  rapid.Bool().Draw(t, "singleZone"),
+		SpreadZones: rapid.Bool().Draw(t, "spreadZones"),
+	}
+	if rapid.IntRange(0, 3).Draw(t, "picky") == 0 {
+		spec.MachineTypes = []string{"x"}
+	}
+	return &Job{
+		Spec:            spec,
+		Level:           rapid.IntRange(1, 4).Draw(t, "level"),
+		QueuedSinceMs:   int64(i),
+		PendingTasks:    spec.TaskCount,
+		CannotAwaitBoot: true,
+		WaitedPastBoot:  true,
+		LiveByZone:      map[string]int{},
+	}
+}
+
+// checkFits checks that the nodes have room for all placements and that jobs may use them, and returns the
+// number of placed tasks by job and zone.
+func checkFits(t *rapid.T, in *Input, plan *Plan) map[string]map[string]int {
+	free := make([]fleet.Resources, len(in.Nodes))
+	for i := range in.Nodes {
+		free[i] = in.Nodes[i].Free
+	}
+	placed := map[string]map[string]int{}
+	for _, p := range plan.Placements {
+		spec, n := p.Job.Spec, &in.Nodes[p.Node]
+		if !IsEligible(spec, n.Type, n.Zone, n.Spot) {
+			t.Fatalf("%s may not be on %s", spec.UID, n.ID)
+		}
+		for range p.Count {
+			if !free[p.Node].Fits(fleet.TaskResources(spec)) {
+				t.Fatalf("%s has no room for %s", n.ID, spec.UID)
+			}
+			free[p.Node] = free[p.Node].Sub(fleet.TaskResources(spec))
+		}
+		if placed[spec.UID] == nil {
+			placed[spec.UID] = map[string]int{}
+		}
+		placed[spec.UID][n.Zone] += p.Count
+	}
+	return placed
+}
+
+// checkPlacement checks that a job starts whole if it has to, and in the zones that it may use.
+func checkPlacement(t *rapid.T, spec *wire.JobSpec, byZone map[string]int) {
+	tasks := 0
+	for _, n := range byZone {
+		tasks += n
+		if spec.SpreadZones && n > (spec.TaskCount+1)/2 {
+			t.Fatalf("%s is in zones %v", spec.UID, byZone)
+		}
+	}
+	mustStartWhole := spec.Kind == wire.Service || spec.SingleZone
+	if tasks > spec.TaskCount || mustStartWhole && tasks != 0 && tasks != spec.TaskCount {
+		t.Fatalf("%s starts with %d of %d tasks", spec.UID, tasks, spec.TaskCount)
+	}
+	if spec.SingleZone && len(byZone) > 1 {
+		t.Fatalf("%s is in zones %v", spec.UID, byZone)
+	}
+}
+
+// Whatever a cycle plans is feasible.
 func TestPlansAreFeasible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := genInput(t, 6, 10)
 		limit := in.Teams["crew"].Limit.Gpus
 		plan := Run(in)
-		free := make([]fleet.Resources, len(in.Nodes))
-		for i := range in.Nodes {
-			free[i] = in.Nodes[i].Free
-		}
-		placed, gpus := map[string]int{}, 0.0
-		zones := map[string]map[string]int{}
+		placed := checkFits(t, in, plan)
+		gpus := 0.0
 		for _, p := range plan.Placements {
-			s, n := p.Job.Spec, &in.Nodes[p.Node]
-			if !IsEligible(s, n.Type, n.Zone, n.Spot) {
-				t.Fatalf("%s may not be on %s", s.UID, n.ID)
-			}
-			for range p.Count {
-				if !free[p.Node].Fits(fleet.TaskResources(s)) {
-					t.Fatalf("%s has no room for %s", n.ID, s.UID)
-				}
-				free[p.Node] = free[p.Node].Sub(fleet.TaskResources(s))
-			}
-			placed[s.UID] += p.Count
-			gpus += float64(p.Count) * s.Gpus
-			if zones[s.UID] == nil {
-				zones[s.UID] = map[string]int{}
-			}
-			zones[s.UID][n.Zone] += p.Count
+			gpus += float64(p.Count) * p.Job.Spec.Gpus
 		}
 		if limit > 0 && gpus > limit {
 			t.Fatalf("the team uses %v of %v gpus", gpus, limit)
 		}
 		for _, j := range in.Jobs {
-			s := j.Spec
-			if n := placed[s.UID]; n > s.TaskCount || (s.Kind == wire.Service || s.SingleZone) && n != 0 && n != s.TaskCount {
-				t.Fatalf("%s starts with %d of %d tasks", s.UID, n, s.TaskCount)
-			}
-			if s.SingleZone && len(zones[s.UID]) > 1 {
-				t.Fatalf("%s is in zones %v", s.UID, zones[s.UID])
-			}
-			for _, n := range zones[s.UID] {
-				if s.SpreadZones && n > (s.TaskCount+1)/2 {
-					t.Fatalf("%s is in zones %v", s.UID, zones[s.UID])
-				}
-			}
+			checkPlacement(t, j.Spec, placed[j.Spec.UID])
 		}
 	})
 }
 
-// best solves the paper's objective for whole jobs by trying everything.
-func best(in *Input, i int, free []fleet.Resources) float64 {
+// bestObjective returns the best value of the objective for whole jobs, by exhaustive search.
+func bestObjective(in *Input, i int, free []fleet.Resources) float64 {
 	if i == len(in.Jobs) {
 		return 0
 	}
-	top := best(in, i+1, free) // s_j = 0
+	top := bestObjective(in, i+1, free) // s_j = 0
 	j := in.Jobs[i]
 	need := fleet.TaskResources(j.Spec)
 	var place func(node, left, used int)
 	place = func(node, left, used int) {
 		if left == 0 {
-			v := in.PriorityWeights[j.Level]*(1-float64(used)/float64(2*len(in.Nodes))) + best(in, i+1, free)
+			v := in.PriorityWeights[j.Level]*(1-float64(used)/float64(2*len(in.Nodes))) + bestObjective(in, i+1, free)
 			top = max(top, v)
 			return
 		}
@@ -131,14 +184,15 @@
 		in := genInput(t, 3, 4)
 		in.Teams["crew"].Limit.Gpus = 0
 		for _, j := range in.Jobs {
-			j.Spec.Kind, j.Spec.SingleZone, j.Spec.SpreadZones, j.Spec.TaskCount = wire.Service, false, false, min(j.Spec.TaskCount, 3)
+			j.Spec.Kind, j.Spec.TaskCount = wire.Service, min(j.Spec.TaskCount, 3)
+			j.Spec.SingleZone, j.Spec.SpreadZones = false, false
 			j.PendingTasks = j.Spec.TaskCount
 		}
 		free := make([]fleet.Resources, len(in.Nodes))
 		for i := range in.Nodes {
 			free[i] = in.Nodes[i].Free
 		}
-		b := best(in, 0, free)
+		b := bestObjective(in, 0, free)
 		g := Run(in).Objective
 		if g > b+1e-9 {
 			t.Fatalf("greedy %v is above the best %v", g, b)
@@ -155,11 +209,13 @@
 	}
 }
 
+// job returns a service that waits.
 func job(uid string, level, tasks int, cores, gpus float64) *Job {
 	w := &wire.JobSpec{UID: uid, Team: "crew", Kind: wire.Service, TaskCount: tasks, Cores: cores, Gpus: gpus}
 	return &Job{Spec: w, Level: level, PendingTasks: tasks, LiveByZone: map[string]int{}}
 }
 
+// node returns a free machine.
 func node(id string, cores, gpus float64) Node {
 	r := fleet.Resources{Cores: cores, Gpus: gpus, RAM: 1}
 	return Node{ID: id, Type: "x", Zone: "a", Capacity: r, Free: r, FreeAfterStops: r, FreeAfterBoot: r}
@@ -167,7 +223,7 @@
 
 // The paper's first table: CPU-only work must not take the cores that keep GPU
 // work from the GPUs, even if it came first.
-func TestCpuOnlyWorkLeavesGpus(t *testing.T) {
+func TestCPUOnlyWorkLeavesGPUNodes(t *testing.T) {
 	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 2), node("m2", 8, 2), node("m3", 8, 0)}}
 	in.Jobs = []*Job{job("run-000001", 2, 1, 8, 0), job("run-000002", 2, 2, 4, 2)}
@@ -183,9 +239,8 @@
 	}
 }
 
-// Room is made for a job only by stopping work of lower levels, and only if it
-// then fits.
-func TestPreemption(t *testing.T) {
+// Room is made for a job only by stopping work of lower priority, and only if the job then fits.
+func TestPreemptionStopsOnlyLowerPriorityThatMakesRoom(t *testing.T) {
 	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 4)}}
 	n := &in.Nodes[0]
@@ -202,8 +257,8 @@
 	}
 }
 
-// A top job that has waited long keeps later jobs off the machines it needs.
-func TestReservation(t *testing.T) {
+// The first job of the window, once it has waited long, keeps later jobs off the machines that it needs.
+func TestReservationKeepsLaterJobsOffItsNodes(t *testing.T) {
 	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 4), node("m2", 2, 1)}}
 	in.Nodes[0].Free = fleet.Resources{Cores: 4, Gpus: 2, RAM: 1}
@@ -222,19 +277,18 @@
 		}
 	}
 	if len(p.Placements) != 1 {
-		t.Errorf("room that the top job cannot use stays empty: %+v", p.Placements)
+		t.Errorf("room that the first job cannot use stays empty: %+v", p.Placements)
 	}
 }
 
-// What is called short has no room left: the bounds and lists that spare a
-// round work must not hide any.
-func TestShortsHaveNoRoom(t *testing.T) {
+// A shortfall has no room left: the shapes and lists that save a cycle work must not hide any.
+func TestShortfallsHaveNoRoom(t *testing.T) {
 	shorts := 0
 	rapid.Check(t, func(t *rapid.T) {
 		in := genInput(t, 12, 30)
 		in.Teams["crew"].Limit.Gpus = 0
 		for i, j := range in.Jobs {
-			// Few kinds: most jobs have their like.
+			// Few shapes: most jobs share theirs with another.
 			j.Spec.Cores, j.Spec.Gpus, j.Spec.SingleZone, j.Spec.SpreadZones, j.Spec.MachineTypes = 3, 0, false, false, nil
 			j.Level = 1 + i%2
 		}
