--- a/internal/simcluster/older_release_test.go
+++ b/internal/simcluster/older_release_test.go
@@ -11,20 +11,40 @@
 
 	"lotusstile.dev/lotusstile/internal/peer"
 	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/wire"
 )
 
 // releaseHandler lets a node meet its peers as its release does: one of the release before
 // cluster version 2 says no version, reads none, ignores Awaits, and knows no relays and no
 // standbys.
+//
+// It embeds only what every release answers alike: a peer.Handler embedded whole would take the
+// place of a method here that has another name than there, and nobody would notice.
 type releaseHandler struct {
-	peer.Handler
-	sc   *scenario
-	node int
+	sameInAllReleases
+	handler peer.Handler
+	sc      *scenario
+	node    int
+}
+
+// sameInAllReleases is what a node of the older release answers like one of the newer.
+type sameInAllReleases interface {
+	ApplyCancellation(c peer.Cancellation)
+	LeadStatus() *wire.LeadStatus
+	Counts(a peer.CountsArgs) peer.CountsReply
+	RelayHeartbeat(a peer.CheckInArgs) peer.CheckInReply
+	RelayHeartbeats(b peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error)
+}
+
+var _ peer.Handler = releaseHandler{}
+
+func newReleaseHandler(handler peer.Handler, sc *scenario, node int) releaseHandler {
+	return releaseHandler{sameInAllReleases: handler, handler: handler, sc: sc, node: node}
 }
 
 // Ping answers a ping as the node's release and the caller's allow.
 func (r releaseHandler) Ping(a peer.PingArgs) peer.PingResult {
-	reply := r.Handler.Ping(a)
+	reply := r.handler.Ping(a)
 	if r.sc.olderRelease[r.node] || r.sc.olderRelease[slices.Index(nodeNames, a.From)] {
 		reply.Version = 0
 		reply.CanRelay, reply.WantsRelays = false, false
@@ -38,15 +58,15 @@
 	if r.sc.olderRelease[r.node] {
 		return peer.FollowReply{}, errors.New("rpc: can't find method Controller.FollowState")
 	}
-	return r.Handler.FollowState(a)
+	return r.handler.FollowState(a)
 }
 
-// User answers a request that a peer passes on.
-func (r releaseHandler) User(a peer.UserArgs) peer.UserReply {
+// ServeUserRequest answers a request that a peer forwards.
+func (r releaseHandler) ServeUserRequest(a peer.UserArgs) peer.UserReply {
 	if r.sc.olderRelease[r.node] {
 		a.Body = dropDependencies(a.Body)
 	}
-	return r.Handler.ServeUserRequest(a)
+	return r.handler.ServeUserRequest(a)
 }
 
 // withoutDependencies answers users as the release before, which ignores Awaits.
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -183,7 +183,7 @@
 		network.State = unannouncedRelease{transport}
 	}
 	n := node.New(cfg, network)
-	server, err := peer.NewServer(releaseHandler{Handler: n, sc: sc, node: i})
+	server, err := peer.NewServer(newReleaseHandler(n, sc, i))
 	if err != nil {
 		sc.t.Fatal(err)
 	}
