--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 
@@ -10,31 +11,43 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// maxBatchBytes is how much a batch may hold of reports that are sent in full, before
-// compression. What is over it goes with the next batch.
+// maxBatchBytes is the most that the heartbeats of a batch which are sent in full may take, before
+// compression. What exceeds it goes with the next batch.
 const maxBatchBytes = 16 * wire.MaxBody
 
-// batch collects reports until they are sent.
+// batch collects heartbeats until they are sent.
 type batch struct {
 	heartbeats []peer.RelayedHeartbeat
 	bodies     []byte
 }
 
-// isFull reports whether another report has to wait for the next batch.
+// isFull reports whether another heartbeat has to wait for the next batch.
 func (b *batch) isFull() bool { return len(b.bodies) >= maxBatchBytes-wire.MaxBody }
 
-// addRepetition adds a report that differs from an earlier one in nothing but its tick.
-func (b *batch) addRepetition(r, earlier *wire.Heartbeat, pressure Pressure) {
-	b.heartbeats = append(b.heartbeats, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Incarnation, Sequence: r.Sequence, RepeatOf: earlier.Sequence, Pressure: uint8(pressure)})
+// addRepetition adds a heartbeat that differs from an earlier one in nothing but its sequence.
+func (b *batch) addRepetition(heartbeat, earlier *wire.Heartbeat, pressure Pressure) {
+	b.heartbeats = append(b.heartbeats, peer.RelayedHeartbeat{
+		Host:        heartbeat.Host,
+		Incarnation: heartbeat.Incarnation,
+		Sequence:    heartbeat.Sequence,
+		RepeatOf:    earlier.Sequence,
+		Pressure:    uint8(pressure),
+	})
 }
 
-// add adds a report in full.
-func (b *batch) addFull(r *wire.Heartbeat, body []byte, pressure Pressure) {
-	b.heartbeats = append(b.heartbeats, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Incarnation, Sequence: r.Sequence, Size: len(body), Pressure: uint8(pressure)})
+// addFull adds a heartbeat in full.
+func (b *batch) addFull(heartbeat *wire.Heartbeat, body []byte, pressure Pressure) {
+	b.heartbeats = append(b.heartbeats, peer.RelayedHeartbeat{
+		Host:        heartbeat.Host,
+		Incarnation: heartbeat.Incarnation,
+		Sequence:    heartbeat.Sequence,
+		Size:        len(body),
+		Pressure:    uint8(pressure),
+	})
 	b.bodies = append(b.bodies, body...)
 }
 
-// args is the batch as it is sent.
+// args returns the batch as it is sent.
 func (b *batch) args(from string, term uint64) peer.HeartbeatBatch {
 	args := peer.HeartbeatBatch{From: from, Term: term, Heartbeats: b.heartbeats}
 	if len(b.bodies) > 0 {
@@ -43,25 +56,22 @@
 	return args
 }
 
-// splitBodies takes a received batch apart: one body for each report, nil for those that
-// repeat an earlier one.
+// splitBodies returns the body of each heartbeat of a batch, nil for those that repeat an earlier one.
+// An error wraps ErrMalformedBatch.
 func splitBodies(args *peer.HeartbeatBatch) ([][]byte, error) {
-	want := 0
+	total := 0
 	for i := range args.Heartbeats {
 		size := args.Heartbeats[i].Size
 		if size < 0 || size > wire.MaxBody || (size == 0) != (args.Heartbeats[i].RepeatOf > 0) {
-			return nil, fmt.Errorf("%w: report %d of %d bytes", ErrMalformedBatch, i, size)
+			return nil, fmt.Errorf("%w: heartbeat %d of %d bytes", ErrMalformedBatch, i, size)
 		}
-		want += size
+		total += size
 	}
 	var data []byte
-	if want > 0 {
-		size, err := s2.DecodedLen(args.Bodies)
-		if err != nil || size != want || size > maxBatchBytes {
-			return nil, fmt.Errorf("%w: %d bytes of bodies, want %d: %v", ErrMalformedBatch, size, want, err)
-		}
-		if data, err = s2.Decode(nil, args.Bodies); err != nil {
-			return nil, fmt.Errorf("%w: %v", ErrMalformedBatch, err)
+	if total > 0 {
+		var err error
+		if data, err = decompressBodies(args.Bodies, total); err != nil {
+			return nil, fmt.Errorf("%w: %w", ErrMalformedBatch, err)
 		}
 	}
 	bodies := make([][]byte, len(args.Heartbeats))
@@ -73,10 +83,27 @@
 	return bodies, nil
 }
 
-// equalExceptSequence reports whether two reports of a worker say the same in the same session.
+// errBodySize means that the bodies of a batch do not have the size that the batch says.
+var errBodySize = errors.New("size of the bodies")
+
+// decompressBodies decompresses the bodies of a batch, which must have a size. Nothing larger than is
+// allowed is decompressed.
+func decompressBodies(block []byte, size int) ([]byte, error) {
+	decoded, err := s2.DecodedLen(block)
+	if err != nil {
+		return nil, err
+	}
+	if decoded != size || decoded > maxBatchBytes {
+		return nil, fmt.Errorf("%w: %d bytes, want %d", errBodySize, decoded, size)
+	}
+	return s2.Decode(nil, block)
+}
+
+// equalExceptSequence reports whether two heartbeats of a worker's incarnation differ in nothing but
+// their sequence.
 func equalExceptSequence(a, b *wire.Heartbeat) bool {
 	if a.SpotNoticeS != nil || b.SpotNoticeS != nil {
-		return false // the notice runs down
+		return false // the time until the machine is reclaimed runs down
 	}
 	return a.Host == b.Host && a.Address == b.Address && a.MachineType == b.MachineType && a.Zone == b.Zone && a.Spot == b.Spot &&
 		a.Incarnation == b.Incarnation && a.FencingToken == b.FencingToken && slices.Equal(a.Tasks, b.Tasks)
--- a/internal/relay/pressure_test.go
+++ b/internal/relay/pressure_test.go
@@ -12,10 +12,10 @@
 // time, is back there within a few intervals. While it stayed away for three leases, workers lost
 // their tasks when their zone was cut off: 347 on one day. Once it has left again, it cannot
 // reach that controller, and stays away.
-func TestSlowAnswerDoesNotKeepAWorkerAway(t *testing.T) {
+func TestWorkerReturnsAfterOneSlowAnswer(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(100)
-	var sent reports
+	var sent heartbeatSource
 	now := time.Unix(1000, 0)
 	others := func() {
 		now = now.Add(time.Second)
@@ -44,11 +44,11 @@
 	}
 }
 
-// A worker whose controller hears nobody any more is not sent back, however many there were.
+// A worker whose controller hears no workers any more is not sent back, however many there were.
 func TestUnreachableControllerGetsNoWorkers(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(100)
-	var sent reports
+	var sent heartbeatSource
 	now := time.Unix(1000, 0)
 	for i := range 10 {
 		r.Route(sent.next(fmt.Sprint("m-", i), "b"), "n1", Relaxed, now)
@@ -57,7 +57,7 @@
 		now = now.Add(time.Second)
 		for i := range 10 {
 			if second < i {
-				continue // still looks for another controller
+				continue // it still looks for another controller
 			}
 			if to := r.Route(sent.next(fmt.Sprint("m-", i), "b"), "n2", Relaxed, now); to != "" {
 				t.Fatalf("m-%d is sent to %s after %d s", i, to, second)
@@ -72,7 +72,7 @@
 func TestFullControllerSendsWorkersElsewhere(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(60)
-	var sent reports
+	var sent heartbeatSource
 	now := time.Unix(1000, 0)
 	for i := range 30 {
 		if to := r.Route(sent.next(fmt.Sprint("m-", i), "b"), "n1", Full, now); to != "n2" {
@@ -93,18 +93,31 @@
 }
 
 // Controllers take as many workers as the fleet needs: 4,000 and 6,000 with the connections of
-// the large deployments, on five controllers and on three, all are held as long as the
-// connections allow it. With fixed shares, three of them held 3,235 workers.
+// the large deployments, on five controllers and on three, all are kept as long as the
+// connections allow it. With fixed shares, three of them kept 3,235 workers.
 func TestRoomGrowsWithTheFleet(t *testing.T) {
 	for _, tc := range []struct {
 		controllers, connections, workers int
-		all                               bool
-	}{{5, 2589, 4096, true}, {5, 2589, 6000, true}, {3, 2589, 4096, true}, {3, 2372, 4096, true}, {3, 2589, 6000, false}, {3, 700, 4096, false}} {
+		all                               bool // the connections are enough for all workers
+	}{
+		{5, 2589, 4096, true},
+		{5, 2589, 6000, true},
+		{3, 2589, 4096, true},
+		{3, 2372, 4096, true},
+		{3, 2589, 6000, false},
+		{3, 700, 4096, false},
+	} {
 		zones := map[string]string{}
 		for i := range tc.controllers {
 			zones[fmt.Sprint("n", i)] = fmt.Sprint("zone-", i)
 		}
-		r := NewRouter(RouterConfig{Self: "n0", Zones: zones, Connections: tc.connections, HeartbeatInterval: time.Second, Lease: 10 * time.Second}, Relayed)
+		r := NewRouter(RouterConfig{
+			Self:              "n0",
+			Zones:             zones,
+			Connections:       tc.connections,
+			HeartbeatInterval: time.Second,
+			Lease:             10 * time.Second,
+		}, Relayed)
 		for label := range zones {
 			r.SetUsable(label, true)
 		}
@@ -117,8 +130,8 @@
 		for sequence := uint64(1); sequence <= 20; sequence++ {
 			now, moved = now.Add(time.Second), 0
 			for i := range tc.workers {
-				report := &wire.Heartbeat{Host: fmt.Sprint("m-", i), Zone: fmt.Sprint("zone-", i%8), Incarnation: 1, Sequence: sequence}
-				if to := r.Route(report, at[i], Relaxed, now); to != "" {
+				heartbeat := &wire.Heartbeat{Host: fmt.Sprint("m-", i), Zone: fmt.Sprint("zone-", i%8), Incarnation: 1, Sequence: sequence}
+				if to := r.Route(heartbeat, at[i], Relaxed, now); to != "" {
 					at[i] = to
 					moved++
 				}
@@ -134,19 +147,20 @@
 			}
 		}
 		if tc.all != (over == 0) || moved > 0 {
-			t.Errorf("%d workers on %d controllers of %d connections: %v, %d are too many, %d still move", tc.workers, tc.controllers, tc.connections, r.Load(), over, moved)
+			t.Errorf("%d workers on %d controllers of %d connections: %v, %d are too many, %d still move",
+				tc.workers, tc.controllers, tc.connections, r.Load(), over, moved)
 		}
 	}
 }
 
-// A late copy of a report that the leader has not seen looks as if its worker had been at another
-// controller in between. The worker is not sent back all the same to the one that it has lost:
-// while only the last departure counted, a machine was given up in 11 of 120 runs of a leader
+// A late copy of a heartbeat that the leader has not seen looks as if its worker had been at another
+// controller in between. The worker is not sent back all the same to the one that it cannot reach:
+// while only the last departure counted, a machine was declared dead in 11 of 120 runs of a leader
 // that loses its workers.
 func TestLateCopyDoesNotHideADeparture(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(100)
-	var sent reports
+	var sent heartbeatSource
 	now := time.Unix(1000, 0)
 	r.Route(sent.next("m", "b"), "n1", Relaxed, now)
 	r.Route(sent.next("m", "b"), "n2", Relaxed, now.Add(2*time.Second)) // the copy
@@ -159,7 +173,7 @@
 			continue // it still looks for a controller
 		}
 		if to := r.Route(sent.next("m", "b"), "n0", Relaxed, now); to == "n1" {
-			t.Fatalf("it is sent to the controller that it has lost after %d s", second)
+			t.Fatalf("it is sent to the controller that it cannot reach after %d s", second)
 		}
 	}
 }
@@ -169,7 +183,7 @@
 func TestOwnZoneGoesBeyondTheUsualShare(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(60)
-	var sent reports
+	var sent heartbeatSource
 	now, at, zones := time.Unix(1000, 0), map[string]string{}, map[string]string{}
 	for i := range 60 {
 		host := fmt.Sprint("m-", i)
--- a/internal/relay/receiver.go
+++ b/internal/relay/receiver.go
@@ -14,126 +14,143 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// AnswerFunc decides the answer to a report that a follower relays. It may wait for
-// commands to come up.
-type AnswerFunc func(ctx context.Context, r *wire.Heartbeat, relay string, pressure Pressure) peer.HeartbeatAnswer
+// AnswerFunc decides the answer to a heartbeat that a follower relays. relay is the label of the
+// follower. It may wait for commands until ctx ends.
+type AnswerFunc func(ctx context.Context, heartbeat *wire.Heartbeat, relay string, pressure Pressure) peer.HeartbeatAnswer
 
-// Receiver answers the batches of a leader's followers, for one term.
+// Receiver answers the batches of a leader's followers, for one term. It is safe for concurrent use.
 type Receiver struct {
 	ctx    context.Context // ends with the term
 	term   uint64
 	answer AnswerFunc
-	// bases holds by host the last report that was taken: what the next may repeat.
+	// bases has by host the last heartbeat that was received: what the next may repeat.
 	bases *xsync.Map[string, *wire.Heartbeat]
 
 	mu       sync.Mutex
 	outboxes map[string]map[string]peer.HeartbeatAnswer // by relay and host: answers that are ready
 }
 
-// NewReceiver makes the receiver of a term. members are the labels of the other nodes.
+// NewReceiver returns the receiver of a term. members are the labels of the other nodes.
 func NewReceiver(ctx context.Context, term uint64, members []string, answer AnswerFunc) *Receiver {
-	v := &Receiver{ctx: ctx, term: term, answer: answer, bases: xsync.NewMap[string, *wire.Heartbeat](), outboxes: map[string]map[string]peer.HeartbeatAnswer{}}
+	r := &Receiver{
+		ctx:      ctx,
+		term:     term,
+		answer:   answer,
+		bases:    xsync.NewMap[string, *wire.Heartbeat](),
+		outboxes: map[string]map[string]peer.HeartbeatAnswer{},
+	}
 	for _, label := range members {
-		v.outboxes[label] = map[string]peer.HeartbeatAnswer{}
+		r.outboxes[label] = map[string]peer.HeartbeatAnswer{}
 	}
-	return v
+	return r
 }
 
-// Exchange takes a batch and returns the answers that are ready for its sender.
-func (v *Receiver) Exchange(args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
-	reply := peer.HeartbeatBatchReply{Term: v.term}
-	if args.Term != v.term || v.ctx.Err() != nil {
+// Exchange accepts a batch and returns the answers that are ready for its sender. Each heartbeat is
+// answered by a goroutine of its own, whose answer goes with a later exchange. A batch of another term
+// is not accepted: Leading is false then. A batch that is malformed or of a stranger is refused with
+// an error that wraps ErrMalformedBatch or ErrUnknownRelay.
+func (r *Receiver) Exchange(args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
+	reply := peer.HeartbeatBatchReply{Term: r.term}
+	if args.Term != r.term || r.ctx.Err() != nil {
 		return reply, nil
 	}
-	if !v.isMember(args.From) {
+	if !r.isMember(args.From) {
 		return reply, ErrUnknownRelay
 	}
 	bodies, err := splitBodies(&args)
 	if err != nil {
-		slog.Error("batch refused", "relay", args.From, "err", err)
+		slog.Error("heartbeat batch refused", "relay", args.From, "err", err)
 		return reply, err
 	}
 	reply.Leading = true
 	for i, body := range bodies {
-		head := &args.Heartbeats[i]
-		report, err := v.resolve(head, body)
+		header := &args.Heartbeats[i]
+		heartbeat, err := r.resolve(header, body)
 		switch {
 		case err != nil:
-			v.deliver(args.From, peer.HeartbeatAnswer{Host: head.Host, Incarnation: head.Incarnation, Sequence: head.Sequence, Status: http.StatusBadRequest})
-		case report == nil:
-			reply.Resend = append(reply.Resend, head.Host)
+			r.deliver(args.From, peer.HeartbeatAnswer{
+				Host:        header.Host,
+				Incarnation: header.Incarnation,
+				Sequence:    header.Sequence,
+				Status:      http.StatusBadRequest,
+			})
+		case heartbeat == nil:
+			reply.Resend = append(reply.Resend, header.Host)
 		default:
-			go func() { v.deliver(args.From, v.answer(v.ctx, report, args.From, min(Pressure(head.Pressure), Full))) }()
+			go func() {
+				r.deliver(args.From, r.answer(r.ctx, heartbeat, args.From, min(Pressure(header.Pressure), Full)))
+			}()
 		}
 	}
-	reply.Answers = v.drainAnswers(args.From)
+	reply.Answers = r.drainAnswers(args.From)
 	return reply, nil
 }
 
-// resolve makes the report that a batch holds in full or by reference. It returns nil
-// if the report is needed in full.
-func (v *Receiver) resolve(head *peer.RelayedHeartbeat, body []byte) (*wire.Heartbeat, error) {
-	if head.RepeatOf > 0 {
-		base, ok := v.bases.Load(head.Host)
-		if !ok || base.Incarnation != head.Incarnation || base.Sequence != head.RepeatOf {
+// resolve returns the heartbeat that a batch contains in full or by reference. It returns nil
+// if the heartbeat is needed in full.
+func (r *Receiver) resolve(header *peer.RelayedHeartbeat, body []byte) (*wire.Heartbeat, error) {
+	if header.RepeatOf > 0 {
+		base, ok := r.bases.Load(header.Host)
+		if !ok || base.Incarnation != header.Incarnation || base.Sequence != header.RepeatOf {
 			return nil, nil
 		}
-		report := *base
-		report.Sequence = head.Sequence
-		v.bases.Store(head.Host, &report)
-		return &report, nil
+		heartbeat := *base
+		heartbeat.Sequence = header.Sequence
+		r.bases.Store(header.Host, &heartbeat)
+		return &heartbeat, nil
 	}
-	report, err := wire.ParseHeartbeat(body)
+	heartbeat, err := wire.ParseHeartbeat(body)
 	if err != nil {
 		return nil, err
 	}
-	if report.Host != head.Host || report.Incarnation != head.Incarnation || report.Sequence != head.Sequence {
+	if heartbeat.Host != header.Host || heartbeat.Incarnation != header.Incarnation || heartbeat.Sequence != header.Sequence {
 		return nil, ErrMalformedBatch
 	}
-	v.bases.Store(report.Host, &report)
-	return &report, nil
+	r.bases.Store(heartbeat.Host, &heartbeat)
+	return &heartbeat, nil
 }
 
-// Retain drops what is kept of the hosts that are not there any more.
-func (v *Receiver) Retain(there func(host string) bool) {
-	v.bases.Range(func(host string, _ *wire.Heartbeat) bool {
-		if !there(host) {
-			v.bases.Delete(host)
+// Retain forgets the hosts for which keep returns false.
+func (r *Receiver) Retain(keep func(host string) bool) {
+	r.bases.Range(func(host string, _ *wire.Heartbeat) bool {
+		if !keep(host) {
+			r.bases.Delete(host)
 		}
 		return true
 	})
 }
 
-func (v *Receiver) isMember(relay string) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	_, ok := v.outboxes[relay]
+// isMember reports whether a label is that of another node.
+func (r *Receiver) isMember(label string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, ok := r.outboxes[label]
 	return ok
 }
 
-// deliver keeps an answer until its relay asks for it. A newer one of the same host
-// takes its place: the worker waits for that one only.
-func (v *Receiver) deliver(relay string, a peer.HeartbeatAnswer) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	old, ok := v.outboxes[relay][a.Host]
-	if ok && (old.Incarnation > a.Incarnation || old.Incarnation == a.Incarnation && old.Sequence > a.Sequence) {
+// deliver keeps an answer until its relay exchanges the next batch. A newer one of the same host
+// replaces it: the worker waits for that one only.
+func (r *Receiver) deliver(relay string, answer peer.HeartbeatAnswer) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	old, ok := r.outboxes[relay][answer.Host]
+	if ok && (old.Incarnation > answer.Incarnation || old.Incarnation == answer.Incarnation && old.Sequence > answer.Sequence) {
 		return
 	}
-	v.outboxes[relay][a.Host] = a
+	r.outboxes[relay][answer.Host] = answer
 }
 
-// drainAnswers takes all that is ready for a relay.
-func (v *Receiver) drainAnswers(relay string) []peer.HeartbeatAnswer {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	ready := v.outboxes[relay]
+// drainAnswers returns all answers that are ready for a relay, by host, and empties its outbox.
+func (r *Receiver) drainAnswers(relay string) []peer.HeartbeatAnswer {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	ready := r.outboxes[relay]
 	if len(ready) == 0 {
 		return nil
 	}
 	answers := make([]peer.HeartbeatAnswer, 0, len(ready))
-	for _, a := range ready {
-		answers = append(answers, a)
+	for _, answer := range ready {
+		answers = append(answers, answer)
 	}
 	clear(ready)
 	slices.SortFunc(answers, func(a, b peer.HeartbeatAnswer) int { return strings.Compare(a.Host, b.Host) })
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,17 +1,17 @@
-// Package relay lets followers keep the connections of workers and pass their reports
-// on to the leader in batches, when the fleet is too large for the connections of one
+// Package relay lets followers keep the connections of workers and relay their heartbeats
+// to the leader in batches, when the fleet is too large for the connections of one
 // controller.
 //
-// A worker reports to the controller that the leader's Router chooses, one of its own
-// zone if there is any. A follower's Sender collects the reports of its workers and
+// A worker sends its heartbeats to the controller that the leader's Router chooses, one of its own
+// zone if there is any. A follower's Sender collects the heartbeats of its workers and
 // exchanges them for answers with the leader's Receiver, once in a unit of the grid of
 // periodic work. The leader decides every answer: a follower only carries it to the
-// request that waits for it, matched by session and tick. So commands travel in answers
-// to check-ins as they do without relays, and what is proven by a report is the same.
+// request that waits for it, matched by incarnation and sequence. So commands travel in answers
+// to heartbeats as they do without relays, and what is proven by a heartbeat is the same.
 //
-// A report that repeats the one before it in all but its tick, as most do, is sent as a
-// reference to that one. The leader resolves it only if the report that it refers to is
-// the last one that it has taken from this host; if not, it asks for the report in full.
+// A heartbeat that repeats the one before it in all but its sequence, as most do, is sent as a
+// reference to that one. The leader resolves it only if the heartbeat that it refers to is
+// the last one that it has received from this host; if not, it requests the heartbeat in full.
 package relay
 
 import (
@@ -21,25 +21,25 @@
 
 var (
 	// ErrLeaderUnreachable means that the leader did not answer a batch, or leads no
-	// more. It may have acted on the reports all the same.
+	// more. It may have acted on the heartbeats all the same.
 	ErrLeaderUnreachable = errors.New("the leader was not reached")
-	// ErrSuperseded means that the worker has sent a newer report.
-	ErrSuperseded = errors.New("a newer report of the worker has come")
-	// ErrNoAnswer means that the leader did not answer a report in the time that its
+	// ErrSuperseded means that the worker has sent a newer heartbeat.
+	ErrSuperseded = errors.New("the worker has sent a newer heartbeat")
+	// ErrNoAnswer means that the leader did not answer a heartbeat within the time that its
 	// worker waits.
 	ErrNoAnswer = errors.New("the leader did not answer in time")
-	// ErrMalformedBatch means that a batch cannot be taken apart.
-	ErrMalformedBatch = errors.New("malformed batch of reports")
+	// ErrMalformedBatch means that a batch cannot be decoded.
+	ErrMalformedBatch = errors.New("malformed batch of heartbeats")
 	// ErrUnknownRelay means that a batch comes from a node that is not a member.
-	ErrUnknownRelay = errors.New("batch of reports from a node that is not a member")
+	ErrUnknownRelay = errors.New("batch of heartbeats from a node that is not a member")
 )
 
-// Leader is the controller that reports are relayed to, in one of its terms.
+// Leader is the controller that heartbeats are relayed to, in one of its terms.
 type Leader struct {
 	Label string
 	Term  uint64
 }
 
-// WorkerTimeout is how long a worker waits for the answer to a report, as the protocol
+// WorkerTimeout is how long a worker waits for the answer to a heartbeat, as the protocol
 // has it.
 const WorkerTimeout = 4 * time.Second
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -14,24 +14,31 @@
 const testConnections = 100
 
 func testRouter(mode Mode) *Router {
-	r := NewRouter(RouterConfig{Self: "n0", Zones: map[string]string{"n0": "a", "n1": "b", "n2": "c"}, Connections: testConnections,
-		HeartbeatInterval: time.Second, Lease: 10 * time.Second}, mode)
+	r := NewRouter(RouterConfig{
+		Self:              "n0",
+		Zones:             map[string]string{"n0": "a", "n1": "b", "n2": "c"},
+		Connections:       testConnections,
+		HeartbeatInterval: time.Second,
+		Lease:             10 * time.Second,
+	}, mode)
 	r.SetUsable("n1", true)
 	r.SetUsable("n2", true)
 	return r
 }
 
-// reports makes the reports of a test's workers, each newer than the one before.
-type reports struct{ sequence uint64 }
+// heartbeatSource makes the heartbeats of a test's workers, each newer than the one before.
+type heartbeatSource struct{ sequence uint64 }
 
-func (r *reports) next(host, zone string) *wire.Heartbeat {
-	r.sequence++
-	return &wire.Heartbeat{Host: host, Zone: zone, Incarnation: 1, Sequence: r.sequence}
+func (s *heartbeatSource) next(host, zone string) *wire.Heartbeat {
+	s.sequence++
+	return &wire.Heartbeat{Host: host, Zone: zone, Incarnation: 1, Sequence: s.sequence}
 }
 
-// settle lets workers report once a second where they are sent, and returns where each
-// reports in the end.
-func settle(r *Router, sent *reports, at map[string]string, zoneOf func(host string) string, now *time.Time, seconds int) (moves int) {
+// settle lets workers send heartbeats once a second where they are sent, and returns how often one was
+// moved. at has by host where each sends them.
+func settle(
+	r *Router, sent *heartbeatSource, at map[string]string, zoneOf func(host string) string, now *time.Time, seconds int,
+) (moves int) {
 	for range seconds {
 		*now = now.Add(time.Second)
 		for host := range at {
@@ -45,7 +52,7 @@
 }
 
 // The mode changes with the size of the fleet, and not to and fro at its limit.
-func TestModeFollowsTheSize(t *testing.T) {
+func TestModeFollowsTheFleetSize(t *testing.T) {
 	r := testRouter(Direct)
 	for _, step := range []struct {
 		workers int
@@ -61,82 +68,116 @@
 }
 
 // Workers end up at a controller of their zone, or are spread over the followers where
-// there is none; nobody takes more than his share, nobody is sent to a follower that is not
-// usable, and once they have settled they stay. A follower that is lost gives its workers
+// there is none; no controller takes more than its share, no worker is sent to a follower that is
+// not usable, and once they have settled they stay. A follower that is unreachable gives its workers
 // up, and gets those of its zone back.
 func TestWorkersSettleInTheirZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := testRouter(Relayed)
-		var sent reports
-		now := time.Unix(1000, 0)
-		nodes := []string{"n0", "n1", "n2"}
-		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		zones := map[string]string{}
-		at := map[string]string{}
-		inZone := map[string]int{}
-		for _, zone := range []string{"a", "b", "c", "d"} {
-			most := 20
-			if zone == "d" {
-				most = 10
-			}
-			inZone[zone] = rapid.IntRange(0, most).Draw(t, zone)
-			for i := range inZone[zone] {
-				host := fmt.Sprintf("m-%s-%d", zone, i)
-				zones[host], at[host] = zone, nodes[chance.IntN(len(nodes))]
-			}
-		}
-		zoneOf := func(host string) string { return zones[host] }
-		r.SetFleetSize(len(at))
-		r.mode = Relayed // however few there are
-		check := func(unreachable string) {
-			load := map[string]int{}
-			for host, label := range at {
-				load[label]++
-				if label == unreachable {
-					t.Fatalf("%s is at %s, which is lost", host, unreachable)
-				}
-				home := map[string]string{"a": "n0", "b": "n1", "c": "n2"}[zones[host]]
-				if home != "" && home != unreachable && label != home && load[home] < r.capacity(home) {
-					t.Fatalf("%s of zone %s is at %s", host, zones[host], label)
-				}
-			}
-			for host, label := range at {
-				room := load["n1"] < r.capacity("n1") || unreachable != "n2" && load["n2"] < r.capacity("n2")
-				if zones[host] == "d" && label == "n0" && room {
-					t.Fatalf("%s of a zone without controller is at the leader, and a follower has room", host)
-				}
-			}
-			for label, n := range load {
-				if n > r.capacity(label) {
-					t.Fatalf("%s has %d workers", label, n)
-				}
-			}
-		}
-		settle(r, &sent, at, zoneOf, &now, 20)
-		check("")
-		if moves := settle(r, &sent, at, zoneOf, &now, 10); moves > 0 {
+		f := newZonedFleet(t)
+		f.settle(20)
+		f.check(t, "")
+		if moves := f.settle(10); moves > 0 {
 			t.Fatalf("%d moves after they have settled", moves)
 		}
-		r.SetUsable("n2", false)
-		for host, label := range at {
+		f.router.SetUsable("n2", false)
+		for host, label := range f.at {
 			if label == "n2" {
-				at[host] = "n1" // its connection failed, and it tried another one
+				f.at[host] = "n1" // its connection failed, and it tried another one
 			}
 		}
 		const alone = 30 // seconds for which those that moved by themselves are left alone
-		settle(r, &sent, at, zoneOf, &now, alone+20)
-		check("n2")
-		r.SetUsable("n2", true)
-		settle(r, &sent, at, zoneOf, &now, 20)
-		check("")
+		f.settle(alone + 20)
+		f.check(t, "n2")
+		f.router.SetUsable("n2", true)
+		f.settle(20)
+		f.check(t, "")
 	})
 }
 
+// zonedFleet is a fleet of workers in four zones, three of which have a controller.
+type zonedFleet struct {
+	router *Router
+	sent   heartbeatSource
+	now    time.Time
+	zones  map[string]string // by host
+	at     map[string]string // controller by host
+}
+
+// newZonedFleet draws how many workers each zone has. Each begins at any controller.
+func newZonedFleet(t *rapid.T) *zonedFleet {
+	f := &zonedFleet{
+		router: testRouter(Relayed),
+		now:    time.Unix(1000, 0),
+		zones:  map[string]string{},
+		at:     map[string]string{},
+	}
+	nodes := []string{"n0", "n1", "n2"}
+	chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
+	for _, zone := range []string{"a", "b", "c", "d"} {
+		most := 20
+		if zone == "d" {
+			most = 10
+		}
+		for i := range rapid.IntRange(0, most).Draw(t, zone) {
+			host := fmt.Sprintf("m-%s-%d", zone, i)
+			f.zones[host], f.at[host] = zone, nodes[chance.IntN(len(nodes))]
+		}
+	}
+	f.router.SetFleetSize(len(f.at))
+	f.router.mode = Relayed // however few there are
+	return f
+}
+
+func (f *zonedFleet) settle(seconds int) (moves int) {
+	return settle(f.router, &f.sent, f.at, func(host string) string { return f.zones[host] }, &f.now, seconds)
+}
+
+// check fails the test if a worker is not where it belongs. unreachable is a controller that is not
+// reached, or "".
+func (f *zonedFleet) check(t *rapid.T, unreachable string) {
+	t.Helper()
+	load := map[string]int{}
+	for _, label := range f.at {
+		load[label]++
+	}
+	for host, label := range f.at {
+		if label == unreachable {
+			t.Fatalf("%s is at %s, which is unreachable", host, unreachable)
+		}
+	}
+	f.checkZones(t, load, unreachable)
+	for label, workers := range load {
+		if workers > f.router.capacity(label) {
+			t.Fatalf("%s has %d workers", label, workers)
+		}
+	}
+}
+
+// checkZones fails the test if a worker is neither in its zone nor, without one, at a follower, and
+// there is room.
+func (f *zonedFleet) checkZones(t *rapid.T, load map[string]int, unreachable string) {
+	t.Helper()
+	hasRoom := func(label string) bool { return load[label] < f.router.capacity(label) }
+	room := hasRoom("n1") || unreachable != "n2" && hasRoom("n2")
+	homes := map[string]string{"a": "n0", "b": "n1", "c": "n2"}
+	for host, label := range f.at {
+		zone := f.zones[host]
+		home := homes[zone]
+		homeHasRoom := load[home] < f.router.capacityFor(home, zone)
+		if home != "" && home != unreachable && label != home && homeHasRoom {
+			t.Fatalf("%s of zone %s is at %s", host, zone, label)
+		}
+		if zone == "d" && label == "n0" && room {
+			t.Fatalf("%s of a zone without controller is at the leader, and a follower has room", host)
+		}
+	}
+}
+
 // A worker that comes back from where it was sent cannot reach that controller: sent there
 // again and again, it would lose its lease on the way.
-func TestWorkerThatComesBackStays(t *testing.T) {
+func TestWorkerThatComesBackIsNotSentAgain(t *testing.T) {
 	r := testRouter(Relayed)
-	var sent reports
+	var sent heartbeatSource
 	r.SetFleetSize(300)
 	now := time.Unix(1000, 0)
 	if to := r.Route(sent.next("m", "b"), "n2", Relaxed, now); to != "n1" {
@@ -155,11 +196,11 @@
 }
 
 // A fleet is not moved all at once: each move costs its controllers a connection. Only what
-// is too much for a controller goes at once: while a leader was found to be short of
+// is too much for a controller goes at once: while a leader was short of
 // connections, users who tried it waited for seconds.
 func TestMovesAreSpread(t *testing.T) {
 	r := testRouter(Relayed)
-	var sent reports
+	var sent heartbeatSource
 	r.SetFleetSize(40)
 	r.mode = Relayed
 	now := time.Unix(1000, 0)
@@ -174,16 +215,16 @@
 	}
 }
 
-// A late copy of a report, that some other controller gets, moves nobody: taken for the
+// A late copy of a heartbeat, that some other controller gets, moves nobody: taken for the
 // worker itself, it made the router leave the worker where it was for three leases.
 func TestLateCopiesMoveNobody(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(300)
 	now := time.Unix(1000, 0)
-	var sent reports
+	var sent heartbeatSource
 	old := sent.next("m", "b")
-	for _, report := range []*wire.Heartbeat{old, sent.next("m", "b")} {
-		if to := r.Route(report, "n1", Relaxed, now); to != "" {
+	for _, heartbeat := range []*wire.Heartbeat{old, sent.next("m", "b")} {
+		if to := r.Route(heartbeat, "n1", Relaxed, now); to != "" {
 			t.Fatalf("a worker at home is sent to %s", to)
 		}
 	}
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -11,57 +11,59 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// heartbeatState is where a report stands at the follower.
+// heartbeatState is the state of a heartbeat at the follower.
 type heartbeatState int
 
-// The states of a report.
+// The states of a heartbeat.
 const (
 	queued   heartbeatState = iota // waits for the next batch
-	sent                           // in a batch that is under way, or that the leader has taken
-	answered                       // its answer, or the failure to get one, is given
+	sent                           // in a batch that is under way, or that the leader has received
+	answered                       // its answer, or the failure to get one, is delivered
 )
 
-// pendingHeartbeat is a report whose worker waits for an answer.
+// pendingHeartbeat is a heartbeat whose worker waits for an answer.
 type pendingHeartbeat struct {
 	heartbeat *wire.Heartbeat
 	body      []byte
-	// pressure is how short of connections this node was when the report came.
-	pressure Pressure
-	state    heartbeatState
-	result   chan result // has room for the one result
+	pressure  Pressure // of this node when the heartbeat arrived
+	state     heartbeatState
+	result    chan result // has room for the one result
 }
 
-// result is what became of a report.
+// result is the answer to a heartbeat, or why there is none.
 type result struct {
 	answer peer.HeartbeatAnswer
 	err    error
 }
 
-// ExchangeFunc passes a batch to the leader and returns its reply.
+// setState is the one function that changes the state of a heartbeat. The Sender's mu is held.
+func (p *pendingHeartbeat) setState(to heartbeatState) { p.state = to }
+
+// ExchangeFunc sends a batch to the leader and returns its reply.
 type ExchangeFunc func(to Leader, args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error)
 
-// SenderConfig is what a Sender is made with.
+// SenderConfig configures a Sender.
 type SenderConfig struct {
-	Label         string          // of this node
-	Exchange      ExchangeFunc    // passes a batch on
-	Grid          timeralign.Grid // batches fall on its moments
-	Period        time.Duration   // from batch to batch
-	AnswerTimeout time.Duration   // how long a report waits for its answer
-	Observe       func(kind DeliveryKind, n int)
+	Label         string                         // of this node
+	Exchange      ExchangeFunc                   // sends a batch
+	Grid          timeralign.Grid                // batches are sent at its moments
+	Period        time.Duration                  // from batch to batch
+	AnswerTimeout time.Duration                  // how long a heartbeat waits for its answer
+	Observe       func(kind DeliveryKind, n int) // counts heartbeats, for metrics
 }
 
-// DeliveryKind is how a report has travelled, for metrics.
+// DeliveryKind is how a heartbeat was relayed, for metrics.
 type DeliveryKind string
 
-// The kinds of relayed reports.
+// The kinds of delivery. Their values are label values of a metric.
 const (
-	KindFull     DeliveryKind = "full"
-	KindRepeated DeliveryKind = "repeated"
-	KindResent   DeliveryKind = "resent"
-	KindFailed   DeliveryKind = "failed"
+	KindFull     DeliveryKind = "full"     // sent in full
+	KindRepeated DeliveryKind = "repeated" // sent as a repetition
+	KindResent   DeliveryKind = "resent"   // sent again in full, since the leader lacked what it repeats
+	KindFailed   DeliveryKind = "failed"   // the leader was not reached
 )
 
-// Sender relays the reports of a follower's workers to the leader.
+// Sender relays the heartbeats of a follower's workers to the leader. It is safe for concurrent use.
 type Sender struct {
 	SenderConfig
 	wake chan struct{}
@@ -70,18 +72,25 @@
 	leader       Leader
 	pending      map[string]*pendingHeartbeat // by host
 	queue        []*pendingHeartbeat          // in the order of arrival; some may be answered already
-	acknowledged map[string]*wire.Heartbeat   // by host: the last report that the leader has taken
+	acknowledged map[string]*wire.Heartbeat   // by host: the last heartbeat that the leader has received
 }
 
-// NewSender makes a Sender that relays nothing until it runs.
+// NewSender returns a Sender that sends nothing until it runs.
 func NewSender(cfg SenderConfig) *Sender {
-	return &Sender{SenderConfig: cfg, wake: make(chan struct{}, 1), pending: map[string]*pendingHeartbeat{}, acknowledged: map[string]*wire.Heartbeat{}}
+	return &Sender{
+		SenderConfig: cfg,
+		wake:         make(chan struct{}, 1),
+		pending:      map[string]*pendingHeartbeat{},
+		acknowledged: map[string]*wire.Heartbeat{},
+	}
 }
 
-// Relay relays one report to the leader and waits for the answer. The error is one of
+// Relay relays one heartbeat to the leader and waits for the answer. The error is one of
 // the package's, or that of the context.
-func (s *Sender) Relay(ctx context.Context, to Leader, r *wire.Heartbeat, body []byte, pressure Pressure) (peer.HeartbeatAnswer, error) {
-	p := &pendingHeartbeat{heartbeat: r, body: body, pressure: pressure, result: make(chan result, 1)}
+func (s *Sender) Relay(
+	ctx context.Context, to Leader, heartbeat *wire.Heartbeat, body []byte, pressure Pressure,
+) (peer.HeartbeatAnswer, error) {
+	p := &pendingHeartbeat{heartbeat: heartbeat, body: body, pressure: pressure, result: make(chan result, 1)}
 	if err := s.enqueue(to, p); err != nil {
 		return peer.HeartbeatAnswer{}, err
 	}
@@ -103,7 +112,8 @@
 	return res.answer, res.err
 }
 
-// add takes a report in. A newer term of a leader ends what waits for an older one.
+// enqueue queues a heartbeat for the next batch. A newer term of a leader fails what waits for an
+// older one.
 func (s *Sender) enqueue(to Leader, p *pendingHeartbeat) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,15 +139,12 @@
 	return nil
 }
 
-// isNewer reports whether a report is newer than another one of the same worker.
-func isNewer(r, than *wire.Heartbeat) bool {
-	return r.Incarnation > than.Incarnation || r.Incarnation == than.Incarnation && r.Sequence > than.Sequence
+// isNewer reports whether a heartbeat is newer than another one of the same worker.
+func isNewer(h, than *wire.Heartbeat) bool {
+	return h.Incarnation > than.Incarnation || h.Incarnation == than.Incarnation && h.Sequence > than.Sequence
 }
 
-// setState is the one function that changes the state of a report. s.mu is held.
-func (p *pendingHeartbeat) setState(to heartbeatState) { p.state = to }
-
-// finish gives a report its result, once. s.mu is held.
+// finish delivers the result of a heartbeat, once. s.mu is held.
 func (s *Sender) finish(p *pendingHeartbeat, res result) {
 	if p.state == answered {
 		return
@@ -149,7 +156,7 @@
 	p.result <- res
 }
 
-// failAll ends all that waits: the leader is not reached, or another one leads. s.mu is
+// failAll fails all that is pending: the leader is not reached, or another one leads. s.mu is
 // held.
 func (s *Sender) failAll(err error) {
 	s.Observe(KindFailed, len(s.pending))
@@ -169,10 +176,8 @@
 		case <-s.wake:
 		}
 		for s.hasPending() {
-			select {
-			case <-ctx.Done():
+			if !timeralign.Sleep(ctx, s.Grid.Next(time.Now(), s.Period)) {
 				return
-			case <-time.After(s.Grid.Next(time.Now(), s.Period)):
 			}
 			for s.exchange() {
 			}
@@ -180,16 +185,17 @@
 	}
 }
 
+// hasPending reports whether a worker waits for an answer.
 func (s *Sender) hasPending() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.pending) > 0
 }
 
-// exchange sends one batch and gives the answers that come back. It reports whether
+// exchange sends one batch and delivers the answers that come back. It reports whether
 // there is more to send at once.
-func (s *Sender) exchange() bool {
-	to, b, inBatch := s.collect()
+func (s *Sender) exchange() (more bool) {
+	to, b, inBatch := s.takeBatch()
 	reply, err := s.Exchange(to, b.args(s.Label, to.Term))
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,30 +203,31 @@
 		return false // what waited for the other leader has failed already
 	}
 	if err != nil || !reply.Leading {
-		slog.Warn("reports not relayed", "leader", to.Label, "term", to.Term, "reports", len(b.heartbeats), "waiting", len(s.pending), "err", err)
+		slog.Warn("heartbeats not relayed",
+			"leader", to.Label, "term", to.Term, "heartbeats", len(b.heartbeats), "waiting", len(s.pending), "err", err)
 		s.failAll(ErrLeaderUnreachable)
 		return false
 	}
 	s.recordAcknowledged(inBatch, reply.Resend)
-	for _, a := range reply.Answers {
-		p := s.pending[a.Host]
-		if p != nil && p.heartbeat.Incarnation == a.Incarnation && p.heartbeat.Sequence == a.Sequence {
-			s.finish(p, result{answer: a})
+	for _, answer := range reply.Answers {
+		p := s.pending[answer.Host]
+		if p != nil && p.heartbeat.Incarnation == answer.Incarnation && p.heartbeat.Sequence == answer.Sequence {
+			s.finish(p, result{answer: answer})
 		}
 	}
 	return len(s.queue) > 0 && b.isFull()
 }
 
-// collect makes the next batch of what is queued.
-func (s *Sender) collect() (to Leader, b batch, inBatch []*pendingHeartbeat) {
+// takeBatch removes the next batch from the queue.
+func (s *Sender) takeBatch() (to Leader, b batch, inBatch []*pendingHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n, full := 0, 0
+	taken, full := 0, 0
 	for _, p := range s.queue {
 		if b.isFull() {
 			break
 		}
-		n++
+		taken++
 		if p.state != queued {
 			continue
 		}
@@ -235,28 +242,27 @@
 	}
 	s.Observe(KindFull, full)
 	s.Observe(KindRepeated, len(inBatch)-full)
-	s.queue = append([]*pendingHeartbeat(nil), s.queue[n:]...)
+	s.queue = append([]*pendingHeartbeat(nil), s.queue[taken:]...)
 	return s.leader, b, inBatch
 }
 
-// recordAcknowledged remembers the reports that the leader has taken, and queues those again
-// that it wants in full. s.mu is held.
+// recordAcknowledged records the heartbeats of a batch that the leader has received, and queues those
+// again that it needs in full. s.mu is held.
 func (s *Sender) recordAcknowledged(inBatch []*pendingHeartbeat, resend []string) {
-	wanted := make(map[string]bool, len(resend))
+	needed := make(map[string]bool, len(resend))
 	for _, host := range resend {
-		wanted[host] = true
+		needed[host] = true
 	}
 	for _, p := range inBatch {
 		host := p.heartbeat.Host
-		switch {
-		case !wanted[host]:
+		if !needed[host] {
 			s.acknowledged[host] = p.heartbeat
-		case p.state == sent:
-			delete(s.acknowledged, host)
+			continue
+		}
+		delete(s.acknowledged, host)
+		if p.state == sent {
 			p.setState(queued)
 			s.queue = append(s.queue, p)
-		default:
-			delete(s.acknowledged, host)
 		}
 	}
 	s.Observe(KindResent, len(resend))
