--- a/internal/cloud/list_test.go
+++ b/internal/cloud/list_test.go
@@ -17,7 +17,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// lister is a cloud that lists machines.
+// lister is a fake cloud that lists machines.
 type lister struct {
 	names  []string
 	before func(call int)                      // what happens before a page is listed
@@ -65,7 +65,7 @@
 }
 
 // Every machine of a large fleet that is there all the time is listed, while others come and go
-// between the pages, and lists leave calls for rentals.
+// between the pages, and lists leave calls for provisioning.
 func TestLargeFleetIsListedWhileMachinesComeAndGo(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
 		synctest.Test(t, func(t *testing.T) {
@@ -79,7 +79,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var names []string
+			names := make([]string, 0, len(hosts))
 			for _, h := range hosts {
 				names = append(names, h.UID)
 			}
@@ -95,10 +95,10 @@
 	}
 }
 
-// A page that does not follow on the one before is asked for again; a list that such a page
+// A page that does not follow on the one before is requested again; a list that such a page
 // would be part of is refused. A list that ends where a page is empty although there are more
 // would say that all machines behind it are gone.
-func TestPagesOutOfOrder(t *testing.T) {
+func TestPageOutOfOrderIsRequestedAgainAndNeverUsed(t *testing.T) {
 	faults := map[string]func(page *wire.HostList){
 		"repeated":  func(page *wire.HostList) { page.Hosts[1] = page.Hosts[0] },
 		"unordered": func(page *wire.HostList) { slices.Reverse(page.Hosts) },
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,9 +1,9 @@
-// Package connlimit bounds the connections of an HTTP server. When all places are taken, the
+// Package connlimit bounds the connections of an HTTP server. When the limit is reached, the
 // connection that has been idle for longest is closed for a new one: connections that nobody
 // uses any more would otherwise keep users, workers and operators out until they time out.
 //
-// Without an idle connection, a new one gets a place of a small reserve, for one request. The
-// server can tell what is asked for and by whom, and answer at once; an operator gets in
+// Without an idle connection, a new one is admitted to a small reserve, for one request. The
+// server can tell what is requested and by whom, and answer at once; an operator gets in
 // however many connections users and workers keep.
 package connlimit
 
@@ -18,39 +18,43 @@
 
 // Limits bounds a listener's connections.
 type Limits struct {
-	MaxOpen int           // connections that are kept from request to request
+	MaxOpen int           // connections that are kept from request to request; at least 1
 	Reserve int           // connections for one request beyond these
-	MinIdle time.Duration // a connection that is idle for this long gives way to a new one
-	// Patience is how long a connection of the reserve may take to send its request.
+	MinIdle time.Duration // a connection that is idle for this long is closed for a new one
+	// ReserveTimeout is how long a connection of the reserve may take to send its request.
 	ReserveTimeout time.Duration
 }
 
-// pressureShare is the share of the places from which on a listener is crowded.
+// pressureShare is the share of MaxOpen from which on a listener is under pressure.
 const pressureShare = 0.875
 
-// Listener accepts so many connections at a time at most. Its Track has to be the server's
-// ConnState hook, and its Context the server's ConnContext hook.
+// checksPerMinIdle is how often in MinIdle a listener without room looks for a connection that may be
+// closed.
+const checksPerMinIdle = 8
+
+// Listener accepts a limited number of connections at a time. Its ConnState and ConnContext have to be
+// the server's hooks of these names.
 type Listener struct {
 	net.Listener
 	limits Limits
-	freed  chan struct{} // a place has come free
+	freed  chan struct{} // a connection was closed
 
 	mu        sync.Mutex
-	open      map[*conn]struct{} // that have a place
-	reserved  int                // that have one of the reserve
+	open      map[*conn]struct{} // those that are not of the reserve
+	reserved  int                // connections of the reserve
 	closed    atomic.Bool
 	evicted   atomic.Uint64
-	openCount atomic.Int64 // len(open)
+	openCount atomic.Int64 // len(open), readable without mu
 }
 
 // conn is a connection that counts against the limits of its listener.
 type conn struct {
 	net.Conn
 	listener  *Listener
-	reserve   bool         // it has a place of the reserve
+	reserve   bool         // it is of the reserve
 	deadline  time.Time    // until when a connection of the reserve has to send its request
-	idleSince atomic.Int64 // in nanoseconds of the wall clock; 0 while a request is answered
-	closed    bool         // its place is given free; the listener's mu is held
+	idleSince atomic.Int64 // in nanoseconds of the Unix time; 0 while a request is answered
+	closed    bool         // it does not count any more; guarded by the listener's mu
 }
 
 // New bounds the connections of a listener.
@@ -59,12 +63,12 @@
 	return &Listener{Listener: l, limits: limits, freed: make(chan struct{}, 1), open: map[*conn]struct{}{}}
 }
 
-// Accept waits for a place, or for a connection that may be closed for one, and then for a
-// connection. Without any nothing is accepted, so that a load balancer can see that and
+// Accept waits until there is room, or a connection that may be closed for a new one, and then for a
+// connection. Without room nothing is accepted, so that a load balancer can see that and
 // try another node.
 func (l *Listener) Accept() (net.Conn, error) {
-	for !l.hasPlace() && !l.closed.Load() {
-		l.waitForPlace()
+	for !l.hasRoom() && !l.closed.Load() {
+		l.waitForRoom()
 	}
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -75,25 +79,26 @@
 	c.idleSince.Store(now.UnixNano())
 	for !l.admit(c) {
 		if l.closed.Load() {
-			accepted.Close()
+			_ = accepted.Close() // it was never used
 			return nil, net.ErrClosed
 		}
-		l.waitForPlace()
+		l.waitForRoom()
 	}
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
-		c.Close() // it is gone already: the server finds it closed
+		_ = c.Close() // it is gone already: the server finds it closed
 	}
 	return c, nil
 }
 
-// hasPlace reports whether a connection would get a place now.
-func (l *Listener) hasPlace() bool {
+// hasRoom reports whether a connection would be admitted now.
+func (l *Listener) hasRoom() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open) < l.limits.MaxOpen || l.reserved < l.limits.Reserve || l.longestIdle(time.Now()) != nil
 }
 
-// admit gives a connection a place: if need be that of an idle one, else one of the reserve.
+// admit counts a connection among the open ones, else in the reserve, and reports whether there was room.
+// Instead of using the reserve it closes an idle connection: the caller then has to try again.
 func (l *Listener) admit(c *conn) bool {
 	l.mu.Lock()
 	if len(l.open) < l.limits.MaxOpen {
@@ -111,18 +116,18 @@
 	l.mu.Unlock()
 	if idle != nil {
 		l.evicted.Add(1)
-		idle.Close()
+		_ = idle.Close() // its peer may have closed it before
 	}
 	return false
 }
 
-// addOpen gives a connection a place. l.mu is held.
+// addOpen counts a connection among the open ones. l.mu is held.
 func (l *Listener) addOpen(c *conn) {
 	l.open[c] = struct{}{}
 	l.openCount.Store(int64(len(l.open)))
 }
 
-// longestIdle is the connection that has been idle for longest, if that is long enough.
+// longestIdle returns the connection that has been idle for longest, nil if none is for MinIdle.
 // l.mu is held.
 func (l *Listener) longestIdle(now time.Time) *conn {
 	var longest *conn
@@ -135,11 +140,10 @@
 	return longest
 }
 
-// waitForPlace waits until a place has come free or another connection may be idle for long
+// waitForRoom waits until a connection was closed, or another one may have been idle for long
 // enough.
-func (l *Listener) waitForPlace() {
-	const looks = 8 // in the time that a connection has to be idle
-	timer := time.NewTimer(l.limits.MinIdle / looks)
+func (l *Listener) waitForRoom() {
+	timer := time.NewTimer(l.limits.MinIdle / checksPerMinIdle)
 	defer timer.Stop()
 	select {
 	case <-l.freed:
@@ -147,8 +151,8 @@
 	}
 }
 
-// ConnState follows the state of the listener's connections.
-func (l *Listener) ConnState(c net.Conn, state http.ConnState) {
+// ConnState is the server's hook of this name. It follows which connections are idle.
+func (*Listener) ConnState(c net.Conn, state http.ConnState) {
 	tracked, ok := c.(*conn)
 	if !ok {
 		return
@@ -164,8 +168,8 @@
 // connKey is the context key of the connection of a request.
 type connKey struct{}
 
-// ConnContext lets OnReserve tell how a request's connection was accepted.
-func (l *Listener) ConnContext(ctx context.Context, c net.Conn) context.Context {
+// ConnContext is the server's hook of this name. It lets OnReserve find a request's connection.
+func (*Listener) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
@@ -176,34 +180,34 @@
 	return ok && c.reserve
 }
 
-// UnderPressure reports whether nearly all places are taken: a connection whose request is answered
-// should then be closed, so that its place serves others in turn.
+// UnderPressure reports whether nearly all connections are taken: one whose request is answered
+// should then be closed, so that others are served in turn.
 func (l *Listener) UnderPressure() bool {
 	return float64(l.openCount.Load()) >= pressureShare*float64(l.limits.MaxOpen)
 }
 
-// Open is the number of connections that have a place.
+// Open returns the number of open connections, without those of the reserve.
 func (l *Listener) Open() int { return int(l.openCount.Load()) }
 
-// Reserved is the number of connections of the reserve.
+// Reserved returns the number of connections of the reserve.
 func (l *Listener) Reserved() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reserved
 }
 
-// Evicted counts the idle connections that were closed for new ones.
+// Evicted returns how many idle connections were closed for new ones.
 func (l *Listener) Evicted() uint64 { return l.evicted.Load() }
 
-// Close ends the listener.
+// Close closes the listener. Connections that were accepted stay open.
 func (l *Listener) Close() error {
 	l.closed.Store(true)
 	l.signalFreed()
 	return l.Listener.Close()
 }
 
-// SetReadDeadline bounds what a connection may take to send what is expected. One of the
-// reserve that sends no request does not keep its place for as long as others would.
+// SetReadDeadline bounds the time that a connection may take to send what is expected. One of the
+// reserve that sends no request is not kept for as long as others would be.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	if c.reserve && c.idleSince.Load() != 0 && (t.IsZero() || t.After(c.deadline)) {
 		t = c.deadline
@@ -211,13 +215,13 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close ends the connection and gives its place free.
+// Close closes the connection, which does not count any more.
 func (c *conn) Close() error {
 	c.listener.release(c)
 	return c.Conn.Close()
 }
 
-// release gives a connection's place free, once.
+// release stops counting a connection, once.
 func (l *Listener) release(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,6 +238,7 @@
 	l.signalFreed()
 }
 
+// signalFreed wakes Accept if it waits for room.
 func (l *Listener) signalFreed() {
 	select {
 	case l.freed <- struct{}{}:
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -185,100 +185,108 @@
 	}
 }
 
+// Values with every field set: a field that a conversion forgets is seen.
+
+var fullCommand = wire.Command{Verb: wire.Stop, Task: "run-000412/3", Attempt: 2, GracePeriodS: 10}
+
+var fullSpec = wire.JobSpec{
+	UID:                 "run-000412",
+	JobClass:            "train",
+	Team:                "vision",
+	Kind:                wire.JobArray,
+	Priority:            wire.High,
+	TaskCount:           16,
+	Cores:               8,
+	Gpus:                1,
+	RAMGb:               64,
+	Image:               "img-07",
+	ImageGb:             6.2,
+	MachineTypes:        []string{"g8"},
+	Zone:                "a",
+	SingleZone:          true,
+	SpreadZones:         true,
+	AllowSpot:           true,
+	ExpectedRunS:        240,
+	CheckpointIntervalS: 30,
+	CheckpointOnStopS:   4,
+	DeadlineS:           &due,
+	Dependencies:        []string{"run-000001"},
+}
+
+var fullPing = PingResult{
+	Term:           7,
+	Leading:        true,
+	Serving:        true,
+	RenewedHosts:   []string{"m-1"},
+	Counts:         []wire.JobView{{UID: "run-000412"}},
+	CountsRevision: 9,
+	CountsMore:     true,
+	Version:        2,
+	CanRelay:       true,
+	WantsRelays:    true,
+	CanFollow:      true,
+	Standby:        "n1",
+}
+
+var fullCancellation = Cancellation{
+	UID:         "run-000412",
+	ModRevision: 12,
+	Record:      records.Job{Spec: fullSpec, Status: wire.JobAborted, AtMs: 1, Per: 85},
+}
+
+var fullBatch = HeartbeatBatch{
+	From:       "n1",
+	Term:       7,
+	Bodies:     []byte("{}"),
+	Heartbeats: []RelayedHeartbeat{{Host: "m-1", Incarnation: 2, Sequence: 3, RepeatOf: 1, Size: 4, Pressure: 5}},
+}
+
+var fullReply = HeartbeatBatchReply{
+	Term:    7,
+	Leading: true,
+	Resend:  []string{"m-2"},
+	Answers: []HeartbeatAnswer{{
+		Host:        "m-1",
+		Incarnation: 2,
+		Sequence:    3,
+		Status:      200,
+		Response:    wire.Commands{FencingToken: 7, Commands: []wire.Command{fullCommand}},
+		Redirect:    wire.Redirect{Leader: "n0"},
+	}},
+}
+
+var fullStatus = &wire.LeadStatus{
+	Term:   7,
+	Loaded: true,
+	Window: 200,
+	Round: wire.RoundStatus{
+		AgoS:      1,
+		TookMs:    2,
+		Waiting:   3,
+		Started:   4,
+		Stopped:   5,
+		Short:     6,
+		Objective: 7.5,
+		Reserved:  "run-000001",
+		Overrun:   true,
+	},
+	Machines:            map[string]int{"ready": 4},
+	Classes:             map[string]wire.ClassStatus{"train": {Jobs: 1, Waiting: 2, Placed: 3}},
+	HeartbeatRouting:    "direct",
+	Workers:             map[string]int{"n0": 4},
+	SuspectJobs:         1,
+	QuarantinedMachines: 2,
+}
+
 // What a node sends as a message is what the node that receives it works with.
 func TestConversionsLoseNothing(t *testing.T) {
-	command := wire.Command{Verb: wire.Stop, Task: "run-000412/3", Attempt: 2, GracePeriodS: 10}
-	spec := wire.JobSpec{
-		UID:                 "run-000412",
-		JobClass:            "train",
-		Team:                "vision",
-		Kind:                wire.JobArray,
-		Priority:            wire.High,
-		TaskCount:           16,
-		Cores:               8,
-		Gpus:                1,
-		RAMGb:               64,
-		Image:               "img-07",
-		ImageGb:             6.2,
-		MachineTypes:        []string{"g8"},
-		Zone:                "a",
-		SingleZone:          true,
-		SpreadZones:         true,
-		AllowSpot:           true,
-		ExpectedRunS:        240,
-		CheckpointIntervalS: 30,
-		CheckpointOnStopS:   4,
-		DeadlineS:           &due,
-		Dependencies:        []string{"run-000001"},
-	}
-	ping := PingResult{
-		Term:           7,
-		Leading:        true,
-		Serving:        true,
-		RenewedHosts:   []string{"m-1"},
-		Counts:         []wire.JobView{{UID: "run-000412"}},
-		CountsRevision: 9,
-		CountsMore:     true,
-		Version:        2,
-		CanRelay:       true,
-		WantsRelays:    true,
-		CanFollow:      true,
-		Standby:        "n1",
-	}
-	cancellation := Cancellation{
-		UID:         "run-000412",
-		ModRevision: 12,
-		Record:      records.Job{Spec: spec, Status: wire.JobAborted, AtMs: 1, Per: 85},
-	}
-	batch := HeartbeatBatch{
-		From:       "n1",
-		Term:       7,
-		Bodies:     []byte("{}"),
-		Heartbeats: []RelayedHeartbeat{{Host: "m-1", Incarnation: 2, Sequence: 3, RepeatOf: 1, Size: 4, Pressure: 5}},
-	}
-	reply := HeartbeatBatchReply{
-		Term:    7,
-		Leading: true,
-		Resend:  []string{"m-2"},
-		Answers: []HeartbeatAnswer{{
-			Host:        "m-1",
-			Incarnation: 2,
-			Sequence:    3,
-			Status:      200,
-			Response:    wire.Commands{FencingToken: 7, Commands: []wire.Command{command}},
-			Redirect:    wire.Redirect{Leader: "n0"},
-		}},
-	}
-	status := &wire.LeadStatus{
-		Term:   7,
-		Loaded: true,
-		Window: 200,
-		Round: wire.RoundStatus{
-			AgoS:      1,
-			TookMs:    2,
-			Waiting:   3,
-			Started:   4,
-			Stopped:   5,
-			Short:     6,
-			Objective: 7.5,
-			Reserved:  "run-000001",
-			Overrun:   true,
-		},
-		Machines:            map[string]int{"ready": 4},
-		Classes:             map[string]wire.ClassStatus{"train": {Jobs: 1, Waiting: 2, Placed: 3}},
-		HeartbeatRouting:    "direct",
-		Workers:             map[string]int{"n0": 4},
-		SuspectJobs:         1,
-		QuarantinedMachines: 2,
-	}
-
-	sentCancellation, sentBatch, sentReply := cancellation.message(), batch.message(), reply.message()
+	sentCancellation, sentBatch, sentReply := fullCancellation.message(), fullBatch.message(), fullReply.message()
 	for name, tc := range map[string]struct{ got, want any }{
-		"ping":         {ping.message().result(), ping},
-		"cancellation": {sentCancellation.cancellation(), cancellation},
-		"batch":        {sentBatch.batch(), batch},
-		"reply":        {sentReply.reply(), reply},
-		"status":       {leadStatusMessage(status).status(), status},
+		"ping":         {fullPing.message().result(), fullPing},
+		"cancellation": {sentCancellation.cancellation(), fullCancellation},
+		"batch":        {sentBatch.batch(), fullBatch},
+		"reply":        {sentReply.reply(), fullReply},
+		"status":       {leadStatusMessage(fullStatus).status(), fullStatus},
 	} {
 		if !reflect.DeepEqual(tc.got, tc.want) {
 			t.Errorf("%s comes back as %+v, want %+v", name, tc.got, tc.want)
