--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	errs := make(chan error, 2)
-	n.background.Go(func() { errs <- peer.Serve(peers, srv) })
+	n.background.Go(func() { errs <- peer.Serve(ctx, peers, srv) })
 	n.background.Go(func() { errs <- n.api.Serve(clients) })
 	n.Start(ctx)
 	slog.Info("node is serving", "label", n.cfg.Label, "listen", n.cfg.Listen, "mesh", n.cfg.PeerAddr)
