--- /dev/null
+++ b/internal/autoscaler/plan_test.go
@@ -0,0 +1,61 @@
+package autoscaler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/sched"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// What a dead fleet of 4,096 and of 6,000 machines ran is provisioned for within some rounds, each
+// in calls that the cloud takes and no more than are allowed, and the decision takes less than a
+// second: with a look at every machine of the packing for each task it took several.
+func TestPlanReplacesADeadFleetWithinItsCalls(t *testing.T) {
+	catalog := &wire.Catalog{MachineTypes: []wire.MachineType{{
+		Name:       "g8",
+		Cores:      96,
+		Gpus:       8,
+		RAMGb:      576,
+		Hourly:     20,
+		SpotHourly: 5,
+		Zones:      []string{"a", "b", "c", "d"},
+	}}}
+	for _, machines := range []int{4096, 6000} {
+		const calls = 10
+		shorts := make([]sched.Short, 0, machines)
+		for i := range machines {
+			spec := &wire.JobSpec{UID: fmt.Sprintf("run-%06d", i), TaskCount: 8, Cores: float64(8 + i%5), Gpus: 1, RAMGb: 40}
+			shorts = append(shorts, sched.Short{Job: &sched.Job{Spec: spec}, Count: 8})
+		}
+		machinesByZone, provisioned, began := map[string]int{}, 0, time.Now()
+		for rounds := 0; len(shorts) > 0; rounds++ {
+			if rounds > machines/(calls*wire.MaxProvision)+2 {
+				t.Fatalf("%d machines are provisioned after %d rounds", provisioned, rounds)
+			}
+			requests := Plan(catalog, Demand{
+				Shorts:         shorts,
+				MachinesByZone: machinesByZone,
+				Refused:        func(MachineGroup) bool { return false },
+				Calls:          calls,
+			})
+			if len(requests) > calls {
+				t.Fatalf("%d calls in a round", len(requests))
+			}
+			requested := 0
+			for _, r := range requests {
+				if r.Count < 1 || r.Count > wire.MaxProvision {
+					t.Fatalf("%d machines in a call", r.Count)
+				}
+				machinesByZone[r.Zone] += r.Count
+				requested += r.Count
+			}
+			provisioned += requested
+			shorts = shorts[min(requested, len(shorts)):]
+		}
+		if took := time.Since(began); provisioned < machines || took > 4*time.Second {
+			t.Errorf("%d machines are provisioned for %d in %s", provisioned, machines, took)
+		}
+	}
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,10 +14,11 @@
 	"sync"
 	"time"
 
+	"lotusstile.dev/lotusstile/internal/autoscaler"
+	"lotusstile.dev/lotusstile/internal/failuredetector"
 	"lotusstile.dev/lotusstile/internal/faultattribution"
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/jobdag"
-	"lotusstile.dev/lotusstile/internal/provision"
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/internal/timeralign"
@@ -31,7 +32,7 @@
 	term          uint64
 	writerWake    chan struct{} // the writer has work
 	placementWake chan struct{} // there is something to place
-	returnsWake   chan struct{} // there is something to return
+	releaseWake   chan struct{} // there is a machine to release
 	resolveWake   chan struct{} // a job waits for one whose final status is not known
 	now           func() time.Time
 
@@ -53,38 +54,32 @@
 	fleet          *fleet.Fleet
 	evidence       *faultattribution.Evidence // who fails where: failures.go
 
-	// Rounds: round.go, picture.go, nodes.go, spare.go.
-	window           int
-	lastRound        wire.RoundStatus
-	lastRoundAt      time.Time
-	arrivalsByClass  map[string]*arrivals
-	headroomMachines map[string]bool // machines kept as spare room by the last round
-	nodes            nodeCache       // nodes.go
+	// Rounds: round.go, picture.go, nodes.go.
+	window      int
+	lastRound   wire.RoundStatus
+	lastRoundAt time.Time
+	nodes       nodeCache // nodes.go
 
-	// The cloud: rent.go.
+	// Scale out: scaleout.go, headroom.go, machinelist.go.
 	catalog          *wire.Catalog
-	provisionCounter int // counter in booking names
-	pendingRequests  map[string]*provisionRequest
-	refused          map[provision.MachineGroup]refusal
-
-	// Returns: returns.go.
-	returns        map[string]*pendingReturn
-	returnsRecords []returnsRecord
-	returnKeys     int // counter in their keys
-
-	// Who is alive: lost.go.
-	steady                time.Time            // since when liveness is judged
-	cutOff                map[string]time.Time // by zone: when most of it was last silent
-	relayUnreachableSince map[string]time.Time // while followers relay, by controller: when its links last seemed lost
-	answersPaused         bool                 // no reports are answered: no machine is declared lost for its silence
-
-	// Answers to workers: checkin.go, announce.go.
+	requests         *autoscaler.Requests
+	refusals         *autoscaler.Refusals
+	arrivals         *autoscaler.Arrivals
+	headroomMachines map[string]bool // machines that the last round kept as headroom
+
+	// Scale in: scalein.go.
+	releases *autoscaler.Releases
+
+	// Who is alive: liveness.go.
+	detector *failuredetector.Detector
+
+	// Answers to workers: heartbeat.go, tokenannounce.go.
 	waitingAnswers map[string]chan struct{} // check-ins that wait for commands, by machine
-	announced      map[string]time.Time     // when the token was last announced, by machine
+	announcedAt    map[string]time.Time     // when the fencing token was last announced, by machine
 
-	// Records: writer.go, limits.go, images.go.
-	singleJobCommitsUntil time.Time            // until when jobs are written one by one
-	recordedImages        map[string]imageNote // which images of a machine are recorded
+	// Records: writer.go, limits.go, imagerecords.go.
+	singleJobCommitsUntil time.Time                 // until when jobs are written one by one
+	recordedImages        map[string]recordedImages // which images of a machine are recorded
 
 	// What a standby follows: views.go.
 	views changedViews
@@ -92,13 +87,17 @@
 
 // New makes the controller of a term.
 func New(options Options, term uint64) *Controller {
-	c := &Controller{Options: options, term: term, writerWake: make(chan struct{}, 1), placementWake: make(chan struct{}, 1), returnsWake: make(chan struct{}, 1),
+	c := &Controller{Options: options, term: term, writerWake: make(chan struct{}, 1), placementWake: make(chan struct{}, 1), releaseWake: make(chan struct{}, 1),
 		resolveWake: make(chan struct{}, 1), now: time.Now,
-		jobs: map[string]*job{}, graph: jobdag.New(), pendingRequests: map[string]*provisionRequest{}, refused: map[provision.MachineGroup]refusal{},
-		arrivalsByClass: map[string]*arrivals{}, cutOff: map[string]time.Time{}, recordedImages: map[string]imageNote{}, announced: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}, relayUnreachableSince: map[string]time.Time{}}
+		jobs: map[string]*job{}, graph: jobdag.New(),
+		recordedImages: map[string]recordedImages{}, announcedAt: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}}
 	c.fleet = fleet.New(term, options.Config.WorkerLease(), c)
 	c.evidence = faultattribution.New(evidenceLeases * options.Config.WorkerLease())
-	c.returns = map[string]*pendingReturn{}
+	c.requests = autoscaler.NewRequests(term)
+	c.refusals = autoscaler.NewRefusals(options.Config.WorkerLease())
+	c.arrivals = autoscaler.NewArrivals(options.Config.WorkerLease())
+	c.releases = autoscaler.NewReleases(term)
+	c.detector = newDetector(options.Config)
 	c.nodes = newNodeCache()
 	c.countsRevision = 1
 	c.startedAt = c.now()
@@ -134,7 +133,7 @@
 		}
 	}
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){c.runWriter, c.runRounds, c.lists, c.returning, c.announcing, c.noteImages, c.followRenewedLeases, c.runResolver} {
+	for _, f := range []func(context.Context){c.runWriter, c.runRounds, c.followCloud, c.releaseMachines, c.announceToken, c.recordImages, c.followRenewedLeases, c.runResolver} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -186,7 +185,7 @@
 	}
 	for i := range c.catalog.MachineTypes {
 		if c.catalog.MachineTypes[i].Name == m.Type {
-			m.Cap = provision.Capacity(&c.catalog.MachineTypes[i])
+			m.Cap = autoscaler.Capacity(&c.catalog.MachineTypes[i])
 			c.fleet.Touch(m)
 		}
 	}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -101,7 +101,7 @@
 		j.waitingSince = now
 		slog.Info("job released", "uid", j.uid)
 	}
-	c.arrived(j, now)
+	c.arrivals.Observe(&j.record.Spec, now)
 	notify(c.placementWake)
 }
 
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -27,7 +27,7 @@
 	services, c, j := leaderWithArray(t, &b.now, machines, tasks, fleet.Res{Cores: 16, RAM: 1})
 	b.c = c
 	b.c.now = func() time.Time { return b.now }
-	b.c.steady = b.now.Add(time.Hour) // idle machines stay
+	b.c.detector.Start(b.now.Add(time.Hour)) // idle machines stay
 	b.mistaken[j.uid] = true
 	return b, services, j
 }
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -25,7 +25,7 @@
 	for i := range machines {
 		hosts = append(hosts, wire.ListedHost{UID: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: "a", Status: "running"})
 	}
-	c.listed(hosts, *now)
+	c.applyMachineList(hosts, *now)
 	reportAll(t, c, 1, nil)
 	return services, c, c.jobs[spec.UID]
 }
--- /dev/null
+++ b/internal/controller/imagerecords.go
@@ -0,0 +1,78 @@
+package controller
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/fleet"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/timeralign"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// recordedImages is how many images of a machine are recorded, and since when.
+type recordedImages struct {
+	images int
+	at     time.Time
+}
+
+// maxRecordedImages is how many images of a machine are recorded at most.
+const maxRecordedImages = 16
+
+// recordImages records which images machines have, so that a new leader knows where tasks start
+// quickly. Nothing but time is lost if it is late or fails.
+func (c *Controller) recordImages(ctx context.Context) {
+	for timeralign.Sleep(ctx, c.untilNext(c.Config.HeartbeatInterval())) {
+		c.recordSomeImages(ctx)
+	}
+}
+
+// recordSomeImages records the images of as many machines as one commit holds.
+func (c *Controller) recordSomeImages(ctx context.Context) {
+	tx, recorded := c.imagesToRecord()
+	if len(tx.Changes) == 0 {
+		return
+	}
+	if _, err := c.Store.Commit(store.Note(ctx), tx); err != nil {
+		c.stepDownOnLeaderConflict(err)
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	maps.Copy(c.recordedImages, recorded)
+}
+
+// imagesToRecord makes the next commit of machines' images.
+func (c *Controller) imagesToRecord() (tx wire.Transaction, recorded map[string]recordedImages) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
+	tx.Compares = []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}
+	recorded = map[string]recordedImages{}
+	// A commit that is larger than the state service takes would be rejected, and no image
+	// would ever be recorded.
+	most := min(max(1, int(c.Config.StateLimits().WriteRps/8)), c.maxBatchChanges())
+	size := 0
+	c.fleet.Each(func(m *fleet.Machine) {
+		if len(tx.Changes) >= most || size > maxCommitBytes || !c.hasUnrecordedImages(m, now) {
+			return
+		}
+		recorded[m.ID] = recordedImages{len(m.Images), now}
+		names := slices.Sorted(maps.Keys(m.Images))
+		names = records.FitNames(names[:min(len(names), maxRecordedImages)], c.Config.ValueBytes())
+		value := records.Encode(records.Images{Names: names})
+		size += len(value)
+		tx.Changes = append(tx.Changes, wire.Change{Set: records.ImagesKey(m.ID), Value: value})
+	})
+	return tx, recorded
+}
+
+// hasUnrecordedImages reports whether the images of a machine are to be recorded again: it has
+// more than are recorded, and has not been recorded within a worker lease.
+func (c *Controller) hasUnrecordedImages(m *fleet.Machine, now time.Time) bool {
+	known := c.recordedImages[m.ID]
+	return m.State == fleet.Ready && len(m.Images) > known.images && now.Sub(known.at) > c.Config.WorkerLease()
+}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
+	"lotusstile.dev/lotusstile/internal/autoscaler"
 	"lotusstile.dev/lotusstile/internal/clusterversion"
 	"lotusstile.dev/lotusstile/internal/config"
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/provision"
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
@@ -34,7 +34,7 @@
 	for i := range 170 {
 		host := fmt.Sprintf("m-%03d-%s", i, strings.Repeat("x", 40))
 		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: host, MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, now)
-		m.Type, m.Cap = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
+		m.Type, m.Cap = "g8", autoscaler.Capacity(&c.catalog.MachineTypes[0])
 	}
 	per := records.TasksPerPlacement(c.Config.CurrentValueBytes(), c.Config.ValueBytes())
 	spec := wire.JobSpec{UID: "run-000001", Team: "crew", Kind: wire.JobArray, TaskCount: 2 * per, Cores: 1, RAMGb: 1, Image: "i", Priority: wire.High}
--- /dev/null
+++ b/internal/controller/liveness.go
@@ -0,0 +1,119 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/config"
+	"lotusstile.dev/lotusstile/internal/failuredetector"
+	"lotusstile.dev/lotusstile/internal/fleet"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/watchcache"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// newDetector makes the failure detector of a deployment.
+func newDetector(cfg *config.Config) *failuredetector.Detector {
+	return failuredetector.New(failuredetector.Options{
+		HeartbeatInterval: cfg.HeartbeatInterval(),
+		WorkerLease:       cfg.WorkerLease(),
+		TasksEndWithin:    time.Duration(cfg.Cluster.Workers.CancelS * float64(time.Second)),
+		Controllers:       len(cfg.Members) + 1,
+	})
+}
+
+// renewFromPeers gives the machines that other nodes answer the time of a heartbeat now. c.mu is
+// held.
+func (c *Controller) renewFromPeers(now time.Time) {
+	c.heartbeatsElsewhere(c.Peers.RenewedHosts(), now)
+}
+
+// heartbeatsElsewhere records that other nodes have answered heartbeats of machines. c.mu is held.
+func (c *Controller) heartbeatsElsewhere(hosts []string, now time.Time) {
+	for _, host := range hosts {
+		if m := c.fleet.Get(host); m != nil {
+			m.LastHeartbeat = now
+		}
+	}
+}
+
+// followRenewedLeases follows which machines are answered by followers that are cut off from this
+// node, but not from the state service: these machines are alive. Without this, every machine
+// behind a cut between zones was released with all its tasks.
+func (c *Controller) followRenewedLeases(ctx context.Context) {
+	wait, pause := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
+	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, pause, watchcache.Funcs{Changed: c.applyRenewedLeases})
+}
+
+// applyRenewedLeases records that a follower has answered heartbeats of machines.
+func (c *Controller) applyRenewedLeases(event wire.WatchEvent) {
+	if event.Set == "" {
+		return
+	}
+	var renewed records.RenewedLeases
+	if err := wire.Decode(event.Value, &renewed); err != nil {
+		slog.Warn("record of renewed leases cannot be read", "key", event.Set, "err", err)
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.heartbeatsElsewhere(renewed.Hosts, c.now())
+}
+
+// pauseDetectionWhileStale pauses failure detection while this node cannot answer heartbeats: its
+// cancellation data is stale, so no heartbeat arrives and every machine would look dead. c.mu is
+// held.
+func (c *Controller) pauseDetectionWhileStale(now time.Time) {
+	stale := now.Sub(c.JobCache.Fresh()) > c.Config.KnowledgeLimit()
+	if c.detector.SetPaused(stale) {
+		if stale {
+			slog.Warn("failure detection paused, heartbeats are not answered on stale cancellation data", "term", c.term)
+		} else {
+			slog.Warn("failure detection resumed, heartbeats are answered again", "term", c.term)
+		}
+	}
+	if stale {
+		c.detector.Reset(c.fleet, now)
+	}
+}
+
+// releaseDead releases the machines that the failure detector declares dead, and stops the tasks
+// of those that the cloud reclaims. c.mu is held.
+func (c *Controller) releaseDead(now time.Time) {
+	judgement := c.detector.Judge(failuredetector.Observation{
+		Now:            now,
+		Machines:       c.fleet,
+		ReachableZones: c.Peers.ReachedZones(),
+		RelayReachable: c.Peers.RelayReached,
+		BootS:          c.usualBootS,
+	})
+	c.fleet.Each(func(m *fleet.Machine) {
+		if cause := judgement.CauseOfDeath(m); cause != failuredetector.NotDead {
+			c.startRelease(m, now, string(cause))
+		}
+		if m.Warned {
+			c.checkpointTasks(m, now)
+		}
+	})
+}
+
+// usualBootS is how many seconds a machine of a type usually boots; known is false if the catalog
+// does not have the type.
+func (c *Controller) usualBootS(machineType string) (seconds float64, known bool) {
+	t := c.machineType(machineType)
+	if t == nil {
+		return 0, false
+	}
+	return t.BootS, true
+}
+
+// checkpointTasks stops the tasks of a machine that the cloud reclaims, with the time that they
+// need to write a checkpoint. c.mu is held.
+func (c *Controller) checkpointTasks(m *fleet.Machine, now time.Time) {
+	m.Each(func(a *fleet.Attempt) {
+		if j := c.jobs[a.UID]; j != nil && a.Live() && !a.Stopping {
+			c.stopAttempt(a, j.record.Spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
+		}
+	})
+}
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -5,10 +5,10 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"slices"
 	"strings"
 	"time"
 
+	"lotusstile.dev/lotusstile/internal/autoscaler"
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/standby"
@@ -62,9 +62,9 @@
 	}
 	c.loaded = true
 	c.listings = nil
-	c.steady = now
+	c.detector.Start(now)
 	c.failover.recordLoaded(now, c.fleet.Len(), inherited)
-	slog.Info("picture loaded", "term", c.term, "jobs", len(c.jobs), "attempts", inherited, "returning", len(c.returns), "warm", recs.hints != nil)
+	slog.Info("picture loaded", "term", c.term, "jobs", len(c.jobs), "attempts", inherited, "returning", c.releases.Len(), "warm", recs.hints != nil)
 	return nil
 }
 
@@ -137,11 +137,8 @@
 		}
 		for _, id := range rec.Hosts {
 			c.fleet.Return(c.fleet.Know(id, now), now, "return was attempted in an earlier term")
-			c.returns[id] = &pendingReturn{recorded: true}
-		}
-		if !slices.ContainsFunc(c.returnsRecords, func(r returnsRecord) bool { return r.key == row.Key }) {
-			c.returnsRecords = append(c.returnsRecords, returnsRecord{row.Key, rec.Hosts})
 		}
+		c.releases.Restore(autoscaler.ReleaseRecord{Key: row.Key, Hosts: rec.Hosts})
 	}
 	return nil
 }
@@ -160,7 +157,7 @@
 			m.Images[name] = now
 		}
 		c.fleet.Touch(m)
-		c.recordedImages[id] = imageNote{len(rec.Names), now}
+		c.recordedImages[id] = recordedImages{len(rec.Names), now}
 	}
 }
 
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
+	"lotusstile.dev/lotusstile/internal/autoscaler"
 	"lotusstile.dev/lotusstile/internal/clusterversion"
 	"lotusstile.dev/lotusstile/internal/config"
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/provision"
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/sched"
 	"lotusstile.dev/lotusstile/internal/watchcache"
@@ -31,7 +31,8 @@
 		JobCache: watchcache.New(),
 	}, 5)
 	c.now = func() time.Time { return *now }
-	c.loaded, c.steady = true, now.Add(-time.Hour)
+	c.loaded = true
+	c.detector.Start(now.Add(-time.Hour))
 	return c
 }
 
@@ -87,7 +88,7 @@
 				}
 			}
 			c.fleet.SuspectSilent(now)
-			c.declareDead(now)
+			c.releaseDead(now)
 			now = now.Add(step)
 		}
 		var dead []string
@@ -116,9 +117,9 @@
 		}
 	}
 	spent(false, "before anything was asked")
-	c.refuse(provision.MachineGroup{Type: "g8", Zone: "a", Spot: true}, now)
+	c.refusals.Add(autoscaler.MachineGroup{Type: "g8", Zone: "a", Spot: true}, now)
 	spent(false, "one zone of two")
-	c.refuse(provision.MachineGroup{Type: "g8", Zone: "b", Spot: true}, now)
+	c.refusals.Add(autoscaler.MachineGroup{Type: "g8", Zone: "b", Spot: true}, now)
 	spent(true, "both zones, and the small type does not hold it")
 	w.MachineTypes = []string{"g1"}
 	w.Cores, w.Gpus, w.RAMGb = 8, 1, 32
@@ -190,7 +191,7 @@
 func TestMachinesOfUnknownZone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := watched(&now)
-	c.steady = now
+	c.detector.Start(now)
 	for i := range 20 {
 		m := c.fleet.Know(fmt.Sprintf("x-%03d", i), now)
 		c.fleet.Place(m, &fleet.Attempt{UID: "run-000001", Task: i, Number: 1, Incarnation: 1, Inherited: true}, now)
@@ -200,7 +201,7 @@
 			c.hearFrom(i, sequence, now)
 		}
 		c.fleet.SuspectSilent(now)
-		c.declareDead(now)
+		c.releaseDead(now)
 		now = now.Add(time.Second)
 	}
 	dead := 0
@@ -228,7 +229,7 @@
 		for i := range 40 {
 			c.hearFrom(i, 1, now)
 			m := c.fleet.Get(fmt.Sprintf("m-%03d", i))
-			m.Type, m.Cap = "g8", provision.Capacity(&c.catalog.MachineTypes[0])
+			m.Type, m.Cap = "g8", autoscaler.Capacity(&c.catalog.MachineTypes[0])
 		}
 		spec := wire.JobSpec{Team: "crew", Kind: wire.Service, TaskCount: 1, Cores: 1, Gpus: 1, RAMGb: 1, Image: "i", Priority: wire.High}
 		for i := range 250 {
@@ -323,7 +324,7 @@
 			report(i, "follower", now)
 		}
 		c.fleet.SuspectSilent(now)
-		c.declareDead(now)
+		c.releaseDead(now)
 		now = now.Add(step)
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
--- a/internal/controller/nodecache_test.go
+++ b/internal/controller/nodecache_test.go
@@ -114,7 +114,7 @@
 			},
 			"list": func(t *rapid.T) {
 				hosts := []wire.ListedHost{{UID: "m-0", MachineType: "g8", Zone: "a", Status: wire.HostFailed}, {UID: "m-6", MachineType: "g8", Zone: "b", AgeS: 5, Status: "booting"}}
-				c.listed(hosts[rapid.IntRange(0, 1).Draw(t, "from"):], now)
+				c.applyMachineList(hosts[rapid.IntRange(0, 1).Draw(t, "from"):], now)
 			},
 			"price": func(t *rapid.T) {
 				c.catalog.MachineTypes[0].SpotHourly++
@@ -122,7 +122,7 @@
 			},
 			"return": func(t *rapid.T) {
 				if m := machine(); m != nil && rapid.IntRange(0, 3).Draw(t, "rare") == 0 {
-					c.startReturn(m, now, "test")
+					c.startRelease(m, now, "test")
 					c.fleet.Confirm(m, now, "test")
 					c.fleet.Forget(m.ID)
 				}
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -34,18 +34,18 @@
 }
 
 // runRound looks over the window once. It returns the rentals to ask for.
-func (c *Controller) runRound(interval time.Duration) []*provisionRequest {
+func (c *Controller) runRound(interval time.Duration) []wire.ProvisionRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	if !c.lastRoundAt.IsZero() && now.Sub(c.lastRoundAt) > max(interval, c.Config.HeartbeatInterval())*2 {
 		slog.Warn("stood still", "term", c.term, "for", now.Sub(c.lastRoundAt).String())
-		c.resetLiveness(now)
+		c.detector.Reset(c.fleet, now)
 	}
-	c.pauseLiveness(now)
-	c.noteRenewedByPeers(now)
+	c.pauseDetectionWhileStale(now)
+	c.renewFromPeers(now)
 	c.fleet.SuspectSilent(now)
-	c.declareDead(now)
+	c.releaseDead(now)
 	if c.catalog == nil {
 		return nil
 	}
@@ -90,7 +90,7 @@
 		slog.Info("round", "term", c.term, "window", plan.Window, "waiting", info.Waiting, "started", info.Started,
 			"stopped", info.Stopped, "short", info.Short, "objective", math.Round(plan.Objective*100)/100, "reserved", plan.Reserved, "ms", info.TookMs)
 	}
-	return c.provision(p, plan, now)
+	return c.scale(p, plan, now)
 }
 
 // maxTasksPerMachine is how many tasks a machine may have: a hundred bytes each is what a
--- a/internal/controller/returns_test.go
+++ b/internal/controller/scalein_test.go
@@ -48,7 +48,7 @@
 	for i := range n {
 		c.hearFrom(i, 1, now)
 	}
-	c.fleet.Each(func(m *fleet.Machine) { c.startReturn(m, now, "test") })
+	c.fleet.Each(func(m *fleet.Machine) { c.startRelease(m, now, "test") })
 	return c, st, cl
 }
 
@@ -56,12 +56,12 @@
 // nothing is returned before its record is known to stand.
 func TestReturnsAreRecordedFirst(t *testing.T) {
 	c, st, cl := returner(150, store.ErrUnknown, nil, nil)
-	if c.recordReturns(t.Context()) || c.sendReturns(t.Context()) {
+	if c.recordReleases(t.Context()) || c.sendReleases(t.Context()) {
 		t.Fatal("goes on although nothing is known to be recorded")
 	}
-	for c.recordReturns(t.Context()) {
+	for c.recordReleases(t.Context()) {
 	}
-	for c.sendReturns(t.Context()) {
+	for c.sendReleases(t.Context()) {
 	}
 	if len(cl.hosts) != 150 {
 		t.Errorf("%d machines are returned, expected 150", len(cl.hosts))
@@ -90,7 +90,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.recordReturns(ctx)
+		c.recordReleases(ctx)
 		c.Counts("run-000001")
 	}()
 	select {
--- /dev/null
+++ b/internal/controller/scaleout.go
@@ -0,0 +1,130 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/autoscaler"
+	"lotusstile.dev/lotusstile/internal/cloud"
+	"lotusstile.dev/lotusstile/internal/fleet"
+	"lotusstile.dev/lotusstile/internal/sched"
+	"lotusstile.dev/lotusstile/internal/timeralign"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// provisionShare is the share of the cloud's calls of a round's interval that requests for
+// machines may take.
+const provisionShare = 0.25
+
+// provisionAttempts is how often a request is sent before it is abandoned.
+const provisionAttempts = 4
+
+// scale decides which machines to provision for tasks that have no room, and starts to release
+// those that are idle. It returns the requests to send. c.mu is held.
+func (c *Controller) scale(p *snapshot, plan *sched.Plan, now time.Time) []wire.ProvisionRequest {
+	settled := c.detector.IsSettled(now)
+	headroom := c.planHeadroom(p, plan, now)
+	// A new leader waits until the machines have sent heartbeats before it decides
+	// that there are too few or too many.
+	if !settled && c.requests.Len() == 0 && c.fleet.Len() > 0 && c.awaitsFirstHeartbeats() {
+		return nil
+	}
+	requests := c.planRequests(plan.Shorts, headroom.Shorts, now)
+	if settled {
+		c.releaseIdle(plan.Shorts, now)
+	}
+	return requests
+}
+
+// planRequests decides what to provision for tasks and for headroom that have no room. c.mu is
+// held.
+func (c *Controller) planRequests(tasks, headroom []sched.Short, now time.Time) []wire.ProvisionRequest {
+	machinesByZone := map[string]int{}
+	c.fleet.Each(func(m *fleet.Machine) { machinesByZone[m.Zone]++ })
+	plan := autoscaler.Plan(c.catalog, autoscaler.Demand{
+		Shorts:         append(append([]sched.Short{}, tasks...), headroom...),
+		MachinesByZone: machinesByZone,
+		Refused:        func(g autoscaler.MachineGroup) bool { return c.refusals.IsPaused(g, now) },
+		Calls:          c.provisionCalls(),
+	})
+	var requests []wire.ProvisionRequest
+	for _, request := range plan {
+		requests = append(requests, c.requests.Add(request))
+	}
+	return requests
+}
+
+// provisionCalls is how many requests for machines a round may make.
+func (c *Controller) provisionCalls() int {
+	return int(provisionShare * c.Config.Cluster.Cloud.Rps * c.Settings().IntervalS)
+}
+
+// awaitsFirstHeartbeats reports whether machines that may run tasks have not sent a heartbeat
+// with this term's token yet.
+func (c *Controller) awaitsFirstHeartbeats() bool {
+	found := false
+	c.fleet.Each(func(m *fleet.Machine) {
+		found = found || (m.State == fleet.Booting && m.LiveCount() > 0) || m.State == fleet.Confirming
+	})
+	return found
+}
+
+// provisionMachines sends a request for machines until the cloud answers it, a few times.
+func (c *Controller) provisionMachines(ctx context.Context, request wire.ProvisionRequest) {
+	pause := c.Config.ListLag() / 4
+	for attempt := 0; attempt < provisionAttempts && ctx.Err() == nil; attempt++ {
+		hosts, err := c.Cloud.Provision(ctx, request)
+		if err == nil {
+			slog.Info("machines provisioned", append(requestAttributes(request), "hosts", hosts)...)
+			c.addProvisioned(request, hosts)
+			return
+		}
+		slog.Info("machines cannot be provisioned", append(requestAttributes(request), "err", err)...)
+		if errors.Is(err, cloud.ErrNoCapacity) {
+			c.mu.Lock()
+			c.refusals.Add(groupOf(request), c.now())
+			c.mu.Unlock()
+			break
+		}
+		timeralign.Sleep(ctx, pause)
+		pause *= 2
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests.Finish(request.RequestID)
+}
+
+// addProvisioned adds the machines that the cloud has provisioned to the fleet.
+func (c *Controller) addProvisioned(request wire.ProvisionRequest, hosts []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
+	c.requests.Finish(request.RequestID)
+	c.refusals.Clear(groupOf(request))
+	if len(hosts) < request.Count {
+		c.refusals.Add(groupOf(request), now)
+	}
+	for _, host := range hosts {
+		m := c.fleet.Know(host, now)
+		m.Type, m.Zone, m.Spot = request.MachineType, request.Zone, request.Spot
+		c.fleet.Touch(m)
+		c.setCapacity(m)
+	}
+}
+
+func groupOf(request wire.ProvisionRequest) autoscaler.MachineGroup {
+	return autoscaler.MachineGroup{Type: request.MachineType, Zone: request.Zone, Spot: request.Spot}
+}
+
+// requestAttributes are the attributes by which log lines name a request for machines.
+func requestAttributes(request wire.ProvisionRequest) []any {
+	return []any{
+		"request", request.RequestID,
+		"machine_type", request.MachineType,
+		"zone", request.Zone,
+		"spot", request.Spot,
+		"count", request.Count,
+	}
+}
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"lotusstile.dev/lotusstile/internal/autoscaler"
 	"lotusstile.dev/lotusstile/internal/config"
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/records"
@@ -80,6 +81,7 @@
 	c := watched(now)
 	c.term, c.Store, c.Cloud, c.loaded = term, l, limitedCloud{limited: l}, false
 	c.fleet = fleet.New(term, c.Config.WorkerLease(), c)
+	c.requests, c.releases = autoscaler.NewRequests(term), autoscaler.NewReleases(term)
 	c.Config.Cluster.State, c.Config.Cluster.Teams = l.limits, []config.Team{{Name: "crew"}}
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, BootS: 30, Zones: []string{"a", "b"}}}}
 	c.JobCache.Reset(nil, 1, *now)
@@ -105,7 +107,7 @@
 		for i := range machines {
 			hosts = append(hosts, wire.ListedHost{UID: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: []string{"a", "b"}[i%2], Status: "running"})
 		}
-		c.listed(hosts, now)
+		c.applyMachineList(hosts, now)
 		report := func(c *Controller, sequence uint64) (launches int) {
 			for i := range hosts {
 				r := wire.Heartbeat{Host: hosts[i].UID, MachineType: "g8", Zone: hosts[i].Zone, Incarnation: 1, Sequence: sequence, FencingToken: c.term}
@@ -135,7 +137,7 @@
 		}
 		now = now.Add(time.Minute)
 		for range machines/services.limits.TxnOps + 1 {
-			c.noteSomeImages(t.Context())
+			c.recordSomeImages(t.Context())
 		}
 		if images, _, _ := services.List(t.Context(), records.ImagesPrefix); len(images) != machines {
 			t.Errorf("the images of %d of %d machines are recorded", len(images), machines)
@@ -154,11 +156,11 @@
 			if m.State != fleet.Ready || m.LiveCount() != 1 {
 				t.Fatalf("%s is %s with %d attempts", m.ID, m.State, m.LiveCount())
 			}
-			next.startReturn(m, now, "test")
+			next.startRelease(m, now, "test")
 		})
-		for next.recordReturns(t.Context()) {
+		for next.recordReleases(t.Context()) {
 		}
-		for next.sendReturns(t.Context()) {
+		for next.sendReleases(t.Context()) {
 		}
 		if len(services.returned) != machines || next.fleet.Len() != 0 {
 			t.Errorf("%d of %d machines are returned, %d are left", len(services.returned), machines, next.fleet.Len())
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"lotusstile.dev/lotusstile/internal/autoscaler"
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/provision"
 	"lotusstile.dev/lotusstile/internal/sched"
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -81,14 +81,14 @@
 // requestedNodes is what is rented and not answered yet, as a round sees it.
 func (c *Controller) requestedNodes() []sched.Node {
 	var nodes []sched.Node
-	for _, r := range c.pendingRequests {
-		room := provision.Capacity(c.machineType(r.req.MachineType))
-		n := sched.Node{ID: r.req.RequestID, Type: r.req.MachineType, Zone: r.req.Zone, Spot: r.req.Spot,
-			Cap: room, Later: room, Price: c.hourlyPrice(r.req.MachineType, r.req.Spot)}
-		for range r.req.Count {
+	c.requests.Each(func(r wire.ProvisionRequest) {
+		room := autoscaler.Capacity(c.machineType(r.MachineType))
+		n := sched.Node{ID: r.RequestID, Type: r.MachineType, Zone: r.Zone, Spot: r.Spot,
+			Cap: room, Later: room, Price: c.hourlyPrice(r.MachineType, r.Spot)}
+		for range r.Count {
 			nodes = append(nodes, n)
 		}
-	}
+	})
 	return nodes
 }
 
@@ -156,10 +156,9 @@
 // An array that starts whole has no first task.
 func (c *Controller) isOverdueToStart(j *job, now time.Time) bool {
 	s := &j.record.Spec
-	usual := c.arrivalsByClass[s.JobClass]
 	return s.Kind == wire.JobArray && !s.SingleZone && !j.hasRun && j.done == 0 && j.live == 0 &&
 		now.Sub(time.UnixMilli(j.eligibleSinceMs)) > overdueStartLeases*c.Config.WorkerLease() &&
-		usual != nil && float64(s.TaskCount*s.TaskCount) >= usual.tasksSquared
+		c.arrivals.IsLarge(s)
 }
 
 // avoidedMachine names the machine that a job failed on lately. A job that failed on
@@ -182,11 +181,11 @@
 func (c *Controller) isSpotExhausted(w *wire.JobSpec, now time.Time) bool {
 	for i := range c.catalog.MachineTypes {
 		r := &c.catalog.MachineTypes[i]
-		if !provision.Capacity(r).Holds(fleet.Need(w)) {
+		if !autoscaler.Capacity(r).Holds(fleet.Need(w)) {
 			continue
 		}
 		for _, zone := range r.Zones {
-			if sched.Allowed(w, r.Name, zone, true) && !now.Before(c.refused[provision.MachineGroup{Type: r.Name, Zone: zone, Spot: true}].until) {
+			if sched.Allowed(w, r.Name, zone, true) && !c.refusals.IsPaused(autoscaler.MachineGroup{Type: r.Name, Zone: zone, Spot: true}, now) {
 				return false
 			}
 		}
@@ -237,7 +236,7 @@
 func (c *Controller) bootSeconds(w *wire.JobSpec) float64 {
 	boot := math.Inf(1)
 	for i := range c.catalog.MachineTypes {
-		if r := &c.catalog.MachineTypes[i]; provision.Capacity(r).Holds(fleet.Need(w)) && (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, r.Name)) {
+		if r := &c.catalog.MachineTypes[i]; autoscaler.Capacity(r).Holds(fleet.Need(w)) && (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, r.Name)) {
 			boot = min(boot, r.BootS)
 		}
 	}
@@ -255,7 +254,7 @@
 		}
 		for i := range c.catalog.MachineTypes {
 			r := &c.catalog.MachineTypes[i]
-			if provision.Capacity(r).Holds(fleet.Need(w)) && r.FetchGbPerS > 0 {
+			if autoscaler.Capacity(r).Holds(fleet.Need(w)) && r.FetchGbPerS > 0 {
 				slack = min(slack, o.WithinS-w.ImageGb/r.FetchGbPerS*4/3-c.Config.Cluster.Workers.ReportS)
 			}
 		}
--- a/internal/controller/standbyviews.go
+++ b/internal/controller/standbyviews.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"lotusstile.dev/lotusstile/internal/autoscaler"
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/provision"
 	"lotusstile.dev/lotusstile/internal/standby"
 )
 
@@ -137,12 +137,24 @@
 
 func (c *Controller) leaderView() *standby.LeaderView {
 	v := &standby.LeaderView{Window: c.window}
-	for g, r := range c.refused {
-		v.Refusals = append(v.Refusals, standby.Refusal{Type: g.Type, Zone: g.Zone, Spot: g.Spot, UntilMs: unixMilli(r.until), PauseMs: r.pause.Milliseconds()})
-	}
-	for class, a := range c.arrivalsByClass {
-		v.Arrivals = append(v.Arrivals, standby.Arrival{Class: class, Job: *a.spec, Count: a.count, TasksSquare: a.tasksSquared, AtMs: unixMilli(a.at)})
-	}
+	c.refusals.Each(func(g autoscaler.MachineGroup, r autoscaler.Refusal) {
+		v.Refusals = append(v.Refusals, standby.Refusal{
+			Type:    g.Type,
+			Zone:    g.Zone,
+			Spot:    g.Spot,
+			UntilMs: unixMilli(r.Until),
+			PauseMs: r.Pause.Milliseconds(),
+		})
+	})
+	c.arrivals.Each(func(class string, a *autoscaler.ClassArrivals) {
+		v.Arrivals = append(v.Arrivals, standby.Arrival{
+			Class:       class,
+			Job:         *a.Spec,
+			Count:       a.Jobs,
+			TasksSquare: a.TasksSquared,
+			AtMs:        unixMilli(a.At),
+		})
+	})
 	return v
 }
 
@@ -171,11 +183,18 @@
 		c.setCapacity(m)
 	}
 	for _, r := range p.Leader.Refusals {
-		c.refused[provision.MachineGroup{Type: r.Type, Zone: r.Zone, Spot: r.Spot}] = refusal{fromUnixMilli(r.UntilMs), time.Duration(r.PauseMs) * time.Millisecond}
+		group := autoscaler.MachineGroup{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+		c.refusals.Restore(group, autoscaler.Refusal{Until: fromUnixMilli(r.UntilMs), Pause: time.Duration(r.PauseMs) * time.Millisecond})
 	}
 	for _, a := range p.Leader.Arrivals {
 		job := a.Job
-		c.arrivalsByClass[a.Class] = &arrivals{spec: &job, level: job.Priority.Level(), count: a.Count, tasksSquared: a.TasksSquare, at: fromUnixMilli(a.AtMs)}
+		c.arrivals.Restore(a.Class, autoscaler.ClassArrivals{
+			Spec:         &job,
+			Level:        job.Priority.Level(),
+			Jobs:         a.Count,
+			TasksSquared: a.TasksSquare,
+			At:           fromUnixMilli(a.AtMs),
+		})
 	}
 	if w := p.Leader.Window; w > 0 {
 		c.window = min(w, c.Settings().Window)
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -10,7 +10,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"lotusstile.dev/lotusstile/internal/provision"
+	"lotusstile.dev/lotusstile/internal/autoscaler"
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
@@ -127,7 +127,7 @@
 	if !ok {
 		return "unknown team", true
 	}
-	if !provision.Fits(cat, w) {
+	if !autoscaler.FitsAnyMachine(cat, w) {
 		return "a task fits no machine type that the job allows", true
 	}
 	tasks := 1.0
