--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -101,12 +101,12 @@
 		needsImage := options.NeedsImage(class.Spec)
 		for i := range count {
 			jobs = append(jobs, &sched.Job{
-				Spec:    &spec,
-				Level:   class.Level,
-				AtMs:    int64(i),
-				Waiting: 1,
-				ByZone:  map[string]int{},
-				Fetch:   needsImage,
+				Spec:             &spec,
+				Level:            class.Level,
+				QueuedSinceMs:    int64(i),
+				PendingTasks:     1,
+				LiveByZone:       map[string]int{},
+				FetchDelaysStart: needsImage,
 			})
 		}
 	}
--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -35,7 +35,7 @@
 }
 
 // leastNeed is the least of each resource that any task that is short needs.
-func leastNeed(shorts []sched.Short) fleet.Res {
+func leastNeed(shorts []sched.Shortfall) fleet.Res {
 	least := fleet.Res{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
 	for _, short := range shorts {
 		need := fleet.Need(short.Job.Spec)
@@ -51,10 +51,10 @@
 // pack finds room for the tasks that a job is short of, on machines of the packing or new ones.
 // Bins that are full are not looked at again: at thousands of tasks, looking at each bin for
 // each task took longer than a round may.
-func (p *packing) pack(short sched.Short) {
+func (p *packing) pack(short sched.Shortfall) {
 	job := short.Job
 	need := fleet.Need(job.Spec)
-	tasksByZone := cloneOrEmpty(job.ByZone)
+	tasksByZone := cloneOrEmpty(job.LiveByZone)
 	left := short.Count
 	fill := func(b *bin) {
 		for left > 0 && b.room.Holds(need) && zoneAllowed(job, tasksByZone, b.group.Zone) {
@@ -65,7 +65,7 @@
 	}
 	p.open = slices.DeleteFunc(p.open, func(i int) bool {
 		b := &p.bins[i]
-		if left > 0 && b.room.Holds(need) && sched.Allowed(job.Spec, b.group.Type, b.group.Zone, b.group.Spot) {
+		if left > 0 && b.room.Holds(need) && sched.IsEligible(job.Spec, b.group.Type, b.group.Zone, b.group.Spot) {
 			fill(b)
 		}
 		return !b.room.Holds(p.least)
@@ -130,10 +130,10 @@
 		}
 		for _, spot := range [...]bool{true, false} {
 			group := MachineGroup{t.Name, zone, spot}
-			if !sched.Allowed(job.Spec, t.Name, zone, spot) || p.refused(group) {
+			if !sched.IsEligible(job.Spec, t.Name, zone, spot) || p.refused(group) {
 				continue
 			}
-			if job.Spec.AllowSpot && !spot && !job.WaitedPastBoot && !job.Dear {
+			if job.Spec.AllowSpot && !spot && !job.WaitedPastBoot && !job.SpotUnavailable {
 				continue // spot machines are many times cheaper: worth a wait
 			}
 			price := t.Hourly
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		for _, zone := range t.Zones {
-			if sched.Allowed(spec, t.Name, zone, false) {
+			if sched.IsEligible(spec, t.Name, zone, false) {
 				return true
 			}
 		}
@@ -70,7 +70,7 @@
 // Demand is what machines are provisioned for, and what bounds them.
 type Demand struct {
 	// Shorts are the tasks that no machine has room for.
-	Shorts []sched.Short
+	Shorts []sched.Shortfall
 	// MachinesByZone counts the machines that the fleet has.
 	MachinesByZone map[string]int
 	// Refused reports whether the cloud has lately had no capacity for a group.
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -24,10 +24,10 @@
 	}}}
 	for _, machines := range []int{4096, 6000} {
 		const calls = 10
-		shorts := make([]sched.Short, 0, machines)
+		shorts := make([]sched.Shortfall, 0, machines)
 		for i := range machines {
 			spec := &wire.JobSpec{UID: fmt.Sprintf("run-%06d", i), TaskCount: 8, Cores: float64(8 + i%5), Gpus: 1, RAMGb: 40}
-			shorts = append(shorts, sched.Short{Job: &sched.Job{Spec: spec}, Count: 8})
+			shorts = append(shorts, sched.Shortfall{Job: &sched.Job{Spec: spec}, Count: 8})
 		}
 		machinesByZone, provisioned, began := map[string]int{}, 0, time.Now()
 		for rounds := 0; len(shorts) > 0; rounds++ {
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -13,13 +13,13 @@
 // round has left, and keeps the machines that it would use. c.mu is held.
 func (c *Controller) planHeadroom(p *snapshot, plan *sched.Plan, now time.Time) *sched.Plan {
 	in := &sched.Input{
-		Now:          now,
-		View:         p.in.View,
-		Nodes:        p.in.Nodes,
-		After:        plan,
-		VictimsBelow: p.in.VictimsBelow,
-		Window:       math.MaxInt,
-		ReserveS:     math.Inf(1),
+		Now:              now,
+		View:             p.in.View,
+		Nodes:            p.in.Nodes,
+		Previous:         plan,
+		PreemptOnlyBelow: p.in.PreemptOnlyBelow,
+		Window:           math.MaxInt,
+		ReserveAfterS:    math.Inf(1),
 		Jobs: c.arrivals.HeadroomJobs(now, autoscaler.HeadroomOptions{
 			Factor:     c.Settings().Headroom,
 			BootS:      c.bootSeconds,
@@ -34,7 +34,7 @@
 	if len(in.Jobs) > 0 {
 		headroom = sched.Run(in)
 	}
-	for _, place := range headroom.Places {
+	for _, place := range headroom.Placements {
 		if m := p.machine(place.Node); m != nil {
 			kept[m.ID] = true
 		}
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -52,7 +52,7 @@
 	c.lastRoundAt = now
 	p := c.snapshot(now, interval)
 	plan := sched.Run(p.in)
-	info := wire.RoundStatus{Waiting: len(p.in.Jobs), Objective: plan.Objective, Reserved: plan.Reserved, Short: len(plan.Shorts)}
+	info := wire.RoundStatus{Waiting: len(p.in.Jobs), Objective: plan.Objective, Reserved: plan.ReservedFor, Short: len(plan.Shortfalls)}
 	took := c.now().Sub(now)
 	info.TookMs = float64(took.Microseconds()) / 1000
 	c.Observer.CycleFinished(took)
@@ -70,14 +70,14 @@
 	}
 	c.window = min(c.window, most)
 	info.Started = c.planLaunches(plan, p, now)
-	info.Stopped = len(plan.Stops)
-	for _, s := range plan.Stops {
+	info.Stopped = len(plan.Preemptions)
+	for _, s := range plan.Preemptions {
 		a := p.victim(s)
 		if a == nil {
 			continue
 		}
 		gracePeriod := 0.0
-		if v := c.jobs[a.UID].record.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.SlackS {
+		if v := c.jobs[a.UID].record.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.StartSlackS {
 			gracePeriod = v.CheckpointOnStopS + c.Config.Cluster.Workers.ReportS
 		}
 		slog.Info("preempted", "leg", a.Name(), "host", a.Machine.ID)
@@ -87,8 +87,8 @@
 	c.reportFailover(c.now())
 	c.stopIdleViewTracking(now)
 	if info.Waiting > 0 {
-		slog.Info("round", "term", c.term, "window", plan.Window, "waiting", info.Waiting, "started", info.Started,
-			"stopped", info.Stopped, "short", info.Short, "objective", math.Round(plan.Objective*100)/100, "reserved", plan.Reserved, "ms", info.TookMs)
+		slog.Info("round", "term", c.term, "window", plan.JobsConsidered, "waiting", info.Waiting, "started", info.Started,
+			"stopped", info.Stopped, "short", info.Short, "objective", math.Round(plan.Objective*100)/100, "reserved", plan.ReservedFor, "ms", info.TookMs)
 	}
 	return c.scale(p, plan, now)
 }
@@ -101,7 +101,7 @@
 // has, ended ones that it has not been told to reap included: a worker whose report does not
 // fit a body is answered by nobody, and its lease ends with all its tasks. Of an array as many start
 // as fit; a gang starts whole or not at all.
-func reportableTasks(m *fleet.Machine, place sched.Place) int {
+func reportableTasks(m *fleet.Machine, place sched.Placement) int {
 	room := max(0, maxTasksPerMachine-m.AttemptCount())
 	if place.Job.Spec.Kind == wire.Gang && place.Count > room {
 		return 0
@@ -127,7 +127,7 @@
 		}
 	}
 	started := 0
-	for _, pl := range plan.Places {
+	for _, pl := range plan.Placements {
 		j := c.jobs[pl.Job.Spec.UID]
 		m := snapshot.machine(pl.Node)
 		if m == nil || budget <= 0 && !j.hasDuePlacement(now) {
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -28,7 +28,7 @@
 // headroom, the most expensive first. A part of them at a time: the next round sees what is left.
 // It is a part and not a number, or what a large fleet no longer needs stays for minutes: one
 // machine a round left 250 of 450 idle. c.mu is held.
-func (c *Controller) releaseIdle(shorts []sched.Short, now time.Time) {
+func (c *Controller) releaseIdle(shorts []sched.Shortfall, now time.Time) {
 	var idle []*fleet.Machine
 	c.fleet.Each(func(m *fleet.Machine) {
 		if c.isIdle(m, now) && !mayServe(m, shorts) {
@@ -58,9 +58,9 @@
 // mayServe reports whether a task that has no room may run on a machine once it is empty.
 // Machines that no waiting task can use are released even while tasks wait: else they could hold
 // the last capacity that the cloud has, for ever.
-func mayServe(m *fleet.Machine, shorts []sched.Short) bool {
-	return slices.ContainsFunc(shorts, func(short sched.Short) bool {
-		return sched.Allowed(short.Job.Spec, m.Type, m.Zone, m.Spot) && m.Cap.Holds(fleet.Need(short.Job.Spec))
+func mayServe(m *fleet.Machine, shorts []sched.Shortfall) bool {
+	return slices.ContainsFunc(shorts, func(short sched.Shortfall) bool {
+		return sched.IsEligible(short.Job.Spec, m.Type, m.Zone, m.Spot) && m.Cap.Holds(fleet.Need(short.Job.Spec))
 	})
 }
 
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -31,20 +31,20 @@
 	if !settled && c.requests.Len() == 0 && c.fleet.Len() > 0 && c.awaitsFirstHeartbeats() {
 		return nil
 	}
-	requests := c.planRequests(plan.Shorts, headroom.Shorts, now)
+	requests := c.planRequests(plan.Shortfalls, headroom.Shortfalls, now)
 	if settled {
-		c.releaseIdle(plan.Shorts, now)
+		c.releaseIdle(plan.Shortfalls, now)
 	}
 	return requests
 }
 
 // planRequests decides what to provision for tasks and for headroom that have no room. c.mu is
 // held.
-func (c *Controller) planRequests(tasks, headroom []sched.Short, now time.Time) []wire.ProvisionRequest {
+func (c *Controller) planRequests(tasks, headroom []sched.Shortfall, now time.Time) []wire.ProvisionRequest {
 	machinesByZone := map[string]int{}
 	c.fleet.Each(func(m *fleet.Machine) { machinesByZone[m.Zone]++ })
 	plan := autoscaler.Plan(c.catalog, autoscaler.Demand{
-		Shorts:         append(append([]sched.Short{}, tasks...), headroom...),
+		Shorts:         append(append([]sched.Shortfall{}, tasks...), headroom...),
 		MachinesByZone: machinesByZone,
 		Refused:        func(g autoscaler.MachineGroup) bool { return c.refusals.IsPaused(g, now) },
 		Calls:          c.provisionCalls(),
