--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -33,11 +33,10 @@
 		c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
 		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: fmt.Sprintf("m-%03d", i), MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, now)
 		c.setCapacity(m)
-		j := c.jobs[uid]
+		j := c.jobs.get(uid)
 		for task := range 8 {
 			a := &fleet.Attempt{UID: uid, Task: task, Number: 1, Need: j.need, Image: "image"}
-			j.placement(task).live[task] = a
-			j.live++
+			j.addAttempt(j.placement(task), a)
 			c.fleet.Place(m, a, now)
 			c.fleet.Commit(a, now)
 		}
@@ -65,15 +64,14 @@
 		c.applyJobEventLocked(s.UID, watchcache.Entry{Job: &records.Job{Spec: s, Status: wire.JobQueued, Per: 80}, ModRevision: 1})
 		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, *now)
 		c.setCapacity(m)
-		j := c.jobs[s.UID]
+		j := c.jobs.get(s.UID)
 		tasks := []wire.TaskReport{}
 		for task := range 8 {
 			if task == 7 && i%10 == 0 {
 				continue
 			}
 			a := &fleet.Attempt{UID: s.UID, Task: task, Number: 1, Need: j.need, Image: s.Image}
-			j.placement(task).live[task] = a
-			j.live++
+			j.addAttempt(j.placement(task), a)
 			c.fleet.Place(m, a, *now)
 			c.fleet.Commit(a, *now)
 			c.fleet.Commands(m, *now, true)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,12 +16,10 @@
 
 	"lotusstile.dev/lotusstile/internal/faultattribution"
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/jobdag"
 	"lotusstile.dev/lotusstile/internal/provision"
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/internal/timeralign"
-	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -45,13 +43,10 @@
 	listings      map[string][]wire.KeyValue // records that load has listed so far, by prefix
 	failover      *failoverReport
 
-	// Jobs and their attempts: events.go, dependencies.go, status.go.
-	jobs           map[string]*job
-	graph          *jobdag.Graph
-	countsRevision uint64        // counts changes of jobs' counts of tasks
-	finals         []finalStatus // final statuses to tell, by revision: finals.go
-	fleet          *fleet.Fleet
-	evidence       *faultattribution.Evidence // who fails where: failures.go
+	// Jobs and their attempts: jobevents.go, dependencies.go, failures.go.
+	jobs     *jobTable
+	fleet    *fleet.Fleet
+	evidence *faultattribution.Evidence // which jobs and machines fail
 
 	// Rounds: round.go, picture.go, nodes.go, spare.go.
 	window           int
@@ -94,13 +89,12 @@
 func New(options Options, term uint64) *Controller {
 	c := &Controller{Options: options, term: term, writerWake: make(chan struct{}, 1), placementWake: make(chan struct{}, 1), returnsWake: make(chan struct{}, 1),
 		resolveWake: make(chan struct{}, 1), now: time.Now,
-		jobs: map[string]*job{}, graph: jobdag.New(), pendingRequests: map[string]*provisionRequest{}, refused: map[provision.MachineGroup]refusal{},
+		jobs: newJobTable(), pendingRequests: map[string]*provisionRequest{}, refused: map[provision.MachineGroup]refusal{},
 		arrivalsByClass: map[string]*arrivals{}, cutOff: map[string]time.Time{}, recordedImages: map[string]imageNote{}, announced: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}, relayUnreachableSince: map[string]time.Time{}}
 	c.fleet = fleet.New(term, options.Config.WorkerLease(), c)
 	c.evidence = faultattribution.New(evidenceLeases * options.Config.WorkerLease())
 	c.returns = map[string]*pendingReturn{}
 	c.nodes = newNodeCache()
-	c.countsRevision = 1
 	c.startedAt = c.now()
 	c.window = options.Settings().Window
 	c.failover = newFailoverReport(term, options.Config.Label, options.LeaderlessSince, c.startedAt)
@@ -214,16 +208,6 @@
 	}
 }
 
-// applyJobRecord takes a job's record, as just read, into the picture.
-func (c *Controller) applyJobRecord(uid string, item wire.KeyValue) {
-	var rec records.Job
-	if err := wire.Decode(item.Value, &rec); err != nil {
-		slog.Error("job record cannot be read", "uid", uid, "err", err)
-		return
-	}
-	c.applyJobEvent(uid, watchcache.Entry{Job: &rec, ModRevision: item.ModRevision})
-}
-
 // stepDownOnLeaderConflict ends the term if a commit failed because of the leader's key.
 func (c *Controller) stepDownOnLeaderConflict(err error) {
 	var conflict *store.ConflictError
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -12,76 +12,82 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// runAllowance is by how much a task is taken to run longer than its owner expects
-// where a deadline is worked back from.
+// runAllowance is by how much a task is assumed to run longer than its owner expects where a
+// deadline is worked back from.
 const runAllowance = 1.5
 
-// addToGraph takes a job that is new here into the graph of dependencies. A job is
-// released only on positive evidence that the end of each job that it needs is
-// committed: the leader has seen the record that says so, has committed it itself, or
-// has read the final status. That a job is not among those that are known proves
-// nothing.
+// addToGraph adds a job that is new here to the graph of dependencies. A job is released only
+// on positive evidence that the end of each job that it depends on is committed: the leader has
+// seen the record that says so, has committed it itself, or has read the final status. That a
+// job is not among those that are known proves nothing.
 func (c *Controller) addToGraph(j *job, now time.Time) {
 	spec := &j.record.Spec
-	vertex := jobdag.Job{Dependencies: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageDurationMs(spec)}
+	vertex := jobdag.Job{
+		Dependencies: spec.Dependencies,
+		Level:        j.level,
+		DueMs:        math.Inf(1),
+		RunMs:        c.stageDurationMs(spec),
+	}
 	if spec.DeadlineS != nil {
 		vertex.DueMs = float64(j.record.AtMs) + *spec.DeadlineS*1000
 	}
-	effects := c.graph.Add(j.uid, vertex)
-	j.level, j.dueMs = c.graph.Urgency(j.uid)
+	effects := c.jobs.graph.Add(j.uid, vertex)
+	j.level, j.dueMs = c.jobs.graph.Urgency(j.uid)
 	c.applyEffects(effects, now)
 	if j.record.Status.Final() {
 		c.markFinished(j.uid, j.record.Status, now)
 	}
-	if c.graph.Ready(j.uid) {
+	if c.jobs.graph.Ready(j.uid) {
 		c.release(j, now)
 	}
 }
 
-// stageDurationMs is how long a job is expected to hold up those that need it.
+// stageDurationMs is how long a job is expected to hold up those that depend on it, in
+// milliseconds.
 func (c *Controller) stageDurationMs(spec *wire.JobSpec) float64 {
 	return 1000 * (runAllowance*spec.ExpectedRunS + 2*c.Config.Cluster.Workers.ReportS)
 }
 
-// markFinished notes that a job's final status is committed.
+// markFinished applies that a job's final status is committed.
 func (c *Controller) markFinished(uid string, status wire.JobStatus, now time.Time) {
-	c.recordFinalStatus(uid, status)
+	c.jobs.addFinalStatus(uid, status)
+	c.Observer.JobFinished(uid, status)
 	state := jobdag.Done
 	if status == wire.JobAborted {
 		state = jobdag.Cancelled
 	}
-	c.applyEffects(c.graph.Finish(uid, state), now)
+	c.applyEffects(c.jobs.graph.Finish(uid, state), now)
 }
 
-// markArchived notes that a job's record is gone.
+// markArchived applies that a job's record is gone.
 func (c *Controller) markArchived(uid string) {
-	c.graph.Archive(uid)
+	c.jobs.graph.Archive(uid)
 	c.wakeResolver()
 }
 
 // wakeResolver lets final statuses be read if there are any to read.
 func (c *Controller) wakeResolver() {
-	if c.graph.HasUnresolved() {
+	if c.jobs.graph.HasUnresolved() {
 		notify(c.resolveWake)
 	}
 }
 
-// applyEffects takes what a change of the graph means into the jobs.
+// applyEffects applies to the jobs what a change of the graph means for them.
 func (c *Controller) applyEffects(effects jobdag.Effects, now time.Time) {
 	for _, uid := range effects.Urgency {
-		if j := c.jobs[uid]; j != nil {
-			j.level, j.dueMs = c.graph.Urgency(uid)
+		if j := c.jobs.get(uid); j != nil {
+			j.level, j.dueMs = c.jobs.graph.Urgency(uid)
 			c.markMachinesChanged(j)
 		}
 	}
 	for _, uid := range effects.Released {
-		if j := c.jobs[uid]; j != nil {
+		if j := c.jobs.get(uid); j != nil {
 			c.release(j, now)
 		}
 	}
 	for _, uid := range effects.Cancelled {
-		if j := c.jobs[uid]; j != nil {
-			slog.Info("job cancelled with one that it needs", "uid", uid)
+		if j := c.jobs.get(uid); j != nil {
+			slog.Info("job cancelled with one that it depends on", "uid", uid)
 			j.cancelled = true
 			c.wakeWriter()
 		}
@@ -105,7 +111,7 @@
 	notify(c.placementWake)
 }
 
-// runResolver reads what became of jobs that others wait for and that are archived.
+// runResolver reads the final statuses of archived jobs that others depend on, until ctx ends.
 func (c *Controller) runResolver(ctx context.Context) {
 	for {
 		select {
@@ -121,23 +127,23 @@
 	}
 }
 
-// resolveFinalStatuses reads the final statuses that are asked for. It reports whether all were
-// found.
+// resolveFinalStatuses reads the final statuses that the graph asks for. It reports whether all
+// were found.
 func (c *Controller) resolveFinalStatuses(ctx context.Context) bool {
 	c.mu.Lock()
-	uids := c.graph.Unresolved()
+	uids := c.jobs.graph.Unresolved()
 	c.mu.Unlock()
 	complete := true
 	for _, uid := range uids {
 		item, found, err := c.Store.Get(ctx, records.FinalKey(uid))
 		if err != nil || !found {
-			slog.Debug("final status not read", "uid", uid, "err", err)
+			slog.Debug("final status not read", "uid", uid, "found", found, "err", err)
 			complete = false
 			continue
 		}
 		var record records.Final
 		if err := wire.Decode(item.Value, &record); err != nil {
-			slog.Error("final status cannot be read", "uid", uid, "err", err)
+			slog.Error("final status cannot be decoded", "uid", uid, "err", err)
 			continue
 		}
 		c.mu.Lock()
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -26,7 +26,7 @@
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, BootS: 45, Zones: []string{"a"}}}}
 	c.takeStage("run-000001", wire.BestEffort, 0, now, 1)
 	c.takeStage("run-000002", wire.High, 200, now, 2, "run-000001")
-	first, last := c.jobs["run-000001"], c.jobs["run-000002"]
+	first, last := c.jobs.get("run-000001"), c.jobs.get("run-000002")
 	for _, tc := range []struct {
 		after time.Duration
 		want  wire.Priority
@@ -54,7 +54,7 @@
 	c := watched(&now)
 	c.takeStage("run-000001", wire.BestEffort, 0, now, 1)
 	c.takeStage("run-000002", wire.High, 0, now, 2, "run-000001", "run-000009") // the second was archived long ago
-	j := c.jobs["run-000002"]
+	j := c.jobs.get("run-000002")
 	if j.waitingCount() != 0 {
 		t.Fatal("it can be placed at once")
 	}
@@ -63,7 +63,7 @@
 	if j.waitingCount() != 0 {
 		t.Error("it can be placed although the end of a job that it needs is not known")
 	}
-	if got := c.graph.Unresolved(); len(got) != 1 || got[0] != "run-000001" {
+	if got := c.jobs.graph.Unresolved(); len(got) != 1 || got[0] != "run-000001" {
 		t.Errorf("the final statuses of %v are to be read", got)
 	}
 	later := now.Add(time.Minute)
@@ -73,7 +73,7 @@
 	}
 	c.takeStage("run-000003", wire.High, 0, now, 6, "run-000008")
 	c.markFinished("run-000008", wire.JobAborted, now)
-	if other := c.jobs["run-000003"]; other.waitingCount() != 0 || !c.isOver(other) || other.finalStatus() != wire.JobAborted {
+	if other := c.jobs.get("run-000003"); other.waitingCount() != 0 || !other.isOver() || other.finalStatus() != wire.JobAborted {
 		t.Error("a job that needs a cancelled one is not over")
 	}
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -59,7 +59,7 @@
 func (b *broken) add(uid string, tasks int) *job {
 	spec := wire.JobSpec{UID: uid, JobClass: "good", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: 16, RAMGb: 1, Image: "img"}
 	b.c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
-	return b.c.jobs[uid]
+	return b.c.jobs.get(uid)
 }
 
 // An array that fails everywhere is tried again ever less often, and with one task at a time: 25
@@ -95,7 +95,7 @@
 	for range 60 {
 		b.step()
 	}
-	if b.c.jobs[j.uid] != nil && j.done != tasks {
+	if b.c.jobs.get(j.uid) != nil && j.done != tasks {
 		t.Errorf("%d of %d tasks are done", j.done, tasks)
 	}
 }
@@ -131,7 +131,7 @@
 		watch()
 	}
 	for uid, j := range good {
-		if b.c.jobs[uid] != nil && j.done < 8 {
+		if b.c.jobs.get(uid) != nil && j.done < 8 {
 			t.Errorf("%s has done %d of 8 tasks", uid, j.done)
 		}
 	}
@@ -143,7 +143,7 @@
 	for range 20 {
 		b.step()
 	}
-	if m := b.c.fleet.Get("m-000002"); !m.Takes(b.now) || b.c.evidence.SurelyFaulty(m.ID) || b.c.jobs[late.uid] != nil && late.done < 48 {
+	if m := b.c.fleet.Get("m-000002"); !m.Takes(b.now) || b.c.evidence.SurelyFaulty(m.ID) || b.c.jobs.get(late.uid) != nil && late.done < 48 {
 		t.Errorf("a machine that has recovered takes work: %v, %d tasks are done", m.Takes(b.now), late.done)
 	}
 }
@@ -169,7 +169,7 @@
 			services.items[key] = wire.KeyValue{Key: key, Value: records.Encode(placement), ModRevision: services.revision}
 		}
 		next := services.leaderOf(6, &b.now)
-		if got := next.jobs[j.uid]; got == nil || got.suspect != tc.suspect {
+		if got := next.jobs.get(j.uid); got == nil || got.suspect != tc.suspect {
 			t.Errorf("%s: %+v", tc.name, got)
 		}
 	}
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -27,7 +27,7 @@
 	}
 	c.listed(hosts, *now)
 	reportAll(t, c, 1, nil)
-	return services, c, c.jobs[spec.UID]
+	return services, c, c.jobs.get(spec.UID)
 }
 
 // outcome says how a machine reports an attempt.
@@ -84,7 +84,7 @@
 	}
 	now = now.Add(3 * time.Second)
 	writeAll(t, c)
-	if c.jobs[j.uid] != nil {
+	if c.jobs.get(j.uid) != nil {
 		t.Errorf("the job is still in the picture as %s", j.record.Status)
 	}
 	if left := len(services.items); left != 1 || services.items[records.FinalKey(j.uid)].ModRevision == 0 {
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -11,71 +11,74 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// placement is a part of a job's placement and the stamp of its record.
-type placement struct {
-	job            *job
-	index          int
-	modRevision    uint64
-	nextAttempt    uint64
-	done           records.Placement // only Done is used
-	live           map[int]*fleet.Attempt
-	ended          []*fleet.Attempt // ended, not yet recorded so
-	changes        int              // counts changes
-	dirty          bool             // see setDirty
-	due            time.Time        // when a dirty piece is to be written
-	outcomeUnknown bool             // the outcome of a commit is unknown: read before writing
-}
-
-// job is the leader's picture of a job.
+// job is the leader's state of a job.
 type job struct {
-	uid                 string
-	record              *records.Job
-	modRevision         uint64
-	level               int     // its own, or the highest of those that need it
-	dueMs               float64 // by its own deadline or theirs; +Inf if there is none
-	released            bool    // all that it needs is done
-	cancelled           bool    // a job that it needs is cancelled
-	eligibleSinceMs     int64   // when it was accepted or, if later, released
-	need                fleet.Res
-	placements          map[int]*placement
-	dirtyPlacements     int // pieces that are to be written
-	done                int
-	live                int
-	freedTasks          []int // tasks that wait again
-	nextUnplaced        int   // tasks from here on were never placed
-	hasRun              bool  // a task of it has run in this term
-	waitingSince        time.Time
-	failedOn            map[string]time.Time // machines it failed on
-	backoffs            int                  // how often in a row it was held back
-	suspect             bool                 // it may be mistaken: failures.go
-	failedAttempts      int                  // tasks that ended against the job's will
-	countsRevision      uint64               // of the last change of its counts of tasks
-	backoffUntil        time.Time            // not placed before
-	outcomeUnknown      bool                 // the outcome of its archiving is unknown
-	writesDeferredUntil time.Time            // nothing of it is written before: the state service rejected it
+	uid         string
+	record      *records.Job
+	modRevision uint64 // of the record
+	need        fleet.Res
+
+	// Its place in the graph of dependencies.
+	level           int     // its own, or the highest of the jobs that depend on it
+	dueMs           float64 // by its own deadline or theirs; +Inf if there is none
+	released        bool    // all that it depends on is done
+	cancelled       bool    // a job that it depends on is cancelled
+	eligibleSinceMs int64   // when it was accepted or, if later, released
+
+	// Its tasks.
+	placements      map[int]*placement // by index
+	dirtyPlacements int                // placements that are to be written
+	done            int                // tasks that are done
+	live            int                // attempts that may be on their machines
+	freedTasks      []int              // tasks that wait again
+	nextUnplaced    int                // tasks from here on were never placed
+	hasRun          bool               // a task of it has run in this term
+	waitingSince    time.Time          // when nothing of it was on a machine any more
+	countsRevision  uint64             // of the last change of its counts of tasks
+
+	// Its failures: failures.go.
+	failedOn       map[string]time.Time // machines that it failed on, and when
+	failedAttempts int                  // tasks that ended against the job's will
+	suspect        bool                 // it may be faulty
+	backoffs       int                  // how often in a row it was held back
+	backoffUntil   time.Time            // nothing of it is placed before
+
+	// Its writes: placementwriter.go.
+	outcomeUnknown      bool      // the outcome of its archiving is unknown
+	writesDeferredUntil time.Time // nothing of it is written before: the state store rejected it
 }
 
 func newJob(uid string, e watchcache.Entry, now time.Time) *job {
-	return &job{uid: uid, record: e.Job, modRevision: e.ModRevision, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), eligibleSinceMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
-		placements: map[int]*placement{}, waitingSince: now, failedOn: map[string]time.Time{}}
-}
-
-// loadPlacement takes a record of a piece into the job.
-func (j *job) loadPlacement(n int, row wire.KeyValue) []records.Placed {
-	rec, err := records.DecodePlacement(row.Value)
+	return &job{
+		uid:             uid,
+		record:          e.Job,
+		modRevision:     e.ModRevision,
+		need:            fleet.Need(&e.Job.Spec),
+		level:           e.Job.Spec.Priority.Level(),
+		dueMs:           math.Inf(1),
+		eligibleSinceMs: e.Job.AtMs,
+		placements:      map[int]*placement{},
+		waitingSince:    now,
+		failedOn:        map[string]time.Time{},
+	}
+}
+
+// loadPlacement adds a stored placement record to the job. It returns the attempts that the
+// record lists.
+func (j *job) loadPlacement(index int, row wire.KeyValue) []records.Placed {
+	record, err := records.DecodePlacement(row.Value)
 	if err != nil {
-		slog.Error("placement record cannot be read", "key", row.Key, "err", err)
+		slog.Error("placement record cannot be decoded", "key", row.Key, "err", err)
 		return nil
 	}
-	p := &placement{job: j, index: n, modRevision: row.ModRevision, nextAttempt: rec.Next, live: map[int]*fleet.Attempt{}}
-	p.done.Done = rec.Done
-	j.placements[n] = p
+	p := newPlacement(j, index)
+	p.modRevision, p.nextAttempt, p.done.Done = row.ModRevision, record.Next, record.Done
 	for i := range j.record.Per {
-		if n*j.record.Per+i < j.record.Spec.TaskCount && rec.DoneBit(i) {
+		if index*j.record.Per+i < j.record.Spec.TaskCount && record.DoneBit(i) {
 			j.done++
 		}
 	}
-	return rec.Live
+	return record.Live
 }
 
 // finalStatus is the final status of a job that is over.
@@ -89,34 +92,21 @@
 	return wire.JobDone
 }
 
-// storedPlacements is how many pieces of the job have a record.
-func (j *job) storedPlacements() int {
-	stored := 0
-	for _, p := range j.placements {
-		if p.modRevision != 0 {
-			stored++
-		}
+// isOver reports whether a job can be archived: all its tasks are done, or it is final and
+// nothing of it may be on a machine.
+func (j *job) isOver() bool {
+	if j.record.Status.Final() || j.cancelled {
+		return j.live == 0
 	}
-	return stored
-}
-
-// hasUnknownPlacement reports whether the record of some piece has to be read again first.
-func (j *job) hasUnknownPlacement() bool {
-	for _, p := range j.placements {
-		if p.outcomeUnknown {
-			return true
-		}
-	}
-	return false
+	return j.done >= j.record.Spec.TaskCount && j.live == 0
 }
 
 // placement finds or makes the placement that a task belongs to.
 func (j *job) placement(task int) *placement {
-	n := task / j.record.Per
-	p := j.placements[n]
+	index := task / j.record.Per
+	p := j.placements[index]
 	if p == nil {
-		p = &placement{job: j, index: n, nextAttempt: 1, live: map[int]*fleet.Attempt{}}
-		j.placements[n] = p
+		p = newPlacement(j, index)
 	}
 	return p
 }
@@ -126,6 +116,7 @@
 	return p != nil && p.done.DoneBit(task%j.record.Per)
 }
 
+// attempt returns the attempt of a task that may be on its machine, or nil.
 func (j *job) attempt(task int) *fleet.Attempt {
 	if p := j.placements[task/j.record.Per]; p != nil {
 		return p.live[task]
@@ -133,6 +124,33 @@
 	return nil
 }
 
+// addAttempt adds an attempt that may be on its machine from now on.
+func (j *job) addAttempt(p *placement, a *fleet.Attempt) {
+	p.live[a.Task] = a
+	j.live++
+}
+
+// removeAttempt removes an attempt that is off its machine: its task waits again, unless it is
+// done.
+func (j *job) removeAttempt(p *placement, a *fleet.Attempt) {
+	delete(p.live, a.Task)
+	j.live--
+	j.freedTasks = append(j.freedTasks, a.Task)
+	if a.Cause != wire.CauseDone {
+		j.failedAttempts++
+	}
+}
+
+// markDone counts a task as done, once.
+func (j *job) markDone(p *placement, task int) {
+	bit := task % j.record.Per
+	if !p.done.DoneBit(bit) {
+		p.done.SetDone(bit)
+		j.done++
+	}
+}
+
+// waitingCount is how many tasks wait to be placed.
 func (j *job) waitingCount() int {
 	if j.record.Status.Final() || !j.released {
 		return 0
@@ -140,29 +158,29 @@
 	return max(0, j.record.Spec.TaskCount-j.done-j.live)
 }
 
-// nextWaitingTasks takes up to n tasks that wait. A task may be known twice as waiting, by
-// having been freed and by not having been reached yet: it is taken once.
+// nextWaitingTasks removes up to n tasks from those that wait. A task may be known twice as
+// waiting, by having been freed and by not having been reached yet: it is returned once.
 func (j *job) nextWaitingTasks(n int) []int {
 	tasks := make([]int, 0, min(n, j.waitingCount()))
-	taken := map[int]bool{}
-	take := func(task int) {
-		if !taken[task] && !j.isDone(task) && j.attempt(task) == nil {
-			taken[task] = true
+	picked := map[int]bool{}
+	pick := func(task int) {
+		if !picked[task] && !j.isDone(task) && j.attempt(task) == nil {
+			picked[task] = true
 			tasks = append(tasks, task)
 		}
 	}
 	for len(tasks) < n && len(j.freedTasks) > 0 {
 		task := j.freedTasks[len(j.freedTasks)-1]
 		j.freedTasks = j.freedTasks[:len(j.freedTasks)-1]
-		take(task)
+		pick(task)
 	}
 	for ; len(tasks) < n && j.nextUnplaced < j.record.Spec.TaskCount; j.nextUnplaced++ {
-		take(j.nextUnplaced)
+		pick(j.nextUnplaced)
 	}
 	return tasks
 }
 
-// gangAttempt is the try that all tasks of a gang share in one start: that of those
+// gangAttempt is the attempt number that all tasks of a gang share in one start: that of those
 // which are placed already, else one that none of them has used.
 func (j *job) gangAttempt() uint64 {
 	next := uint64(1)
@@ -184,6 +202,7 @@
 	}
 }
 
+// runningCount is how many attempts run or write their last checkpoint.
 func (j *job) runningCount() int {
 	n := 0
 	j.eachAttempt(func(a *fleet.Attempt) {
@@ -204,58 +223,3 @@
 	})
 	return n
 }
-
-// record makes the record of the piece as it stands.
-func (p *placement) record() records.Placement {
-	rec := records.Placement{Next: p.nextAttempt, Done: p.done.Done}
-	for _, a := range p.live {
-		rec.Live = append(rec.Live, records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation})
-	}
-	return rec
-}
-
-// hasRoom reports whether the record of the piece still fits a value with one more
-// attempt of a task on a machine.
-func (p *placement) hasRoom(task int, m *fleet.Machine, valueBytes int) bool {
-	tasks := p.job.record.Per
-	if records.FitsPlain(tasks, valueBytes) {
-		return true
-	}
-	bytes := records.DenseBytes(records.Placed{Task: task, Attempt: p.nextAttempt, Host: m.ID, Incarnation: m.Incarnation}, tasks)
-	for _, a := range p.live {
-		bytes += records.DenseBytes(records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}, tasks)
-	}
-	return bytes <= records.DenseRoom(valueBytes, tasks)
-}
-
-// markChanged notes a change that is to be recorded at due or before.
-func (p *placement) markChanged(due time.Time) {
-	p.changes++
-	if !p.dirty || due.Before(p.due) {
-		p.due = due
-	}
-	p.setDirty(true)
-}
-
-// setDirty notes whether a piece is to be written. Most jobs have no such piece, and rounds
-// and the writer pass them over.
-func (p *placement) setDirty(dirty bool) {
-	switch {
-	case dirty && !p.dirty:
-		p.job.dirtyPlacements++
-	case !dirty && p.dirty:
-		p.job.dirtyPlacements--
-	}
-	p.dirty = dirty
-}
-
-// plannedAttempts lists the attempts whose launch is decided and not recorded yet.
-func (p *placement) plannedAttempts() []*fleet.Attempt {
-	var as []*fleet.Attempt
-	for _, a := range p.live {
-		if a.State == fleet.Planned {
-			as = append(as, a)
-		}
-	}
-	return as
-}
--- a/internal/controller/jobevents.go
+++ b/internal/controller/jobevents.go
@@ -5,55 +5,82 @@
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/fleet"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// applyJobEvent takes a change of a job's record into the picture.
+// applyJobEvent applies a change of a job's record.
 func (c *Controller) applyJobEvent(uid string, e watchcache.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applyJobEventLocked(uid, e)
 }
 
+// applyJobRecord applies a job's record as just read.
+func (c *Controller) applyJobRecord(uid string, item wire.KeyValue) {
+	var record records.Job
+	if err := wire.Decode(item.Value, &record); err != nil {
+		slog.Error("job record cannot be decoded", "uid", uid, "err", err)
+		return
+	}
+	c.applyJobEvent(uid, watchcache.Entry{Job: &record, ModRevision: item.ModRevision})
+}
+
+// applyJobEventLocked is applyJobEvent with c.mu held.
 func (c *Controller) applyJobEventLocked(uid string, e watchcache.Entry) {
 	now := c.now()
-	j := c.jobs[uid]
+	j := c.jobs.get(uid)
 	switch {
 	case e.Job == nil:
 		if j != nil && e.ModRevision >= j.modRevision {
 			c.dropJob(j, now)
 		}
 	case j == nil:
-		j = newJob(uid, e, now)
-		c.jobs[uid] = j
-		slog.Info("job", "uid", uid, "berth", e.Job.Spec.JobClass, "legs", e.Job.Spec.TaskCount, "gpus", e.Job.Spec.Gpus, "image", e.Job.Spec.Image, "status", string(e.Job.Status))
-		c.addToGraph(j, now)
+		c.addJob(newJob(uid, e, now), now)
 	case e.ModRevision > j.modRevision:
-		wasFinal := j.record.Status.Final()
-		j.record, j.modRevision = e.Job, e.ModRevision
-		if !wasFinal && e.Job.Status == wire.JobAborted {
-			slog.Info("job withdrawn", "uid", uid)
-			j.eachAttempt(func(a *fleet.Attempt) { c.stopAttempt(a, 0, now, "withdrawn") })
-			c.wakeWriter()
-		}
-		if !wasFinal && e.Job.Status.Final() {
-			c.markFinished(uid, e.Job.Status, now)
-		}
+		c.updateJob(j, e, now)
+	}
+}
+
+// addJob adds a job that is new here.
+func (c *Controller) addJob(j *job, now time.Time) {
+	c.jobs.add(j)
+	spec := &j.record.Spec
+	slog.Info("job added", "uid", j.uid, "class", spec.JobClass, "tasks", spec.TaskCount, "gpus", spec.Gpus,
+		"image", spec.Image, "status", string(j.record.Status))
+	c.addToGraph(j, now)
+}
+
+// updateJob applies a newer record of a job.
+func (c *Controller) updateJob(j *job, e watchcache.Entry, now time.Time) {
+	wasFinal := j.record.Status.Final()
+	j.record, j.modRevision = e.Job, e.ModRevision
+	if wasFinal {
+		return
+	}
+	if e.Job.Status == wire.JobAborted {
+		slog.Info("job cancelled", "uid", j.uid)
+		j.eachAttempt(func(a *fleet.Attempt) { c.stopAttempt(a, 0, now, "job is cancelled") })
+		c.wakeWriter()
+	}
+	if e.Job.Status.Final() {
+		c.markFinished(j.uid, e.Job.Status, now)
 	}
 }
 
 // dropJob forgets a job that is archived.
 func (c *Controller) dropJob(j *job, now time.Time) {
 	c.markMachinesChanged(j)
-	delete(c.jobs, j.uid)
+	c.jobs.remove(j)
 	c.views.markJob(j.uid)
 	c.markArchived(j.uid)
 	j.eachAttempt(func(a *fleet.Attempt) { c.stopAttempt(a, 0, now, "job is archived") })
 	c.recordEnds(j, now)
 }
 
-// recordEnds lets workers reap all that has ended of a job which is over by its record.
+// recordEnds lets workers be told that the ends of a job's attempts are recorded: the job is
+// over by its own record.
 func (c *Controller) recordEnds(j *job, now time.Time) {
 	for _, p := range j.placements {
 		for _, a := range p.ended {
@@ -63,9 +90,11 @@
 	}
 }
 
-// AttemptChanged keeps the jobs in step with their attempts.
-func (c *Controller) AttemptChanged(a *fleet.Attempt, from fleet.AttemptState, why string) {
-	slog.Info("attempt", "leg", a.Name(), "try", a.Number, "host", a.Machine.ID, "from", from.String(), "to", a.State.String(), "why", why)
+// AttemptChanged keeps the jobs in step with their attempts. It is called by the fleet for
+// every change of an attempt's state, with c.mu held.
+func (c *Controller) AttemptChanged(a *fleet.Attempt, from fleet.AttemptState, reason string) {
+	slog.Info("attempt state changed", "task", a.Name(), "attempt", a.Number, "host", a.Machine.ID,
+		"from", from.String(), "to", a.State.String(), "reason", reason)
 	if a.State == fleet.Committed {
 		c.endAnswerWait(a.Machine)
 	}
@@ -73,23 +102,18 @@
 	if a.State == fleet.Running {
 		c.views.markMachine(a.Machine.ID) // it has the image now
 	}
-	j := c.jobs[a.UID]
+	j := c.jobs.get(a.UID)
 	if j == nil {
 		if a.State == fleet.Ended {
-			c.fleet.Record(a, c.now()) // its job is archived: nothing to record
+			c.fleet.Record(a, c.now()) // its job is archived: there is nothing to record
 		}
 		return
 	}
 	j.hasRun = j.hasRun || a.State == fleet.Running
-	c.markCountsChanged(j)
+	c.jobs.markCountsChanged(j)
 	p := j.placement(a.Task)
 	if from < fleet.Ended && !a.Live() && p.live[a.Task] == a {
-		delete(p.live, a.Task)
-		j.live--
-		j.freedTasks = append(j.freedTasks, a.Task)
-		if a.Cause != wire.CauseDone {
-			j.failedAttempts++
-		}
+		j.removeAttempt(p, a)
 		if j.live == 0 {
 			j.waitingSince = c.now()
 		}
@@ -98,27 +122,23 @@
 	if a.State == fleet.Ended {
 		c.applyAttemptEnd(j, p, a)
 	}
-	if !a.Live() && c.isOver(j) {
+	if !a.Live() && j.isOver() {
 		c.wakeWriter()
 	}
 }
 
-// endRecordDelay is how long the record of an end may wait for more of its piece.
-// Until then the task is reported as ended, and a new leader would learn of it
-// from there. Each end written at once took more of the state service's budget
-// of changes than all launches.
+// endRecordDelay is how long the record of an end may wait for more ends of its placement.
+// Until then the worker reports the task as ended, and a new leader would learn of it from
+// there. Each end written at once took more of the state store's budget of changes than all
+// launches.
 func (c *Controller) endRecordDelay() time.Duration { return 2 * c.Config.HeartbeatInterval() }
 
-// applyAttemptEnd takes the end of an attempt into its job.
+// applyAttemptEnd applies the end of an attempt to its job.
 func (c *Controller) applyAttemptEnd(j *job, p *placement, a *fleet.Attempt) {
 	now := c.now()
-	i := a.Task % j.record.Per
 	switch a.Cause {
 	case wire.CauseDone:
-		if !p.done.DoneBit(i) {
-			p.done.SetDone(i)
-			j.done++
-		}
+		j.markDone(p, a.Task)
 		c.evidence.Completed(j.uid, a.Machine.ID)
 		j.clearSuspicion()
 	case wire.CauseError:
@@ -127,8 +147,8 @@
 		j.failedOn[a.Machine.ID] = now
 	}
 	if j.record.Status.Final() {
-		// Nothing of a withdrawn job is ever launched again, so its end need
-		// not be recorded before it is reaped.
+		// Nothing of a cancelled job is ever launched again, so its end need not be recorded
+		// before the worker is told so.
 		c.fleet.Record(a, now)
 		return
 	}
--- a/internal/controller/finalstatus_test.go
+++ b/internal/controller/jobtable_test.go
@@ -49,7 +49,7 @@
 			t.Fatalf("%s is %s: a follower was told %q, this node %q", uid, status, announced[uid], own[uid])
 		}
 	}
-	if len(announced) != len(want) || len(c.finals) > maxFinalStatuses {
-		t.Errorf("%d statuses of %d jobs are told, %d are kept", len(announced), len(want), len(c.finals))
+	if len(announced) != len(want) || len(c.jobs.finalStatuses) > maxFinalStatuses {
+		t.Errorf("%d statuses of %d jobs are told, %d are kept", len(announced), len(want), len(c.jobs.finalStatuses))
 	}
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -40,7 +40,7 @@
 	spec := wire.JobSpec{UID: "run-000001", Team: "crew", Kind: wire.JobArray, TaskCount: 2 * per, Cores: 1, RAMGb: 1, Image: "i", Priority: wire.High}
 	c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: per}, ModRevision: 1})
 	c.runRound(time.Second)
-	j := c.jobs[spec.UID]
+	j := c.jobs.get(spec.UID)
 	if j.live == 0 || j.live == spec.TaskCount {
 		t.Fatalf("%d of %d tasks are placed", j.live, spec.TaskCount)
 	}
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -50,8 +50,8 @@
 	c.applyMachineHints(recs.hints, now)
 	inherited := c.applyPlacementRecords(recs.placements, now)
 	c.applyJobHints(recs.hints, now)
-	for _, j := range c.jobs {
-		c.markCountsChanged(j)
+	for _, j := range c.jobs.byUID {
+		c.jobs.markCountsChanged(j)
 		j.suspectFromRecords()
 		if j.record.Status == wire.JobAborted {
 			j.eachAttempt(func(a *fleet.Attempt) { c.stopAttempt(a, 0, now, "withdrawn") })
@@ -64,7 +64,7 @@
 	c.listings = nil
 	c.steady = now
 	c.failover.recordLoaded(now, c.fleet.Len(), inherited)
-	slog.Info("picture loaded", "term", c.term, "jobs", len(c.jobs), "attempts", inherited, "returning", len(c.returns), "warm", recs.hints != nil)
+	slog.Info("picture loaded", "term", c.term, "jobs", len(c.jobs.byUID), "attempts", inherited, "returning", len(c.returns), "warm", recs.hints != nil)
 	return nil
 }
 
@@ -169,7 +169,7 @@
 func (c *Controller) applyPlacementRecords(rows []wire.KeyValue, now time.Time) (inherited int) {
 	for _, row := range rows {
 		uid, n, ok := records.SplitPlacementKey(row.Key)
-		j := c.jobs[uid]
+		j := c.jobs.get(uid)
 		if !ok || j == nil {
 			slog.Warn("placement without a job", "key", row.Key)
 			continue
@@ -181,8 +181,7 @@
 			m := c.fleet.Know(pl.Host, now)
 			a := &fleet.Attempt{UID: uid, Task: pl.Task, Number: pl.Attempt, Incarnation: pl.Incarnation, Need: j.need,
 				Image: j.record.Spec.Image, Inherited: true}
-			j.placements[n].live[pl.Task] = a
-			j.live++
+			j.addAttempt(j.placements[n], a)
 			c.fleet.Place(m, a, now)
 			inherited++
 		}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -79,7 +79,7 @@
 		if store.listed != proof.listed || c.failover.record.Warm != (proof.err == nil) {
 			t.Errorf("%s: %d listings, the takeover is %+v", proof.name, store.listed, c.failover.record)
 		}
-		j := c.jobs["run-000001"]
+		j := c.jobs.get("run-000001")
 		if j.live != 2 || c.fleet.Get("m-3").State != fleet.Returning {
 			t.Errorf("%s: %d attempts, the returned machine is %s", proof.name, j.live, c.fleet.Get("m-3").State)
 		}
--- a/internal/controller/lost.go
+++ b/internal/controller/lost.go
@@ -320,7 +320,7 @@
 // saveTasks stops the tasks of a machine that the cloud takes back.
 func (c *Controller) saveTasks(m *fleet.Machine, now time.Time) {
 	m.Each(func(a *fleet.Attempt) {
-		if j := c.jobs[a.UID]; j != nil && a.Live() && !a.Stopping {
+		if j := c.jobs.get(a.UID); j != nil && a.Live() && !a.Stopping {
 			c.stopAttempt(a, j.record.Spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
 		}
 	})
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -235,15 +235,15 @@
 			uid := fmt.Sprintf("run-%06d", i)
 			spec.UID = uid
 			c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: status, Per: 8}, ModRevision: 1})
-			c.jobs[uid].placement(0).markChanged(now)
+			c.jobs.get(uid).placement(0).markChanged(now)
 		}
 		spec.UID, spec.Priority = "run-000250", wire.Critical
 		c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
 		if status == wire.JobQueued {
-			c.jobs[spec.UID].placement(0).markChanged(now)
+			c.jobs.get(spec.UID).placement(0).markChanged(now)
 		}
 		c.runRound(time.Second)
-		if c.jobs[spec.UID].live != 1 {
+		if c.jobs.get(spec.UID).live != 1 {
 			t.Errorf("with 250 jobs that are %s, nothing is started", status)
 		}
 	}
@@ -262,8 +262,8 @@
 		spec := wire.JobSpec{UID: uid, JobClass: "batch", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: 1, Gpus: 1, RAMGb: 1}
 		e := watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 16, AtMs: now.Add(-ago).UnixMilli()}, ModRevision: 1}
 		c.applyJobEventLocked(uid, e)
-		c.jobs[uid].waitingSince = now.Add(-ago)
-		return c.jobs[uid]
+		c.jobs.get(uid).waitingSince = now.Add(-ago)
+		return c.jobs.get(uid)
 	}
 	for i := range 12 {
 		array(fmt.Sprintf("run-%06d", i), 2, 4*time.Minute)
@@ -284,8 +284,7 @@
 	}
 	// Once it has run, it waits its turn, also when its task has ended.
 	a := &fleet.Attempt{UID: large.uid, Task: 0, Number: 1, Need: large.need}
-	large.placement(0).live[0] = a
-	large.live++
+	large.addAttempt(large.placement(0), a)
 	c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m", MachineType: "g", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 5}, now)
 	c.fleet.Place(c.fleet.Get("m"), a, now)
 	c.fleet.Commit(a, now)
--- a/internal/controller/nodecache.go
+++ b/internal/controller/nodecache.go
@@ -113,7 +113,7 @@
 		if _, seen := m.Images[a.Image]; !seen && !slices.Contains(n.Images, a.Image) {
 			n.Images = append(n.Images, a.Image)
 		}
-		j := c.jobs[a.UID]
+		j := c.jobs.get(a.UID)
 		if j != nil && !j.record.Spec.AllowSpot {
 			n.Leaving, n.Fixed = false, true
 		}
--- a/internal/controller/nodecache_test.go
+++ b/internal/controller/nodecache_test.go
@@ -85,7 +85,7 @@
 			"place": func(t *rapid.T) {
 				m, j := machine(), (*job)(nil)
 				for i := range jobs {
-					if known := c.jobs[fmt.Sprintf("run-%06d", i+1)]; known != nil && known.waitingCount() > 0 {
+					if known := c.jobs.get(fmt.Sprintf("run-%06d", i+1)); known != nil && known.waitingCount() > 0 {
 						j = known
 					}
 				}
@@ -96,8 +96,7 @@
 					p := j.placement(task)
 					a := &fleet.Attempt{UID: j.uid, Task: task, Number: p.nextAttempt, Need: j.need, Image: j.record.Spec.Image}
 					p.nextAttempt++
-					p.live[task] = a
-					j.live++
+					j.addAttempt(p, a)
 					c.fleet.Place(m, a, now)
 					c.fleet.Commit(a, now)
 				}
@@ -108,7 +107,7 @@
 				}
 			},
 			"archive": func(t *rapid.T) {
-				if j := c.jobs[fmt.Sprintf("run-%06d", rapid.IntRange(1, max(1, jobs)).Draw(t, "job"))]; j != nil {
+				if j := c.jobs.get(fmt.Sprintf("run-%06d", rapid.IntRange(1, max(1, jobs)).Draw(t, "job"))); j != nil {
 					c.applyJobEventLocked(j.uid, watchcache.Entry{ModRevision: ^uint64(0)})
 				}
 			},
--- a/internal/controller/placementwriter.go
+++ b/internal/controller/placementwriter.go
@@ -77,12 +77,12 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	var jobs, cancelled []*job
-	for _, j := range c.jobs {
+	for _, j := range c.jobs.byUID {
 		switch {
 		case j.outcomeUnknown || now.Before(j.writesDeferredUntil):
-		case c.isOver(j) && (j.record.Status.Final() || j.cancelled):
+		case j.isOver() && (j.record.Status.Final() || j.cancelled):
 			cancelled = append(cancelled, j)
-		case c.isOver(j) || !j.record.Status.Final() && j.hasDuePlacement(now):
+		case j.isOver() || !j.record.Status.Final() && j.hasDuePlacement(now):
 			jobs = append(jobs, j)
 		}
 	}
@@ -105,25 +105,12 @@
 	return min(limits.TxnOps, max(4, int(limits.WriteRps*store.RecordShare)))
 }
 
-// hasDuePlacement reports whether a piece of the job is to be written now.
-func (j *job) hasDuePlacement(now time.Time) bool {
-	if j.dirtyPlacements == 0 {
-		return false
-	}
-	for _, p := range j.placements {
-		if p.dirty && !p.outcomeUnknown && !p.due.After(now) {
-			return true
-		}
-	}
-	return false
-}
-
 // buildBatch puts into one commit of at most ops changes what has room of what jobs
 // have to write.
 func (c *Controller) buildBatch(jobs []*job, now time.Time, ops int) *batch {
 	b := &batch{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
 	// Ends that others wait for go first: they hold up whole pipelines.
-	holdsUp := func(j *job) bool { return c.isOver(j) && c.graph.Awaited(j.uid) }
+	holdsUp := func(j *job) bool { return j.isOver() && c.jobs.graph.Awaited(j.uid) }
 	slices.SortFunc(jobs, func(x, y *job) int {
 		if holds := holdsUp(x); holds != holdsUp(y) {
 			if holds {
@@ -138,7 +125,7 @@
 		if now.Before(c.singleJobCommitsUntil) && len(b.tx.Changes) > 0 {
 			break
 		}
-		if c.isOver(j) {
+		if j.isOver() {
 			c.archive(b, j, ops)
 			continue
 		}
@@ -170,15 +157,6 @@
 	return b
 }
 
-// isOver reports whether a job can be archived: all its tasks are done, or it is
-// final and nothing of it may be on a machine.
-func (c *Controller) isOver(j *job) bool {
-	if j.record.Status.Final() || j.cancelled {
-		return j.live == 0
-	}
-	return j.done >= j.record.Spec.TaskCount && j.live == 0
-}
-
 // archive adds to a batch what brings a job nearer to its end: its pieces are dropped and
 // its final status takes the place of its record, in one commit if a commit holds that, else
 // over several.
@@ -316,7 +294,7 @@
 		c.markFinished(j.uid, w.status, now)
 		if w.archived {
 			slog.Info("job archived", "uid", j.uid)
-			if c.jobs[j.uid] == j {
+			if c.jobs.get(j.uid) == j {
 				c.dropJob(j, now)
 			}
 			continue
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -14,8 +14,8 @@
 	if len(quotas) == 0 {
 		return nil
 	}
-	jobs := make([]quota.Job, 0, len(c.jobs))
-	for _, j := range c.jobs {
+	jobs := make([]quota.Job, 0, len(c.jobs.byUID))
+	for _, j := range c.jobs.byUID {
 		if j.record.Status.Final() || !j.released {
 			continue
 		}
--- a/internal/controller/returns_test.go
+++ b/internal/controller/returns_test.go
@@ -112,11 +112,11 @@
 	c.Config.Cluster.State.TxnOps, c.Config.Cluster.State.WriteRps = 24, 100
 	c.hearFrom(0, 1, now)
 	j := newJob("run-000001", watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{TaskCount: 3}, Status: wire.JobQueued, Per: 2}, ModRevision: 7}, now)
-	c.jobs[j.uid] = j
+	c.jobs.add(j)
 	p := j.placement(0)
 	a := &fleet.Attempt{UID: j.uid, Number: 1}
-	p.live[0], p.nextAttempt = a, 2
-	j.live++
+	j.addAttempt(p, a)
+	p.nextAttempt = 2
 	p.markChanged(now)
 	c.fleet.Place(c.fleet.Get("m-000"), a, now)
 	c.fleet.StopAttempt(a, 0, now, "its machine has a new session") // before it was recorded
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		gracePeriod := 0.0
-		if v := c.jobs[a.UID].record.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.SlackS {
+		if v := c.jobs.get(a.UID).record.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.SlackS {
 			gracePeriod = v.CheckpointOnStopS + c.Config.Cluster.Workers.ReportS
 		}
 		slog.Info("preempted", "leg", a.Name(), "host", a.Machine.ID)
@@ -116,7 +116,7 @@
 // placed for 12 s. What a piece that is to be written anyway takes on costs nothing.
 func (c *Controller) planLaunches(plan *sched.Plan, snapshot *snapshot, now time.Time) int {
 	budget := max(1, int(c.Config.StateLimits().WriteRps))
-	for _, j := range c.jobs {
+	for _, j := range c.jobs.byUID {
 		if j.dirtyPlacements == 0 || j.record.Status.Final() {
 			continue
 		}
@@ -128,7 +128,7 @@
 	}
 	started := 0
 	for _, pl := range plan.Places {
-		j := c.jobs[pl.Job.Spec.UID]
+		j := c.jobs.get(pl.Job.Spec.UID)
 		m := snapshot.machine(pl.Node)
 		if m == nil || budget <= 0 && !j.hasDuePlacement(now) {
 			continue
@@ -147,8 +147,7 @@
 				a.Number = j.gangAttempt()
 			}
 			p.nextAttempt = max(p.nextAttempt, a.Number+1)
-			p.live[task] = a
-			j.live++
+			j.addAttempt(p, a)
 			p.markChanged(now)
 			c.fleet.Place(m, a, now)
 			started++
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -130,7 +130,7 @@
 			launches += report(c, sequence+1)
 		}
 		report(c, sequence+1)
-		if j := c.jobs[spec.UID]; launches != machines || j.runningCount() != machines {
+		if j := c.jobs.get(spec.UID); launches != machines || j.runningCount() != machines {
 			t.Fatalf("%d machines: %d launches, %d running", machines, launches, j.runningCount())
 		}
 		now = now.Add(time.Minute)
@@ -146,7 +146,7 @@
 		if err := next.loadState(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if j := next.jobs[spec.UID]; j.live != machines || next.fleet.Len() != machines {
+		if j := next.jobs.get(spec.UID); j.live != machines || next.fleet.Len() != machines {
 			t.Fatalf("the next leader knows %d attempts on %d machines", j.live, next.fleet.Len())
 		}
 		report(next, sequence+2)
@@ -174,7 +174,7 @@
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
 		c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
-		c.markCountsChanged(c.jobs[uid])
+		c.jobs.markCountsChanged(c.jobs.get(uid))
 	}
 	announced, revision := map[string]bool{}, uint64(0)
 	for pings, more := 0, true; more; pings++ {
@@ -186,7 +186,7 @@
 			announced[v.UID] = true
 		}
 	}
-	if len(announced) != jobs || revision != c.countsRevision {
-		t.Errorf("%d of %d counts are told, up to %d of %d", len(announced), jobs, revision, c.countsRevision)
+	if len(announced) != jobs || revision != c.jobs.revision {
+		t.Errorf("%d of %d counts are told, up to %d of %d", len(announced), jobs, revision, c.jobs.revision)
 	}
 }
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -50,7 +50,7 @@
 	}
 	in.WithinQuota = c.withinQuotas()
 	in.VictimsBelow = 1 // nothing is displaced while nothing waits
-	for _, j := range c.jobs {
+	for _, j := range c.jobs.byUID {
 		if t := in.Teams[j.record.Spec.Team]; t != nil {
 			t.Used.Cores += float64(j.live) * j.need.Cores
 			t.Used.Gpus += float64(j.live) * j.need.Gpus
--- a/internal/controller/standbyviews.go
+++ b/internal/controller/standbyviews.go
@@ -75,7 +75,7 @@
 func (c *Controller) trackAllViews() {
 	c.views = changedViews{enabled: true, machines: map[string]bool{}, jobs: map[string]bool{}}
 	c.fleet.Each(func(m *fleet.Machine) { c.views.machines[m.ID] = true })
-	for uid := range c.jobs {
+	for uid := range c.jobs.byUID {
 		c.views.jobs[uid] = true
 	}
 }
@@ -117,7 +117,7 @@
 }
 
 func (c *Controller) jobEntry(uid string) (*standby.Entry, error) {
-	j := c.jobs[uid]
+	j := c.jobs.get(uid)
 	if j == nil {
 		return standby.NoJob(uid), nil
 	}
@@ -189,7 +189,7 @@
 	}
 	for i := range p.Jobs {
 		v := &p.Jobs[i]
-		j := c.jobs[v.UID]
+		j := c.jobs.get(v.UID)
 		if j == nil {
 			continue
 		}
