--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -23,10 +23,10 @@
 func (c *Controller) addToGraph(j *job, now time.Time) {
 	spec := &j.record.Spec
 	vertex := jobdag.Job{
-		Dependencies: spec.Dependencies,
-		Level:        j.level,
-		DueMs:        math.Inf(1),
-		RunMs:        c.stageDurationMs(spec),
+		Dependencies:  spec.Dependencies,
+		Level:         j.level,
+		DueMs:         math.Inf(1),
+		ExpectedRunMs: c.stageDurationMs(spec),
 	}
 	if spec.DeadlineS != nil {
 		vertex.DueMs = float64(j.record.AtMs) + *spec.DeadlineS*1000
--- a/internal/controller/jobevents.go
+++ b/internal/controller/jobevents.go
@@ -139,7 +139,7 @@
 	switch a.Cause {
 	case wire.CauseDone:
 		j.markDone(p, a.Task)
-		c.evidence.Completed(j.uid, a.Machine.ID)
+		c.evidence.RecordSuccess(j.uid, a.Machine.ID)
 		j.clearSuspicion()
 	case wire.CauseError:
 		c.attributeFailure(j, a.Machine, now)
--- a/internal/controller/placementwriter.go
+++ b/internal/controller/placementwriter.go
@@ -110,7 +110,7 @@
 func (c *Controller) buildBatch(jobs []*job, now time.Time, ops int) *batch {
 	b := &batch{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
 	// Ends that others wait for go first: they hold up whole pipelines.
-	holdsUp := func(j *job) bool { return j.isOver() && c.jobs.graph.Awaited(j.uid) }
+	holdsUp := func(j *job) bool { return j.isOver() && c.jobs.graph.HasOpenDependents(j.uid) }
 	slices.SortFunc(jobs, func(x, y *job) int {
 		if holds := holdsUp(x); holds != holdsUp(y) {
 			if holds {
