--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -123,7 +123,9 @@
 
 // eachUsableGroup calls fn for every group of a machine type that may be provisioned for the
 // job, with its hourly price.
-func (p *packing) eachUsableGroup(job *sched.Job, tasksByZone map[string]int, t *wire.MachineType, fn func(group MachineGroup, price float64)) {
+func (p *packing) eachUsableGroup(
+	job *sched.Job, tasksByZone map[string]int, t *wire.MachineType, fn func(group MachineGroup, price float64),
+) {
 	for _, zone := range t.Zones {
 		if !zoneAllowed(job, tasksByZone, zone) {
 			continue
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -16,7 +16,7 @@
 // benchFleet is a leader with 190 machines that run eight tasks each.
 func benchFleet(now *time.Time) *Controller {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	c := watched(now)
+	c := newTestLeader(now)
 	c.JobCache.Reset(nil, 1, *now)
 	c.Config.Cluster.State.WriteRps = 100
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 96, Gpus: 8, RAMGb: 576, Hourly: 20, SpotHourly: 5, BootS: 45, Zones: []string{"a"}}}}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -22,7 +22,7 @@
 // machine: batch lost a third of its starts to stages that were in no hurry.
 func TestInheritedPriorityCountsWhenTimeIsShort(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, BootS: 45, Zones: []string{"a"}}}}
 	c.takeStage("run-000001", wire.BestEffort, 0, now, 1)
 	c.takeStage("run-000002", wire.High, 200, now, 2, "run-000001")
@@ -51,7 +51,7 @@
 // is no such evidence: the job may have been cancelled.
 func TestReleaseNeedsCommittedEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	c.takeStage("run-000001", wire.BestEffort, 0, now, 1)
 	c.takeStage("run-000002", wire.High, 0, now, 2, "run-000001", "run-000009") // the second was archived long ago
 	j := c.jobs.get("run-000002")
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -22,7 +22,7 @@
 	failed   map[string]int  // by job
 }
 
-func newBroken(t *testing.T, machines, tasks int) (*broken, *limited, *job) {
+func newBroken(t *testing.T, machines, tasks int) (*broken, *limitedStore, *job) {
 	b := &broken{t: t, now: time.Unix(10_000, 0), sequence: 1, mistaken: map[string]bool{}, failed: map[string]int{}}
 	services, c, j := leaderWithArray(t, &b.now, machines, tasks, fleet.Res{Cores: 16, RAM: 1})
 	b.c = c
@@ -51,7 +51,7 @@
 	b.now = b.now.Add(time.Second)
 	b.sequence++
 	b.c.runRound(time.Second)
-	writeAll(b.t, b.c)
+	commitAll(b.t, b.c)
 	reportAll(b.t, b.c, b.sequence, b.outcome)
 }
 
@@ -168,7 +168,7 @@
 			placement.SetDone(0)
 			services.items[key] = wire.KeyValue{Key: key, Value: records.Encode(placement), ModRevision: services.revision}
 		}
-		next := services.leaderOf(6, &b.now)
+		next := services.newLeader(6, &b.now)
 		if got := next.jobs.get(j.uid); got == nil || got.suspect != tc.suspect {
 			t.Errorf("%s: %+v", tc.name, got)
 		}
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -17,7 +17,7 @@
 	const machines = 120
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
-		c := watched(&now)
+		c := newTestLeader(&now)
 		c.now = time.Now
 		c.JobCache.Reset(nil, 1, now)
 		ends := make(chan time.Time, machines)
@@ -56,7 +56,7 @@
 // answering.
 func TestNoWaitWhileTheStateServiceIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := watched(new(time.Time))
+		c := newTestLeader(new(time.Time))
 		c.now = time.Now
 		c.JobCache.Reset(nil, 1, time.Now())
 		waited := func(sequence uint64) time.Duration {
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -14,9 +14,9 @@
 
 // leaderWithArray is a leader beside services with usual limits, with machines that have reported
 // and an array.
-func leaderWithArray(t *testing.T, now *time.Time, machines, tasks int, need fleet.Res) (*limited, *Controller, *job) {
-	services := &limited{t: t, limits: config.StateLimits{Rps: 250, WriteRps: 100, ValueKb: 8, TxnOps: 24}, items: map[string]wire.KeyValue{}}
-	c := services.leaderOf(5, now)
+func leaderWithArray(t *testing.T, now *time.Time, machines, tasks int, need fleet.Res) (*limitedStore, *Controller, *job) {
+	services := &limitedStore{t: t, limits: config.StateLimits{Rps: 250, WriteRps: 100, ValueKb: 8, TxnOps: 24}, items: map[string]wire.KeyValue{}}
+	c := services.newLeader(5, now)
 	spec := wire.JobSpec{UID: "run-000001", JobClass: "huge", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: need.Cores, RAMGb: need.RAM, Image: "img"}
 	rec := records.Job{Spec: spec, Status: wire.JobQueued, Per: records.TasksPerPlacement(8192, 8192)}
 	services.items[records.JobKey(spec.UID)] = wire.KeyValue{Key: records.JobKey(spec.UID), Value: records.Encode(rec), ModRevision: 1}
@@ -30,16 +30,16 @@
 	return services, c, c.jobs.get(spec.UID)
 }
 
-// outcome says how a machine reports an attempt.
-type outcome func(a *fleet.Attempt) (wire.TaskStatus, wire.Cause)
+// taskOutcome says how a machine reports an attempt.
+type taskOutcome func(a *fleet.Attempt) (wire.TaskStatus, wire.Cause)
 
 // always reports every attempt in the same way.
-func always(status wire.TaskStatus, cause wire.Cause) outcome {
+func always(status wire.TaskStatus, cause wire.Cause) taskOutcome {
 	return func(*fleet.Attempt) (wire.TaskStatus, wire.Cause) { return status, cause }
 }
 
 // reportAll lets every machine report the attempts that it has been sent.
-func reportAll(t *testing.T, c *Controller, sequence uint64, how outcome) {
+func reportAll(t *testing.T, c *Controller, sequence uint64, how taskOutcome) {
 	c.JobCache.Apply(wire.WatchResponse{}, 0, c.now()) // the jobs are read all the time
 	c.fleet.Each(func(m *fleet.Machine) {
 		r := wire.Heartbeat{Host: m.ID, MachineType: "g8", Zone: m.Zone, Incarnation: 1, Sequence: sequence, FencingToken: c.term}
@@ -56,8 +56,8 @@
 	})
 }
 
-// writeAll commits all that is due.
-func writeAll(t *testing.T, c *Controller) {
+// commitAll commits all that is due.
+func commitAll(t *testing.T, c *Controller) {
 	for b := c.nextBatch(); b != nil; b = c.nextBatch() {
 		c.commit(t.Context(), b)
 	}
@@ -74,7 +74,7 @@
 	for rounds := 0; j.done < tasks && rounds < 1000; rounds++ {
 		now = now.Add(3 * time.Second)
 		c.runRound(time.Second)
-		writeAll(t, c)
+		commitAll(t, c)
 		reportAll(t, c, sequence+1, always(wire.TaskRunning, ""))
 		reportAll(t, c, sequence+2, always(wire.TaskEnded, wire.CauseDone))
 		sequence += 2
@@ -83,7 +83,7 @@
 		t.Fatalf("%d tasks are done", j.done)
 	}
 	now = now.Add(3 * time.Second)
-	writeAll(t, c)
+	commitAll(t, c)
 	if c.jobs.get(j.uid) != nil {
 		t.Errorf("the job is still in the picture as %s", j.record.Status)
 	}
@@ -106,13 +106,13 @@
 	now := time.Unix(10_000, 0)
 	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Res{Cores: 0.02, RAM: 0.1})
 	c.runRound(time.Second)
-	writeAll(t, c)
+	commitAll(t, c)
 	if j.live != maxTasksPerMachine {
 		t.Fatalf("%d tasks are started, want %d", j.live, maxTasksPerMachine)
 	}
 	reportAll(t, c, 2, always(wire.TaskEnded, wire.CauseDone))
 	c.runRound(time.Second) // nothing is reaped yet: the ends are written later
-	writeAll(t, c)
+	commitAll(t, c)
 	reportAll(t, c, 3, always(wire.TaskEnded, wire.CauseDone))
 	if j.live != 0 {
 		t.Errorf("%d tasks are started beside %d that are not reaped", j.live, maxTasksPerMachine)
--- a/internal/controller/jobtable_test.go
+++ b/internal/controller/jobtable_test.go
@@ -14,7 +14,7 @@
 // gaps, and of none that has not; what is kept to be told is bounded.
 func TestFinalStatusesAreAnnounced(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	own := map[string]wire.JobStatus{}
 	c.Observer = fakeObserver{finished: own}
 	const jobs, atOnce = 3 * maxFinalStatuses, maxFinalStatuses / 4
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -24,7 +24,7 @@
 // can never be recorded would keep its machine's room for ever.
 func TestPlacementsFitTheirRecords(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	c.Version = latest{}
 	kb := 2.0
 	c.Config.Cluster.State.WriteRps, c.Config.Cluster.State.Next = 1000, &config.NextStateLimits{ValueKb: &kb}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -66,7 +66,7 @@
 		listed int
 	}{{"warm", nil, 0}, {"cold", standby.ErrDigest, 4}} {
 		now := time.Unix(1000, 0)
-		c := watched(&now)
+		c := newTestLeader(&now)
 		c.loaded = false
 		store := &listOnlyStore{rows: rows}
 		c.Store = store
@@ -100,7 +100,7 @@
 // While the state service does not answer, the proof is tried again, and then all is listed.
 func TestProofThatIsNotAnswered(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	c.loaded = false
 	store := &listOnlyStore{rows: recordsOfTwoTasks()}
 	c.Store = store
@@ -119,9 +119,9 @@
 // Views are made of what has changed, and of everything for a standby that asks anew.
 func TestChangedViews(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	for i := range 600 {
-		c.hearFrom(i, 1, now)
+		c.heartbeatFrom(i, 1, now)
 	}
 	take := func() (keys []string) {
 		for more := true; more; {
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -16,9 +16,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// watched is a leader with two zones of 90 machines each that report once a
+// newTestLeader is a leader with two zones of 90 machines each that report once a
 // second, and a clock that the test moves.
-func watched(now *time.Time) *Controller {
+func newTestLeader(now *time.Time) *Controller {
 	cfg := &config.Config{}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS, cfg.Cluster.Cloud.Rps = 1, 10, 40, 6
 	cfg.Cluster.State.ValueKb = 8
@@ -36,7 +36,7 @@
 	return c
 }
 
-func (c *Controller) hearFrom(i int, sequence uint64, now time.Time) {
+func (c *Controller) heartbeatFrom(i int, sequence uint64, now time.Time) {
 	zone := "a"
 	if i%2 == 1 {
 		zone = "b"
@@ -71,7 +71,7 @@
 		{"a zone that nothing keeps", func(i int) bool { return i%2 == 1 }, func(int) bool { return false }, false, 45 * time.Second, 90},
 	} {
 		now := time.Unix(1000, 0)
-		c := watched(&now)
+		c := newTestLeader(&now)
 		began := now
 		for sequence := uint64(1); now.Sub(began) < 10*time.Second+tc.after; sequence++ {
 			at := now.Sub(began)
@@ -79,9 +79,9 @@
 				due := int64(i)%20 == int64(sequence)%20 // each in its turn, once a second
 				switch {
 				case due && (at < 10*time.Second || !tc.silent(i)):
-					c.hearFrom(i, sequence, now)
+					c.heartbeatFrom(i, sequence, now)
 				case due && at > 14*time.Second && tc.retained(i) && tc.relays:
-					c.hearFrom(i, sequence, now)
+					c.heartbeatFrom(i, sequence, now)
 					c.fleet.Get(fmt.Sprintf("m-%03d", i)).LastRelayedHeartbeat = now
 				case due && at > 14*time.Second && tc.retained(i):
 					c.fleet.Get(fmt.Sprintf("m-%03d", i)).LastHeartbeat = now
@@ -108,7 +108,7 @@
 // time to time the cloud is asked again.
 func TestSpotSpent(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, Zones: []string{"a", "b"}}, {Name: "g1", Cores: 8, Gpus: 1, RAMGb: 32, Zones: []string{"a"}}}}
 	w := &wire.JobSpec{Cores: 16, Gpus: 2, RAMGb: 64, AllowSpot: true}
 	spent := func(want bool, when string) {
@@ -145,7 +145,7 @@
 		{"silent machines", time.Second / 2, true, 30 * time.Second, 20}, // the others are in a zone without a controller
 	} {
 		now := time.Unix(1000, 0)
-		c := watched(&now)
+		c := newTestLeader(&now)
 		c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, Zones: []string{"a", "b"}}}}
 		dead := func() int {
 			n := 0
@@ -165,7 +165,7 @@
 			// In an outage reports are answered for as long as they may be.
 			if sequence++; reports || !knows && now.Sub(c.JobCache.Fresh()) <= c.Config.KnowledgeLimit() {
 				for i := range 40 {
-					c.hearFrom(i, sequence, now)
+					c.heartbeatFrom(i, sequence, now)
 				}
 			}
 			c.runRound(time.Second)
@@ -190,7 +190,7 @@
 // judged with the whole fleet, and not taken for a zone that is cut off.
 func TestMachinesOfUnknownZone(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	c.detector.Start(now)
 	for i := range 20 {
 		m := c.fleet.Know(fmt.Sprintf("x-%03d", i), now)
@@ -198,7 +198,7 @@
 	}
 	for sequence := uint64(1); sequence <= 12; sequence++ {
 		for i := range 100 {
-			c.hearFrom(i, sequence, now)
+			c.heartbeatFrom(i, sequence, now)
 		}
 		c.fleet.SuspectSilent(now)
 		c.releaseDead(now)
@@ -221,13 +221,13 @@
 func TestCancelledJobsDoNotDelayLaunches(t *testing.T) {
 	for _, status := range []wire.JobStatus{wire.JobAborted, wire.JobQueued} {
 		now := time.Unix(1000, 0)
-		c := watched(&now)
+		c := newTestLeader(&now)
 		c.Config.Cluster.State.WriteRps, c.Config.Cluster.State.TxnOps = 100, 24
 		c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 		c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, Zones: []string{"a", "b"}}}}
 		c.JobCache.Reset(nil, 0, now)
 		for i := range 40 {
-			c.hearFrom(i, 1, now)
+			c.heartbeatFrom(i, 1, now)
 			m := c.fleet.Get(fmt.Sprintf("m-%03d", i))
 			m.Type, m.Cap = "g8", autoscaler.Capacity(&c.catalog.MachineTypes[0])
 		}
@@ -256,7 +256,7 @@
 // minutes.
 func TestLargeArraysBegin(t *testing.T) {
 	now := time.Now()
-	c := watched(&now)
+	c := newTestLeader(&now)
 	c.Options.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g", Cores: 8, Gpus: 8, RAMGb: 8, BootS: 30, Zones: []string{"a"}}}}
 	array := func(uid string, tasks int, ago time.Duration) *job {
@@ -305,7 +305,7 @@
 	const own, step = 18, 50 * time.Millisecond
 	cut := time.Unix(1000, 0)
 	now := cut
-	c := watched(&now)
+	c := newTestLeader(&now)
 	report := func(i int, via string, at time.Time) {
 		host := fmt.Sprintf("m-%03d", i)
 		c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: host, Zone: "a", Incarnation: 1, Sequence: uint64(at.UnixMilli()), FencingToken: 5}, at)
--- a/internal/controller/nodecache_test.go
+++ b/internal/controller/nodecache_test.go
@@ -21,7 +21,7 @@
 func TestReusedNodesMatchRebuiltOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		c := watched(&now)
+		c := newTestLeader(&now)
 		c.JobCache.Reset(nil, 1, now)
 		c.Options.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 		c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, BootS: 30, Hourly: 20, SpotHourly: 5, Zones: []string{"a", "b"}}}}
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -14,39 +14,39 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// scripted is a state service that answers commits as it is told and keeps them.
-type scripted struct {
+// scriptedStore is a state service that answers commits as it is told and keeps them.
+type scriptedStore struct {
 	Store
 	answers []error
 	commits []wire.Transaction
 }
 
-func (s *scripted) Commit(_ context.Context, tx wire.Transaction) (uint64, error) {
+func (s *scriptedStore) Commit(_ context.Context, tx wire.Transaction) (uint64, error) {
 	s.commits = append(s.commits, tx)
 	err := s.answers[0]
 	s.answers = s.answers[1:]
 	return uint64(len(s.commits)), err
 }
 
-// back is a cloud that takes machines back.
-type back struct {
+// recordingCloud is a cloud that takes machines recordingCloud.
+type recordingCloud struct {
 	Cloud
 	hosts []string
 }
 
-func (b *back) Return(_ context.Context, hosts []string) error {
+func (b *recordingCloud) Return(_ context.Context, hosts []string) error {
 	b.hosts = append(b.hosts, hosts...)
 	return nil
 }
 
-// returner is a leader that has given up n machines.
-func returner(n int, answers ...error) (*Controller, *scripted, *back) {
+// newLeaderReleasing is a leader that has given up n machines.
+func newLeaderReleasing(n int, answers ...error) (*Controller, *scriptedStore, *recordingCloud) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
-	st, cl := &scripted{answers: answers}, &back{}
+	c := newTestLeader(&now)
+	st, cl := &scriptedStore{answers: answers}, &recordingCloud{}
 	c.Store, c.Cloud, c.Config.Cluster.State.ValueKb = st, cl, 1
 	for i := range n {
-		c.hearFrom(i, 1, now)
+		c.heartbeatFrom(i, 1, now)
 	}
 	c.fleet.Each(func(m *fleet.Machine) { c.startRelease(m, now, "test") })
 	return c, st, cl
@@ -55,7 +55,7 @@
 // A record whose outcome is unknown is not written again under its key, and
 // nothing is returned before its record is known to stand.
 func TestReturnsAreRecordedFirst(t *testing.T) {
-	c, st, cl := returner(150, store.ErrUnknown, nil, nil)
+	c, st, cl := newLeaderReleasing(150, store.ErrUnknown, nil, nil)
 	if c.recordReleases(t.Context()) || c.sendReleases(t.Context()) {
 		t.Fatal("goes on although nothing is known to be recorded")
 	}
@@ -83,7 +83,7 @@
 // term and still answers. It once waited for its own lock, and its node for ever
 // for the term to end.
 func TestDeposedWhileReturning(t *testing.T) {
-	c, _, cl := returner(3, &store.ConflictError{Failed: []string{records.LeaderKey}})
+	c, _, cl := newLeaderReleasing(3, &store.ConflictError{Failed: []string{records.LeaderKey}})
 	ended := errors.New("deposed")
 	ctx, cancel := context.WithCancelCause(t.Context())
 	c.cancel = func() { cancel(ended) }
@@ -108,9 +108,9 @@
 // all its pieces were dropped, it brought one back for ever.
 func TestFirstWriteOfAPlacementIsGuardedByItsJob(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	c.Config.Cluster.State.TxnOps, c.Config.Cluster.State.WriteRps = 24, 100
-	c.hearFrom(0, 1, now)
+	c.heartbeatFrom(0, 1, now)
 	j := newJob("run-000001", watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{TaskCount: 3}, Status: wire.JobQueued, Per: 2}, ModRevision: 7}, now)
 	c.jobs.add(j)
 	p := j.placement(0)
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -18,8 +18,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// limited is a state service that takes what its limits allow.
-type limited struct {
+// limitedStore is a state service that takes what its limits allow.
+type limitedStore struct {
 	Store
 	t        *testing.T
 	limits   config.StateLimits
@@ -28,7 +28,7 @@
 	returned map[string]bool
 }
 
-func (l *limited) List(_ context.Context, under string) ([]wire.KeyValue, uint64, error) {
+func (l *limitedStore) List(_ context.Context, under string) ([]wire.KeyValue, uint64, error) {
 	var rows []wire.KeyValue
 	for _, key := range slices.Sorted(maps.Keys(l.items)) {
 		if strings.HasPrefix(key, under) {
@@ -38,7 +38,7 @@
 	return rows, l.revision, nil
 }
 
-func (l *limited) Commit(_ context.Context, tx wire.Transaction) (uint64, error) {
+func (l *limitedStore) Commit(_ context.Context, tx wire.Transaction) (uint64, error) {
 	tooLarge := len(tx.Changes) > l.limits.TxnOps || len(tx.Compares) > 4*l.limits.TxnOps || len(records.Encode(tx)) > wire.MaxBody
 	for _, c := range tx.Changes {
 		tooLarge = tooLarge || float64(len(c.Value)) > l.limits.ValueKb*1024
@@ -61,7 +61,7 @@
 // limitedCloud is a cloud that takes back no more machines at once than it allows.
 type limitedCloud struct {
 	Cloud
-	*limited
+	*limitedStore
 }
 
 func (l limitedCloud) List(context.Context) ([]wire.ListedHost, error) { return nil, nil }
@@ -76,10 +76,10 @@
 	return nil
 }
 
-// leaderOf is a leader of a term beside the services.
-func (l *limited) leaderOf(term uint64, now *time.Time) *Controller {
-	c := watched(now)
-	c.term, c.Store, c.Cloud, c.loaded = term, l, limitedCloud{limited: l}, false
+// newLeader is a leader of a term beside the services.
+func (l *limitedStore) newLeader(term uint64, now *time.Time) *Controller {
+	c := newTestLeader(now)
+	c.term, c.Store, c.Cloud, c.loaded = term, l, limitedCloud{limitedStore: l}, false
 	c.fleet = fleet.New(term, c.Config.WorkerLease(), c)
 	c.requests, c.releases = autoscaler.NewRequests(term), autoscaler.NewReleases(term)
 	c.Config.Cluster.State, c.Config.Cluster.Teams = l.limits, []config.Team{{Name: "crew"}}
@@ -97,8 +97,8 @@
 func TestLargeFleetFromListToReturn(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
 		now := time.Unix(10_000, 0)
-		services := &limited{t: t, limits: config.StateLimits{Rps: 900, WriteRps: 350, ValueKb: 8, TxnOps: 24}, items: map[string]wire.KeyValue{}, returned: map[string]bool{}}
-		c := services.leaderOf(5, &now)
+		services := &limitedStore{t: t, limits: config.StateLimits{Rps: 900, WriteRps: 350, ValueKb: 8, TxnOps: 24}, items: map[string]wire.KeyValue{}, returned: map[string]bool{}}
+		c := services.newLeader(5, &now)
 		spec := wire.JobSpec{UID: "run-000001", JobClass: "batch", Team: "crew", Kind: wire.JobArray, Priority: wire.High, TaskCount: machines, Cores: 64, Gpus: 8, RAMGb: 512, Image: "img"}
 		rec := records.Job{Spec: spec, Status: wire.JobQueued, Per: records.TasksPerPlacement(8192, 8192)}
 		services.items[records.JobKey(spec.UID)] = wire.KeyValue{Key: records.JobKey(spec.UID), Value: records.Encode(rec), ModRevision: 1}
@@ -142,7 +142,7 @@
 		if images, _, _ := services.List(t.Context(), records.ImagesPrefix); len(images) != machines {
 			t.Errorf("the images of %d of %d machines are recorded", len(images), machines)
 		}
-		next := services.leaderOf(6, &now)
+		next := services.newLeader(6, &now)
 		next.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
 		next.loaded = false
 		if err := next.loadState(t.Context()); err != nil {
@@ -171,7 +171,7 @@
 // Of more jobs than are told at once, a follower learns the counts of all, ping by ping.
 func TestCountsOfManyJobs(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	const jobs = 3*maxCountsPerReply + 1
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
