--- /dev/null
+++ b/internal/failuredetector/detector_test.go
@@ -0,0 +1,221 @@
+package failuredetector
+
+import (
+	"testing"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/fleet"
+)
+
+const (
+	interval = time.Second
+	lease    = 10 * time.Second
+)
+
+// machines is a fleet that does not change.
+type machines []*fleet.Machine
+
+func (ms machines) Each(fn func(*fleet.Machine)) {
+	for _, m := range ms {
+		fn(m)
+	}
+}
+
+// withGroup adds machines of a zone and a relay whose last heartbeat is this old.
+func (ms machines) withGroup(count int, zone, relay string, now time.Time, silence time.Duration) machines {
+	for range count {
+		last := now.Add(-silence)
+		ms = append(ms, &fleet.Machine{
+			State:             fleet.Ready,
+			Zone:              zone,
+			RelayedBy:         relay,
+			LastHeartbeat:     last,
+			LastHeartbeatHere: last,
+		})
+	}
+	return ms
+}
+
+// newTestDetector is a detector of a deployment with three controllers that has judged for an hour.
+func newTestDetector(now time.Time) *Detector {
+	d := New(Options{HeartbeatInterval: interval, WorkerLease: lease, TasksEndWithin: 4 * lease, Controllers: 3})
+	d.Start(now.Add(-time.Hour))
+	return d
+}
+
+// observe is what a controller sees that reaches the controllers of some zones, and all relays but
+// one.
+func observe(ms machines, now time.Time, lostRelay string, reachable ...string) Observation {
+	return Observation{
+		Now:            now,
+		Machines:       ms,
+		ReachableZones: reachable,
+		RelayReachable: func(label string) bool { return label != lostRelay },
+		BootS:          func(machineType string) (float64, bool) { return 30, machineType == "known" },
+	}
+}
+
+func causes(j *Judgement, ms machines) map[Cause]int {
+	counts := map[Cause]int{}
+	for _, m := range ms {
+		counts[j.CauseOfDeath(m)]++
+	}
+	return counts
+}
+
+func TestJudgementOfSilentMachines(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	for _, tc := range []struct {
+		name      string
+		machines  machines
+		reachable []string
+		lostRelay string
+		want      map[Cause]int
+	}{
+		{
+			name:      "all send heartbeats",
+			machines:  machines{}.withGroup(10, "a", "", now, interval),
+			reachable: []string{"a", "b", "c"},
+			want:      map[Cause]int{NotDead: 10},
+		},
+		{
+			name:      "up to half of a zone is dead after three intervals",
+			machines:  machines{}.withGroup(5, "a", "", now, interval).withGroup(5, "a", "", now, 3*interval+1),
+			reachable: []string{"a", "b", "c"},
+			want:      map[Cause]int{NotDead: 5, SilentAlone: 5},
+		},
+		{
+			name:      "and not before",
+			machines:  machines{}.withGroup(5, "a", "", now, interval).withGroup(5, "a", "", now, 3*interval),
+			reachable: []string{"a", "b", "c"},
+			want:      map[Cause]int{NotDead: 10},
+		},
+		{
+			name: "more than half of a zone is not judged by silence",
+			machines: machines{}.withGroup(4, "a", "", now, interval).withGroup(6, "a", "", now, 4*interval).
+				withGroup(10, "b", "", now, interval),
+			reachable: []string{"a", "b", "c"},
+			want:      map[Cause]int{NotDead: 20},
+		},
+		{
+			name: "the machines of a relay that is not reached get the time to find another",
+			machines: machines{}.withGroup(18, "a", "", now, 0).withGroup(1, "a", "lost", now, 4*interval).
+				withGroup(3, "a", "lost", now, interval),
+			reachable: []string{"a", "b", "c"},
+			lostRelay: "lost",
+			want:      map[Cause]int{NotDead: 22},
+		},
+		{
+			name: "those of a relay that is reached do not",
+			machines: machines{}.withGroup(18, "a", "", now, 0).withGroup(1, "a", "other", now, 4*interval).
+				withGroup(3, "a", "other", now, 0),
+			reachable: []string{"a", "b", "c"},
+			want:      map[Cause]int{NotDead: 21, SilentAlone: 1},
+		},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			judgement := newTestDetector(now).Judge(observe(tc.machines, now, tc.lostRelay, tc.reachable...))
+			got := causes(judgement, tc.machines)
+			for _, cause := range []Cause{NotDead, SilentAlone, LeaseExpired, Failed, NeverBooted, SpotReclaimed} {
+				if got[cause] != tc.want[cause] {
+					t.Errorf("%d machines with cause %q, want %d", got[cause], cause, tc.want[cause])
+				}
+			}
+		})
+	}
+}
+
+func TestCauseOfDeathOfOneMachine(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	for _, tc := range []struct {
+		name    string
+		machine fleet.Machine
+		want    Cause
+	}{
+		{"listed as failed", fleet.Machine{State: fleet.Ready, LastHeartbeat: now, Failed: true}, Failed},
+		{"listed as failed and being released", fleet.Machine{State: fleet.Returning, Failed: true}, NotDead},
+		{"suspected", fleet.Machine{State: fleet.Silent, LastHeartbeat: now.Add(-lease - 1)}, LeaseExpired},
+		{"reclaimed, without tasks", fleet.Machine{State: fleet.Ready, LastHeartbeat: now, Warned: true}, SpotReclaimed},
+		{"boots for 3.5 usual boots", fleet.Machine{Type: "known", Born: now.Add(-105 * time.Second)}, NotDead},
+		{"boots for longer", fleet.Machine{Type: "known", Born: now.Add(-106 * time.Second)}, NeverBooted},
+		{"of an unknown type", fleet.Machine{Born: now.Add(-210 * time.Second)}, NotDead},
+		{"of an unknown type, for longer", fleet.Machine{Born: now.Add(-211 * time.Second)}, NeverBooted},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			judgement := newTestDetector(now).Judge(observe(machines{&tc.machine}, now, "", "a", "b", "c"))
+			if got := judgement.CauseOfDeath(&tc.machine); got != tc.want {
+				t.Errorf("cause is %q, want %q", got, tc.want)
+			}
+		})
+	}
+}
+
+// Most machines of a zone whose controllers are not reached are held until nothing of them can run
+// on; for a lease after the cut has ended, too, since they come back one after the other.
+func TestMachinesBehindACutAreHeldUntilTheirTasksEnd(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	d := newTestDetector(now)
+	ms := machines{}.withGroup(10, "a", "", now, interval)
+	cutOff := machines{}.withGroup(10, "b", "", now, lease+1)
+	for _, m := range cutOff {
+		m.State = fleet.Silent
+	}
+	ms = append(ms, cutOff...)
+	if got := causes(d.Judge(observe(ms, now, "", "a")), ms); got[NotDead] != len(ms) {
+		t.Errorf("behind the cut: %v", got)
+	}
+	last := cutOff[0]
+	comeBack := func() {
+		for _, m := range ms {
+			if m != last {
+				m.LastHeartbeat, m.LastHeartbeatHere, m.State = now, now, fleet.Ready
+			}
+		}
+	}
+	now = now.Add(lease - 1)
+	comeBack()
+	if got := d.Judge(observe(ms, now, "", "a")).CauseOfDeath(last); got != NotDead {
+		t.Errorf("just before a lease after the cut: %q", got)
+	}
+	now = now.Add(1)
+	comeBack()
+	if got := d.Judge(observe(ms, now, "", "a")).CauseOfDeath(last); got != LeaseExpired {
+		t.Errorf("a lease after the cut: %q", got)
+	}
+	d = newTestDetector(now)
+	for _, m := range cutOff {
+		m.State, m.LastHeartbeat, m.LastHeartbeatHere = fleet.Silent, now.Add(-4*lease-1), now.Add(-4*lease-1)
+	}
+	if got := causes(d.Judge(observe(ms, now, "", "a")), cutOff); got[LeaseExpired] != len(cutOff) {
+		t.Errorf("after nothing of them can run on: %v", got)
+	}
+}
+
+func TestResetGivesMachinesTheirTimeAgain(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	d := newTestDetector(now)
+	ms := machines{}.withGroup(9, "a", "", now, interval).withGroup(1, "a", "", now, 4*interval)
+	if got := causes(d.Judge(observe(ms, now, "", "a", "b", "c")), ms); got[SilentAlone] != 1 {
+		t.Fatalf("before the reset: %v", got)
+	}
+	d.Reset(ms, now)
+	if got := causes(d.Judge(observe(ms, now, "", "a", "b", "c")), ms); got[NotDead] != len(ms) {
+		t.Errorf("after the reset: %v", got)
+	}
+	now = now.Add(lease)
+	if d.IsSettled(now) {
+		t.Error("settled within a lease of the reset")
+	}
+	if now = now.Add(1); !d.IsSettled(now) {
+		t.Error("not settled a lease after the reset")
+	}
+}
+
+func TestSetPausedReportsChanges(t *testing.T) {
+	d := newTestDetector(time.Unix(10_000, 0))
+	for i, tc := range []struct{ paused, changed bool }{{false, false}, {true, true}, {true, false}, {false, true}} {
+		if got := d.SetPaused(tc.paused); got != tc.changed {
+			t.Errorf("step %d: changed is %v, want %v", i, got, tc.changed)
+		}
+	}
+}
