--- /dev/null
+++ b/internal/controller/batch.go
@@ -0,0 +1,235 @@
+package controller
+
+import (
+	"cmp"
+	"encoding/json"
+	"log/slog"
+	"slices"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/fleet"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// batch is one commit of the placement writer and what follows from it.
+type batch struct {
+	tx         wire.Transaction
+	background bool // nothing waits for it
+	placements []placementWrite
+	jobs       []jobWrite
+}
+
+// placementWrite is a placement in a batch, as it was when the batch was made.
+type placementWrite struct {
+	placement *placement
+	changes   int // its count of changes
+	planned   []*fleet.Attempt
+	ended     []*fleet.Attempt
+	dropped   bool // its record is dropped
+}
+
+// jobWrite is a job's final status in a batch.
+type jobWrite struct {
+	job      *job
+	status   wire.JobStatus
+	archived bool // its record is dropped as well
+}
+
+func (b *batch) isEmpty() bool { return len(b.tx.Changes) == 0 }
+
+func (b *batch) compare(key string, modRevision uint64) {
+	b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: modRevision})
+}
+
+func (b *batch) set(key string, value json.RawMessage) {
+	b.tx.Changes = append(b.tx.Changes, wire.Change{Set: key, Value: value})
+}
+
+func (b *batch) drop(key string) {
+	b.tx.Changes = append(b.tx.Changes, wire.Change{Drop: key})
+}
+
+// dropPlacement adds the end of a placement record.
+func (b *batch) dropPlacement(p *placement) {
+	key := records.PlacementKey(p.job.uid, p.index)
+	b.compare(key, p.modRevision)
+	b.drop(key)
+	b.placements = append(b.placements, placementWrite{placement: p, changes: p.changes, dropped: true})
+}
+
+// writtenJobs is the jobs that a batch writes anything of.
+func (b *batch) writtenJobs() map[*job]bool {
+	jobs := map[*job]bool{}
+	for _, write := range b.placements {
+		jobs[write.placement.job] = true
+	}
+	for _, write := range b.jobs {
+		jobs[write.job] = true
+	}
+	return jobs
+}
+
+// batchLimits are the limits of one batch.
+type batchLimits struct {
+	changes        int  // of the commit
+	placementBytes int  // of a placement record
+	valueBytes     int  // of any other value
+	dense          bool // placements may be listed densely
+	singleJob      bool // the batch holds no more than one job
+	// retryAfter is when a placement that fits no record is tried again.
+	retryAfter time.Duration
+}
+
+// batchBuilder makes a batch of what jobs have to write. Every batch compares the leader's key
+// with the term, so that none is applied once another node leads.
+type batchBuilder struct {
+	batch  *batch
+	limits batchLimits
+	now    time.Time
+	bytes  int // of the placement records so far
+}
+
+func newBatchBuilder(term uint64, limits batchLimits, now time.Time) *batchBuilder {
+	b := &batchBuilder{batch: &batch{}, limits: limits, now: now}
+	b.batch.compare(records.LeaderKey, term)
+	return b
+}
+
+// sortForWriting sorts jobs by who goes first into a batch: ends that other jobs wait for, since
+// they hold up whole pipelines, then by priority.
+func sortForWriting(jobs []*job, hasOpenDependents func(uid string) bool) {
+	holdsUp := func(j *job) bool { return j.isOver() && hasOpenDependents(j.uid) }
+	slices.SortFunc(jobs, func(x, y *job) int {
+		if holds := holdsUp(x); holds != holdsUp(y) {
+			if holds {
+				return -1
+			}
+			return 1
+		}
+		return cmp.Or(cmp.Compare(y.level, x.level), cmp.Compare(x.uid, y.uid))
+	})
+}
+
+// addJobs adds what has room of what jobs have to write, in their order.
+func (b *batchBuilder) addJobs(jobs []*job) {
+	for _, j := range jobs {
+		switch {
+		case b.limits.singleJob && !b.batch.isEmpty():
+			return
+		case j.isOver():
+			b.archive(j)
+		default:
+			b.addPlacements(j)
+		}
+	}
+}
+
+// hasRoomForPlacement reports whether another placement record with its compares, and one of
+// the job, has room.
+func (b *batchBuilder) hasRoomForPlacement() bool {
+	return len(b.batch.tx.Changes) < b.limits.changes && b.bytes <= maxCommitBytes &&
+		len(b.batch.tx.Compares)+2 <= maxCompares(b.limits.changes)
+}
+
+// addPlacements adds the placement records of a job that are due.
+func (b *batchBuilder) addPlacements(j *job) {
+	compareJob := false
+	for _, p := range j.placements {
+		if !p.isDue(b.now) || !b.hasRoomForPlacement() {
+			continue
+		}
+		write := placementWrite{placement: p, changes: p.changes, planned: p.plannedAttempts(), ended: slices.Clone(p.ended)}
+		value := b.encode(p)
+		if value == nil {
+			continue
+		}
+		b.bytes += len(value)
+		key := records.PlacementKey(j.uid, p.index)
+		b.batch.compare(key, p.modRevision)
+		b.batch.set(key, value)
+		b.batch.placements = append(b.batch.placements, write)
+		compareJob = compareJob || len(write.planned) > 0 || p.modRevision == 0
+	}
+	if compareJob {
+		// A cancellation changes this revision: nothing is launched after it. And a placement
+		// is written for the first time only while its job has a record: a commit that is
+		// carried out late would bring it back after the job and all its placements were
+		// dropped, and then its own absence is no protection.
+		b.batch.compare(records.JobKey(j.uid), j.modRevision)
+	}
+}
+
+// encode makes the value of a placement record, or nil if it fits none: one that was written
+// under a higher limit is written again once enough of its tasks have ended.
+func (b *batchBuilder) encode(p *placement) json.RawMessage {
+	value := records.EncodePlacement(p.record(), b.limits.placementBytes, b.limits.dense)
+	if len(value) > b.limits.placementBytes {
+		slog.Warn("placement record is too large as yet", "uid", p.job.uid, "placement", p.index, "bytes", len(value))
+		p.due = b.now.Add(b.limits.retryAfter)
+		return nil
+	}
+	return value
+}
+
+// archive adds what brings a job nearer to its end: its placement records are dropped and its
+// final status replaces its record, in one commit if a commit holds that, else over several.
+func (b *batchBuilder) archive(j *job) {
+	if j.hasUnknownPlacement() {
+		return
+	}
+	const recordChanges = 2 // the record is dropped, the final status set
+	changes := j.storedPlacements() + recordChanges
+	room := b.limits.changes - len(b.batch.tx.Changes)
+	switch {
+	case changes > b.limits.changes:
+		b.archiveInParts(j)
+	case changes <= room && len(b.batch.tx.Compares)+changes <= maxCompares(b.limits.changes):
+		b.archiveWhole(j)
+	}
+}
+
+// archiveWhole adds all that is left to do for a job that is over.
+func (b *batchBuilder) archiveWhole(j *job) {
+	status := j.finalStatus()
+	jobKey, finalKey := records.JobKey(j.uid), records.FinalKey(j.uid)
+	b.batch.compare(jobKey, j.modRevision)
+	b.batch.compare(finalKey, 0)
+	b.batch.drop(jobKey)
+	b.batch.set(finalKey, records.Encode(records.Final{Status: status}))
+	for _, p := range j.placements {
+		if p.modRevision != 0 {
+			b.batch.dropPlacement(p)
+		}
+	}
+	b.batch.jobs = append(b.batch.jobs, jobWrite{job: j, status: status, archived: true})
+}
+
+// archiveInParts adds a part of what is left to do for a job that has more placement records
+// than one commit may drop. Its record gets the final status first, since users wait for that;
+// its placement records are dropped later, as many at a time as there is room for. Only what a
+// batch really writes counts against its room: an array of 25,000 tasks whose 295 placements
+// were all counted, in a state store that takes 96 compares, was never called done.
+func (b *batchBuilder) archiveInParts(j *job) {
+	hasRoom := func() bool {
+		return len(b.batch.tx.Changes) < b.limits.changes && len(b.batch.tx.Compares) < maxCompares(b.limits.changes)
+	}
+	if !hasRoom() {
+		return
+	}
+	if !j.record.Status.Final() {
+		status := j.finalStatus()
+		record := *j.record
+		record.Finish(status, b.limits.valueBytes)
+		key := records.JobKey(j.uid)
+		b.batch.compare(key, j.modRevision)
+		b.batch.set(key, records.Encode(record))
+		b.batch.jobs = append(b.batch.jobs, jobWrite{job: j, status: status})
+		return
+	}
+	for _, p := range j.placements {
+		if p.modRevision != 0 && hasRoom() {
+			b.batch.dropPlacement(p)
+		}
+	}
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -27,7 +27,6 @@
 type Controller struct {
 	Options
 	term          uint64
-	writerWake    chan struct{} // the writer has work
 	placementWake chan struct{} // there is something to place
 	returnsWake   chan struct{} // there is something to return
 	resolveWake   chan struct{} // a job waits for one whose final status is not known
@@ -77,9 +76,12 @@
 	waitingAnswers map[string]chan struct{} // check-ins that wait for commands, by machine
 	announced      map[string]time.Time     // when the token was last announced, by machine
 
-	// Records: writer.go, limits.go, images.go.
-	singleJobCommitsUntil time.Time            // until when jobs are written one by one
-	recordedImages        map[string]imageNote // which images of a machine are recorded
+	// Commits: placementwriter.go, commits.go.
+	writer                *placementWriter
+	singleJobCommitsUntil time.Time // until when jobs are written one by one
+
+	// Images on record: images.go.
+	recordedImages map[string]imageNote // which images of a machine are recorded
 
 	// What a standby follows: views.go.
 	views changedViews
@@ -87,7 +89,7 @@
 
 // New makes the controller of a term.
 func New(options Options, term uint64) *Controller {
-	c := &Controller{Options: options, term: term, writerWake: make(chan struct{}, 1), placementWake: make(chan struct{}, 1), returnsWake: make(chan struct{}, 1),
+	c := &Controller{Options: options, term: term, placementWake: make(chan struct{}, 1), returnsWake: make(chan struct{}, 1),
 		resolveWake: make(chan struct{}, 1), now: time.Now,
 		jobs: newJobTable(), pendingRequests: map[string]*provisionRequest{}, refused: map[provision.MachineGroup]refusal{},
 		arrivalsByClass: map[string]*arrivals{}, cutOff: map[string]time.Time{}, recordedImages: map[string]imageNote{}, announced: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}, relayUnreachableSince: map[string]time.Time{}}
@@ -95,6 +97,7 @@
 	c.evidence = faultattribution.New(evidenceLeases * options.Config.WorkerLease())
 	c.returns = map[string]*pendingReturn{}
 	c.nodes = newNodeCache()
+	c.writer = newPlacementWriter(options.Config, options.Store, term, c)
 	c.startedAt = c.now()
 	c.window = options.Settings().Window
 	c.failover = newFailoverReport(term, options.Config.Label, options.LeaderlessSince, c.startedAt)
@@ -128,7 +131,7 @@
 		}
 	}
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){c.runWriter, c.runRounds, c.lists, c.returning, c.announcing, c.noteImages, c.followRenewedLeases, c.runResolver} {
+	for _, f := range []func(context.Context){c.writer.run, c.runRounds, c.lists, c.returning, c.announcing, c.noteImages, c.followRenewedLeases, c.runResolver} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -155,8 +158,6 @@
 	}
 }
 
-func (c *Controller) wakeWriter() { notify(c.writerWake) }
-
 // notify wakes whoever waits on ch, now or next.
 func notify(ch chan struct{}) {
 	select {
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -59,7 +59,7 @@
 // writeAll commits all that is due.
 func writeAll(t *testing.T, c *Controller) {
 	for b := c.nextBatch(); b != nil; b = c.nextBatch() {
-		c.commit(t.Context(), b)
+		c.writer.commit(t.Context(), b)
 	}
 }
 
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -44,8 +44,9 @@
 	if j.live == 0 || j.live == spec.TaskCount {
 		t.Fatalf("%d of %d tasks are placed", j.live, spec.TaskCount)
 	}
+	builder := newBatchBuilder(c.term, c.batchLimits(now), now)
 	for _, p := range j.placements {
-		if value := c.encodePlacement(p, now); value == nil {
+		if value := builder.encode(p); value == nil {
 			t.Errorf("the record of %d tasks does not fit", len(p.live))
 		}
 	}
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -80,6 +80,7 @@
 	c := watched(now)
 	c.term, c.Store, c.Cloud, c.loaded = term, l, limitedCloud{limited: l}, false
 	c.fleet = fleet.New(term, c.Config.WorkerLease(), c)
+	c.writer = newPlacementWriter(c.Config, c.Store, c.term, c)
 	c.Config.Cluster.State, c.Config.Cluster.Teams = l.limits, []config.Team{{Name: "crew"}}
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, BootS: 30, Zones: []string{"a", "b"}}}}
 	c.JobCache.Reset(nil, 1, *now)
@@ -125,7 +126,7 @@
 			now = now.Add(time.Second)
 			c.runRound(time.Second)
 			for b := c.nextBatch(); b != nil; b = c.nextBatch() {
-				c.commit(t.Context(), b)
+				c.writer.commit(t.Context(), b)
 			}
 			launches += report(c, sequence+1)
 		}
