--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -88,7 +88,7 @@
 	}
 	p.modRevision = revision
 	for _, a := range write.planned {
-		c.fleet.Commit(a, now)
+		c.fleet.MarkCommitted(a, now)
 	}
 	if p.changes == write.changes {
 		p.setDirty(false)
@@ -97,7 +97,7 @@
 	}
 	p.ended = slices.DeleteFunc(p.ended, func(a *fleet.Attempt) bool { return slices.Contains(write.ended, a) })
 	for _, a := range write.ended {
-		c.fleet.Record(a, now)
+		c.fleet.MarkEndRecorded(a, now)
 	}
 }
 
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -16,7 +16,7 @@
 	uid         string
 	record      *records.Job
 	modRevision uint64 // of the record
-	need        fleet.Res
+	need        fleet.Resources
 
 	// Its place in the graph of dependencies.
 	level           int     // its own, or the highest of the jobs that depend on it
@@ -53,7 +53,7 @@
 		uid:             uid,
 		record:          e.Job,
 		modRevision:     e.ModRevision,
-		need:            fleet.Need(&e.Job.Spec),
+		need:            fleet.TaskResources(&e.Job.Spec),
 		level:           e.Job.Spec.Priority.Level(),
 		dueMs:           math.Inf(1),
 		eligibleSinceMs: e.Job.AtMs,
@@ -126,16 +126,16 @@
 
 // addAttempt adds an attempt that may be on its machine from now on.
 func (j *job) addAttempt(p *placement, a *fleet.Attempt) {
-	p.live[a.Task] = a
+	p.live[a.TaskIndex] = a
 	j.live++
 }
 
 // removeAttempt removes an attempt that is off its machine: its task waits again, unless it is
 // done.
 func (j *job) removeAttempt(p *placement, a *fleet.Attempt) {
-	delete(p.live, a.Task)
+	delete(p.live, a.TaskIndex)
 	j.live--
-	j.freedTasks = append(j.freedTasks, a.Task)
+	j.freedTasks = append(j.freedTasks, a.TaskIndex)
 	if a.Cause != wire.CauseDone {
 		j.failedAttempts++
 	}
--- a/internal/controller/jobevents.go
+++ b/internal/controller/jobevents.go
@@ -84,7 +84,7 @@
 func (c *Controller) recordEnds(j *job, now time.Time) {
 	for _, p := range j.placements {
 		for _, a := range p.ended {
-			c.fleet.Record(a, now)
+			c.fleet.MarkEndRecorded(a, now)
 		}
 		p.ended = nil
 	}
@@ -93,26 +93,26 @@
 // AttemptChanged keeps the jobs in step with their attempts. It is called by the fleet for
 // every change of an attempt's state, with c.mu held.
 func (c *Controller) AttemptChanged(a *fleet.Attempt, from fleet.AttemptState, reason string) {
-	slog.Info("attempt state changed", "task", a.Name(), "attempt", a.Number, "host", a.Machine.ID,
+	slog.Info("attempt state changed", "task", a.TaskName(), "attempt", a.Number, "host", a.Machine.ID,
 		"from", from.String(), "to", a.State.String(), "reason", reason)
 	if a.State == fleet.Committed {
 		c.endAnswerWait(a.Machine)
 	}
-	c.views.markJob(a.UID)
+	c.views.markJob(a.JobUID)
 	if a.State == fleet.Running {
 		c.views.markMachine(a.Machine.ID) // it has the image now
 	}
-	j := c.jobs.get(a.UID)
+	j := c.jobs.get(a.JobUID)
 	if j == nil {
 		if a.State == fleet.Ended {
-			c.fleet.Record(a, c.now()) // its job is archived: there is nothing to record
+			c.fleet.MarkEndRecorded(a, c.now()) // its job is archived: there is nothing to record
 		}
 		return
 	}
 	j.hasRun = j.hasRun || a.State == fleet.Running
 	c.jobs.markCountsChanged(j)
-	p := j.placement(a.Task)
-	if from < fleet.Ended && !a.Live() && p.live[a.Task] == a {
+	p := j.placement(a.TaskIndex)
+	if from < fleet.Ended && !a.Live() && p.live[a.TaskIndex] == a {
 		j.removeAttempt(p, a)
 		if j.live == 0 {
 			j.waitingSince = c.now()
@@ -138,7 +138,7 @@
 	now := c.now()
 	switch a.Cause {
 	case wire.CauseDone:
-		j.markDone(p, a.Task)
+		j.markDone(p, a.TaskIndex)
 		c.evidence.RecordSuccess(j.uid, a.Machine.ID)
 		j.clearSuspicion()
 	case wire.CauseError:
@@ -149,7 +149,7 @@
 	if j.record.Status.Final() {
 		// Nothing of a cancelled job is ever launched again, so its end need not be recorded
 		// before the worker is told so.
-		c.fleet.Record(a, now)
+		c.fleet.MarkEndRecorded(a, now)
 		return
 	}
 	p.ended = append(p.ended, a)
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -55,8 +55,8 @@
 	Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
 	Return(ctx context.Context, hosts []string) error
 	List(ctx context.Context) ([]wire.ListedHost, error)
-	// ListTakes is the least time that a list of so many machines takes.
-	ListTakes(machines int) time.Duration
+	// MinListDuration is the least time that a list of so many machines takes.
+	MinListDuration(machines int) time.Duration
 }
 
 // Worker sends requests to workers.
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -33,7 +33,7 @@
 
 // placed is an attempt as a placement record lists it.
 func placed(a *fleet.Attempt) records.Placed {
-	return records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}
+	return records.Placed{Task: a.TaskIndex, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}
 }
 
 // record makes the placement record as it stands.
