--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -14,7 +14,7 @@
 	catalog        *wire.Catalog
 	machinesByZone map[string]int // those of the fleet and those of the packing
 	refused        func(MachineGroup) bool
-	least          fleet.Res // no task that is short needs less of anything
+	least          fleet.Resources // no task that is short needs less of anything
 	bins           []bin
 	open           []int // indexes of bins that have room for the least
 }
@@ -22,7 +22,7 @@
 // bin is a machine that would be provisioned and the room that is left on it.
 type bin struct {
 	group MachineGroup
-	room  fleet.Res
+	room  fleet.Resources
 }
 
 func newPacking(catalog *wire.Catalog, demand Demand) *packing {
@@ -35,11 +35,11 @@
 }
 
 // leastNeed is the least of each resource that any task that is short needs.
-func leastNeed(shorts []sched.Shortfall) fleet.Res {
-	least := fleet.Res{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
+func leastNeed(shorts []sched.Shortfall) fleet.Resources {
+	least := fleet.Resources{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
 	for _, short := range shorts {
-		need := fleet.Need(short.Job.Spec)
-		least = fleet.Res{
+		need := fleet.TaskResources(short.Job.Spec)
+		least = fleet.Resources{
 			Cores: min(least.Cores, need.Cores),
 			Gpus:  min(least.Gpus, need.Gpus),
 			RAM:   min(least.RAM, need.RAM),
@@ -53,11 +53,11 @@
 // each task took longer than a round may.
 func (p *packing) pack(short sched.Shortfall) {
 	job := short.Job
-	need := fleet.Need(job.Spec)
+	need := fleet.TaskResources(job.Spec)
 	tasksByZone := cloneOrEmpty(job.LiveByZone)
 	left := short.Count
 	fill := func(b *bin) {
-		for left > 0 && b.room.Holds(need) && zoneAllowed(job, tasksByZone, b.group.Zone) {
+		for left > 0 && b.room.Fits(need) && zoneAllowed(job, tasksByZone, b.group.Zone) {
 			b.room = b.room.Sub(need)
 			tasksByZone[b.group.Zone]++
 			left--
@@ -65,10 +65,10 @@
 	}
 	p.open = slices.DeleteFunc(p.open, func(i int) bool {
 		b := &p.bins[i]
-		if left > 0 && b.room.Holds(need) && sched.IsEligible(job.Spec, b.group.Type, b.group.Zone, b.group.Spot) {
+		if left > 0 && b.room.Fits(need) && sched.IsEligible(job.Spec, b.group.Type, b.group.Zone, b.group.Spot) {
 			fill(b)
 		}
-		return !b.room.Holds(p.least)
+		return !b.room.Fits(p.least)
 	})
 	for left > 0 {
 		b, found := p.cheapest(job, tasksByZone, left)
@@ -76,7 +76,7 @@
 			return
 		}
 		fill(&b)
-		if b.room.Holds(p.least) {
+		if b.room.Fits(p.least) {
 			p.open = append(p.open, len(p.bins))
 		}
 		p.bins = append(p.bins, b)
@@ -103,11 +103,11 @@
 // would hold; among equals, of the zone with the fewest machines.
 func (p *packing) cheapest(job *sched.Job, tasksByZone map[string]int, tasks int) (best bin, found bool) {
 	bestCost, bestZoneMachines := math.Inf(1), 0
-	need := fleet.Need(job.Spec)
+	need := fleet.TaskResources(job.Spec)
 	for i := range p.catalog.MachineTypes {
 		t := &p.catalog.MachineTypes[i]
 		capacity := Capacity(t)
-		holds := capacity.Count(need, tasks)
+		holds := capacity.CountFitting(need, tasks)
 		if holds == 0 {
 			continue
 		}
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -46,16 +46,16 @@
 }
 
 // Capacity is what a machine of a type offers.
-func Capacity(t *wire.MachineType) fleet.Res {
-	return fleet.Res{Cores: t.Cores, Gpus: t.Gpus, RAM: t.RAMGb}
+func Capacity(t *wire.MachineType) fleet.Resources {
+	return fleet.Resources{Cores: t.Cores, Gpus: t.Gpus, RAM: t.RAMGb}
 }
 
 // FitsAnyMachine reports whether a task of the job fits some machine that it may use.
 func FitsAnyMachine(catalog *wire.Catalog, spec *wire.JobSpec) bool {
-	need := fleet.Need(spec)
+	need := fleet.TaskResources(spec)
 	for i := range catalog.MachineTypes {
 		t := &catalog.MachineTypes[i]
-		if !Capacity(t).Holds(need) {
+		if !Capacity(t).Fits(need) {
 			continue
 		}
 		for _, zone := range t.Zones {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -28,7 +28,6 @@
 type Controller struct {
 	Options
 	term          uint64
-	writerWake    chan struct{} // the writer has work
 	placementWake chan struct{} // there is something to place
 	releaseWake   chan struct{} // there is a machine to release
 	resolveWake   chan struct{} // a job waits for one whose final status is not known
@@ -72,9 +71,12 @@
 	waitingAnswers map[string]chan struct{} // check-ins that wait for commands, by machine
 	announcedAt    map[string]time.Time     // when the fencing token was last announced, by machine
 
-	// Records: writer.go, limits.go, imagerecords.go.
-	singleJobCommitsUntil time.Time                 // until when jobs are written one by one
-	recordedImages        map[string]recordedImages // which images of a machine are recorded
+	// Commits: placementwriter.go, commits.go.
+	writer                *placementWriter
+	singleJobCommitsUntil time.Time // until when jobs are written one by one
+
+	// Images on record: imagerecords.go.
+	recordedImages map[string]recordedImages // which images of a machine are recorded
 
 	// What a standby follows: views.go.
 	views changedViews
@@ -82,7 +84,7 @@
 
 // New makes the controller of a term.
 func New(options Options, term uint64) *Controller {
-	c := &Controller{Options: options, term: term, writerWake: make(chan struct{}, 1), placementWake: make(chan struct{}, 1), releaseWake: make(chan struct{}, 1),
+	c := &Controller{Options: options, term: term, placementWake: make(chan struct{}, 1), releaseWake: make(chan struct{}, 1),
 		resolveWake: make(chan struct{}, 1), now: time.Now,
 		jobs: newJobTable(), recordedImages: map[string]recordedImages{}, announcedAt: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}}
 	c.fleet = fleet.New(term, options.Config.WorkerLease(), c)
@@ -93,6 +95,7 @@
 	c.releases = autoscaler.NewReleases(term)
 	c.detector = newDetector(options.Config)
 	c.nodes = newNodeCache()
+	c.writer = newPlacementWriter(options.Config, options.Store, term, c)
 	c.startedAt = c.now()
 	c.window = options.Settings().Window
 	c.failover = newFailoverReport(term, options.Config.Label, options.LeaderlessSince, c.startedAt)
@@ -126,7 +129,9 @@
 		}
 	}
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){c.runWriter, c.runRounds, c.followCloud, c.releaseMachines, c.announceToken, c.recordImages, c.followRenewedLeases, c.runResolver} {
+	for _, f := range []func(context.Context){
+		c.writer.run, c.runRounds, c.followCloud, c.releaseMachines, c.announceToken, c.recordImages, c.followRenewedLeases, c.runResolver,
+	} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -153,8 +158,6 @@
 	}
 }
 
-func (c *Controller) wakeWriter() { notify(c.writerWake) }
-
 // notify wakes whoever waits on ch, now or next.
 func notify(ch chan struct{}) {
 	select {
@@ -178,8 +181,8 @@
 	}
 	for i := range c.catalog.MachineTypes {
 		if c.catalog.MachineTypes[i].Name == m.Type {
-			m.Cap = autoscaler.Capacity(&c.catalog.MachineTypes[i])
-			c.fleet.Touch(m)
+			m.Capacity = autoscaler.Capacity(&c.catalog.MachineTypes[i])
+			c.fleet.MarkChanged(m)
 		}
 	}
 }
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -92,7 +92,7 @@
 		if cause := judgement.CauseOfDeath(m); cause != failuredetector.NotDead {
 			c.startRelease(m, now, string(cause))
 		}
-		if m.Warned {
+		if m.SpotNotice {
 			c.checkpointTasks(m, now)
 		}
 	})
@@ -112,7 +112,7 @@
 // need to write a checkpoint. c.mu is held.
 func (c *Controller) checkpointTasks(m *fleet.Machine, now time.Time) {
 	m.Each(func(a *fleet.Attempt) {
-		if j := c.jobs.get(a.UID); j != nil && a.Live() && !a.Stopping {
+		if j := c.jobs.get(a.JobUID); j != nil && a.Live() && !a.Stopping {
 			c.stopAttempt(a, j.record.Spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
 		}
 	})
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -31,7 +31,7 @@
 		} else {
 			c.applyMachineList(hosts, asked)
 		}
-		if !timeralign.Sleep(ctx, c.untilNext(max(least, c.Cloud.ListTakes(len(hosts))))) {
+		if !timeralign.Sleep(ctx, c.untilNext(max(least, c.Cloud.MinListDuration(len(hosts))))) {
 			return
 		}
 	}
@@ -51,7 +51,7 @@
 	defer c.mu.Unlock()
 	c.catalog = &catalog
 	c.fleet.Each(c.setCapacity)
-	c.fleet.Each(c.fleet.Touch) // prices may have changed
+	c.fleet.Each(c.fleet.MarkChanged) // prices may have changed
 	return true
 }
 
@@ -78,17 +78,17 @@
 
 // applyListedHost brings a machine up to date by its line of a machine list. c.mu is held.
 func (c *Controller) applyListedHost(host *wire.ListedHost, asked, now time.Time) {
-	m := c.fleet.Know(host.UID, now)
+	m := c.fleet.GetOrAdd(host.UID, now)
 	if m.State == fleet.Gone {
 		return
 	}
 	if !m.Listed {
 		m.Listed = true
 		m.Type, m.Zone, m.Spot, m.Address = host.MachineType, host.Zone, host.Spot, host.Address
-		if born := asked.Add(-time.Duration(host.AgeS * float64(time.Second))); born.Before(m.Born) {
-			m.Born = born
+		if born := asked.Add(-time.Duration(host.AgeS * float64(time.Second))); born.Before(m.FirstSeen) {
+			m.FirstSeen = born
 		}
-		c.fleet.Touch(m)
+		c.fleet.MarkChanged(m)
 		c.setCapacity(m)
 	}
 	if host.Status == wire.HostFailed {
@@ -100,7 +100,7 @@
 // machine stays listed until it is gone. A list may be old, but not older than a machine that was
 // listed long ago. The same goes for one that has been known for that long and never was.
 func (c *Controller) shouldBeListed(m *fleet.Machine, now time.Time) bool {
-	return now.Sub(m.Born) > 4*c.Config.ListLag()+c.Config.WorkerLease() &&
+	return now.Sub(m.FirstSeen) > 4*c.Config.ListLag()+c.Config.WorkerLease() &&
 		now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval()
 }
 
@@ -108,6 +108,6 @@
 func (c *Controller) markFailed(m *fleet.Machine) {
 	if !m.Failed {
 		m.Failed = true
-		c.fleet.Touch(m)
+		c.fleet.MarkChanged(m)
 	}
 }
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -44,7 +44,7 @@
 	}
 	c.pauseDetectionWhileStale(now)
 	c.renewFromPeers(now)
-	c.fleet.SuspectSilent(now)
+	c.fleet.MarkSuspected(now)
 	c.releaseDead(now)
 	if c.catalog == nil {
 		return nil
@@ -77,10 +77,10 @@
 			continue
 		}
 		gracePeriod := 0.0
-		if v := c.jobs.get(a.UID).record.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.StartSlackS {
+		if v := c.jobs.get(a.JobUID).record.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.StartSlackS {
 			gracePeriod = v.CheckpointOnStopS + c.Config.Cluster.Workers.ReportS
 		}
-		slog.Info("preempted", "leg", a.Name(), "host", a.Machine.ID)
+		slog.Info("preempted", "leg", a.TaskName(), "host", a.Machine.ID)
 		c.stopAttempt(a, gracePeriod, now, "preempted")
 	}
 	c.lastRound = info
@@ -142,14 +142,14 @@
 			if !p.dirty || p.due.After(now) {
 				budget--
 			}
-			a := &fleet.Attempt{UID: j.uid, Task: task, Number: p.nextAttempt, Need: j.need, Image: j.record.Spec.Image}
+			a := &fleet.Attempt{JobUID: j.uid, TaskIndex: task, Number: p.nextAttempt, Resources: j.need, Image: j.record.Spec.Image}
 			if j.record.Spec.Kind == wire.Gang {
 				a.Number = j.gangAttempt()
 			}
 			p.nextAttempt = max(p.nextAttempt, a.Number+1)
 			j.addAttempt(p, a)
 			p.markChanged(now)
-			c.fleet.Place(m, a, now)
+			c.fleet.AddAttempt(m, a, now)
 			started++
 		}
 	}
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -18,7 +18,7 @@
 
 // startRelease starts to release a machine to the cloud. c.mu is held.
 func (c *Controller) startRelease(m *fleet.Machine, now time.Time, reason string) {
-	c.fleet.Return(m, now, reason)
+	c.fleet.MarkReturning(m, now, reason)
 	if c.releases.Start(m.ID) {
 		notify(c.releaseWake)
 	}
@@ -51,7 +51,7 @@
 	if m.State != fleet.Ready || m.LiveCount() > 0 || c.headroomMachines[m.ID] || machineType == nil {
 		return false
 	}
-	idleS, ageS := now.Sub(m.IdleAt).Seconds(), now.Sub(m.Born).Seconds()
+	idleS, ageS := now.Sub(m.IdleSince).Seconds(), now.Sub(m.FirstSeen).Seconds()
 	return idleS >= machineType.BootS/2 && ageS >= machineType.BootS+bootMarginS
 }
 
@@ -60,7 +60,7 @@
 // the last capacity that the cloud has, for ever.
 func mayServe(m *fleet.Machine, shorts []sched.Shortfall) bool {
 	return slices.ContainsFunc(shorts, func(short sched.Shortfall) bool {
-		return sched.IsEligible(short.Job.Spec, m.Type, m.Zone, m.Spot) && m.Cap.Holds(fleet.Need(short.Job.Spec))
+		return sched.IsEligible(short.Job.Spec, m.Type, m.Zone, m.Spot) && m.Capacity.Fits(fleet.TaskResources(short.Job.Spec))
 	})
 }
 
@@ -131,7 +131,7 @@
 	now := c.now()
 	for _, host := range hosts {
 		c.releases.Confirm(host, now)
-		c.fleet.Confirm(c.fleet.Get(host), now, "released")
+		c.fleet.MarkGone(c.fleet.Get(host), now, "released")
 	}
 	notify(c.placementWake) // what they ran can be placed
 	return true
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -107,9 +107,9 @@
 		c.refusals.Add(groupOf(request), now)
 	}
 	for _, host := range hosts {
-		m := c.fleet.Know(host, now)
+		m := c.fleet.GetOrAdd(host, now)
 		m.Type, m.Zone, m.Spot = request.MachineType, request.Zone, request.Spot
-		c.fleet.Touch(m)
+		c.fleet.MarkChanged(m)
 		c.setCapacity(m)
 	}
 }
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -82,6 +82,7 @@
 	c.term, c.Store, c.Cloud, c.loaded = term, l, limitedCloud{limitedStore: l}, false
 	c.fleet = fleet.New(term, c.Config.WorkerLease(), c)
 	c.requests, c.releases = autoscaler.NewRequests(term), autoscaler.NewReleases(term)
+	c.writer = newPlacementWriter(c.Config, c.Store, c.term, c)
 	c.Config.Cluster.State, c.Config.Cluster.Teams = l.limits, []config.Team{{Name: "crew"}}
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, BootS: 30, Zones: []string{"a", "b"}}}}
 	c.JobCache.Reset(nil, 1, *now)
@@ -113,7 +114,7 @@
 				r := wire.Heartbeat{Host: hosts[i].UID, MachineType: "g8", Zone: hosts[i].Zone, Incarnation: 1, Sequence: sequence, FencingToken: c.term}
 				c.fleet.Get(r.Host).Each(func(a *fleet.Attempt) {
 					if a.State != fleet.Planned && a.State != fleet.Committed || a.Inherited {
-						r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.Name(), Attempt: a.Number, Status: wire.TaskRunning})
+						r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.TaskName(), Attempt: a.Number, Status: wire.TaskRunning})
 					}
 				})
 				o, _ := c.Heartbeat(t.Context(), &r, HeartbeatOptions{})
@@ -127,7 +128,7 @@
 			now = now.Add(time.Second)
 			c.runRound(time.Second)
 			for b := c.nextBatch(); b != nil; b = c.nextBatch() {
-				c.commit(t.Context(), b)
+				c.writer.commit(t.Context(), b)
 			}
 			launches += report(c, sequence+1)
 		}
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -181,7 +181,7 @@
 func (c *Controller) isSpotExhausted(w *wire.JobSpec, now time.Time) bool {
 	for i := range c.catalog.MachineTypes {
 		r := &c.catalog.MachineTypes[i]
-		if !autoscaler.Capacity(r).Holds(fleet.Need(w)) {
+		if !autoscaler.Capacity(r).Fits(fleet.TaskResources(w)) {
 			continue
 		}
 		for _, zone := range r.Zones {
@@ -236,7 +236,7 @@
 func (c *Controller) bootSeconds(w *wire.JobSpec) float64 {
 	boot := math.Inf(1)
 	for i := range c.catalog.MachineTypes {
-		if r := &c.catalog.MachineTypes[i]; autoscaler.Capacity(r).Holds(fleet.Need(w)) && (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, r.Name)) {
+		if r := &c.catalog.MachineTypes[i]; autoscaler.Capacity(r).Fits(fleet.TaskResources(w)) && (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, r.Name)) {
 			boot = min(boot, r.BootS)
 		}
 	}
@@ -254,7 +254,7 @@
 		}
 		for i := range c.catalog.MachineTypes {
 			r := &c.catalog.MachineTypes[i]
-			if autoscaler.Capacity(r).Holds(fleet.Need(w)) && r.FetchGbPerS > 0 {
+			if autoscaler.Capacity(r).Fits(fleet.TaskResources(w)) && r.FetchGbPerS > 0 {
 				slack = min(slack, o.WithinS-w.ImageGb/r.FetchGbPerS*4/3-c.Config.Cluster.Workers.ReportS)
 			}
 		}
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -134,12 +134,12 @@
 	}{
 		{"listed as failed", fleet.Machine{State: fleet.Ready, LastHeartbeat: now, Failed: true}, Failed},
 		{"listed as failed and being released", fleet.Machine{State: fleet.Returning, Failed: true}, NotDead},
-		{"suspected", fleet.Machine{State: fleet.Silent, LastHeartbeat: now.Add(-lease - 1)}, LeaseExpired},
-		{"reclaimed, without tasks", fleet.Machine{State: fleet.Ready, LastHeartbeat: now, Warned: true}, SpotReclaimed},
-		{"boots for 3.5 usual boots", fleet.Machine{Type: "known", Born: now.Add(-105 * time.Second)}, NotDead},
-		{"boots for longer", fleet.Machine{Type: "known", Born: now.Add(-106 * time.Second)}, NeverBooted},
-		{"of an unknown type", fleet.Machine{Born: now.Add(-210 * time.Second)}, NotDead},
-		{"of an unknown type, for longer", fleet.Machine{Born: now.Add(-211 * time.Second)}, NeverBooted},
+		{"suspected", fleet.Machine{State: fleet.Suspected, LastHeartbeat: now.Add(-lease - 1)}, LeaseExpired},
+		{"reclaimed, without tasks", fleet.Machine{State: fleet.Ready, LastHeartbeat: now, SpotNotice: true}, SpotReclaimed},
+		{"boots for 3.5 usual boots", fleet.Machine{Type: "known", FirstSeen: now.Add(-105 * time.Second)}, NotDead},
+		{"boots for longer", fleet.Machine{Type: "known", FirstSeen: now.Add(-106 * time.Second)}, NeverBooted},
+		{"of an unknown type", fleet.Machine{FirstSeen: now.Add(-210 * time.Second)}, NotDead},
+		{"of an unknown type, for longer", fleet.Machine{FirstSeen: now.Add(-211 * time.Second)}, NeverBooted},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			judgement := newTestDetector(now).Judge(observe(machines{&tc.machine}, now, "", "a", "b", "c"))
@@ -158,7 +158,7 @@
 	ms := machines{}.withGroup(10, "a", "", now, interval)
 	cutOff := machines{}.withGroup(10, "b", "", now, lease+1)
 	for _, m := range cutOff {
-		m.State = fleet.Silent
+		m.State = fleet.Suspected
 	}
 	ms = append(ms, cutOff...)
 	if got := causes(d.Judge(observe(ms, now, "", "a")), ms); got[NotDead] != len(ms) {
@@ -184,7 +184,7 @@
 	}
 	d = newTestDetector(now)
 	for _, m := range cutOff {
-		m.State, m.LastHeartbeat, m.LastHeartbeatHere = fleet.Silent, now.Add(-4*lease-1), now.Add(-4*lease-1)
+		m.State, m.LastHeartbeat, m.LastHeartbeatHere = fleet.Suspected, now.Add(-4*lease-1), now.Add(-4*lease-1)
 	}
 	if got := causes(d.Judge(observe(ms, now, "", "a")), cutOff); got[LeaseExpired] != len(cutOff) {
 		t.Errorf("after nothing of them can run on: %v", got)
--- a/internal/failuredetector/judgement.go
+++ b/internal/failuredetector/judgement.go
@@ -64,13 +64,13 @@
 		return NotDead
 	case m.Failed:
 		return Failed
-	case m.State == fleet.Silent && (!j.isCutOff(m) || silence > j.detector.options.TasksEndWithin):
+	case m.State == fleet.Suspected && (!j.isCutOff(m) || silence > j.detector.options.TasksEndWithin):
 		return LeaseExpired
 	case j.isSilentAlone(m, silence):
 		return SilentAlone
 	case j.neverBooted(m):
 		return NeverBooted
-	case m.Warned && m.LiveCount() == 0 && m.State == fleet.Ready:
+	case m.SpotNotice && m.LiveCount() == 0 && m.State == fleet.Ready:
 		return SpotReclaimed
 	}
 	return NotDead
@@ -131,5 +131,5 @@
 	}
 	now, options := j.observed.Now, &j.detector.options
 	settled := now.Sub(j.detector.judgingSince) > 2*options.WorkerLease
-	return settled && now.Sub(m.Born).Seconds() > boots*bootS
+	return settled && now.Sub(m.FirstSeen).Seconds() > boots*bootS
 }
