--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -44,7 +44,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		c.runRound(time.Second / 3)
+		c.runCycle(time.Second / 3)
 	}
 }
 
@@ -98,7 +98,7 @@
 				b.ReportAllocs()
 				b.ResetTimer()
 				for range b.N {
-					c.runRound(time.Second / 3)
+					c.runCycle(time.Second / 3)
 				}
 			})
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,9 +1,11 @@
-// Package controller is the leader at work: it keeps the picture, runs the
-// rounds, writes what they decide, answers workers and looks after machines.
-// One Controller lives for one term.
+// Package controller is the leader of a fleet at work, for one term: it runs scheduling cycles,
+// commits what they decide, answers workers' heartbeats, and scales the fleet out and in.
 //
-// All parts share one picture under one lock, since a round has to see it at one moment. Each
-// field belongs to the files that the comment above its group names: others only read it.
+// A Controller is the assembly. It owns the lock and the order of steps; what can be decided
+// without either stands in types of its own: jobTable and job, batchBuilder, nodeCache and
+// nodeBuilder, urgency, failoverReport and changedViews here, and the packages fleet, sched,
+// jobdag, autoscaler, failuredetector and faultattribution. One lock guards the whole state,
+// since a scheduling cycle has to see all of it at one moment. Nothing waits while it is held.
 package controller
 
 import (
@@ -25,41 +27,46 @@
 )
 
 // Controller leads one term.
+//
+// The fields below mu are guarded by it. Each group of them is changed by the files that its
+// comment names only.
 type Controller struct {
 	Options
 	term          uint64
+	startedAt     time.Time
+	now           func() time.Time
 	placementWake chan struct{} // there is something to place
 	releaseWake   chan struct{} // there is a machine to release
 	resolveWake   chan struct{} // a job waits for one whose final status is not known
-	now           func() time.Time
+	writer        *placementWriter
 
 	mu sync.Mutex
 
-	// The term: controller.go, load.go, takeover.go.
+	// The term: controller.go, load.go, failover.go.
 	cancel        context.CancelFunc
-	startedAt     time.Time
 	loaded        bool
-	proofAttempts int                        // checks of what was followed that the state service did not answer
-	listings      map[string][]wire.KeyValue // records that load has listed so far, by prefix
+	proofAttempts int                        // proofs of the warm standby that the state store did not answer
+	listings      map[string][]wire.KeyValue // records that loadState has listed so far, by prefix
 	failover      *failoverReport
 
-	// Jobs and their attempts: jobevents.go, dependencies.go, failures.go.
-	jobs     *jobTable
-	fleet    *fleet.Fleet
-	evidence *faultattribution.Evidence // which jobs and machines fail
+	// Jobs and their attempts: jobevents.go, dependencies.go, commits.go, launches.go, failures.go.
+	jobs                  *jobTable
+	fleet                 *fleet.Fleet
+	evidence              *faultattribution.Evidence // which jobs and machines fail
+	singleJobCommitsUntil time.Time                  // until when jobs are written one by one
 
-	// Rounds: round.go, picture.go, nodes.go.
-	window      int
-	lastRound   wire.RoundStatus
-	lastRoundAt time.Time
-	nodes       nodeCache // nodes.go
+	// Scheduling cycles: cycle.go, nodecache.go.
+	window      int // how many jobs a cycle looks at
+	lastCycle   wire.RoundStatus
+	lastCycleAt time.Time
+	nodes       nodeCache
 
 	// Scale out: scaleout.go, headroom.go, machinelist.go.
 	catalog          *wire.Catalog
 	requests         *autoscaler.Requests
 	refusals         *autoscaler.Refusals
 	arrivals         *autoscaler.Arrivals
-	headroomMachines map[string]bool // machines that the last round kept as headroom
+	headroomMachines map[string]bool // machines that the last cycle kept as headroom
 
 	// Scale in: scalein.go.
 	releases *autoscaler.Releases
@@ -68,47 +75,55 @@
 	detector *failuredetector.Detector
 
 	// Answers to workers: heartbeat.go, tokenannounce.go.
-	waitingAnswers map[string]chan struct{} // check-ins that wait for commands, by machine
+	waitingAnswers map[string]chan struct{} // heartbeats whose answers wait for commands, by machine
 	announcedAt    map[string]time.Time     // when the fencing token was last announced, by machine
 
-	// Commits: placementwriter.go, commits.go.
-	writer                *placementWriter
-	singleJobCommitsUntil time.Time // until when jobs are written one by one
-
 	// Images on record: imagerecords.go.
-	recordedImages map[string]recordedImages // which images of a machine are recorded
+	recordedImages map[string]recordedImages // by machine
 
-	// What a standby follows: views.go.
+	// What a warm standby follows: standbyviews.go.
 	views changedViews
 }
 
-// New makes the controller of a term.
+// New returns the controller of a term. Run makes it lead.
 func New(options Options, term uint64) *Controller {
-	c := &Controller{Options: options, term: term, placementWake: make(chan struct{}, 1), releaseWake: make(chan struct{}, 1),
-		resolveWake: make(chan struct{}, 1), now: time.Now,
-		jobs: newJobTable(), recordedImages: map[string]recordedImages{}, announcedAt: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}}
-	c.fleet = fleet.New(term, options.Config.WorkerLease(), c)
-	c.evidence = faultattribution.New(evidenceLeases * options.Config.WorkerLease())
-	c.requests = autoscaler.NewRequests(term)
-	c.refusals = autoscaler.NewRefusals(options.Config.WorkerLease())
-	c.arrivals = autoscaler.NewArrivals(options.Config.WorkerLease())
-	c.releases = autoscaler.NewReleases(term)
-	c.detector = newDetector(options.Config)
-	c.nodes = newNodeCache()
-	c.writer = newPlacementWriter(options.Config, options.Store, term, c)
+	lease := options.Config.WorkerLease()
+	jobs := newJobTable()
+	c := &Controller{
+		Options:        options,
+		term:           term,
+		now:            time.Now,
+		placementWake:  make(chan struct{}, 1),
+		releaseWake:    make(chan struct{}, 1),
+		resolveWake:    make(chan struct{}, 1),
+		jobs:           jobs,
+		evidence:       faultattribution.New(evidenceLeases * lease),
+		window:         options.Settings().Window,
+		nodes:          newNodeCache(jobs),
+		requests:       autoscaler.NewRequests(term),
+		refusals:       autoscaler.NewRefusals(lease),
+		arrivals:       autoscaler.NewArrivals(lease),
+		releases:       autoscaler.NewReleases(term),
+		detector:       newDetector(options.Config),
+		waitingAnswers: map[string]chan struct{}{},
+		announcedAt:    map[string]time.Time{},
+		recordedImages: map[string]recordedImages{},
+	}
 	c.startedAt = c.now()
-	c.window = options.Settings().Window
+	c.fleet = fleet.New(term, lease, c)
+	c.writer = newPlacementWriter(options.Config, options.Store, term, c)
 	c.failover = newFailoverReport(term, options.Config.Label, options.LeaderlessSince, c.startedAt)
 	return c
 }
 
-// Term is the term it leads.
+// Term returns the term that the controller leads.
 func (c *Controller) Term() uint64 { return c.term }
 
-// StartedAt is when the term began here.
+// StartedAt returns when the term began here.
 func (c *Controller) StartedAt() time.Time { return c.startedAt }
 
-// Run leads until ctx ends.
+// Run leads until ctx ends or a newer term is known to exist. It returns once all its
+// goroutines have, but for the one that stores the record of a failover.
 func (c *Controller) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -117,39 +132,51 @@
 	c.mu.Unlock()
 	c.JobCache.Listen(c.applyJobEvent)
 	defer c.JobCache.Listen(nil)
+	if !c.loadUntilDone(ctx) {
+		return
+	}
+	var wg sync.WaitGroup
+	for _, run := range []func(context.Context){
+		c.writer.run,
+		c.runCycles,
+		c.followCloud,
+		c.releaseMachines,
+		c.announceToken,
+		c.recordImages,
+		c.followRenewedLeases,
+		c.runResolver,
+	} {
+		wg.Go(func() { run(ctx) })
+	}
+	wg.Wait()
+}
+
+// loadUntilDone loads the state, again and again until that succeeds. It reports whether it did;
+// if not, ctx has ended.
+func (c *Controller) loadUntilDone(ctx context.Context) bool {
 	pause := c.Config.LeaderLeaseTTL() / 10
 	for {
 		err := c.loadState(ctx)
 		if err == nil {
-			break
+			return true
 		}
-		slog.Warn("cannot load the picture", "term", c.term, "err", err)
+		slog.Warn("state cannot be loaded", "term", c.term, "err", err)
 		if !timeralign.Sleep(ctx, pause) {
-			return
+			return false
 		}
 	}
-	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){
-		c.writer.run, c.runRounds, c.followCloud, c.releaseMachines, c.announceToken, c.recordImages, c.followRenewedLeases, c.runResolver,
-	} {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			f(ctx)
-		}()
-	}
-	wg.Wait()
 }
 
-// untilNext is how long to wait for periodic work, so that works of different
-// periods wake the process together.
+// untilNext is how long to wait for periodic work, so that works of different periods wake the
+// process together.
 func (c *Controller) untilNext(period time.Duration) time.Duration {
 	return c.Config.Grid().Next(time.Now(), period)
 }
 
-// stepDown ends the term: a newer one is known to exist.
-func (c *Controller) stepDown(why string) {
-	slog.Info("term is over", "term", c.term, "why", why)
+// stepDown ends the term: a newer one is known to exist. c.mu must not be held: a leader that
+// ended its term while holding it answered nobody, for ever.
+func (c *Controller) stepDown(reason string) {
+	slog.Info("term ends", "term", c.term, "reason", reason)
 	c.mu.Lock()
 	cancel := c.cancel
 	c.mu.Unlock()
@@ -158,6 +185,15 @@
 	}
 }
 
+// stepDownOnLeaderConflict ends the term if a commit failed because of the leader's key. c.mu
+// must not be held.
+func (c *Controller) stepDownOnLeaderConflict(err error) {
+	var conflict *store.ConflictError
+	if errors.As(err, &conflict) && slices.Contains(conflict.Failed, records.LeaderKey) {
+		c.stepDown("the leader's key has changed")
+	}
+}
+
 // notify wakes whoever waits on ch, now or next.
 func notify(ch chan struct{}) {
 	select {
@@ -167,52 +203,29 @@
 }
 
 // stopAttempt asks for the end of an attempt.
-func (c *Controller) stopAttempt(a *fleet.Attempt, gracePeriodS float64, now time.Time, why string) {
-	c.fleet.StopAttempt(a, gracePeriodS, now, why)
+func (c *Controller) stopAttempt(a *fleet.Attempt, gracePeriodS float64, now time.Time, reason string) {
+	c.fleet.StopAttempt(a, gracePeriodS, now, reason)
 	if a.Live() {
 		c.endAnswerWait(a.Machine)
 	}
 }
 
-// setCapacity fills in what a machine of its type offers.
+// setCapacity sets the capacity of a machine to what the catalog says of its type, if it does.
 func (c *Controller) setCapacity(m *fleet.Machine) {
-	if c.catalog == nil || m.Type == "" {
-		return
-	}
-	for i := range c.catalog.MachineTypes {
-		if c.catalog.MachineTypes[i].Name == m.Type {
-			m.Capacity = autoscaler.Capacity(&c.catalog.MachineTypes[i])
-			c.fleet.MarkChanged(m)
-		}
+	if machineType := findMachineType(c.catalog, m.Type); machineType != nil {
+		m.Capacity = autoscaler.Capacity(machineType)
+		c.fleet.MarkChanged(m)
 	}
 }
 
-func (c *Controller) machineType(name string) *wire.MachineType {
-	if c.catalog == nil {
-		return nil
-	}
-	for i := range c.catalog.MachineTypes {
-		if c.catalog.MachineTypes[i].Name == name {
-			return &c.catalog.MachineTypes[i]
-		}
-	}
-	return nil
-}
-
-// MachineChanged logs a machine's change of state.
-func (c *Controller) MachineChanged(m *fleet.Machine, from fleet.MachineState, why string) {
-	slog.Info("machine", "host", m.ID, "from", from.String(), "to", m.State.String(), "shift", m.Incarnation, "why", why)
+// MachineChanged follows the changes of machines' states. It is called by the fleet for every
+// one of them, with c.mu held.
+func (c *Controller) MachineChanged(m *fleet.Machine, from fleet.MachineState, reason string) {
+	slog.Info("machine state changed", "host", m.ID, "from", from.String(), "to", m.State.String(),
+		"incarnation", m.Incarnation, "reason", reason)
 	c.views.markMachine(m.ID)
 	c.recordFirstReady(m)
 	if m.State == fleet.Gone {
 		c.evidence.ForgetMachine(m.ID)
 	}
 }
-
-// stepDownOnLeaderConflict ends the term if a commit failed because of the leader's key.
-func (c *Controller) stepDownOnLeaderConflict(err error) {
-	var conflict *store.ConflictError
-	if errors.As(err, &conflict) && slices.Contains(conflict.Failed, records.LeaderKey) {
-		c.stepDown("the leader's key has changed")
-	}
-}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -27,22 +27,23 @@
 	c.takeStage("run-000001", wire.BestEffort, 0, now, 1)
 	c.takeStage("run-000002", wire.High, 200, now, 2, "run-000001")
 	first, last := c.jobs.get("run-000001"), c.jobs.get("run-000002")
+	urgency := c.urgency()
 	for _, tc := range []struct {
 		after time.Duration
 		want  wire.Priority
 	}{{0, wire.BestEffort}, {100 * time.Second, wire.BestEffort}, {150 * time.Second, wire.High}} {
-		if got := c.effectiveLevel(first, now.Add(tc.after)); got != tc.want.Level() {
+		if got := urgency.effectiveLevel(first, now.Add(tc.after)); got != tc.want.Level() {
 			t.Errorf("after %v its level is %d, want %d", tc.after, got, tc.want.Level())
 		}
 	}
-	if got := c.effectiveLevel(last, now); got != wire.High.Level() {
+	if got := urgency.effectiveLevel(last, now); got != wire.High.Level() {
 		t.Errorf("the last stage has level %d", got)
 	}
 	// Once the last stage is cancelled, nothing is inherited from it.
 	rec := *last.record
 	rec.Status = wire.JobAborted
 	c.applyJobEventLocked(last.uid, watchcache.Entry{Job: &rec, ModRevision: 3})
-	if got := c.effectiveLevel(first, now.Add(150*time.Second)); got != wire.BestEffort.Level() {
+	if got := urgency.effectiveLevel(first, now.Add(150*time.Second)); got != wire.BestEffort.Level() {
 		t.Errorf("after its cancellation the first has level %d", got)
 	}
 }
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -13,89 +13,101 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// failoverReport notes how a term began, for one line of the log and one record.
+// failoverReport collects how a term began, for one line of the log and one record. Its times
+// are in milliseconds from when it was seen that nobody leads.
 type failoverReport struct {
 	record          records.Takeover
-	leaderlessSince time.Time // when it was seen that nobody leads
-	ready           bool      // a machine has reported with this term's token
-	done            bool      // the first round that could place tasks has ended
+	leaderlessSince time.Time
+	ready           bool // a machine has sent a heartbeat with this term's token
+	done            bool // the first cycle that could place tasks has ended
 }
 
+// newFailoverReport begins the report of a term that this node was elected for. A node that did
+// not see that nobody leads counts from its election.
 func newFailoverReport(term uint64, node string, leaderlessSince, elected time.Time) *failoverReport {
 	if leaderlessSince.IsZero() || leaderlessSince.After(elected) {
 		leaderlessSince = elected
 	}
-	t := &failoverReport{leaderlessSince: leaderlessSince, record: records.Takeover{Term: term, Node: node, Cause: "no warm standby"}}
-	t.record.ElectedMs = t.sinceLeaderlessMs(elected)
-	return t
+	r := &failoverReport{
+		leaderlessSince: leaderlessSince,
+		record:          records.Takeover{Term: term, Node: node, Cause: "no warm standby"},
+	}
+	r.record.ElectedMs = r.sinceLeaderlessMs(elected)
+	return r
 }
 
-func (t *failoverReport) sinceLeaderlessMs(now time.Time) int64 {
-	return now.Sub(t.leaderlessSince).Milliseconds()
+func (r *failoverReport) sinceLeaderlessMs(now time.Time) int64 {
+	return now.Sub(r.leaderlessSince).Milliseconds()
 }
 
-// recordCold notes why what was followed could not be taken over.
-func (t *failoverReport) recordCold(err error) { t.record.Cause = err.Error() }
+// recordCold records why this node's warm standby could not be used.
+func (r *failoverReport) recordCold(err error) { r.record.Cause = err.Error() }
 
-// recordWarm notes what was taken over.
-func (t *failoverReport) recordWarm(p *standby.Proven) {
-	t.record.Warm, t.record.Cause = true, ""
-	t.record.FollowedTerm, t.record.Position, t.record.Digest = p.FollowedTerm, p.Position, fmt.Sprintf("%016x", p.Digest)
-	t.record.AgeMs, t.record.Changes = p.Age.Milliseconds(), p.Changes
+// recordWarm records what this node's warm standby had followed.
+func (r *failoverReport) recordWarm(p *standby.Proven) {
+	r.record.Warm, r.record.Cause = true, ""
+	r.record.FollowedTerm, r.record.Position, r.record.Digest = p.FollowedTerm, p.Position, fmt.Sprintf("%016x", p.Digest)
+	r.record.AgeMs, r.record.Changes = p.Age.Milliseconds(), p.Changes
 }
 
-func (t *failoverReport) recordLoaded(now time.Time, machines, attempts int) {
-	t.record.LoadedMs, t.record.Machines, t.record.Attempts = t.sinceLeaderlessMs(now), machines, attempts
+// recordLoaded records that the state is loaded, and with how many machines and attempts.
+func (r *failoverReport) recordLoaded(now time.Time, machines, attempts int) {
+	r.record.LoadedMs, r.record.Machines, r.record.Attempts = r.sinceLeaderlessMs(now), machines, attempts
 }
 
-// recordMachineReady notes that a machine has reported with this term's token.
-func (t *failoverReport) recordMachineReady(now time.Time) {
-	if !t.ready {
-		t.ready = true
-		t.record.ReadyMs = t.sinceLeaderlessMs(now)
+// recordMachineReady records that a machine has sent a heartbeat with this term's token, the
+// first time.
+func (r *failoverReport) recordMachineReady(now time.Time) {
+	if !r.ready {
+		r.ready = true
+		r.record.ReadyMs = r.sinceLeaderlessMs(now)
 	}
 }
 
-// recordDecision notes a round, and reports whether it was the first that could place tasks.
-func (t *failoverReport) recordDecision(now time.Time) bool {
-	if t.done || !t.ready {
+// recordDecision records a scheduling cycle, and reports whether it was the first that could
+// place tasks.
+func (r *failoverReport) recordDecision(now time.Time) bool {
+	if r.done || !r.ready {
 		return false
 	}
-	t.done = true
-	t.record.DecidedMs = t.sinceLeaderlessMs(now)
+	r.done = true
+	r.record.DecidedMs = r.sinceLeaderlessMs(now)
 	return true
 }
 
-// reportFailover writes, after the first round that could place tasks, how the takeover went.
-// c.mu is held.
-func (c *Controller) reportFailover(now time.Time) {
+// finishFailover logs, after the first cycle that could place tasks, how the failover went. It
+// returns the record to store; nil after other cycles and without a warm standby. c.mu is held.
+func (c *Controller) finishFailover(now time.Time) *records.Takeover {
 	if !c.failover.recordDecision(now) {
-		return
+		return nil
 	}
-	rec := c.failover.record
-	slog.Info("takeover", "term", rec.Term, "warm", rec.Warm, "cause", rec.Cause, "followed_term", rec.FollowedTerm, "position", rec.Position,
-		"digest", rec.Digest, "age_ms", rec.AgeMs, "changes", rec.Changes, "machines", rec.Machines, "attempts", rec.Attempts,
-		"elected_ms", rec.ElectedMs, "loaded_ms", rec.LoadedMs, "ready_ms", rec.ReadyMs, "decided_ms", rec.DecidedMs)
-	c.Observer.FailoverFinished(rec)
-	if c.Prove != nil {
-		go c.storeFailoverRecord(rec)
+	record := c.failover.record
+	slog.Info("failover finished", "term", record.Term, "warm", record.Warm, "cause", record.Cause,
+		"followed_term", record.FollowedTerm, "position", record.Position, "digest", record.Digest,
+		"age_ms", record.AgeMs, "changes", record.Changes, "machines", record.Machines, "attempts", record.Attempts,
+		"elected_ms", record.ElectedMs, "loaded_ms", record.LoadedMs, "ready_ms", record.ReadyMs, "decided_ms", record.DecidedMs)
+	c.Observer.FailoverFinished(record)
+	if c.Prove == nil {
+		return nil
 	}
+	return &record
 }
 
-// storeFailoverRecord keeps the record of the takeover. It is not tried twice: the log has it.
-func (c *Controller) storeFailoverRecord(rec records.Takeover) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.Config.LeaderLeaseTTL())
+// storeFailoverRecord stores the record of the failover, within a leader lease. It is not tried
+// twice: the log has it.
+func (c *Controller) storeFailoverRecord(ctx context.Context, record records.Takeover) {
+	ctx, cancel := context.WithTimeout(ctx, c.Config.LeaderLeaseTTL())
 	defer cancel()
 	_, err := c.Store.Commit(store.Note(ctx), wire.Transaction{
 		Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}},
-		Changes:  []wire.Change{{Set: records.TakeoverKey, Value: records.Encode(rec)}},
+		Changes:  []wire.Change{{Set: records.TakeoverKey, Value: records.Encode(record)}},
 	})
 	if err != nil {
-		slog.Info("takeover not recorded", "term", c.term, "err", err)
+		slog.Info("failover record not stored", "term", c.term, "err", err)
 	}
 }
 
-// recordFirstReady notes the first machine that is ready.
+// recordFirstReady records the first machine that is ready.
 func (c *Controller) recordFirstReady(m *fleet.Machine) {
 	if m.State == fleet.Ready {
 		c.failover.recordMachineReady(c.now())
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -55,7 +55,7 @@
 	j.backoffs++
 	j.suspect, j.backoffUntil = true, now.Add(wait)
 	c.views.markJob(j.uid)
-	slog.Info("job is held back", "uid", j.uid, "times", j.backoffs, "for", wait.String(), "mistaken", c.evidence.JobFaultProbability(j.uid))
+	slog.Info("job held back", "uid", j.uid, "times", j.backoffs, "for", wait.String(), "mistaken", c.evidence.JobFaultProbability(j.uid))
 }
 
 // clearSuspicion ends the suspicion against a job: a task of it works.
@@ -66,7 +66,7 @@
 	if until := now.Add(rest); until.After(m.AvoidUntil) {
 		m.AvoidUntil, m.Quarantined = until, true
 		c.fleet.MarkChanged(m)
-		slog.Info("machine passed over", "host", m.ID, "for", rest.String(), "faulty", c.evidence.MachineFaultProbability(m.ID))
+		slog.Info("machine quarantined", "host", m.ID, "for", rest.String(), "faulty", c.evidence.MachineFaultProbability(m.ID))
 	}
 }
 
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -50,7 +50,7 @@
 func (b *broken) step() {
 	b.now = b.now.Add(time.Second)
 	b.sequence++
-	b.c.runRound(time.Second)
+	b.c.runCycle(time.Second)
 	commitAll(b.t, b.c)
 	reportAll(b.t, b.c, b.sequence, b.outcome)
 }
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -11,23 +11,23 @@
 
 // planHeadroom plans for the work that must start at once when it arrives, with the room that a
 // round has left, and keeps the machines that it would use. c.mu is held.
-func (c *Controller) planHeadroom(p *snapshot, plan *sched.Plan, now time.Time) *sched.Plan {
+func (c *Controller) planHeadroom(s *snapshot, plan *sched.Plan, now time.Time) *sched.Plan {
 	in := &sched.Input{
 		Now:              now,
-		View:             p.in.View,
-		Nodes:            p.in.Nodes,
+		View:             s.in.View,
+		Nodes:            s.in.Nodes,
 		Previous:         plan,
-		PreemptOnlyBelow: p.in.PreemptOnlyBelow,
+		PreemptOnlyBelow: s.in.PreemptOnlyBelow,
 		Window:           math.MaxInt,
 		ReserveAfterS:    math.Inf(1),
 		Jobs: c.arrivals.HeadroomJobs(now, autoscaler.HeadroomOptions{
 			Factor:     c.Settings().Headroom,
-			BootS:      c.bootSeconds,
-			NeedsImage: func(spec *wire.JobSpec) bool { return c.slackSeconds(spec) < 0 },
+			BootS:      s.urgency.boot,
+			NeedsImage: func(spec *wire.JobSpec) bool { return s.urgency.startSlack(spec) < 0 },
 		}),
 		Teams: map[string]*sched.Team{},
 	}
-	for name := range p.in.Teams {
+	for name := range s.in.Teams {
 		in.Teams[name] = &sched.Team{}
 	}
 	headroom, kept := &sched.Plan{}, map[string]bool{}
@@ -35,7 +35,7 @@
 		headroom = sched.Run(in)
 	}
 	for _, place := range headroom.Placements {
-		if m := p.machine(place.Node); m != nil {
+		if m := s.machine(place.Node); m != nil {
 			kept[m.ID] = true
 		}
 	}
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -73,7 +73,7 @@
 	sequence := uint64(1)
 	for rounds := 0; j.done < tasks && rounds < 1000; rounds++ {
 		now = now.Add(3 * time.Second)
-		c.runRound(time.Second)
+		c.runCycle(time.Second)
 		commitAll(t, c)
 		reportAll(t, c, sequence+1, always(wire.TaskRunning, ""))
 		reportAll(t, c, sequence+2, always(wire.TaskEnded, wire.CauseDone))
@@ -105,13 +105,13 @@
 func TestReportsOfTinyTasksFitABody(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Resources{Cores: 0.02, RAM: 0.1})
-	c.runRound(time.Second)
+	c.runCycle(time.Second)
 	commitAll(t, c)
 	if j.live != maxTasksPerMachine {
 		t.Fatalf("%d tasks are started, want %d", j.live, maxTasksPerMachine)
 	}
 	reportAll(t, c, 2, always(wire.TaskEnded, wire.CauseDone))
-	c.runRound(time.Second) // nothing is reaped yet: the ends are written later
+	c.runCycle(time.Second) // nothing is reaped yet: the ends are written later
 	commitAll(t, c)
 	reportAll(t, c, 3, always(wire.TaskEnded, wire.CauseDone))
 	if j.live != 0 {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -39,7 +39,7 @@
 	per := records.TasksPerPlacement(c.Config.CurrentValueBytes(), c.Config.ValueBytes())
 	spec := wire.JobSpec{UID: "run-000001", Team: "crew", Kind: wire.JobArray, TaskCount: 2 * per, Cores: 1, RAMGb: 1, Image: "i", Priority: wire.High}
 	c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: per}, ModRevision: 1})
-	c.runRound(time.Second)
+	c.runCycle(time.Second)
 	j := c.jobs.get(spec.UID)
 	if j.live == 0 || j.live == spec.TaskCount {
 		t.Fatalf("%d of %d tasks are placed", j.live, spec.TaskCount)
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	c.runRound(time.Second)
+	c.runCycle(time.Second)
 	if j.live <= placed/2+1 {
 		t.Errorf("%d tasks are placed after the end of half of %d", j.live, placed)
 	}
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -101,7 +101,7 @@
 // usualBootS is how many seconds a machine of a type usually boots; known is false if the catalog
 // does not have the type.
 func (c *Controller) usualBootS(machineType string) (seconds float64, known bool) {
-	t := c.machineType(machineType)
+	t := findMachineType(c.catalog, machineType)
 	if t == nil {
 		return 0, false
 	}
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -168,7 +168,7 @@
 					c.heartbeatFrom(i, sequence, now)
 				}
 			}
-			c.runRound(time.Second)
+			c.runCycle(time.Second)
 		}
 		round(0, true, true)
 		for over := now.Add(tc.silent); now.Before(over); {
@@ -243,7 +243,7 @@
 		if status == wire.JobQueued {
 			c.jobs.get(spec.UID).placement(0).markChanged(now)
 		}
-		c.runRound(time.Second)
+		c.runCycle(time.Second)
 		if c.jobs.get(spec.UID).live != 1 {
 			t.Errorf("with 250 jobs that are %s, nothing is started", status)
 		}
@@ -272,7 +272,7 @@
 	large := array("run-000100", 9, 3*time.Minute)
 	young := array("run-000101", 9, time.Minute)
 	order := func() (uids []string, waiting []int) {
-		p := c.snapshot(now, time.Second)
+		p := c.newSnapshot(now, time.Second)
 		sched.SortQueue(p.in.Jobs, 40)
 		for _, j := range p.in.Jobs {
 			uids, waiting = append(uids, j.Spec.UID), append(waiting, j.PendingTasks)
--- a/internal/controller/nodecache_test.go
+++ b/internal/controller/nodecache_test.go
@@ -41,10 +41,10 @@
 			c.refreshNodes(now)
 			present := 0
 			c.fleet.Each(func(m *fleet.Machine) {
-				if _, ok := c.schedulerNode(m, now); ok {
+				if _, ok := c.nodes.builder.build(m, now); ok {
 					present++
 				}
-				if c.rebuildNode(m.ID, m, now) {
+				if c.nodes.rebuild(m.ID, m, now) {
 					t.Fatalf("after %s the node of %s is out of date", what, m.ID)
 				}
 			})
@@ -126,7 +126,7 @@
 					c.fleet.Forget(m.ID)
 				}
 			},
-			"round": func(t *rapid.T) { c.runRound(time.Second) },
+			"round": func(t *rapid.T) { c.runCycle(time.Second) },
 			"time":  func(t *rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 30).Draw(t, "seconds")) * time.Second) },
 		}
 		names := slices.Sorted(maps.Keys(actions))
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -36,7 +36,7 @@
 		}
 	})
 	slices.SortFunc(idle, func(a, b *fleet.Machine) int {
-		return cmp.Or(cmp.Compare(c.hourlyPrice(b.Type, b.Spot), c.hourlyPrice(a.Type, a.Spot)), cmp.Compare(b.ID, a.ID))
+		return cmp.Or(cmp.Compare(hourlyPrice(c.catalog, b.Type, b.Spot), hourlyPrice(c.catalog, a.Type, a.Spot)), cmp.Compare(b.ID, a.ID))
 	})
 	for _, m := range idle[:(len(idle)+3)/4] {
 		c.startRelease(m, now, "idle")
@@ -47,7 +47,7 @@
 // machine costs at least a minute; what is needed again within a fraction of a boot saves a boot.
 func (c *Controller) isIdle(m *fleet.Machine, now time.Time) bool {
 	const bootMarginS = 10
-	machineType := c.machineType(m.Type)
+	machineType := findMachineType(c.catalog, m.Type)
 	if m.State != fleet.Ready || m.LiveCount() > 0 || c.headroomMachines[m.ID] || machineType == nil {
 		return false
 	}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -23,9 +23,9 @@
 
 // scale decides which machines to provision for tasks that have no room, and starts to release
 // those that are idle. It returns the requests to send. c.mu is held.
-func (c *Controller) scale(p *snapshot, plan *sched.Plan, now time.Time) []wire.ProvisionRequest {
+func (c *Controller) scale(s *snapshot, plan *sched.Plan, now time.Time) []wire.ProvisionRequest {
 	settled := c.detector.IsSettled(now)
-	headroom := c.planHeadroom(p, plan, now)
+	headroom := c.planHeadroom(s, plan, now)
 	// A new leader waits until the machines have sent heartbeats before it decides
 	// that there are too few or too many.
 	if !settled && c.requests.Len() == 0 && c.fleet.Len() > 0 && c.awaitsFirstHeartbeats() {
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -126,7 +126,7 @@
 		launches, sequence := 0, uint64(1)
 		for ; launches < machines && sequence < 20; sequence++ {
 			now = now.Add(time.Second)
-			c.runRound(time.Second)
+			c.runCycle(time.Second)
 			for b := c.nextBatch(); b != nil; b = c.nextBatch() {
 				c.writer.commit(t.Context(), b)
 			}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -55,12 +55,12 @@
 		Term:     c.term,
 		Loaded:   c.loaded,
 		Window:   c.window,
-		Round:    c.lastRound,
+		Round:    c.lastCycle,
 		Machines: map[string]int{},
 		Classes:  map[string]wire.ClassStatus{},
 	}
-	if !c.lastRoundAt.IsZero() {
-		status.Round.AgoS = now.Sub(c.lastRoundAt).Seconds()
+	if !c.lastCycleAt.IsZero() {
+		status.Round.AgoS = now.Sub(c.lastCycleAt).Seconds()
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
 		status.Machines[m.State.String()]++
