--- /dev/null
+++ b/internal/controller/snapshot_test.go
@@ -0,0 +1,125 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/autoscaler"
+	"lotusstile.dev/lotusstile/internal/config"
+	"lotusstile.dev/lotusstile/internal/fleet"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/sched"
+	"lotusstile.dev/lotusstile/internal/watchcache"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// While the cloud has no spot machine for a job, it does not wait for one; from time to time the
+// cloud is asked again.
+func TestIsSpotExhaustedUntilRefusalsExpire(t *testing.T) {
+	now := time.Unix(1000, 0)
+	c := newTestLeader(&now)
+	c.catalog = g8Catalog()
+	c.catalog.MachineTypes = append(c.catalog.MachineTypes,
+		wire.MachineType{Name: "g1", Cores: 8, Gpus: 1, RAMGb: 32, Zones: []string{"a"}})
+	spec := &wire.JobSpec{Cores: 16, Gpus: 2, RAMGb: 64, AllowSpot: true}
+	check := func(want bool, when string) {
+		t.Helper()
+		if got := c.isSpotExhausted(spec, now); got != want {
+			t.Errorf("%s: exhausted is %v", when, got)
+		}
+	}
+	check(false, "before anything was asked")
+	c.refusals.Add(autoscaler.MachineGroup{Type: "g8", Zone: "a", Spot: true}, now)
+	check(false, "one zone of two")
+	c.refusals.Add(autoscaler.MachineGroup{Type: "g8", Zone: "b", Spot: true}, now)
+	check(true, "both zones, and the small type does not hold it")
+	spec.MachineTypes = []string{"g1"}
+	spec.Cores, spec.Gpus, spec.RAMGb = 8, 1, 32
+	check(false, "a type that was not refused")
+	spec.MachineTypes = []string{"g8"}
+	now = now.Add(4 * c.Config.WorkerLease())
+	check(false, "a while later")
+}
+
+// addArray adds an array that was submitted that long ago.
+func (c *Controller) addArray(uid string, tasks int, ago time.Duration) *job {
+	submitted := c.now().Add(-ago)
+	spec := wire.JobSpec{
+		UID:       uid,
+		JobClass:  "batch",
+		Team:      "crew",
+		Kind:      wire.JobArray,
+		Priority:  wire.Standard,
+		TaskCount: tasks,
+		Cores:     1,
+		Gpus:      1,
+		RAMGb:     1,
+	}
+	record := &records.Job{Spec: spec, Status: wire.JobQueued, Per: 16, AtMs: submitted.UnixMilli()}
+	c.applyJobEventLocked(uid, watchcache.Entry{Job: record, ModRevision: 1})
+	j := c.jobs.get(uid)
+	j.waitingSince = submitted
+	return j
+}
+
+// queued is a job of a cycle's queue and how many of its tasks wait.
+type queued struct {
+	uid   string
+	tasks int
+}
+
+// queue is the order in which a cycle looks at jobs.
+func (c *Controller) queue(now time.Time) []queued {
+	s := c.snapshot(now, time.Second)
+	sched.SortQueue(s.in.Jobs, 40)
+	queue := make([]queued, 0, len(s.in.Jobs))
+	for _, j := range s.in.Jobs {
+		queue = append(queue, queued{j.Spec.UID, j.PendingTasks})
+	}
+	return queue
+}
+
+// The first task of an array that is larger than its class usually is goes before others of its
+// priority once it has waited for long, and only the first: at a team's limit, with a queue of
+// minutes, one of nine of the largest had begun after four minutes.
+func TestLargeArraysBegin(t *testing.T) {
+	now := time.Now()
+	c := newTestLeader(&now)
+	c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
+	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{
+		{Name: "g", Cores: 8, Gpus: 8, RAMGb: 8, BootS: 30, Zones: []string{"a"}},
+	}}
+	for i := range 12 {
+		c.addArray(fmt.Sprintf("run-%06d", i), 2, 4*time.Minute)
+	}
+	large := c.addArray("run-000100", 9, 3*time.Minute)
+	young := c.addArray("run-000101", 9, time.Minute)
+	queue := c.queue(now)
+	if len(queue) != 15 || queue[0] != (queued{large.uid, 1}) || queue[13] != (queued{large.uid, 8}) ||
+		queue[14] != (queued{young.uid, 9}) {
+		t.Errorf("the queue is %v", queue)
+	}
+	// Once it has run, it waits its turn, also when its task has ended.
+	a := &fleet.Attempt{JobUID: large.uid, TaskIndex: 0, Number: 1, Resources: large.need}
+	large.addAttempt(large.placement(0), a)
+	heartbeat := func(sequence uint64, tasks ...wire.TaskReport) {
+		c.fleet.ApplyHeartbeat(&wire.Heartbeat{
+			Host:         "m",
+			MachineType:  "g",
+			Zone:         "a",
+			Incarnation:  1,
+			Sequence:     sequence,
+			FencingToken: 5,
+			Tasks:        tasks,
+		}, now)
+	}
+	heartbeat(1)
+	c.fleet.AddAttempt(c.fleet.Get("m"), a, now)
+	c.fleet.MarkCommitted(a, now)
+	heartbeat(2, wire.TaskReport{Task: a.TaskName(), Attempt: 1, Status: wire.TaskRunning, Cause: wire.CauseStopped})
+	heartbeat(3, wire.TaskReport{Task: a.TaskName(), Attempt: 1, Status: wire.TaskEnded, Cause: wire.CauseStopped})
+	if queue := c.queue(now); len(queue) != 14 || queue[0].uid == large.uid || large.live != 0 {
+		t.Errorf("after it has begun, the queue is %v", queue)
+	}
+}
