--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -43,11 +43,10 @@
 	mu sync.Mutex
 
 	// The term: controller.go, load.go, failover.go.
-	cancel        context.CancelFunc
-	loaded        bool
-	proofAttempts int                        // proofs of the warm standby that the state store did not answer
-	listings      map[string][]wire.KeyValue // records that loadState has listed so far, by prefix
-	failover      *failoverReport
+	cancel   context.CancelFunc
+	loader   *recordLoader // while the state is loaded, by the goroutine that does so
+	loaded   bool
+	failover *failoverReport
 
 	// Jobs and their attempts: jobevents.go, dependencies.go, commits.go, launches.go, failures.go.
 	jobs                  *jobTable
