--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -65,7 +65,7 @@
 // An array that fails everywhere is tried again ever less often, and with one task at a time: 25
 // tasks once failed together, again and again, in room that others could have used. No machine is passed
 // over for it for longer than the first doubt lasts, and it is never given up.
-func TestMistakenArrayIsTriedWithOneTask(t *testing.T) {
+func TestFaultyArrayIsRetriedWithOneTask(t *testing.T) {
 	const tasks, minutes = 25, 5
 	b, _, j := newBroken(t, 10, tasks)
 	for range 20 {
@@ -102,7 +102,7 @@
 
 // A faulty machine is found while jobs fail by mistakes of their own, and it comes back once
 // its tasks work again.
-func TestFaultyMachineIsFoundBesideMistakenJobs(t *testing.T) {
+func TestFaultyMachineIsQuarantinedBesideFaultyJobs(t *testing.T) {
 	b, _, _ := newBroken(t, 6, 12)
 	b.faulty = "m-000002"
 	good := map[string]*job{}
@@ -149,7 +149,7 @@
 }
 
 // The next leader, which has the records only, does not start a mistaken array whole again.
-func TestNextLeaderDoubtsWhatNeverWorked(t *testing.T) {
+func TestNextLeaderSuspectsArraysThatNeverSucceeded(t *testing.T) {
 	b, services, j := newBroken(t, 10, 25)
 	for range 30 {
 		b.step()
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -13,7 +13,7 @@
 // Answers that have no commands wait for some, but not when another controller
 // relays the report or the node is behind. The waits of many machines end together:
 // each with a wake-up of its own, they took an eighth of a leader's processor time.
-func TestWaitsForCommandsEndSingleZone(t *testing.T) {
+func TestWaitingAnswersEndTogether(t *testing.T) {
 	const machines = 120
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
@@ -54,7 +54,7 @@
 // While the state service is not read, no answer waits for commands, which could not be launched:
 // the worker's next report comes sooner, and its lease is younger when the node has to stop
 // answering.
-func TestNoWaitWhileTheStateServiceIsNotRead(t *testing.T) {
+func TestAnswersDoNotWaitWhileTheStateStoreIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestLeader(new(time.Time))
 		c.now = time.Now
--- a/internal/controller/huge_test.go
+++ b/internal/controller/huge_test.go
@@ -66,7 +66,7 @@
 // An array with more pieces than a commit may have conditions is called done once its tasks
 // are, its workers are told to reap, and its records go. All its pieces were once counted
 // against the one commit that only writes its status: it stayed unfinished for ever.
-func TestHugeArrayIsFinished(t *testing.T) {
+func TestHugeArrayIsArchived(t *testing.T) {
 	const tasks = 25_000
 	now := time.Unix(10_000, 0)
 	services, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Resources{Cores: 0.25, RAM: 1})
@@ -102,7 +102,7 @@
 // A machine gets no more tasks than its report has room for, those that have ended and wait to
 // be reaped included, but as many as that: an array of which more would fit a machine once
 // started nothing at all.
-func TestReportsOfTinyTasksFitABody(t *testing.T) {
+func TestHeartbeatsOfTinyTasksFitABody(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Resources{Cores: 0.02, RAM: 0.1})
 	c.runCycle(time.Second)
--- a/internal/controller/job_test.go
+++ b/internal/controller/job_test.go
@@ -21,7 +21,7 @@
 // picked tasks twice that an earlier term had placed and that were off again:
 // they were on the list of freed tasks and also ahead of the cursor. The
 // second attempt hid the first, which held its room for ever.
-func TestPickTakesEachWaitingTaskOnce(t *testing.T) {
+func TestNextWaitingTasksReturnsEachTaskOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := rapid.IntRange(1, 40).Draw(t, "legs")
 		j := newJob("run-000001", watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{TaskCount: tasks}, Status: wire.JobQueued, Per: 7}, ModRevision: 1}, time.Now())
--- a/internal/controller/jobtable_test.go
+++ b/internal/controller/jobtable_test.go
@@ -12,7 +12,7 @@
 
 // A follower that asks again and again learns the final status of every job that ends, without
 // gaps, and of none that has not; what is kept to be told is bounded.
-func TestFinalStatusesAreAnnounced(t *testing.T) {
+func TestFollowersLearnEachFinalStatus(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
 	own := map[string]wire.JobStatus{}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -98,7 +98,7 @@
 }
 
 // While the state service does not answer, the proof is tried again, and then all is listed.
-func TestProofThatIsNotAnswered(t *testing.T) {
+func TestUnansweredProofIsRetriedBeforeListing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
 	c.loaded = false
@@ -117,7 +117,7 @@
 }
 
 // Views are made of what has changed, and of everything for a standby that asks anew.
-func TestChangedViews(t *testing.T) {
+func TestDrainChangedViewsReturnsWhatChanged(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
 	for i := range 600 {
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -2,8 +2,8 @@
 
 import "lotusstile.dev/lotusstile/internal/quota"
 
-// withinQuotas finds the jobs that lie within the guarantees of their teams; nil if no team
-// has a guarantee.
+// withinQuotas returns the jobs that lie within the quotas of their teams; nil if no team has a
+// quota.
 func (c *Controller) withinQuotas() quota.Set {
 	quotas := map[string]quota.Amount{}
 	for _, team := range c.Config.Cluster.Teams {
@@ -20,8 +20,13 @@
 			continue
 		}
 		unfinished := float64(j.record.Spec.TaskCount - j.done)
-		jobs = append(jobs, quota.Job{UID: j.uid, Team: j.record.Spec.Team, Level: j.level, AcceptedMs: j.record.AtMs,
-			Needs: quota.Amount{Cores: unfinished * j.need.Cores, Gpus: unfinished * j.need.Gpus}})
+		jobs = append(jobs, quota.Job{
+			UID:        j.uid,
+			Team:       j.record.Spec.Team,
+			Level:      j.level,
+			AcceptedMs: j.record.AtMs,
+			Needs:      quota.Amount{Cores: unfinished * j.need.Cores, Gpus: unfinished * j.need.Gpus},
+		})
 	}
 	return quota.JobsWithinQuota(quotas, jobs)
 }
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -170,7 +170,7 @@
 }
 
 // Of more jobs than are told at once, a follower learns the counts of all, ping by ping.
-func TestCountsOfManyJobs(t *testing.T) {
+func TestCountsOfManyJobsArriveInParts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
 	const jobs = 3*maxCountsPerReply + 1
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -83,7 +83,7 @@
 // The first task of an array that is larger than its class usually is goes before others of its
 // priority once it has waited for long, and only the first: at a team's limit, with a queue of
 // minutes, one of nine of the largest had begun after four minutes.
-func TestLargeArraysBegin(t *testing.T) {
+func TestFirstTaskOfOverdueLargeArrayGoesFirst(t *testing.T) {
 	now := time.Now()
 	c := newTestLeader(&now)
 	c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
