--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"context"
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/records"
@@ -23,3 +24,28 @@
 func (fakeObserver) FailoverFinished(records.Takeover) { /* not followed by tests */ }
 
 func (o fakeObserver) JobFinished(uid string, status wire.JobStatus) { o.finished[uid] = status }
+
+// scriptedStore is a state store that answers commits in turn and keeps them.
+type scriptedStore struct {
+	Store
+	answers []error
+	commits []wire.Transaction
+}
+
+func (s *scriptedStore) Commit(_ context.Context, tx wire.Transaction) (uint64, error) {
+	s.commits = append(s.commits, tx)
+	err := s.answers[0]
+	s.answers = s.answers[1:]
+	return uint64(len(s.commits)), err
+}
+
+// recordingCloud is a cloud that takes all machines back and keeps their names.
+type recordingCloud struct {
+	Cloud
+	hosts []string
+}
+
+func (r *recordingCloud) Return(_ context.Context, hosts []string) error {
+	r.hosts = append(r.hosts, hosts...)
+	return nil
+}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -49,7 +49,7 @@
 		Refused:        func(g autoscaler.MachineGroup) bool { return c.refusals.IsPaused(g, now) },
 		Calls:          c.provisionCalls(),
 	})
-	var requests []wire.ProvisionRequest
+	requests := make([]wire.ProvisionRequest, 0, len(plan))
 	for _, request := range plan {
 		requests = append(requests, c.requests.Add(request))
 	}
