--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -52,7 +52,7 @@
 	launches := 0
 	for rounds := 1; launches < len(f.hosts) && rounds < 20; rounds++ {
 		f.now = f.now.Add(time.Second)
-		f.leader.runRound(time.Second)
+		f.leader.runCycle(time.Second)
 		commitAll(f.t, f.leader)
 		launches += f.heartbeats()
 	}
--- a/internal/controller/round_test.go
+++ b/internal/controller/launches_test.go
@@ -51,7 +51,7 @@
 		}
 		spec.UID, spec.Priority = "run-000250", wire.Critical
 		addJob(spec, wire.JobQueued, status == wire.JobQueued)
-		c.runRound(time.Second)
+		c.runCycle(time.Second)
 		if c.jobs.get(spec.UID).live != 1 {
 			t.Errorf("with 250 jobs that are %s, nothing is started", status)
 		}
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -154,7 +154,7 @@
 			c := newTestLeader(&now)
 			c.catalog = g8Catalog()
 			sequence := uint64(0)
-			runRound := func(step time.Duration, storeReadable, heartbeats bool) {
+			runCycle := func(step time.Duration, storeReadable, heartbeats bool) {
 				now = now.Add(step)
 				if storeReadable {
 					c.JobCache.Reset(nil, 0, now)
@@ -166,17 +166,17 @@
 						c.heartbeatFrom(i, sequence, now)
 					}
 				}
-				c.runRound(time.Second)
+				c.runCycle(time.Second)
 			}
-			runRound(0, true, true)
+			runCycle(0, true, true)
 			for over := now.Add(tc.silence); now.Before(over); {
-				runRound(tc.step, tc.storeReadable, false)
+				runCycle(tc.step, tc.storeReadable, false)
 			}
 			if dead := len(c.returningHosts()); dead != tc.wantDead {
 				t.Errorf("%d machines are declared dead, want %d", dead, tc.wantDead)
 			}
 			for range 120 { // none of them sends a heartbeat now, either
-				runRound(time.Second/2, true, false)
+				runCycle(time.Second/2, true, false)
 			}
 			if dead := len(c.returningHosts()); dead != machines {
 				t.Errorf("%d machines are declared dead a minute later, want %d", dead, machines)
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -71,7 +71,7 @@
 
 // queue is the order in which a cycle looks at jobs.
 func (c *Controller) queue(now time.Time) []queued {
-	s := c.snapshot(now, time.Second)
+	s := c.newSnapshot(now, time.Second)
 	sched.SortQueue(s.in.Jobs, 40)
 	queue := make([]queued, 0, len(s.in.Jobs))
 	for _, j := range s.in.Jobs {
