--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -50,7 +50,7 @@
 
 // pack finds room for the tasks that a job is short of, on machines of the packing or new ones.
 // Bins that are full are not looked at again: at thousands of tasks, looking at each bin for
-// each task took longer than a round may.
+// each task took longer than a scheduling cycle may.
 func (p *packing) pack(short sched.Shortfall) {
 	job := short.Job
 	need := fleet.TaskResources(job.Spec)
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -101,7 +101,7 @@
 
 // splitIntoCalls splits requests into ones that the cloud takes in one call each: one of each
 // group first, then what is left of the calls in turn. What no call is left for waits for the
-// next round.
+// next cycle.
 func splitIntoCalls(wanted []Request, calls int) []Request {
 	var requests []Request
 	left := len(wanted)
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -9,7 +9,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// What a dead fleet of 4,096 and of 6,000 machines ran is provisioned for within some rounds, each
+// What a dead fleet of 4,096 and of 6,000 machines ran is provisioned for within some cycles, each
 // in calls that the cloud takes and no more than are allowed, and the decision takes less than a
 // second: with a look at every machine of the packing for each task it took several.
 func TestPlanReplacesADeadFleetWithinItsCalls(t *testing.T) {
@@ -30,9 +30,9 @@
 			shorts = append(shorts, sched.Shortfall{Job: &sched.Job{Spec: spec}, Count: 8})
 		}
 		machinesByZone, provisioned, began := map[string]int{}, 0, time.Now()
-		for rounds := 0; len(shorts) > 0; rounds++ {
-			if rounds > machines/(calls*wire.MaxProvision)+2 {
-				t.Fatalf("%d machines are provisioned after %d rounds", provisioned, rounds)
+		for cycles := 0; len(shorts) > 0; cycles++ {
+			if cycles > machines/(calls*wire.MaxProvision)+2 {
+				t.Fatalf("%d machines are provisioned after %d cycles", provisioned, cycles)
 			}
 			requests := Plan(catalog, Demand{
 				Shorts:         shorts,
@@ -41,7 +41,7 @@
 				Calls:          calls,
 			})
 			if len(requests) > calls {
-				t.Fatalf("%d calls in a round", len(requests))
+				t.Fatalf("%d calls in a cycle", len(requests))
 			}
 			requested := 0
 			for _, r := range requests {
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -10,7 +10,7 @@
 )
 
 // planHeadroom plans for the work that must start at once when it arrives, with the room that a
-// round has left, and keeps the machines that it would use. c.mu is held.
+// scheduling cycle has left, and keeps the machines that it would use. c.mu is held.
 func (c *Controller) planHeadroom(s *snapshot, plan *sched.Plan, now time.Time) *sched.Plan {
 	in := &sched.Input{
 		Now:              now,
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -25,9 +25,9 @@
 }
 
 // releaseIdle releases machines that have had nothing to do for a while and that are not kept as
-// headroom, the most expensive first. A part of them at a time: the next round sees what is left.
+// headroom, the most expensive first. A part of them at a time: the next cycle sees what is left.
 // It is a part and not a number, or what a large fleet no longer needs stays for minutes: one
-// machine a round left 250 of 450 idle. c.mu is held.
+// machine a cycle left 250 of 450 idle. c.mu is held.
 func (c *Controller) releaseIdle(shorts []sched.Shortfall, now time.Time) {
 	var idle []*fleet.Machine
 	c.fleet.Each(func(m *fleet.Machine) {
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -14,8 +14,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// provisionShare is the share of the cloud's calls of a round's interval that requests for
-// machines may take.
+// provisionShare is the share of the cloud's calls of a scheduling cycle's interval that requests
+// for machines may take.
 const provisionShare = 0.25
 
 // provisionAttempts is how often a request is sent before it is abandoned.
@@ -56,7 +56,7 @@
 	return requests
 }
 
-// provisionCalls is how many requests for machines a round may make.
+// provisionCalls is how many requests for machines a scheduling cycle may make.
 func (c *Controller) provisionCalls() int {
 	return int(provisionShare * c.Config.Cluster.Cloud.Rps * c.Settings().IntervalS)
 }
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -88,7 +88,7 @@
 }
 
 // SetPaused pauses or resumes the detector, and reports whether that is a change. While it is
-// paused the caller resets it in every round.
+// paused the caller resets it in every scheduling cycle.
 //
 // It is paused while this node cannot answer heartbeats: its cancellation data is stale, so no
 // heartbeat arrives and every machine would look dead; and when it answers again the workers come
