--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -14,8 +14,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// provisionShare is the share of the cloud's calls of a round's interval that requests for
-// machines may take.
+// provisionShare is the share of the cloud's calls of a scheduling cycle's interval that requests
+// for machines may take.
 const provisionShare = 0.25
 
 // provisionAttempts is how often a request is sent before it is abandoned.
@@ -49,14 +49,14 @@
 		Refused:        func(g autoscaler.MachineGroup) bool { return c.refusals.IsPaused(g, now) },
 		Calls:          c.provisionCalls(),
 	})
-	var requests []wire.ProvisionRequest
+	requests := make([]wire.ProvisionRequest, 0, len(plan))
 	for _, request := range plan {
 		requests = append(requests, c.requests.Add(request))
 	}
 	return requests
 }
 
-// provisionCalls is how many requests for machines a round may make.
+// provisionCalls is how many requests for machines a scheduling cycle may make.
 func (c *Controller) provisionCalls() int {
 	return int(provisionShare * c.Config.Cluster.Cloud.Rps * c.Settings().IntervalS)
 }
