--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -9,23 +9,35 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// takeStage takes an array of one task into the picture.
-func (c *Controller) takeStage(uid string, priority wire.Priority, dueS float64, at time.Time, modRevision uint64, dependencies ...string) {
-	spec := wire.JobSpec{UID: uid, Team: "crew", Kind: wire.JobArray, TaskCount: 1, Cores: 1, RAMGb: 1, Image: "i", Priority: priority, ExpectedRunS: 10, Dependencies: dependencies}
+// addStage adds an array of one task, with a deadline if dueS is more than 0.
+func (c *Controller) addStage(uid string, priority wire.Priority, dueS float64, at time.Time, modRevision uint64, dependencies ...string) {
+	spec := wire.JobSpec{
+		UID:          uid,
+		Team:         "crew",
+		Kind:         wire.JobArray,
+		TaskCount:    1,
+		Cores:        1,
+		RAMGb:        1,
+		Image:        "i",
+		Priority:     priority,
+		ExpectedRunS: 10,
+		Dependencies: dependencies,
+	}
 	if dueS > 0 {
 		spec.DeadlineS = &dueS
 	}
-	c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, AtMs: at.UnixMilli(), Per: 8}, ModRevision: modRevision})
+	record := &records.Job{Spec: spec, Status: wire.JobQueued, AtMs: at.UnixMilli(), Per: 8}
+	c.applyJobEventLocked(uid, watchcache.Entry{Job: record, ModRevision: modRevision})
 }
 
-// A stage stops nobody's work for the rank of the last one while there is time to rent a
+// A stage preempts nobody by the priority of the last one while there is time to provision a
 // machine: batch lost a third of its starts to stages that were in no hurry.
 func TestInheritedPriorityCountsWhenTimeIsShort(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, BootS: 45, Zones: []string{"a"}}}}
-	c.takeStage("run-000001", wire.BestEffort, 0, now, 1)
-	c.takeStage("run-000002", wire.High, 200, now, 2, "run-000001")
+	c.addStage("run-000001", wire.BestEffort, 0, now, 1)
+	c.addStage("run-000002", wire.High, 200, now, 2, "run-000001")
 	first, last := c.jobs.get("run-000001"), c.jobs.get("run-000002")
 	urgency := c.urgency()
 	for _, tc := range []struct {
@@ -53,8 +65,8 @@
 func TestReleaseNeedsCommittedEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
-	c.takeStage("run-000001", wire.BestEffort, 0, now, 1)
-	c.takeStage("run-000002", wire.High, 0, now, 2, "run-000001", "run-000009") // the second was archived long ago
+	c.addStage("run-000001", wire.BestEffort, 0, now, 1)
+	c.addStage("run-000002", wire.High, 0, now, 2, "run-000001", "run-000009") // the second was archived long ago
 	j := c.jobs.get("run-000002")
 	if j.waitingCount() != 0 {
 		t.Fatal("it can be placed at once")
@@ -72,7 +84,7 @@
 	if j.waitingCount() != 1 || j.eligibleSinceMs != later.UnixMilli() {
 		t.Errorf("%d tasks can be placed, counted from %d", j.waitingCount(), j.eligibleSinceMs)
 	}
-	c.takeStage("run-000003", wire.High, 0, now, 6, "run-000008")
+	c.addStage("run-000003", wire.High, 0, now, 6, "run-000008")
 	c.markFinished("run-000008", wire.JobAborted, now)
 	if other := c.jobs.get("run-000003"); other.waitingCount() != 0 || !other.isOver() || other.finalStatus() != wire.JobAborted {
 		t.Error("a job that needs a cancelled one is not over")
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -7,37 +7,38 @@
 
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/records"
-	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// broken is a leader beside machines of which one may be faulty, with a mistaken array and others.
-type broken struct {
+// faultyFleet is a leader beside machines of which one may be faulty, with a faulty array and
+// other jobs.
+type faultyFleet struct {
 	t        *testing.T
 	c        *Controller
 	now      time.Time
 	sequence uint64
-	faulty   string          // machine that fails all tasks
-	mistaken map[string]bool // jobs that fail everywhere
-	failed   map[string]int  // by job
+	machine  string          // fails all tasks
+	jobs     map[string]bool // fail everywhere
+	failed   map[string]int  // failed attempts by job
 }
 
-func newBroken(t *testing.T, machines, tasks int) (*broken, *limitedStore, *job) {
-	b := &broken{t: t, now: time.Unix(10_000, 0), sequence: 1, mistaken: map[string]bool{}, failed: map[string]int{}}
+func newFaultyFleet(t *testing.T, machines, tasks int) (*faultyFleet, *limitedStore, *job) {
+	t.Helper()
+	b := &faultyFleet{t: t, now: time.Unix(10_000, 0), sequence: 1, jobs: map[string]bool{}, failed: map[string]int{}}
 	services, c, j := leaderWithArray(t, &b.now, machines, tasks, fleet.Resources{Cores: 16, RAM: 1})
 	b.c = c
 	b.c.now = func() time.Time { return b.now }
 	b.c.detector.Start(b.now.Add(time.Hour)) // idle machines stay
-	b.mistaken[j.uid] = true
+	b.jobs[j.uid] = true
 	return b, services, j
 }
 
 // outcome: whoever is at fault fails tasks as they start; others run to their end in two steps.
-func (b *broken) outcome(a *fleet.Attempt) (wire.TaskStatus, wire.Cause) {
+func (b *faultyFleet) outcome(a *fleet.Attempt) (wire.TaskStatus, wire.Cause) {
 	switch {
 	case a.State >= fleet.Ended:
 		return wire.TaskEnded, a.Cause
-	case b.mistaken[a.JobUID] || a.Machine.ID == b.faulty:
+	case b.jobs[a.JobUID] || a.Machine.ID == b.machine:
 		b.failed[a.JobUID]++
 		return wire.TaskEnded, wire.CauseError
 	case a.State == fleet.Running:
@@ -46,8 +47,8 @@
 	return wire.TaskRunning, ""
 }
 
-// step is a second: a round, its writes, and a report of each machine.
-func (b *broken) step() {
+// step is a second: a scheduling cycle, its commits, and a heartbeat of each machine.
+func (b *faultyFleet) step() {
 	b.now = b.now.Add(time.Second)
 	b.sequence++
 	b.c.runCycle(time.Second)
@@ -55,19 +56,27 @@
 	reportAll(b.t, b.c, b.sequence, b.outcome)
 }
 
-// add brings a job of some tasks that can be done.
-func (b *broken) add(uid string, tasks int) *job {
-	spec := wire.JobSpec{UID: uid, JobClass: "good", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: 16, RAMGb: 1, Image: "img"}
-	b.c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
-	return b.c.jobs.get(uid)
+// add adds a job of some tasks that can be done.
+func (b *faultyFleet) add(uid string, tasks int) *job {
+	return b.c.addTestJob(wire.JobSpec{
+		UID:       uid,
+		JobClass:  "good",
+		Team:      "crew",
+		Kind:      wire.JobArray,
+		Priority:  wire.Standard,
+		TaskCount: tasks,
+		Cores:     16,
+		RAMGb:     1,
+		Image:     "img",
+	}, 8)
 }
 
 // An array that fails everywhere is tried again ever less often, and with one task at a time: 25
-// tasks once failed together, again and again, in room that others could have used. No machine is passed
-// over for it for longer than the first doubt lasts, and it is never given up.
+// tasks once failed together, again and again, in room that others could have used. No machine is
+// quarantined for it for longer than the first suspicion lasts, and it is never abandoned.
 func TestFaultyArrayIsRetriedWithOneTask(t *testing.T) {
 	const tasks, minutes = 25, 5
-	b, _, j := newBroken(t, 10, tasks)
+	b, _, j := newFaultyFleet(t, 10, tasks)
 	for range 20 {
 		b.step()
 	}
@@ -82,7 +91,7 @@
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
 			if i > 5 && !m.AcceptsAttempts(b.now) {
-				t.Fatalf("%s is passed over, faulty with %.2f", m.ID, b.c.evidence.MachineFaultProbability(m.ID))
+				t.Fatalf("%s is quarantined, faulty with probability %.2f", m.ID, b.c.evidence.MachineFaultProbability(m.ID))
 			}
 		})
 	}
@@ -91,7 +100,7 @@
 		t.Errorf("%d tasks are tried in %d minutes", again, minutes)
 	}
 	// Once what it lacked is there, it runs whole.
-	b.mistaken[j.uid] = false
+	b.jobs[j.uid] = false
 	for range 60 {
 		b.step()
 	}
@@ -100,20 +109,20 @@
 	}
 }
 
-// A faulty machine is found while jobs fail by mistakes of their own, and it comes back once
+// A faulty machine is found while jobs fail by faults of their own, and its quarantine ends once
 // its tasks work again.
 func TestFaultyMachineIsQuarantinedBesideFaultyJobs(t *testing.T) {
-	b, _, _ := newBroken(t, 6, 12)
-	b.faulty = "m-000002"
+	b, _, _ := newFaultyFleet(t, 6, 12)
+	b.machine = "m-000002"
 	good := map[string]*job{}
 	quarantined := 0
 	watch := func() {
 		b.step()
-		if m := b.c.fleet.Get(b.faulty); !m.AcceptsAttempts(b.now) {
+		if m := b.c.fleet.Get(b.machine); !m.AcceptsAttempts(b.now) {
 			quarantined++
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
-			if m.ID != b.faulty && b.c.evidence.IsMachineFaulty(m.ID) {
+			if m.ID != b.machine && b.c.evidence.IsMachineFaulty(m.ID) {
 				t.Errorf("%s is taken for faulty", m.ID)
 			}
 		})
@@ -125,7 +134,7 @@
 		watch()
 	}
 	if quarantined < 60 {
-		t.Errorf("the faulty machine is passed over for %d of 80 s", quarantined)
+		t.Errorf("the faulty machine is quarantined for %d of 80 s", quarantined)
 	}
 	for range 30 {
 		watch()
@@ -135,7 +144,7 @@
 			t.Errorf("%s has done %d of 8 tasks", uid, j.done)
 		}
 	}
-	b.faulty = ""
+	b.machine = ""
 	for range 70 {
 		b.step()
 	}
@@ -143,14 +152,16 @@
 	for range 20 {
 		b.step()
 	}
-	if m := b.c.fleet.Get("m-000002"); !m.AcceptsAttempts(b.now) || b.c.evidence.IsMachineFaulty(m.ID) || b.c.jobs.get(late.uid) != nil && late.done < 48 {
+	m := b.c.fleet.Get("m-000002")
+	isDone := b.c.jobs.get(late.uid) == nil || late.done == 48
+	if !m.AcceptsAttempts(b.now) || b.c.evidence.IsMachineFaulty(m.ID) || !isDone {
 		t.Errorf("a machine that has recovered takes work: %v, %d tasks are done", m.AcceptsAttempts(b.now), late.done)
 	}
 }
 
-// The next leader, which has the records only, does not start a mistaken array whole again.
+// The next leader, which has the records only, does not start a faulty array whole again.
 func TestNextLeaderSuspectsArraysThatNeverSucceeded(t *testing.T) {
-	b, services, j := newBroken(t, 10, 25)
+	b, services, j := newFaultyFleet(t, 10, 25)
 	for range 30 {
 		b.step()
 	}
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -51,8 +51,8 @@
 	})
 }
 
-// While the state service is not read, no answer waits for commands, which could not be launched:
-// the worker's next report comes sooner, and its lease is younger when the node has to stop
+// While the state store is not read, no answer waits for commands, which could not be sent: the
+// worker's next heartbeat comes sooner, and its lease is younger when the node has to stop
 // answering.
 func TestAnswersDoNotWaitWhileTheStateStoreIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -61,7 +61,8 @@
 		c.JobCache.Reset(nil, 1, time.Now())
 		waited := func(sequence uint64) time.Duration {
 			began := time.Now()
-			c.Heartbeat(t.Context(), &wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, FencingToken: c.term}, HeartbeatOptions{MayWait: true})
+			h := wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, FencingToken: c.term}
+			c.Heartbeat(t.Context(), &h, HeartbeatOptions{MayWait: true})
 			return time.Since(began)
 		}
 		if waited(1) == 0 {
--- a/internal/controller/jobtable_test.go
+++ b/internal/controller/jobtable_test.go
@@ -5,8 +5,6 @@
 	"testing"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/records"
-	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -20,7 +18,7 @@
 	const jobs, atOnce = 3 * maxFinalStatuses, maxFinalStatuses / 4
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
-		c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
+		c.addTestJob(wire.JobSpec{UID: uid, TaskCount: 1}, 1)
 	}
 	announced, revision := map[string]wire.JobStatus{}, uint64(0)
 	ask := func() {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -6,12 +6,10 @@
 	"testing"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/autoscaler"
 	"lotusstile.dev/lotusstile/internal/clusterversion"
 	"lotusstile.dev/lotusstile/internal/config"
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/records"
-	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -20,8 +18,8 @@
 
 func (latest) InForce() clusterversion.Version { return clusterversion.Latest }
 
-// No more tasks are placed than the record of their piece has room for: a launch that
-// can never be recorded would keep its machine's room for ever.
+// No more tasks are placed than their placement record has room for: a launch that can never be
+// recorded would keep its machine's room for ever.
 func TestPlacementsFitTheirRecords(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -33,14 +31,21 @@
 	c.JobCache.Reset(nil, 0, now)
 	for i := range 170 {
 		host := fmt.Sprintf("m-%03d-%s", i, strings.Repeat("x", 40))
-		m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: host, MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: c.term}, now)
-		m.Type, m.Capacity = "g8", autoscaler.Capacity(&c.catalog.MachineTypes[0])
+		c.applyTestHeartbeat(host, 1, now)
 	}
 	per := records.TasksPerPlacement(c.Config.CurrentValueBytes(), c.Config.ValueBytes())
-	spec := wire.JobSpec{UID: "run-000001", Team: "crew", Kind: wire.JobArray, TaskCount: 2 * per, Cores: 1, RAMGb: 1, Image: "i", Priority: wire.High}
-	c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: per}, ModRevision: 1})
+	spec := wire.JobSpec{
+		UID:       "run-000001",
+		Team:      "crew",
+		Kind:      wire.JobArray,
+		Priority:  wire.High,
+		TaskCount: 2 * per,
+		Cores:     1,
+		RAMGb:     1,
+		Image:     "i",
+	}
+	j := c.addTestJob(spec, per)
 	c.runCycle(time.Second)
-	j := c.jobs.get(spec.UID)
 	if j.live == 0 || j.live == spec.TaskCount {
 		t.Fatalf("%d of %d tasks are placed", j.live, spec.TaskCount)
 	}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -26,33 +26,57 @@
 	return l.rows[under], 4, nil
 }
 
-func (l *listOnlyStore) Changes(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
+func (*listOnlyStore) Changes(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
 	return wire.WatchResponse{Revision: 4}, nil
 }
 
 // recordsOfTwoTasks are a job with two tasks on machines, and a machine that is returned.
 func recordsOfTwoTasks() map[string][]wire.KeyValue {
-	job := records.Job{Spec: wire.JobSpec{UID: "run-000001", JobClass: "serve", Kind: wire.Service, Priority: wire.High, TaskCount: 2, Cores: 1, Image: "img"}, Status: wire.JobQueued, Per: 8}
-	placement := records.Placement{Next: 3, Live: []records.Placed{{Task: 0, Attempt: 1, Host: "m-1", Incarnation: 1}, {Task: 1, Attempt: 2, Host: "m-2", Incarnation: 1}}}
+	spec := wire.JobSpec{
+		UID:       "run-000001",
+		JobClass:  "serve",
+		Kind:      wire.Service,
+		Priority:  wire.High,
+		TaskCount: 2,
+		Cores:     1,
+		Image:     "img",
+	}
+	job := records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}
+	placement := records.Placement{Next: 3, Live: []records.Placed{
+		{Task: 0, Attempt: 1, Host: "m-1", Incarnation: 1},
+		{Task: 1, Attempt: 2, Host: "m-2", Incarnation: 1},
+	}}
+	returned := records.Returns{Hosts: []string{"m-3"}}
 	return map[string][]wire.KeyValue{
 		records.JobPrefix:       {{Key: records.JobKey("run-000001"), Value: records.Encode(job), ModRevision: 2}},
 		records.PlacementPrefix: {{Key: records.PlacementKey("run-000001", 0), Value: records.Encode(placement), ModRevision: 3}},
-		records.ReturnsPrefix:   {{Key: records.ReturnsPrefix + "3-1", Value: records.Encode(records.Returns{Hosts: []string{"m-3"}}), ModRevision: 4}},
+		records.ReturnsPrefix:   {{Key: records.ReturnsPrefix + "3-1", Value: records.Encode(returned), ModRevision: 4}},
 	}
 }
 
-// misleading is a proof whose views say what is not so: that a machine is in a later session,
+// misleadingProof is a proof whose views say what is not so: that a machine is in a later session,
 // that another one which was returned takes work, and that nothing of the job runs.
-func misleading(t *testing.T, rows map[string][]wire.KeyValue) *standby.Proven {
+func misleadingProof(t *testing.T, rows map[string][]wire.KeyValue) *standby.Proven {
+	t.Helper()
 	job := standby.JobView{UID: "run-000001", HasRun: true}
-	if err := job.SetRunning([]standby.RunningTask{{Task: 0, Attempt: 1, SinceS: 900}, {Task: 1, Attempt: 9, SinceS: 900}, {Task: 7, Attempt: 1, SinceS: 900}}); err != nil {
+	running := []standby.RunningTask{
+		{Task: 0, Attempt: 1, SinceS: 900},
+		{Task: 1, Attempt: 9, SinceS: 900},
+		{Task: 7, Attempt: 1, SinceS: 900},
+	}
+	if err := job.SetRunning(running); err != nil {
 		t.Fatal(err)
 	}
-	return &standby.Proven{Placements: rows[records.PlacementPrefix], Returns: rows[records.ReturnsPrefix], Jobs: []standby.JobView{job},
+	return &standby.Proven{
+		Placements: rows[records.PlacementPrefix],
+		Returns:    rows[records.ReturnsPrefix],
+		Jobs:       []standby.JobView{job},
 		Machines: []standby.MachineView{
 			{Host: "m-1", Type: "g8", Zone: "a", Incarnation: 9, FencingToken: 4, Images: []string{"img"}},
 			{Host: "m-3", Type: "g8", Zone: "a", Incarnation: 1, FencingToken: 4},
-			{Host: "m-4", Type: "g8", Zone: "b", Incarnation: 1, FencingToken: 4}}}
+			{Host: "m-4", Type: "g8", Zone: "b", Incarnation: 1, FencingToken: 4},
+		},
+	}
 }
 
 // A standby is no proof that a task is off, nor that a machine takes work: with whatever views,
@@ -72,7 +96,7 @@
 		c.Store = store
 		c.JobCache.Reset(rows[records.JobPrefix], 4, time.Now().Add(-time.Second))
 		c.JobCache.Listen(c.applyJobEvent)
-		c.Prove = func(context.Context, uint64) (*standby.Proven, error) { return misleading(t, rows), proof.err }
+		c.Prove = func(context.Context, uint64) (*standby.Proven, error) { return misleadingProof(t, rows), proof.err }
 		if err := c.loadState(context.Background()); err != nil {
 			t.Fatal(err)
 		}
