--- a/internal/controller/finalstatus_test.go
+++ b/internal/controller/jobtable_test.go
@@ -5,22 +5,20 @@
 	"testing"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/records"
-	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
 // A follower that asks again and again learns the final status of every job that ends, without
 // gaps, and of none that has not; what is kept to be told is bounded.
-func TestFinalStatusesAreAnnounced(t *testing.T) {
+func TestFollowersLearnEachFinalStatus(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	own := map[string]wire.JobStatus{}
 	c.Observer = fakeObserver{finished: own}
 	const jobs, atOnce = 3 * maxFinalStatuses, maxFinalStatuses / 4
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
-		c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}, ModRevision: 1})
+		c.addTestJob(wire.JobSpec{UID: uid, TaskCount: 1}, 1)
 	}
 	announced, revision := map[string]wire.JobStatus{}, uint64(0)
 	ask := func() {
@@ -49,7 +47,7 @@
 			t.Fatalf("%s is %s: a follower was told %q, this node %q", uid, status, announced[uid], own[uid])
 		}
 	}
-	if len(announced) != len(want) || len(c.finals) > maxFinalStatuses {
-		t.Errorf("%d statuses of %d jobs are told, %d are kept", len(announced), len(want), len(c.finals))
+	if len(announced) != len(want) || len(c.jobs.finalStatuses) > maxFinalStatuses {
+		t.Errorf("%d statuses of %d jobs are told, %d are kept", len(announced), len(want), len(c.jobs.finalStatuses))
 	}
 }
