--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -104,13 +104,13 @@
 		refusals:       autoscaler.NewRefusals(lease),
 		arrivals:       autoscaler.NewArrivals(lease),
 		releases:       autoscaler.NewReleases(term),
-		detector:       newDetector(options.Config),
 		waitingAnswers: map[string]chan struct{}{},
 		announcedAt:    map[string]time.Time{},
 		recordedImages: map[string]recordedImages{},
 	}
 	c.startedAt = c.now()
 	c.fleet = fleet.New(term, lease, c)
+	c.detector = newDetector(options.Config, c.usualBootS)
 	c.writer = newPlacementWriter(options.Config, options.Store, term, c)
 	c.failover = newFailoverReport(term, options.Config.Label, options.LeaderlessSince, c.startedAt)
 	return c
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -14,12 +14,13 @@
 )
 
 // newDetector makes the failure detector of a deployment.
-func newDetector(cfg *config.Config) *failuredetector.Detector {
+func newDetector(cfg *config.Config, bootS func(machineType string) (float64, bool)) *failuredetector.Detector {
 	return failuredetector.New(failuredetector.Options{
 		HeartbeatInterval: cfg.HeartbeatInterval(),
 		WorkerLease:       cfg.WorkerLease(),
 		TasksEndWithin:    time.Duration(cfg.Cluster.Workers.CancelS * float64(time.Second)),
 		Controllers:       len(cfg.Members) + 1,
+		BootS:             bootS,
 	})
 }
 
@@ -81,13 +82,7 @@
 // releaseDead releases the machines that the failure detector declares dead, and stops the tasks
 // of those that the cloud reclaims. c.mu is held.
 func (c *Controller) releaseDead(now time.Time) {
-	judgement := c.detector.Judge(failuredetector.Observation{
-		Now:            now,
-		Machines:       c.fleet,
-		ReachableZones: c.Peers.ReachedZones(),
-		RelayReachable: c.Peers.RelayReached,
-		BootS:          c.usualBootS,
-	})
+	judgement := c.detector.Judge(failuredetector.Observation{Now: now, Machines: c.fleet, Peers: c.Peers})
 	c.fleet.Each(func(m *fleet.Machine) {
 		if cause := judgement.CauseOfDeath(m); cause != failuredetector.NotDead {
 			c.startRelease(m, now, string(cause))
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -28,6 +28,9 @@
 	TasksEndWithin time.Duration
 	// Controllers is how many controllers the deployment has, this one included.
 	Controllers int
+	// BootS is how many seconds a machine of a type usually boots; known is false for a type
+	// that is not in the catalog.
+	BootS func(machineType string) (seconds float64, known bool)
 }
 
 // Machines are the machines of a fleet.
@@ -35,17 +38,19 @@
 	Each(fn func(*fleet.Machine))
 }
 
+// Peers are the other controllers, as this one sees them.
+type Peers interface {
+	// ReachedZones lists the zones of the controllers that are reached, this one included.
+	ReachedZones() []string
+	// RelayReached reports whether the follower with this label is reached.
+	RelayReached(label string) bool
+}
+
 // Observation is what a judgement is made on.
 type Observation struct {
 	Now      time.Time
 	Machines Machines
-	// ReachableZones are the zones of the controllers that are reached, this one included.
-	ReachableZones []string
-	// RelayReachable reports whether the follower with this label is reached.
-	RelayReachable func(label string) bool
-	// BootS is how many seconds a machine of a type usually boots; known is false for a type
-	// that is not in the catalog.
-	BootS func(machineType string) (seconds float64, known bool)
+	Peers    Peers
 }
 
 // Detector keeps what failure detection remembers from one judgement to the next.
@@ -103,18 +108,19 @@
 // Judge weighs what is observed. The judgement holds for this moment only.
 func (d *Detector) Judge(o Observation) *Judgement {
 	e := d.gather(o.Machines, o.Now)
-	d.updateCutOffZones(e, o)
-	d.updateUnreachableRelays(e, o)
-	return d.judgement(e, o)
+	reachedZones := o.Peers.ReachedZones()
+	d.updateCutOffZones(e, reachedZones, o.Now)
+	d.updateUnreachableRelays(e, o.Peers, o.Now)
+	return d.judgement(e, len(reachedZones), o.Now)
 }
 
 // updateCutOffZones remembers the zones that are cut off. Most machines of a zone that fall silent
 // together are cut off rather than dead, if no controller there is reached either: what they run
 // may go on, and they will be back. Where a controller is reached, they are dead.
-func (d *Detector) updateCutOffZones(e *evidence, o Observation) {
+func (d *Detector) updateCutOffZones(e *evidence, reachedZones []string, now time.Time) {
 	for zone, g := range e.zones {
-		if zone != "" && g.longSilent > 2 && 2*g.longSilent > g.total && !slices.Contains(o.ReachableZones, zone) {
-			d.cutOffAt[zone] = o.Now
+		if zone != "" && g.longSilent > 2 && 2*g.longSilent > g.total && !slices.Contains(reachedZones, zone) {
+			d.cutOffAt[zone] = now
 		}
 	}
 }
@@ -126,13 +132,13 @@
 // who is silent does not always tell by then: with 18 machines of its own, a leader that had lost
 // them declared the first one dead in 7 % of the runs, since just under half of the others had
 // been silent for two intervals.
-func (d *Detector) updateUnreachableRelays(e *evidence, o Observation) {
+func (d *Detector) updateUnreachableRelays(e *evidence, peers Peers, now time.Time) {
 	if onlyHere(e.newestHeartbeat) {
 		return
 	}
 	for relay, newest := range e.newestHeartbeat {
-		if o.Now.Sub(newest) > d.options.HeartbeatInterval/2 || relay != "" && !o.RelayReachable(relay) {
-			d.relayUnreachableAt[relay] = o.Now
+		if now.Sub(newest) > d.options.HeartbeatInterval/2 || relay != "" && !peers.RelayReached(relay) {
+			d.relayUnreachableAt[relay] = now
 		}
 	}
 }
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -38,21 +38,30 @@
 
 // newTestDetector is a detector of a deployment with three controllers that has judged for an hour.
 func newTestDetector(now time.Time) *Detector {
-	d := New(Options{HeartbeatInterval: interval, WorkerLease: lease, TasksEndWithin: 4 * lease, Controllers: 3})
+	d := New(Options{
+		HeartbeatInterval: interval,
+		WorkerLease:       lease,
+		TasksEndWithin:    4 * lease,
+		Controllers:       3,
+		BootS:             func(machineType string) (float64, bool) { return 30, machineType == "known" },
+	})
 	d.Start(now.Add(-time.Hour))
 	return d
 }
 
+// fakePeers are controllers of which those in some zones are reached, and all relays but one.
+type fakePeers struct {
+	zones     []string
+	lostRelay string
+}
+
+func (p fakePeers) ReachedZones() []string         { return p.zones }
+func (p fakePeers) RelayReached(label string) bool { return label != p.lostRelay }
+
 // observe is what a controller sees that reaches the controllers of some zones, and all relays but
 // one.
 func observe(ms machines, now time.Time, lostRelay string, reachable ...string) Observation {
-	return Observation{
-		Now:            now,
-		Machines:       ms,
-		ReachableZones: reachable,
-		RelayReachable: func(label string) bool { return label != lostRelay },
-		BootS:          func(machineType string) (float64, bool) { return 30, machineType == "known" },
-	}
+	return Observation{Now: now, Machines: ms, Peers: fakePeers{zones: reachable, lostRelay: lostRelay}}
 }
 
 func causes(j *Judgement, ms machines) map[Cause]int {
--- a/internal/failuredetector/judgement.go
+++ b/internal/failuredetector/judgement.go
@@ -27,7 +27,7 @@
 type Judgement struct {
 	detector *Detector
 	evidence *evidence
-	observed Observation
+	now      time.Time
 	// groupOneIn says when a group is in doubt: if more than one in so many are silent.
 	groupOneIn int
 	// patience is how long a machine may be silent.
@@ -36,16 +36,16 @@
 	search time.Duration
 }
 
-func (d *Detector) judgement(e *evidence, o Observation) *Judgement {
+func (d *Detector) judgement(e *evidence, reachedZones int, now time.Time) *Judgement {
 	interval := d.options.HeartbeatInterval
 	// The first machines behind a cut are silent for three intervals while the last ones have
 	// just missed a heartbeat: counting only the former, a leader released 17 of 90 before it
 	// saw that there was a cut. Up to half of a zone counts as dead: if it is their network
 	// that failed, their leases end anyway, and what they ran is down for as long later instead.
-	j := &Judgement{detector: d, evidence: e, observed: o, groupOneIn: 2, patience: 3 * interval}
+	j := &Judgement{detector: d, evidence: e, now: now, groupOneIn: 2, patience: 3 * interval}
 	// A worker learns with its next heartbeat that a controller is gone, and each that does not
 	// answer costs it one attempt.
-	unreachable := d.options.Controllers - len(o.ReachableZones)
+	unreachable := d.options.Controllers - reachedZones
 	j.search = interval*5/4 + time.Duration(max(1, unreachable))*workerAttempt
 	if e.manyRelayed() {
 		// It may be this node's own links: a leader that had lost the workers released 150 of
@@ -58,7 +58,7 @@
 
 // CauseOfDeath is why a machine is declared dead; NotDead if it is not.
 func (j *Judgement) CauseOfDeath(m *fleet.Machine) Cause {
-	silence := j.observed.Now.Sub(m.LastHeartbeat)
+	silence := j.now.Sub(m.LastHeartbeat)
 	switch {
 	case m.State == fleet.Returning || m.State == fleet.Gone:
 		return NotDead
@@ -80,14 +80,14 @@
 // after the other: the last ones must not be taken for dead because the others are back.
 func (j *Judgement) isCutOff(m *fleet.Machine) bool {
 	at, found := j.detector.cutOffAt[m.Zone]
-	return found && j.observed.Now.Sub(at) < j.detector.options.WorkerLease
+	return found && j.now.Sub(at) < j.detector.options.WorkerLease
 }
 
 // patienceWith is how long a machine may be silent.
 func (j *Judgement) patienceWith(m *fleet.Machine) time.Duration {
 	options := &j.detector.options
 	at, found := j.detector.relayUnreachableAt[m.RelayedBy]
-	if found && j.observed.Now.Sub(at) < options.WorkerLease {
+	if found && j.now.Sub(at) < options.WorkerLease {
 		// It looks for another node; its last answer may have waited for commands, and for
 		// the next batch.
 		return max(j.patience, j.search+3*options.HeartbeatInterval/2)
@@ -112,7 +112,7 @@
 func (j *Judgement) isSilentAlone(m *fleet.Machine, silence time.Duration) bool {
 	switch {
 	case m.State == fleet.Ready:
-		return j.detector.IsSettled(j.observed.Now) && silence > j.patienceWith(m) && j.isOneOfFew(m)
+		return j.detector.IsSettled(j.now) && silence > j.patienceWith(m) && j.isOneOfFew(m)
 	case m.State == fleet.Booting && m.LiveCount() > 0:
 		return silence > j.search && j.isOneOfFew(m)
 	}
@@ -125,11 +125,11 @@
 		return false
 	}
 	const usualBootS, boots = 60, 3.5
-	bootS, known := j.observed.BootS(m.Type)
+	options := &j.detector.options
+	bootS, known := options.BootS(m.Type)
 	if !known {
 		bootS = usualBootS
 	}
-	now, options := j.observed.Now, &j.detector.options
-	settled := now.Sub(j.detector.judgingSince) > 2*options.WorkerLease
-	return settled && now.Sub(m.FirstSeen).Seconds() > boots*bootS
+	settled := j.now.Sub(j.detector.judgingSince) > 2*options.WorkerLease
+	return settled && j.now.Sub(m.FirstSeen).Seconds() > boots*bootS
 }
