--- a/cmd/fleetsim/failovers.go
+++ b/cmd/fleetsim/failovers.go
@@ -96,8 +96,8 @@
 }
 
 // record reads how the failover went, if it is of a newer term.
-func (f *failovers) record(term uint64) (record records.Takeover) {
-	item, ok := f.cluster.Store.Get(records.TakeoverKey)
+func (f *failovers) record(term uint64) (record records.Failover) {
+	item, ok := f.cluster.Store.Get(records.FailoverKey)
 	if !ok {
 		return record
 	}
@@ -105,7 +105,7 @@
 		fmt.Fprintln(os.Stderr, "fleetsim: record of a takeover:", err)
 	}
 	if record.Term <= term {
-		return records.Takeover{}
+		return records.Failover{}
 	}
 	return record
 }
--- a/internal/admission/connections.go
+++ b/internal/admission/connections.go
@@ -76,7 +76,7 @@
 // long.
 func (c *Connections) Limits() connlimit.Limits { return c.limits }
 
-// Listen returns a listener that keeps l's connections within the limits. The bounds
+// SetListener returns a listener that keeps l's connections within the limits. The bounds
 // are those of this listener from then on.
 func (c *Connections) Listen(l net.Listener) *connlimit.Listener {
 	limited := connlimit.New(l, c.limits)
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -37,7 +37,7 @@
 func (m *LoadMonitor) Run(ctx context.Context, grid timeralign.Grid, period time.Duration) {
 	for {
 		began := time.Now()
-		wait := grid.Next(began, period)
+		wait := grid.UntilNext(began, period)
 		if !timeralign.Sleep(ctx, wait) {
 			return
 		}
--- a/internal/aimd/aimd.go
+++ b/internal/aimd/aimd.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// cutTo is the part of the rate that is left after a cut.
-	cutTo = 0.5
-	// leastShare is the part of the highest rate below which no cut goes.
-	leastShare = 1. / 4
-	// growPerSecond is the part of the highest rate that the rate grows by in a second.
-	growPerSecond = 1. / 16
-	// cutEvery is how long one cut counts for all refusals: those of requests that were under
+	// cutFactor is the part of the rate that is left after a cut.
+	cutFactor = 0.5
+	// minRateShare is the part of the highest rate below which no cut goes.
+	minRateShare = 1. / 4
+	// growthPerSecond is the part of the highest rate that the rate grows by in a second.
+	growthPerSecond = 1. / 16
+	// adjustInterval is how long one cut counts for all refusals: those of requests that were under
 	// way when it was made say nothing new.
-	cutEvery = time.Second
-	// burstS is for how many seconds of the highest rate a client that was quiet may ask at once.
-	burstS = 0.5
+	adjustInterval = time.Second
+	// burstSeconds is for how many seconds of the highest rate a client that was quiet may ask at once.
+	burstSeconds = 0.5
 )
 
 // Limiter is a token bucket whose rate adapts. It is safe for concurrent use.
 type Limiter struct {
-	tokens *rate.Limiter
-	most   float64 // requests a second
+	tokens  *rate.Limiter
+	maxRate float64 // requests a second
 
-	mu      sync.Mutex
-	allowed float64 // requests a second now
-	cut     time.Time
-	grown   time.Time // up to when growth is counted
-	cuts    uint64
+	mu          sync.Mutex
+	currentRate float64 // requests a second now
+	lastCut     time.Time
+	lastGrowth  time.Time // up to when growth is counted
+	cuts        uint64
 }
 
 // BusyError means that a request cannot be sent within the time that its sender has. After
 // says when there will be room.
-type BusyError struct{ After time.Duration }
+type BusyError struct{ RetryAfter time.Duration }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("no request can be sent for %s", e.After.Round(time.Millisecond))
+	return fmt.Sprintf("no request can be sent for %s", e.RetryAfter.Round(time.Millisecond))
 }
 
 // New makes a limiter that allows at most so many requests a second.
 func New(mostPerSecond float64) *Limiter {
-	burst := max(1, int(mostPerSecond*burstS))
-	return &Limiter{tokens: rate.NewLimiter(rate.Limit(mostPerSecond), burst), most: mostPerSecond, allowed: mostPerSecond}
+	burst := max(1, int(mostPerSecond*burstSeconds))
+	return &Limiter{tokens: rate.NewLimiter(rate.Limit(mostPerSecond), burst), maxRate: mostPerSecond, currentRate: mostPerSecond}
 }
 
 // Wait waits for room for one request. If there will be none before ctx ends it returns a
@@ -62,7 +62,7 @@
 	delay := reservation.DelayFrom(now)
 	if deadline, ok := ctx.Deadline(); ok && now.Add(delay).After(deadline) {
 		reservation.CancelAt(now)
-		return &BusyError{After: delay}
+		return &BusyError{RetryAfter: delay}
 	}
 	if delay <= 0 {
 		return nil
@@ -78,40 +78,40 @@
 	}
 }
 
-// Refused notes that the service refused a request for being asked too often.
-func (l *Limiter) Refused(now time.Time) {
+// OnThrottled notes that the service refused a request for being asked too often.
+func (l *Limiter) OnThrottled(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.cut) < cutEvery {
+	if now.Sub(l.lastCut) < adjustInterval {
 		return
 	}
-	l.cut, l.grown = now, now
+	l.lastCut, l.lastGrowth = now, now
 	l.cuts++
-	l.set(now, max(l.allowed*cutTo, l.most*leastShare))
+	l.setRate(now, max(l.currentRate*cutFactor, l.maxRate*minRateShare))
 }
 
-// Answered notes that the service has carried out a request.
-func (l *Limiter) Answered(now time.Time) {
+// OnAnswered notes that the service has carried out a request.
+func (l *Limiter) OnAnswered(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.allowed == l.most || now.Sub(l.grown) < cutEvery {
+	if l.currentRate == l.maxRate || now.Sub(l.lastGrowth) < adjustInterval {
 		return
 	}
-	l.set(now, min(l.most, l.allowed+l.most*growPerSecond*cutEvery.Seconds()))
-	l.grown = now
+	l.setRate(now, min(l.maxRate, l.currentRate+l.maxRate*growthPerSecond*adjustInterval.Seconds()))
+	l.lastGrowth = now
 }
 
 // set changes the rate. l.mu is held.
-func (l *Limiter) set(now time.Time, perSecond float64) {
-	l.allowed = perSecond
+func (l *Limiter) setRate(now time.Time, perSecond float64) {
+	l.currentRate = perSecond
 	l.tokens.SetLimitAt(now, rate.Limit(perSecond))
 }
 
-// Allowed is how many requests a second are allowed now.
-func (l *Limiter) Allowed() float64 {
+// Rate is how many requests a second are allowed now.
+func (l *Limiter) Rate() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allowed
+	return l.currentRate
 }
 
 // Cuts counts how often the rate was cut.
--- a/internal/aimd/aimd_test.go
+++ b/internal/aimd/aimd_test.go
@@ -23,18 +23,18 @@
 			}
 			if taken++; taken > capacity {
 				refused++
-				l.Refused(now)
+				l.OnThrottled(now)
 				return
 			}
-			l.Answered(now)
+			l.OnAnswered(now)
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		limiters := make([]*Limiter, clients)
 		for i := range limiters {
 			limiters[i] = New(capacity)
 			for range 3 * i { // some have been cut before
-				limiters[i].Refused(time.Now())
-				time.Sleep(cutEvery)
+				limiters[i].OnThrottled(time.Now())
+				time.Sleep(adjustInterval)
 			}
 			go func() {
 				for limiters[i].Wait(ctx) == nil {
@@ -49,7 +49,7 @@
 		for range seconds {
 			time.Sleep(time.Second)
 			for i, l := range limiters {
-				shares[i] += l.Allowed() / seconds
+				shares[i] += l.Rate() / seconds
 			}
 		}
 		if refused > seconds*capacity/4 {
@@ -64,9 +64,9 @@
 		synctest.Wait()
 		for range 30 {
 			time.Sleep(time.Second)
-			limiters[0].Answered(time.Now())
+			limiters[0].OnAnswered(time.Now())
 		}
-		if got := limiters[0].Allowed(); got != capacity {
+		if got := limiters[0].Rate(); got != capacity {
 			t.Errorf("alone it is allowed %.1f a second", got)
 		}
 	})
@@ -83,7 +83,7 @@
 		for range 100 {
 			ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
 			var busy *BusyError
-			if err := l.Wait(ctx); !errors.As(err, &busy) || busy.After != 500*time.Millisecond {
+			if err := l.Wait(ctx); !errors.As(err, &busy) || busy.RetryAfter != 500*time.Millisecond {
 				t.Fatalf("%v", err)
 			}
 			cancel()
@@ -101,16 +101,16 @@
 func TestCutsAreBounded(t *testing.T) {
 	l, now := New(16), time.Unix(1000, 0)
 	for range 50 {
-		l.Refused(now)
+		l.OnThrottled(now)
 	}
-	if l.Allowed() != 8 || l.Cuts() != 1 {
-		t.Errorf("%v after %d cuts", l.Allowed(), l.Cuts())
+	if l.Rate() != 8 || l.Cuts() != 1 {
+		t.Errorf("%v after %d cuts", l.Rate(), l.Cuts())
 	}
 	for range 50 {
-		now = now.Add(cutEvery)
-		l.Refused(now)
+		now = now.Add(adjustInterval)
+		l.OnThrottled(now)
 	}
-	if l.Allowed() != 4 {
-		t.Errorf("cut to %v", l.Allowed())
+	if l.Rate() != 4 {
+		t.Errorf("cut to %v", l.Rate())
 	}
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -73,7 +73,7 @@
 	Shorts []sched.Shortfall
 	// MachinesByZone counts the machines that the fleet has.
 	MachinesByZone map[string]int
-	// Refused reports whether the cloud has lately had no capacity for a group.
+	// OnThrottled reports whether the cloud has lately had no capacity for a group.
 	Refused func(MachineGroup) bool
 	// Calls is how many requests may be made at once, each for at most wire.MaxProvision
 	// machines. Every group gets at least one.
--- a/internal/autoscaler/releases.go
+++ b/internal/autoscaler/releases.go
@@ -68,7 +68,7 @@
 	}
 	r.lastRecord++
 	return ReleaseRecord{
-		Key:   fmt.Sprintf("%s%d-%d", records.ReturnsPrefix, r.term, r.lastRecord),
+		Key:   fmt.Sprintf("%s%d-%d", records.ScaleInPrefix, r.term, r.lastRecord),
 		Hosts: records.FitNames(hosts, valueBytes),
 	}, true
 }
--- a/internal/autoscaler/releases_test.go
+++ b/internal/autoscaler/releases_test.go
@@ -64,7 +64,7 @@
 	if !found || second.Key == first.Key || !slices.Equal(second.Hosts, first.Hosts) {
 		t.Fatalf("after %+v comes %+v", first, second)
 	}
-	if want := records.ReturnsPrefix + "7-2"; second.Key != want {
+	if want := records.ScaleInPrefix + "7-2"; second.Key != want {
 		t.Errorf("the key is %s, want %s", second.Key, want)
 	}
 	r.Recorded(second)
@@ -76,7 +76,7 @@
 
 func TestRestoredReleaseIsSentAgainWithoutAnotherRecord(t *testing.T) {
 	r := NewReleases(8)
-	record := ReleaseRecord{Key: records.ReturnsPrefix + "7-1", Hosts: []string{"m-1", "m-2"}}
+	record := ReleaseRecord{Key: records.ScaleInPrefix + "7-1", Hosts: []string{"m-1", "m-2"}}
 	r.Restore(record)
 	r.Restore(record) // a second attempt to load it
 	if _, found := r.NextRecord(valueBytes); found {
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-// Finish forgets a request that is answered or abandoned.
+// SetFinal forgets a request that is answered or abandoned.
 func (r *Requests) Finish(id string) { delete(r.pending, id) }
 
 // Len is how many requests are not answered yet.
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -17,9 +17,9 @@
 
 // Limit is what one part of the settings carries.
 type Limit struct {
-	Setting  string // the key that bounds it
-	Machines int    // the largest fleet that is carried in full
-	Beyond   string // what happens to a larger one
+	Setting      string // the key that bounds it
+	Machines     int    // the largest fleet that is carried in full
+	BeyondEffect string // what happens to a larger one
 }
 
 // Unbounded is the size of a fleet that nothing bounds.
@@ -27,7 +27,7 @@
 
 // Limits lists what bounds the size of the fleet, the tightest first.
 func Limits(cfg *config.Config) []Limit {
-	limits := []Limit{workerConnections(cfg), machineList(cfg), takeoverListing(cfg), connectionMemory(cfg)}
+	limits := []Limit{workerConnections(cfg), machineList(cfg), failoverListing(cfg), connectionMemory(cfg)}
 	slices.SortStableFunc(limits, func(a, b Limit) int { return cmp.Compare(a.Machines, b.Machines) })
 	return limits
 }
@@ -37,7 +37,7 @@
 	var warnings []string
 	for _, l := range Limits(cfg) {
 		if l.Machines < machines {
-			warnings = append(warnings, fmt.Sprintf("%s carries %d machines, not %d: %s", l.Setting, l.Machines, machines, l.Beyond))
+			warnings = append(warnings, fmt.Sprintf("%s carries %d machines, not %d: %s", l.Setting, l.Machines, machines, l.BeyondEffect))
 		}
 	}
 	return warnings
@@ -47,10 +47,10 @@
 func workerConnections(cfg *config.Config) Limit {
 	connections := cfg.Cluster.Limits.MaxConnections
 	l := Limit{Setting: "cluster.machine_limits.max_connections", Machines: (len(cfg.Members) + 1) * relay.MaxWorkers(connections),
-		Beyond: "workers are served in turn, each report on a connection of its own"}
+		BeyondEffect: "workers are served in turn, each report on a connection of its own"}
 	if !cfg.RelayHeartbeats {
 		l.Machines = relay.MaxWorkers(connections)
-		l.Beyond += "; with --relay-check-ins, every controller would take some"
+		l.BeyondEffect += "; with --relay-check-ins, every controller would take some"
 	}
 	return l
 }
@@ -58,18 +58,18 @@
 // machineList is how many machines the cloud's list can be read of before what it says of the
 // first is too old to tell that machines are gone.
 func machineList(cfg *config.Config) Limit {
-	age := 4*cfg.ListLag() + cfg.WorkerLease()
+	age := 4*cfg.CloudListLag() + cfg.WorkerLease()
 	return Limit{Setting: "cluster.cloud.rps", Machines: cloud.MaxListable(cfg.Cluster.Cloud.Rps, age),
-		Beyond: fmt.Sprintf("reading the machine list takes longer than %s, so machines that are gone are found late", age.Round(time.Second))}
+		BeyondEffect: fmt.Sprintf("reading the machine list takes longer than %s, so machines that are gone are found late", age.Round(time.Second))}
 }
 
-// takeoverListing is of how many machines a new leader can list the records while the workers'
+// failoverListing is of how many machines a new leader can list the records while the workers'
 // leases last: each has one of its images, and is in some piece of a placement.
-func takeoverListing(cfg *config.Config) Limit {
+func failoverListing(cfg *config.Config) Limit {
 	const recordsOfMachine, leaseShare = 2, 0.5
-	keys := watchcache.ListedWithin(cfg.StateLimits().Rps, time.Duration(leaseShare*float64(cfg.WorkerLease())))
+	keys := watchcache.KeysListableWithin(cfg.StateLimits().Rps, time.Duration(leaseShare*float64(cfg.WorkerLease())))
 	return Limit{Setting: "cluster.state.rps", Machines: keys / recordsOfMachine,
-		Beyond: "a new leader without a warm standby lists records for over half of a lease, and launches nothing meanwhile"}
+		BeyondEffect: "a new leader without a warm standby lists records for over half of a lease, and launches nothing meanwhile"}
 }
 
 // connectionMemory is how many machines a leader can know of beside the connections that it
@@ -85,5 +85,5 @@
 	room := programShare*cfg.Cluster.Limits.MemMb*bytesPerMiB - baseBytes
 	room -= float64(relay.MaxWorkers(cfg.Cluster.Limits.MaxConnections)) * connectionBytes
 	return Limit{Setting: "cluster.machine_limits.mem_mb", Machines: max(0, int(room/machineBytes)),
-		Beyond: "computed: memory is collected more and more often, and the leader may be ended for it"}
+		BeyondEffect: "computed: memory is collected more and more often, and the leader may be ended for it"}
 }
--- a/internal/cloud/list.go
+++ b/internal/cloud/list.go
@@ -75,7 +75,7 @@
 	return page, err
 }
 
-// RefusedPages returns how many pages of the machine list were not in order.
+// OutOfOrderPages returns how many pages of the machine list were not in order.
 func (c *Client) RefusedPages() uint64 { return c.refused.Load() }
 
 // checkPage refuses a page that repeats or leaves out machines, as far as that can be seen. An error
--- a/internal/clusterversion/clusterversion.go
+++ b/internal/clusterversion/clusterversion.go
@@ -23,9 +23,9 @@
 
 // The versions there are.
 const (
-	First     Version = 1 // releases that say no version
-	Pipelines Version = 2 // jobs that wait for others, densely listed placements
-	Latest            = Pipelines
+	First   Version = 1 // releases that say no version
+	JobDAGs Version = 2 // jobs that wait for others, densely listed placements
+	Latest          = JobDAGs
 )
 
 // Normalize is the version that a node understands which has said v: 0 is nothing.
@@ -54,8 +54,8 @@
 	return t.force
 }
 
-// Take learns from a change of a record; others than that of the version are passed over.
-func (t *Tracker) Take(event wire.WatchEvent) {
+// Apply learns from a change of a record; others than that of the version are passed over.
+func (t *Tracker) Apply(event wire.WatchEvent) {
 	if event.Set != records.VersionKey {
 		return
 	}
@@ -64,11 +64,11 @@
 		slog.Error("cluster version cannot be read", "err", err)
 		return
 	}
-	t.learn(Version(record.Version), event.ModRevision)
+	t.advance(Version(record.Version), event.ModRevision)
 }
 
-// learn is the one function that changes the version in force. It never falls.
-func (t *Tracker) learn(version Version, modRevision uint64) {
+// advance is the one function that changes the version in force. It never falls.
+func (t *Tracker) advance(version Version, modRevision uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.modRevision = max(t.modRevision, modRevision)
@@ -99,6 +99,6 @@
 	if err != nil {
 		return fmt.Errorf("raise the cluster version: %w", err)
 	}
-	t.learn(to, revision)
+	t.advance(to, revision)
 	return nil
 }
--- a/internal/clusterversion/clusterversion_test.go
+++ b/internal/clusterversion/clusterversion_test.go
@@ -24,10 +24,10 @@
 		understood []Version
 		want       Version
 	}{
-		{"one has said nothing", []Version{Pipelines, Normalize(0)}, First},
-		{"all have said it", []Version{Pipelines, Pipelines}, Pipelines},
-		{"a later release is among them", []Version{Latest + 1, Pipelines}, Pipelines},
-		{"a node alone", nil, Pipelines},
+		{"one has said nothing", []Version{JobDAGs, Normalize(0)}, First},
+		{"all have said it", []Version{JobDAGs, JobDAGs}, JobDAGs},
+		{"a later release is among them", []Version{Latest + 1, JobDAGs}, JobDAGs},
+		{"a node alone", nil, JobDAGs},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			store, tracker := &fakeStore{}, NewTracker()
@@ -56,13 +56,13 @@
 	record := func(version int) wire.WatchEvent {
 		return wire.WatchEvent{Set: records.VersionKey, Value: records.Encode(records.ClusterVersion{Version: version}), ModRevision: uint64(version)}
 	}
-	tracker.Take(wire.WatchEvent{Set: records.SettingsKey, Value: records.Encode(records.ClusterVersion{Version: 9})})
+	tracker.Apply(wire.WatchEvent{Set: records.SettingsKey, Value: records.Encode(records.ClusterVersion{Version: 9})})
 	if tracker.InForce() != First {
 		t.Error("another record is taken for the version")
 	}
 	for _, version := range []int{2, 1} {
-		tracker.Take(record(version))
-		if tracker.InForce() != Pipelines {
+		tracker.Apply(record(version))
+		if tracker.InForce() != JobDAGs {
 			t.Errorf("after a record of version %d, %d is in force", version, tracker.InForce())
 		}
 	}
--- a/internal/clusterversion/presence.go
+++ b/internal/clusterversion/presence.go
@@ -18,19 +18,19 @@
 	RevokeLease(ctx context.Context, leaseID uint64) error
 }
 
-// announceShare of the time to live of an announcement is how often it is renewed.
-const announceShare = 4
+// renewalsPerTTL of the time to live of an announcement is how often it is renewed.
+const renewalsPerTTL = 4
 
 // Announce says in the state service that a node understands the latest version, until
 // that is in force. A leader that cannot reach the node learns it from there. The record
 // hangs on a lease: it goes with the process, which may come back as an older release.
 func (t *Tracker) Announce(ctx context.Context, leases LeaseStore, label string, ttl time.Duration) {
-	ctx = store.Urgent(ctx)
+	ctx = store.WithUrgentLane(ctx)
 	// As a rule the leader learns it from pings before anything has to be written.
-	for t.waitForce(ctx, ttl) {
+	for t.waitWhileInactive(ctx, ttl) {
 		leaseID, err := leases.GrantLease(ctx, ttl)
 		if err == nil {
-			err = t.keepAnnounced(ctx, leases, label, leaseID, ttl)
+			err = t.announceOnLease(ctx, leases, label, leaseID, ttl)
 		}
 		if err != nil {
 			slog.Debug("version not announced", "err", err)
@@ -38,13 +38,13 @@
 	}
 }
 
-// keepAnnounced holds up the announcement on a lease until the version is in force or
+// announceOnLease holds up the announcement on a lease until the version is in force or
 // the lease is lost.
-func (t *Tracker) keepAnnounced(ctx context.Context, leases LeaseStore, label string, leaseID uint64, ttl time.Duration) error {
+func (t *Tracker) announceOnLease(ctx context.Context, leases LeaseStore, label string, leaseID uint64, ttl time.Duration) error {
 	_, err := leases.Commit(ctx, wire.Transaction{Changes: []wire.Change{{
 		Set: records.ReleaseKey(label), Value: records.Encode(records.ClusterVersion{Version: int(Latest)}), LeaseID: leaseID,
 	}}})
-	for err == nil && t.waitForce(ctx, ttl/announceShare) {
+	for err == nil && t.waitWhileInactive(ctx, ttl/renewalsPerTTL) {
 		err = leases.RenewLease(ctx, leaseID)
 	}
 	if err != nil {
@@ -53,9 +53,9 @@
 	return leases.RevokeLease(ctx, leaseID)
 }
 
-// waitForce waits for a while. It reports whether the latest version is still not in
+// waitWhileInactive waits for a while. It reports whether the latest version is still not in
 // force then.
-func (t *Tracker) waitForce(ctx context.Context, d time.Duration) bool {
+func (t *Tracker) waitWhileInactive(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -66,9 +66,9 @@
 	}
 }
 
-// Announced reads which version a node announces, and the guard that it still does. A
+// ReadAnnounced reads which version a node announces, and the guard that it still does. A
 // node without an announcement is at First.
-func Announced(ctx context.Context, reader Reader, label string) (Version, wire.Compare, error) {
+func ReadAnnounced(ctx context.Context, reader Reader, label string) (Version, wire.Compare, error) {
 	guard := wire.Compare{Key: records.ReleaseKey(label)}
 	item, found, err := reader.Get(ctx, guard.Key)
 	if err != nil || !found {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -47,7 +47,7 @@
 	WriteRps float64 `toml:"write_rps"`
 	ValueKb  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next holds the limits that the service will have from some moment on, without
+	// UntilNext holds the limits that the service will have from some moment on, without
 	// notice; nil if no change is expected.
 	Next *NextStateLimits `toml:"next"`
 }
@@ -182,7 +182,7 @@
 	// A node's knowledge of withdrawals is up to a tenth of a lease old when all
 	// is well; below twice that, leases would end at the first late answer of the
 	// state service.
-	fault(cl.Workers.CancelS > 0 && c.KnowledgeLimit() < c.WorkerLease()/5,
+	fault(cl.Workers.CancelS > 0 && c.MaxCancellationAge() < c.WorkerLease()/5,
 		"cluster.workers.cancel_s must be at least 1.3 times lease_s: withdrawn tasks behind a cut are gone only when their lease has ended")
 	return errors.Join(faults...)
 }
@@ -205,28 +205,28 @@
 // HeartbeatInterval is the interval of workers' reports.
 func (c *Config) HeartbeatInterval() time.Duration { return seconds(c.Cluster.Workers.ReportS) }
 
-// ListLag is the usual age of the cloud's machine list.
-func (c *Config) ListLag() time.Duration { return seconds(c.Cluster.Cloud.ListLagS) }
+// CloudListLag is the usual age of the cloud's machine list.
+func (c *Config) CloudListLag() time.Duration { return seconds(c.Cluster.Cloud.ListLagS) }
 
 // LeaderLeaseTTL is the time to live of the leader's hold: a fifth of the workers'
 // lease, so that a successor has most of a lease left to gather the workers.
 func (c *Config) LeaderLeaseTTL() time.Duration { return c.WorkerLease() / 5 }
 
-// gridShare of a report's interval is the unit that periodic work is aligned to:
+// gridUnitsPerHeartbeat of a report's interval is the unit that periodic work is aligned to:
 // halves, thirds and quarters of the interval are multiples of it.
-const gridShare = 12
+const gridUnitsPerHeartbeat = 12
 
-// Grid is what the process's periodic work is aligned to.
-func (c *Config) Grid() timeralign.Grid {
-	return timeralign.Grid{Unit: c.HeartbeatInterval() / gridShare}
+// TimerGrid is what the process's periodic work is aligned to.
+func (c *Config) TimerGrid() timeralign.Grid {
+	return timeralign.Grid{Unit: c.HeartbeatInterval() / gridUnitsPerHeartbeat}
 }
 
-// KnowledgeLimit is how old a node's knowledge of withdrawals may be for it to
+// MaxCancellationAge is how old a node's knowledge of withdrawals may be for it to
 // go on renewing leases. A task that was withdrawn right after the read that the
 // knowledge stems from dies by its lease, which counts from when the worker sent
 // its report: no later than cancel_s after that read, less a tenth of a lease.
 // docs/safety.md says what that margin is for.
-func (c *Config) KnowledgeLimit() time.Duration {
+func (c *Config) MaxCancellationAge() time.Duration {
 	return seconds(c.Cluster.Workers.CancelS) - c.WorkerLease() - c.WorkerLease()/10
 }
 
@@ -297,11 +297,11 @@
 	return limits
 }
 
-// ValueBytes is the largest value that the project writes.
-func (c *Config) ValueBytes() int { return int(c.StateLimits().ValueKb * bytesPerKb) }
+// MaxValueBytes is the largest value that the project writes.
+func (c *Config) MaxValueBytes() int { return int(c.StateLimits().ValueKb * bytesPerKb) }
 
-// CurrentValueBytes is the largest value that the state service takes until the
+// CurrentMaxValueBytes is the largest value that the state service takes until the
 // announced limits are in force.
-func (c *Config) CurrentValueBytes() int { return int(c.Cluster.State.ValueKb * bytesPerKb) }
+func (c *Config) CurrentMaxValueBytes() int { return int(c.Cluster.State.ValueKb * bytesPerKb) }
 
 const bytesPerKb = 1024
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -97,7 +97,7 @@
 	return len(l.open) < l.limits.MaxOpen || l.reserved < l.limits.Reserve || l.longestIdle(time.Now()) != nil
 }
 
-// admit counts a connection among the open ones, else in the reserve, and reports whether there was room.
+// waitForRequestBudget counts a connection among the open ones, else in the reserve, and reports whether there was room.
 // Instead of using the reserve it closes an idle connection: the caller then has to try again.
 func (l *Listener) admit(c *conn) bool {
 	l.mu.Lock()
--- a/internal/controller/batch.go
+++ b/internal/controller/batch.go
@@ -220,7 +220,7 @@
 	if !j.record.Status.Final() {
 		status := j.finalStatus()
 		record := *j.record
-		record.Finish(status, b.limits.valueBytes)
+		record.SetFinal(status, b.limits.valueBytes)
 		key := records.JobKey(j.uid)
 		b.batch.compare(key, j.modRevision)
 		b.batch.set(key, records.Encode(record))
--- a/internal/controller/batch_test.go
+++ b/internal/controller/batch_test.go
@@ -19,7 +19,7 @@
 	c := newTestLeader(&now)
 	c.Config.Cluster.State.TxnOps, c.Config.Cluster.State.WriteRps = 24, 100
 	c.heartbeatFrom(0, 1, now)
-	record := &records.Job{Spec: wire.JobSpec{TaskCount: 3}, Status: wire.JobQueued, Per: 2}
+	record := &records.Job{Spec: wire.JobSpec{TaskCount: 3}, Status: wire.JobQueued, TasksPerPlacement: 2}
 	j := newJob("run-000001", watchcache.Entry{Job: record, ModRevision: 7}, now)
 	c.jobs.add(j)
 	p := j.placement(0)
--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -52,7 +52,7 @@
 	return batchLimits{
 		changes:        c.maxBatchChanges(),
 		placementBytes: c.maxPlacementBytes(),
-		valueBytes:     c.Config.ValueBytes(),
+		valueBytes:     c.Config.MaxValueBytes(),
 		dense:          c.mayWriteDense(),
 		singleJob:      now.Before(c.singleJobCommitsUntil),
 		retryAfter:     c.endRecordDelay(),
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -129,8 +129,8 @@
 	c.mu.Lock()
 	c.cancel = cancel
 	c.mu.Unlock()
-	c.JobCache.Listen(c.applyJobEvent)
-	defer c.JobCache.Listen(nil)
+	c.JobCache.SetListener(c.applyJobEvent)
+	defer c.JobCache.SetListener(nil)
 	if !c.loadUntilDone(ctx) {
 		return
 	}
@@ -169,7 +169,7 @@
 // untilNext is how long to wait for periodic work, so that works of different periods wake the
 // process together.
 func (c *Controller) untilNext(period time.Duration) time.Duration {
-	return c.Config.Grid().Next(time.Now(), period)
+	return c.Config.TimerGrid().UntilNext(time.Now(), period)
 }
 
 // stepDown ends the term: a newer one is known to exist. c.mu must not be held: a leader that
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -16,7 +16,7 @@
 // cycleRequests is what a scheduling cycle asks other systems for, once the lock is given up.
 type cycleRequests struct {
 	provision []wire.ProvisionRequest
-	failover  *records.Takeover // to be stored, after the first cycle that could place tasks
+	failover  *records.Failover // to be stored, after the first cycle that could place tasks
 }
 
 // runCycles runs a scheduling cycle every interval until ctx ends, and sends what it asks for.
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -29,7 +29,7 @@
 		ExpectedRunMs: c.stageDurationMs(spec),
 	}
 	if spec.DeadlineS != nil {
-		vertex.DueMs = float64(j.record.AtMs) + *spec.DeadlineS*1000
+		vertex.DueMs = float64(j.record.AcceptedAtMs) + *spec.DeadlineS*1000
 	}
 	effects := c.jobs.graph.Add(j.uid, vertex)
 	j.level, j.dueMs = c.jobs.graph.Urgency(j.uid)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -26,7 +26,7 @@
 	if dueS > 0 {
 		spec.DeadlineS = &dueS
 	}
-	record := &records.Job{Spec: spec, Status: wire.JobQueued, AtMs: at.UnixMilli(), Per: 8}
+	record := &records.Job{Spec: spec, Status: wire.JobQueued, AcceptedAtMs: at.UnixMilli(), TasksPerPlacement: 8}
 	c.applyJobEventLocked(uid, watchcache.Entry{Job: record, ModRevision: modRevision})
 }
 
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -16,7 +16,7 @@
 // failoverReport collects how a term began, for one line of the log and one record. Its times
 // are in milliseconds from when it was seen that nobody leads.
 type failoverReport struct {
-	record          records.Takeover
+	record          records.Failover
 	leaderlessSince time.Time
 	ready           bool // a machine has sent a heartbeat with this term's token
 	done            bool // the first cycle that could place tasks has ended
@@ -30,7 +30,7 @@
 	}
 	r := &failoverReport{
 		leaderlessSince: leaderlessSince,
-		record:          records.Takeover{Term: term, Node: node, Cause: "no warm standby"},
+		record:          records.Failover{Term: term, Node: node, Cause: "no warm standby"},
 	}
 	r.record.ElectedMs = r.sinceLeaderlessMs(elected)
 	return r
@@ -77,7 +77,7 @@
 
 // finishFailover logs, after the first cycle that could place tasks, how the failover went. It
 // returns the record to store; nil after other cycles and without a warm standby. c.mu is held.
-func (c *Controller) finishFailover(now time.Time) *records.Takeover {
+func (c *Controller) finishFailover(now time.Time) *records.Failover {
 	if !c.failover.recordDecision(now) {
 		return nil
 	}
@@ -95,12 +95,12 @@
 
 // storeFailoverRecord stores the record of the failover, within a leader lease. It is not tried
 // twice: the log has it.
-func (c *Controller) storeFailoverRecord(ctx context.Context, record records.Takeover) {
+func (c *Controller) storeFailoverRecord(ctx context.Context, record records.Failover) {
 	ctx, cancel := context.WithTimeout(ctx, c.Config.LeaderLeaseTTL())
 	defer cancel()
-	_, err := c.Store.Commit(store.Note(ctx), wire.Transaction{
+	_, err := c.Store.Commit(store.WithBackgroundLane(ctx), wire.Transaction{
 		Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}},
-		Changes:  []wire.Change{{Set: records.TakeoverKey, Value: records.Encode(record)}},
+		Changes:  []wire.Change{{Set: records.FailoverKey, Value: records.Encode(record)}},
 	})
 	if err != nil {
 		slog.Info("failover record not stored", "term", c.term, "err", err)
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -176,7 +176,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			placement.SetDone(0)
+			placement.MarkDone(0)
 			services.items[key] = wire.KeyValue{Key: key, Value: records.Encode(placement), ModRevision: services.revision}
 		}
 		next := services.newLeader(6, &b.now)
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -21,7 +21,7 @@
 
 func (fakeObserver) TermObserved(uint64)               { /* not followed by tests */ }
 func (fakeObserver) CycleFinished(time.Duration)       { /* not followed by tests */ }
-func (fakeObserver) FailoverFinished(records.Takeover) { /* not followed by tests */ }
+func (fakeObserver) FailoverFinished(records.Failover) { /* not followed by tests */ }
 
 func (o fakeObserver) JobFinished(uid string, status wire.JobStatus) { o.finished[uid] = status }
 
--- a/internal/controller/fixtures_test.go
+++ b/internal/controller/fixtures_test.go
@@ -11,7 +11,7 @@
 
 // addTestJob adds a queued job whose placement records list so many tasks each.
 func (c *Controller) addTestJob(spec wire.JobSpec, tasksPerPlacement int) *job {
-	record := &records.Job{Spec: spec, Status: wire.JobQueued, Per: tasksPerPlacement}
+	record := &records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: tasksPerPlacement}
 	c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: record, ModRevision: 1})
 	return c.jobs.get(spec.UID)
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -82,7 +82,7 @@
 	wake := make(chan struct{})
 	c.waitingAnswers[m.ID] = wake
 	c.mu.Unlock()
-	timer := time.NewTimer(c.Config.Grid().Within(time.Now(), c.Config.HeartbeatInterval()/2))
+	timer := time.NewTimer(c.Config.TimerGrid().UntilLastWithin(time.Now(), c.Config.HeartbeatInterval()/2))
 	select {
 	case <-wake:
 	case <-timer.C:
@@ -99,7 +99,7 @@
 // a launch and its answer, another node may have confirmed that the job is cancelled: the launch
 // waits until that would be known.
 func (c *Controller) mayLaunch() bool {
-	return c.now().Sub(c.JobCache.Fresh()) < c.Config.LeaderLeaseTTL()
+	return c.now().Sub(c.JobCache.FreshAsOf()) < c.Config.LeaderLeaseTTL()
 }
 
 // endAnswerWait lets the answer to a machine go that waits for commands, if there is one.
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -32,7 +32,7 @@
 			report.Sequence++
 			go func() {
 				c.Heartbeat(context.Background(), &report, HeartbeatOptions{MayWait: true})
-				if waited := time.Since(began); waited > longest || waited < longest-c.Config.Grid().Unit {
+				if waited := time.Since(began); waited > longest || waited < longest-c.Config.TimerGrid().Unit {
 					t.Errorf("answered after %s", waited)
 				}
 				ends <- time.Now()
@@ -44,7 +44,7 @@
 		}
 		// The machines report over one interval and wait half of one: the units of
 		// the grid in that, and one more for where it begins.
-		most := int(c.Config.HeartbeatInterval()/c.Config.Grid().Unit) + 2
+		most := int(c.Config.HeartbeatInterval()/c.Config.TimerGrid().Unit) + 2
 		if len(moments) > most {
 			t.Errorf("%d waits end at %d moments, want at most %d", machines, len(moments), most)
 		}
--- a/internal/controller/imagerecords.go
+++ b/internal/controller/imagerecords.go
@@ -36,7 +36,7 @@
 	if len(tx.Changes) == 0 {
 		return
 	}
-	if _, err := c.Store.Commit(store.Note(ctx), tx); err != nil {
+	if _, err := c.Store.Commit(store.WithBackgroundLane(ctx), tx); err != nil {
 		c.stepDownOnLeaderConflict(err)
 		return
 	}
@@ -62,7 +62,7 @@
 		}
 		recorded[m.ID] = recordedImages{len(m.Images), now}
 		names := slices.Sorted(maps.Keys(m.Images))
-		names = records.FitNames(names[:min(len(names), maxRecordedImages)], c.Config.ValueBytes())
+		names = records.FitNames(names[:min(len(names), maxRecordedImages)], c.Config.MaxValueBytes())
 		value := records.Encode(records.Images{Names: names})
 		size += len(value)
 		tx.Changes = append(tx.Changes, wire.Change{Set: records.ImagesKey(m.ID), Value: value})
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -56,7 +56,7 @@
 		need:            fleet.TaskResources(&e.Job.Spec),
 		level:           e.Job.Spec.Priority.Level(),
 		dueMs:           math.Inf(1),
-		eligibleSinceMs: e.Job.AtMs,
+		eligibleSinceMs: e.Job.AcceptedAtMs,
 		placements:      map[int]*placement{},
 		waitingSince:    now,
 		failedOn:        map[string]time.Time{},
@@ -65,16 +65,16 @@
 
 // loadPlacement adds a stored placement record to the job. It returns the attempts that the
 // record lists.
-func (j *job) loadPlacement(index int, row wire.KeyValue) []records.Placed {
+func (j *job) loadPlacement(index int, row wire.KeyValue) []records.PlacedAttempt {
 	record, err := records.DecodePlacement(row.Value)
 	if err != nil {
 		slog.Error("placement record cannot be decoded", "key", row.Key, "err", err)
 		return nil
 	}
 	p := newPlacement(j, index)
-	p.modRevision, p.nextAttempt, p.done.Done = row.ModRevision, record.Next, record.Done
-	for i := range j.record.Per {
-		if index*j.record.Per+i < j.record.Spec.TaskCount && record.DoneBit(i) {
+	p.modRevision, p.nextAttempt, p.done.DoneBits = row.ModRevision, record.NextAttempt, record.DoneBits
+	for i := range j.record.TasksPerPlacement {
+		if index*j.record.TasksPerPlacement+i < j.record.Spec.TaskCount && record.IsDone(i) {
 			j.done++
 		}
 	}
@@ -103,7 +103,7 @@
 
 // placement finds or makes the placement that a task belongs to.
 func (j *job) placement(task int) *placement {
-	index := task / j.record.Per
+	index := task / j.record.TasksPerPlacement
 	p := j.placements[index]
 	if p == nil {
 		p = newPlacement(j, index)
@@ -112,13 +112,13 @@
 }
 
 func (j *job) isDone(task int) bool {
-	p := j.placements[task/j.record.Per]
-	return p != nil && p.done.DoneBit(task%j.record.Per)
+	p := j.placements[task/j.record.TasksPerPlacement]
+	return p != nil && p.done.IsDone(task%j.record.TasksPerPlacement)
 }
 
 // attempt returns the attempt of a task that may be on its machine, or nil.
 func (j *job) attempt(task int) *fleet.Attempt {
-	if p := j.placements[task/j.record.Per]; p != nil {
+	if p := j.placements[task/j.record.TasksPerPlacement]; p != nil {
 		return p.live[task]
 	}
 	return nil
@@ -143,9 +143,9 @@
 
 // markDone counts a task as done, once.
 func (j *job) markDone(p *placement, task int) {
-	bit := task % j.record.Per
-	if !p.done.DoneBit(bit) {
-		p.done.SetDone(bit)
+	bit := task % j.record.TasksPerPlacement
+	if !p.done.IsDone(bit) {
+		p.done.MarkDone(bit)
 		j.done++
 	}
 }
--- a/internal/controller/job_test.go
+++ b/internal/controller/job_test.go
@@ -24,7 +24,7 @@
 }
 
 func newWaitingTasksModel(t *rapid.T, tasks int) *waitingTasksModel {
-	record := &records.Job{Spec: wire.JobSpec{TaskCount: tasks}, Status: wire.JobQueued, Per: 7}
+	record := &records.Job{Spec: wire.JobSpec{TaskCount: tasks}, Status: wire.JobQueued, TasksPerPlacement: 7}
 	j := newJob("run-000001", watchcache.Entry{Job: record, ModRevision: 1}, time.Now())
 	waiting := map[int]bool{}
 	for task := range tasks {
--- a/internal/controller/launches_test.go
+++ b/internal/controller/launches_test.go
@@ -29,7 +29,7 @@
 			m.Type, m.Capacity = "g8", autoscaler.Capacity(&c.catalog.MachineTypes[0])
 		}
 		addJob := func(spec wire.JobSpec, status wire.JobStatus, dirty bool) {
-			record := &records.Job{Spec: spec, Status: status, Per: 8}
+			record := &records.Job{Spec: spec, Status: status, TasksPerPlacement: 8}
 			c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: record, ModRevision: 1})
 			if dirty {
 				c.jobs.get(spec.UID).placement(0).markChanged(now)
--- a/internal/controller/limitedstore_test.go
+++ b/internal/controller/limitedstore_test.go
@@ -106,7 +106,7 @@
 
 // addJob stores a job's record and lets a leader know it.
 func (l *limitedStore) addJob(c *Controller, spec wire.JobSpec) watchcache.Entry {
-	record := records.Job{Spec: spec, Status: wire.JobQueued, Per: records.TasksPerPlacement(8192, 8192)}
+	record := records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: records.TasksPerPlacement(8192, 8192)}
 	key := records.JobKey(spec.UID)
 	l.items[key] = wire.KeyValue{Key: key, Value: records.Encode(record), ModRevision: 1}
 	entry := watchcache.Entry{Job: &record, ModRevision: 1}
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -18,17 +18,17 @@
 // once, or the commit would never find room.
 func (c *Controller) maxBatchChanges() int {
 	limits := c.Config.StateLimits()
-	return min(limits.TxnOps, max(4, int(limits.WriteRps*store.RecordShare)))
+	return min(limits.TxnOps, max(4, int(limits.WriteRps*store.RecordWriteShare)))
 }
 
 // mayWriteDense reports whether all nodes can read densely listed placements.
-func (c *Controller) mayWriteDense() bool { return c.Version.InForce() >= clusterversion.Pipelines }
+func (c *Controller) mayWriteDense() bool { return c.Version.InForce() >= clusterversion.JobDAGs }
 
 // maxPlacementBytes is how large a placement record may be. The announced limit holds from when
 // records can be written that fit it; the state store does not lower its own before.
 func (c *Controller) maxPlacementBytes() int {
 	if c.mayWriteDense() {
-		return c.Config.ValueBytes()
+		return c.Config.MaxValueBytes()
 	}
-	return c.Config.CurrentValueBytes()
+	return c.Config.CurrentMaxValueBytes()
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -33,7 +33,7 @@
 		host := fmt.Sprintf("m-%03d-%s", i, strings.Repeat("x", 40))
 		c.applyTestHeartbeat(host, 1, now)
 	}
-	per := records.TasksPerPlacement(c.Config.CurrentValueBytes(), c.Config.ValueBytes())
+	per := records.TasksPerPlacement(c.Config.CurrentMaxValueBytes(), c.Config.MaxValueBytes())
 	spec := wire.JobSpec{
 		UID:       "run-000001",
 		Team:      "crew",
@@ -63,7 +63,7 @@
 				c.fleet.MarkCommitted(a, now)
 				a.Cause, a.State = wire.CauseDone, fleet.Ended
 				delete(p.live, task)
-				p.done.SetDone(task % per)
+				p.done.MarkDone(task % per)
 				j.live--
 				j.done++
 			}
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -44,7 +44,7 @@
 // behind a cut between zones was released with all its tasks.
 func (c *Controller) followRenewedLeases(ctx context.Context) {
 	wait, pause := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
-	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, pause, watchcache.Funcs{Changed: c.applyRenewedLeases})
+	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, pause, watchcache.HandlerFuncs{OnChanged: c.applyRenewedLeases})
 }
 
 // applyRenewedLeases records that a follower has answered heartbeats of machines.
@@ -66,7 +66,7 @@
 // cancellation data is stale, so no heartbeat arrives and every machine would look dead. c.mu is
 // held.
 func (c *Controller) pauseDetectionWhileStale(now time.Time) {
-	stale := now.Sub(c.JobCache.Fresh()) > c.Config.KnowledgeLimit()
+	stale := now.Sub(c.JobCache.FreshAsOf()) > c.Config.MaxCancellationAge()
 	if c.detector.SetPaused(stale) {
 		if stale {
 			slog.Warn("failure detection paused, heartbeats are not answered on stale cancellation data", "term", c.term)
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -161,7 +161,7 @@
 				}
 				sequence++
 				// In an outage heartbeats are answered for as long as they may be.
-				if heartbeats || !storeReadable && now.Sub(c.JobCache.Fresh()) <= c.Config.KnowledgeLimit() {
+				if heartbeats || !storeReadable && now.Sub(c.JobCache.FreshAsOf()) <= c.Config.MaxCancellationAge() {
 					for i := range machines {
 						c.heartbeatFrom(i, sequence, now)
 					}
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -70,7 +70,7 @@
 // held.
 func (c *Controller) applyReturnRecords(rows []wire.KeyValue, now time.Time) error {
 	for _, row := range rows {
-		var record records.Returns
+		var record records.ScaleIns
 		if err := wire.Decode(row.Value, &record); err != nil {
 			return fmt.Errorf("return record %s: %w", row.Key, err)
 		}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -26,7 +26,7 @@
 	return l.rows[under], 4, nil
 }
 
-func (*listOnlyStore) Changes(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
+func (*listOnlyStore) Watch(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
 	return wire.WatchResponse{Revision: 4}, nil
 }
 
@@ -41,16 +41,16 @@
 		Cores:     1,
 		Image:     "img",
 	}
-	job := records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}
-	placement := records.Placement{Next: 3, Live: []records.Placed{
+	job := records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: 8}
+	placement := records.Placement{NextAttempt: 3, Live: []records.PlacedAttempt{
 		{Task: 0, Attempt: 1, Host: "m-1", Incarnation: 1},
 		{Task: 1, Attempt: 2, Host: "m-2", Incarnation: 1},
 	}}
-	returned := records.Returns{Hosts: []string{"m-3"}}
+	returned := records.ScaleIns{Hosts: []string{"m-3"}}
 	return map[string][]wire.KeyValue{
 		records.JobPrefix:       {{Key: records.JobKey("run-000001"), Value: records.Encode(job), ModRevision: 2}},
 		records.PlacementPrefix: {{Key: records.PlacementKey("run-000001", 0), Value: records.Encode(placement), ModRevision: 3}},
-		records.ReturnsPrefix:   {{Key: records.ReturnsPrefix + "3-1", Value: records.Encode(returned), ModRevision: 4}},
+		records.ScaleInPrefix:   {{Key: records.ScaleInPrefix + "3-1", Value: records.Encode(returned), ModRevision: 4}},
 	}
 }
 
@@ -69,7 +69,7 @@
 	}
 	return &standby.Proven{
 		Placements: rows[records.PlacementPrefix],
-		Returns:    rows[records.ReturnsPrefix],
+		Returns:    rows[records.ScaleInPrefix],
 		Jobs:       []standby.JobView{job},
 		Machines: []standby.MachineView{
 			{Host: "m-1", Type: "g8", Zone: "a", Incarnation: 9, FencingToken: 4, Images: []string{"img"}},
@@ -95,7 +95,7 @@
 		store := &listOnlyStore{rows: rows}
 		c.Store = store
 		c.JobCache.Reset(rows[records.JobPrefix], 4, time.Now().Add(-time.Second))
-		c.JobCache.Listen(c.applyJobEvent)
+		c.JobCache.SetListener(c.applyJobEvent)
 		c.Prove = func(context.Context, uint64) (*standby.Proven, error) { return misleadingProof(t, rows), proof.err }
 		if err := c.loadState(context.Background()); err != nil {
 			t.Fatal(err)
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -16,7 +16,7 @@
 // followCloud reads the machine list and the catalog from time to time: the list no more often
 // than its pages can be read without a pause.
 func (c *Controller) followCloud(ctx context.Context) {
-	least := max(c.Config.ListLag()*2/3, time.Duration(callsPerList*float64(time.Second)/c.Config.Cluster.Cloud.Rps))
+	least := max(c.Config.CloudListLag()*2/3, time.Duration(callsPerList*float64(time.Second)/c.Config.Cluster.Cloud.Rps))
 	var catalogRead time.Time
 	for ctx.Err() == nil {
 		if now := c.now(); catalogRead.IsZero() || now.Sub(catalogRead) > 3*c.Config.WorkerLease() {
@@ -100,7 +100,7 @@
 // machine stays listed until it is gone. A list may be old, but not older than a machine that was
 // listed long ago. The same goes for one that has been known for that long and never was.
 func (c *Controller) shouldBeListed(m *fleet.Machine, now time.Time) bool {
-	return now.Sub(m.FirstSeen) > 4*c.Config.ListLag()+c.Config.WorkerLease() &&
+	return now.Sub(m.FirstSeen) > 4*c.Config.CloudListLag()+c.Config.WorkerLease() &&
 		now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval()
 }
 
--- a/internal/controller/nodecache_test.go
+++ b/internal/controller/nodecache_test.go
@@ -119,7 +119,7 @@
 	if m.jobs > 1 && rapid.Bool().Draw(m.t, "depends") {
 		spec.Dependencies = []string{fmt.Sprintf("run-%06d", rapid.IntRange(1, m.jobs-1).Draw(m.t, "dependency"))}
 	}
-	record := &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8, AtMs: m.now.UnixMilli()}
+	record := &records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: 8, AcceptedAtMs: m.now.UnixMilli()}
 	m.c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: record, ModRevision: 1})
 }
 
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -43,7 +43,7 @@
 	// Get reads one key; found is false if it does not exist.
 	Get(ctx context.Context, key string) (item wire.KeyValue, found bool, err error)
 	// Commit applies a transaction and returns the revision that it made. It fails with
-	// *store.ConflictError, *store.RejectedError or store.ErrUnknown, among others.
+	// *store.ConflictError, *store.RejectedError or store.ErrOutcomeUnknown, among others.
 	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 }
 
@@ -87,7 +87,7 @@
 	// JobFinished says that the final status of a job is committed.
 	JobFinished(uid string, status wire.JobStatus)
 	// FailoverFinished is called once, after the first scheduling cycle that could place tasks.
-	FailoverFinished(report records.Takeover)
+	FailoverFinished(report records.Failover)
 }
 
 // VersionTracker reports which formats of records and messages may be used.
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -31,14 +31,14 @@
 	return p
 }
 
-// placed is an attempt as a placement record lists it.
-func placed(a *fleet.Attempt) records.Placed {
-	return records.Placed{Task: a.TaskIndex, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}
+// list is an attempt as a placement record lists it.
+func placed(a *fleet.Attempt) records.PlacedAttempt {
+	return records.PlacedAttempt{Task: a.TaskIndex, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}
 }
 
 // record makes the placement record as it stands.
 func (p *placement) record() records.Placement {
-	record := records.Placement{Next: p.nextAttempt, Done: p.done.Done}
+	record := records.Placement{NextAttempt: p.nextAttempt, DoneBits: p.done.DoneBits}
 	for _, a := range p.live {
 		record.Live = append(record.Live, placed(a))
 	}
@@ -48,16 +48,16 @@
 // hasRoom reports whether the placement record still fits a value with one more attempt of a
 // task on a machine.
 func (p *placement) hasRoom(task int, m *fleet.Machine, valueBytes int) bool {
-	tasks := p.job.record.Per
+	tasks := p.job.record.TasksPerPlacement
 	if records.FitsPlain(tasks, valueBytes) {
 		return true
 	}
-	added := records.Placed{Task: task, Attempt: p.nextAttempt, Host: m.ID, Incarnation: m.Incarnation}
-	bytes := records.DenseBytes(added, tasks)
+	added := records.PlacedAttempt{Task: task, Attempt: p.nextAttempt, Host: m.ID, Incarnation: m.Incarnation}
+	bytes := records.DenseAttemptBytes(added, tasks)
 	for _, a := range p.live {
-		bytes += records.DenseBytes(placed(a), tasks)
+		bytes += records.DenseAttemptBytes(placed(a), tasks)
 	}
-	return bytes <= records.DenseRoom(valueBytes, tasks)
+	return bytes <= records.DenseAttemptsRoom(valueBytes, tasks)
 }
 
 // plannedAttempts lists the attempts whose launch is decided and not recorded yet.
--- a/internal/controller/placementwriter.go
+++ b/internal/controller/placementwriter.go
@@ -56,7 +56,7 @@
 		case <-ctx.Done():
 			return
 		case <-w.wake:
-		case <-time.After(w.config.Grid().Next(time.Now(), period)):
+		case <-time.After(w.config.TimerGrid().UntilNext(time.Now(), period)):
 		}
 		w.writeAll(ctx, period/2)
 	}
@@ -84,7 +84,7 @@
 func (w *placementWriter) commit(ctx context.Context, b *batch) bool {
 	commitCtx := ctx
 	if b.background {
-		commitCtx = store.Note(ctx)
+		commitCtx = store.WithBackgroundLane(ctx)
 	}
 	revision, err := w.store.Commit(commitCtx, b.tx)
 	var conflict *store.ConflictError
@@ -101,7 +101,7 @@
 		}
 		w.reread(ctx, b)
 		return true
-	case errors.Is(err, store.ErrUnknown):
+	case errors.Is(err, store.ErrOutcomeUnknown):
 		slog.Warn("outcome of commit is unknown", "term", w.term, "err", err)
 		w.reread(ctx, b)
 		return false
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -24,7 +24,7 @@
 			UID:        j.uid,
 			Team:       j.record.Spec.Team,
 			Level:      j.level,
-			AcceptedMs: j.record.AtMs,
+			AcceptedMs: j.record.AcceptedAtMs,
 			Needs:      quota.Amount{Cores: unfinished * j.need.Cores, Gpus: unfinished * j.need.Gpus},
 		})
 	}
--- a/internal/controller/recordloader.go
+++ b/internal/controller/recordloader.go
@@ -59,7 +59,7 @@
 // state store that got too many requests refused one of four listings in turn, all four were
 // read again for 12 s.
 func (l *recordLoader) list(ctx context.Context) (*termRecords, error) {
-	for _, prefix := range []string{records.JobPrefix, records.PlacementPrefix, records.ReturnsPrefix, records.ImagesPrefix} {
+	for _, prefix := range []string{records.JobPrefix, records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix} {
 		if _, known := l.listings[prefix]; known {
 			continue
 		}
@@ -72,7 +72,7 @@
 	return &termRecords{
 		jobs:       l.listings[records.JobPrefix],
 		placements: l.listings[records.PlacementPrefix],
-		returns:    l.listings[records.ReturnsPrefix],
+		returns:    l.listings[records.ScaleInPrefix],
 		images:     l.listings[records.ImagesPrefix],
 	}, nil
 }
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -88,14 +88,14 @@
 // replace what they ran. It reports whether it recorded any.
 func (c *Controller) recordReleases(ctx context.Context) bool {
 	c.mu.Lock()
-	record, found := c.releases.NextRecord(c.Config.ValueBytes())
+	record, found := c.releases.NextRecord(c.Config.MaxValueBytes())
 	c.mu.Unlock()
 	if !found {
 		return false
 	}
 	_, err := c.Store.Commit(ctx, wire.Transaction{
 		Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}, {Key: record.Key}},
-		Changes:  []wire.Change{{Set: record.Key, Value: records.Encode(records.Returns{Hosts: record.Hosts})}},
+		Changes:  []wire.Change{{Set: record.Key, Value: records.Encode(records.ScaleIns{Hosts: record.Hosts})}},
 	})
 	if err != nil {
 		slog.Warn("machine releases cannot be recorded", "hosts", record.Hosts, "err", err)
@@ -107,7 +107,7 @@
 	case err == nil:
 		c.releases.Recorded(record)
 		return true
-	case errors.Is(err, store.ErrUnknown):
+	case errors.Is(err, store.ErrOutcomeUnknown):
 		c.releases.MayBeStored(record)
 	}
 	return false
@@ -146,7 +146,7 @@
 	if len(clean.tx.Changes) == 0 {
 		return
 	}
-	if _, err := c.Store.Commit(store.Note(ctx), clean.tx); err != nil {
+	if _, err := c.Store.Commit(store.WithBackgroundLane(ctx), clean.tx); err != nil {
 		slog.Debug("records of released machines cannot be dropped", "err", err)
 		c.stepDownOnLeaderConflict(err)
 		return
@@ -173,7 +173,7 @@
 func (c *Controller) planCleanup(now time.Time) cleanup {
 	ops := max(4, c.maxBatchChanges()/3)
 	clean := cleanup{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
-	for _, record := range c.releases.Expired(now, 6*c.Config.ListLag()+3*c.Config.WorkerLease()) {
+	for _, record := range c.releases.Expired(now, 6*c.Config.CloudListLag()+3*c.Config.WorkerLease()) {
 		if !c.dropImages(&clean, record, ops) || len(clean.tx.Changes) >= ops {
 			break
 		}
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -30,7 +30,7 @@
 // before its record is known to be stored.
 func TestReleasesAreRecordedFirst(t *testing.T) {
 	const machines = 150
-	c, state, cloud := newLeaderReleasing(machines, store.ErrUnknown, nil, nil)
+	c, state, cloud := newLeaderReleasing(machines, store.ErrOutcomeUnknown, nil, nil)
 	if c.recordReleases(t.Context()) || c.sendReleases(t.Context()) {
 		t.Fatal("goes on although nothing is known to be recorded")
 	}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -73,7 +73,7 @@
 
 // provisionMachines sends a request for machines until the cloud answers it, a few times.
 func (c *Controller) provisionMachines(ctx context.Context, request wire.ProvisionRequest) {
-	pause := c.Config.ListLag() / 4
+	pause := c.Config.CloudListLag() / 4
 	for attempt := 0; attempt < provisionAttempts && ctx.Err() == nil; attempt++ {
 		hosts, err := c.Cloud.Provision(ctx, request)
 		if err == nil {
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -56,7 +56,7 @@
 		Gpus:      1,
 		RAMGb:     1,
 	}
-	record := &records.Job{Spec: spec, Status: wire.JobQueued, Per: 16, AtMs: submitted.UnixMilli()}
+	record := &records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: 16, AcceptedAtMs: submitted.UnixMilli()}
 	c.applyJobEventLocked(uid, watchcache.Entry{Job: record, ModRevision: 1})
 	j := c.jobs.get(uid)
 	j.waitingSince = submitted
--- a/internal/controller/status_test.go
+++ b/internal/controller/status_test.go
@@ -17,7 +17,7 @@
 	c := newTestLeader(&now)
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
-		record := &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, Per: 1}
+		record := &records.Job{Spec: wire.JobSpec{UID: uid, TaskCount: 1}, Status: wire.JobQueued, TasksPerPlacement: 1}
 		c.applyJobEventLocked(uid, watchcache.Entry{Job: record, ModRevision: 1})
 		c.jobs.markCountsChanged(c.jobs.get(uid))
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -23,10 +23,10 @@
 
 // The states of a node.
 const (
-	Following   State = iota // another node leads, or nobody is known to
-	Campaigning              // is trying to become leader
-	Leading                  // leads
-	Unproven                 // leads, but its hold could not be renewed in time
+	Following          State = iota // another node leads, or nobody is known to
+	Campaigning                     // is trying to become leader
+	Leading                         // leads
+	LeadingUnconfirmed              // leads, but its hold could not be renewed in time
 )
 
 var stateNames = [...]string{"following", "campaigning", "leading", "unproven"}
@@ -57,29 +57,29 @@
 
 // View is what is known of the leadership.
 type View struct {
-	Leader string // empty: nobody leads
-	Term   uint64 // the last term there was, of that leader if there is one
-	Known  uint64 // the last one that the state service or its own leader told of
-	Synced bool
+	Leader        string // empty: nobody leads
+	Term          uint64 // the last term there was, of that leader if there is one
+	ConfirmedTerm uint64 // the last one that the state service or its own leader told of
+	Synced        bool
 }
 
 // Elector runs the election at one node.
 type Elector struct {
 	store  Store
-	label  string
+	node   string
 	ttl    time.Duration
 	delay  func() int
 	grid   timeralign.Grid
 	better func() bool
 	// deferring reports whether another node is better prepared to lead.
 	deferring func() bool
-	lead      func(ctx context.Context, term uint64)
+	lead      func(ctx context.Context, ownTerm uint64)
 
 	mu              sync.Mutex
 	state           State
 	view            View
-	term            uint64 // our term while we lead
-	stop            context.CancelFunc
+	ownTerm         uint64 // our term while we lead
+	endTerm         context.CancelFunc
 	leaderlessSince time.Time // when it was last seen that nobody leads
 	changed         chan struct{}
 }
@@ -87,7 +87,7 @@
 // New makes an elector. lead is called for each term that this node leads; its
 // context ends with the term.
 func New(s Store, label string, ttl time.Duration, lead func(ctx context.Context, term uint64)) *Elector {
-	return &Elector{store: s, label: label, ttl: ttl, lead: lead, delay: func() int { return 0 }, better: func() bool { return false }, deferring: func() bool { return false }, changed: make(chan struct{}, 1)}
+	return &Elector{store: s, node: label, ttl: ttl, lead: lead, delay: func() int { return 0 }, better: func() bool { return false }, deferring: func() bool { return false }, changed: make(chan struct{}, 1)}
 }
 
 // Prefer lets others go first: this node waits a little for each point of its
@@ -105,18 +105,18 @@
 func (e *Elector) Align(grid timeralign.Grid) { e.grid = grid }
 
 // set is the one function that changes the state. e.mu is held.
-func (e *Elector) set(to State, why string) {
+func (e *Elector) setState(to State, why string) {
 	if e.state == to {
 		return
 	}
-	slog.Info("leadership", "from", e.state.String(), "to", to.String(), "term", e.term, "why", why)
+	slog.Info("leadership", "from", e.state.String(), "to", to.String(), "term", e.ownTerm, "why", why)
 	e.state = to
 }
 
-func (e *Elector) move(to State, why string) {
+func (e *Elector) transition(to State, why string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.set(to, why)
+	e.setState(to, why)
 }
 
 // View tells what is known of the leadership.
@@ -139,9 +139,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if leader != "" {
-		e.view.Known = max(e.view.Known, term)
+		e.view.ConfirmedTerm = max(e.view.ConfirmedTerm, term)
 	}
-	if term == e.view.Term && e.view.Leader == "" && e.stop == nil {
+	if term == e.view.Term && e.view.Leader == "" && e.endTerm == nil {
 		// A worker's token told the term before the leader itself did. A node
 		// that cannot read the state service would otherwise never learn the
 		// name, and keep workers that it should send on.
@@ -151,9 +151,9 @@
 		return
 	}
 	e.view.Term, e.view.Leader = term, leader
-	if e.stop != nil && term > e.term {
-		slog.Info("newer term seen", "ours", e.term, "newer", term)
-		e.stop()
+	if e.endTerm != nil && term > e.ownTerm {
+		slog.Info("newer term seen", "ours", e.ownTerm, "newer", term)
+		e.endTerm()
 	}
 }
 
@@ -171,10 +171,10 @@
 	leading := false
 	for _, row := range rows {
 		leading = leading || row.Key == records.LeaderKey
-		e.learn(row.Key, row.Value, row.ModRevision)
+		e.applyRecord(row.Key, row.Value, row.ModRevision)
 	}
 	if !leading {
-		e.vacate()
+		e.recordNoLeader()
 	}
 	e.mu.Unlock()
 	e.notifyChanged()
@@ -185,17 +185,17 @@
 	e.mu.Lock()
 	for _, n := range ch.Events {
 		if n.Drop == records.LeaderKey && n.ModRevision > e.view.Term {
-			e.vacate()
+			e.recordNoLeader()
 		} else if n.Set != "" {
-			e.learn(n.Set, n.Value, n.ModRevision)
+			e.applyRecord(n.Set, n.Value, n.ModRevision)
 		}
 	}
 	e.mu.Unlock()
 	e.notifyChanged()
 }
 
-// vacate notes that nobody leads. e.mu is held.
-func (e *Elector) vacate() {
+// recordNoLeader notes that nobody leads. e.mu is held.
+func (e *Elector) recordNoLeader() {
 	if e.view.Leader != "" || e.leaderlessSince.IsZero() {
 		e.leaderlessSince = time.Now()
 	}
@@ -209,8 +209,8 @@
 	return e.leaderlessSince
 }
 
-// learn takes a key of the election into the view. e.mu is held.
-func (e *Elector) learn(key string, value json.RawMessage, modRevision uint64) {
+// advance takes a key of the election into the view. e.mu is held.
+func (e *Elector) applyRecord(key string, value json.RawMessage, modRevision uint64) {
 	if modRevision < e.view.Term {
 		return
 	}
@@ -219,12 +219,12 @@
 		slog.Error("leader record cannot be read", "key", key, "err", err)
 		return
 	}
-	e.view.Term, e.view.Known = modRevision, max(e.view.Known, modRevision)
+	e.view.Term, e.view.ConfirmedTerm = modRevision, max(e.view.ConfirmedTerm, modRevision)
 	if key == records.LeaderKey {
 		e.view.Leader = l.Node
 	}
-	if e.stop != nil && modRevision > e.term {
-		e.stop()
+	if e.endTerm != nil && modRevision > e.ownTerm {
+		e.endTerm()
 	}
 }
 
@@ -250,11 +250,11 @@
 		if v := e.View(); v.Leader != "" {
 			continue
 		}
-		e.move(Campaigning, "nobody leads")
+		e.transition(Campaigning, "nobody leads")
 		if term, leaseID, ok := e.campaign(ctx); ok {
-			e.serve(ctx, term, leaseID)
+			e.leadTerm(ctx, term, leaseID)
 		} else {
-			e.move(Following, "not elected")
+			e.transition(Following, "not elected")
 			time.Sleep(time.Duration(rand.Int64N(int64(e.ttl / 8))))
 			e.notifyChanged()
 		}
@@ -263,13 +263,13 @@
 
 // campaign tries once to become leader.
 func (e *Elector) campaign(ctx context.Context) (term, leaseID uint64, ok bool) {
-	ctx = store.Urgent(ctx)
+	ctx = store.WithUrgentLane(ctx)
 	leaseID, err := e.store.GrantLease(ctx, e.ttl)
 	if err != nil {
 		slog.Debug("no hold", "err", err)
 		return 0, 0, false
 	}
-	rec := records.Encode(records.Leader{Node: e.label})
+	rec := records.Encode(records.Leader{Node: e.node})
 	term, err = e.store.Commit(ctx, wire.Transaction{
 		Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: 0}},
 		Changes:  []wire.Change{{Set: records.LeaderKey, Value: rec, LeaseID: leaseID}, {Set: records.TermKey, Value: rec}},
@@ -279,7 +279,7 @@
 	}
 	slog.Debug("not elected", "err", err)
 	var conflict *store.ConflictError
-	if !errors.As(err, &conflict) && errors.Is(err, store.ErrUnknown) {
+	if !errors.As(err, &conflict) && errors.Is(err, store.ErrOutcomeUnknown) {
 		// The commit may have been applied: the key then hangs on our hold.
 		if item, found, err := e.store.Get(ctx, records.LeaderKey); err == nil && found && item.LeaseID == leaseID {
 			return item.ModRevision, leaseID, true
@@ -291,26 +291,26 @@
 	if item, found, err := e.store.Get(ctx, records.LeaderKey); err == nil {
 		e.mu.Lock()
 		if found {
-			e.learn(item.Key, item.Value, item.ModRevision)
+			e.applyRecord(item.Key, item.Value, item.ModRevision)
 		}
 		e.mu.Unlock()
 	}
 	return 0, 0, false
 }
 
-// serve leads a term until the hold ends or a newer term is seen. While the
+// leadTerm leads a term until the hold ends or a newer term is seen. While the
 // hold cannot be renewed the term goes on unproven: it may outlive an outage
 // of the state service, and every commit is guarded by the leader's key.
-func (e *Elector) serve(ctx context.Context, term, leaseID uint64) {
+func (e *Elector) leadTerm(ctx context.Context, term, leaseID uint64) {
 	tctx, stop := context.WithCancel(ctx)
 	defer stop()
 	e.mu.Lock()
-	e.term, e.stop = term, stop
-	e.view.Term, e.view.Leader, e.view.Known = max(term, e.view.Term), e.label, max(term, e.view.Known)
+	e.ownTerm, e.endTerm = term, stop
+	e.view.Term, e.view.Leader, e.view.ConfirmedTerm = max(term, e.view.Term), e.node, max(term, e.view.ConfirmedTerm)
 	if e.view.Term > term {
 		stop()
 	}
-	e.set(Leading, "elected")
+	e.setState(Leading, "elected")
 	e.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
@@ -318,7 +318,7 @@
 		e.lead(tctx, term)
 	}()
 	renewed := time.Now()
-	next := e.grid.Next(renewed, e.ttl/renewals)
+	next := e.grid.UntilNext(renewed, e.ttl/renewals)
 	for tctx.Err() == nil {
 		select {
 		case <-tctx.Done():
@@ -326,38 +326,38 @@
 		case <-time.After(next):
 		}
 		begun := time.Now()
-		rctx, cancel := context.WithTimeout(store.Urgent(tctx), e.ttl/2)
+		rctx, cancel := context.WithTimeout(store.WithUrgentLane(tctx), e.ttl/2)
 		err := e.store.RenewLease(rctx, leaseID)
 		cancel()
-		next = e.grid.Next(time.Now(), e.ttl/renewals)
+		next = e.grid.UntilNext(time.Now(), e.ttl/renewals)
 		switch {
 		case errors.Is(err, store.ErrThrottled):
 			// Nothing is wrong with the service: another try may find room.
 			next = e.ttl / throttledRenewals
 		case err == nil:
 			renewed = begun
-			e.move(Leading, "hold renewed")
+			e.transition(Leading, "hold renewed")
 		case errors.Is(err, store.ErrLeaseNotFound):
 			slog.Info("hold has ended", "term", term)
 			stop()
 		}
 		if time.Since(renewed) > e.ttl {
-			e.move(Unproven, "hold not renewed")
+			e.transition(LeadingUnconfirmed, "hold not renewed")
 		}
 		if err == nil && e.better() {
 			slog.Info("handing over to a node that is better placed", "term", term)
 			stop()
-			if err := e.store.RevokeLease(store.Urgent(ctx), leaseID); err != nil {
+			if err := e.store.RevokeLease(store.WithUrgentLane(ctx), leaseID); err != nil {
 				slog.Warn("hold not closed", "err", err) // it ends by itself
 			}
 		}
 	}
 	e.mu.Lock()
-	e.stop = nil
-	if e.view.Leader == e.label && e.view.Term == term {
+	e.endTerm = nil
+	if e.view.Leader == e.node && e.view.Term == term {
 		e.view.Leader = ""
 	}
-	e.set(Following, "term ended")
+	e.setState(Following, "term ended")
 	e.mu.Unlock()
 	<-done
 	e.notifyChanged()
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -22,11 +22,11 @@
 func TestNameOfNewerTermIsTakenLater(t *testing.T) {
 	e := New(nil, "a", 1, func(context.Context, uint64) {})
 	e.ObserveTerm(7, "")
-	if v := e.View(); v.Term != 7 || v.Known != 0 {
+	if v := e.View(); v.Term != 7 || v.ConfirmedTerm != 0 {
 		t.Fatalf("after a worker's token the view is %+v", v)
 	}
 	e.ObserveTerm(7, "b")
-	if v := e.View(); v.Term != 7 || v.Known != 7 || v.Leader != "b" {
+	if v := e.View(); v.Term != 7 || v.ConfirmedTerm != 7 || v.Leader != "b" {
 		t.Fatalf("view is %+v", v)
 	}
 	e.ObserveTerm(6, "c")
@@ -43,11 +43,11 @@
 		e := New(nil, "a", 1, func(context.Context, uint64) {})
 		names := map[uint64]string{} // who leads a term
 		stopped := false
-		e.term = rapid.Uint64Range(1, 10).Draw(t, "own")
-		e.stop = func() { stopped = true }
-		e.view = View{Leader: "a", Term: e.term, Synced: true}
-		names[e.term] = "a"
-		last := e.term
+		e.ownTerm = rapid.Uint64Range(1, 10).Draw(t, "own")
+		e.endTerm = func() { stopped = true }
+		e.view = View{Leader: "a", Term: e.ownTerm, Synced: true}
+		names[e.ownTerm] = "a"
+		last := e.ownTerm
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			term := rapid.Uint64Range(1, 20).Draw(t, "term")
 			if names[term] == "" {
@@ -64,8 +64,8 @@
 				e.Apply(wire.WatchResponse{Events: []wire.WatchEvent{{Drop: records.LeaderKey, ModRevision: term}}}, 0, time.Time{})
 			}
 			v := e.View()
-			if v.Known > v.Term {
-				t.Fatalf("term %d is known, but the last one is %d", v.Known, v.Term)
+			if v.ConfirmedTerm > v.Term {
+				t.Fatalf("term %d is known, but the last one is %d", v.ConfirmedTerm, v.Term)
 			}
 			if v.Term < last {
 				t.Fatalf("term fell from %d to %d", last, v.Term)
@@ -73,8 +73,8 @@
 			if v.Leader != "" && v.Leader != names[v.Term] {
 				t.Fatalf("%s is taken for the leader of term %d, it is %s", v.Leader, v.Term, names[v.Term])
 			}
-			if v.Term > e.term && !stopped {
-				t.Fatalf("term %d is known, but the leader of %d goes on", v.Term, e.term)
+			if v.Term > e.ownTerm && !stopped {
+				t.Fatalf("term %d is known, but the leader of %d goes on", v.Term, e.ownTerm)
 			}
 			last = v.Term
 		}
--- a/internal/httpapi/cancel.go
+++ b/internal/httpapi/cancel.go
@@ -62,7 +62,7 @@
 		s.Statuses.RecordFinal(uid, job.Status)
 		return nil
 	}
-	job.Finish(wire.JobAborted, s.Config.ValueBytes())
+	job.SetFinal(wire.JobAborted, s.Config.MaxValueBytes())
 	modRevision, err := s.Store.Commit(ctx, wire.Transaction{
 		Compares: []wire.Compare{{Key: item.Key, ModRevision: item.ModRevision}},
 		Changes:  []wire.Change{{Set: item.Key, Value: records.Encode(job)}},
--- a/internal/httpapi/errors.go
+++ b/internal/httpapi/errors.go
@@ -145,7 +145,7 @@
 func changeError(err error) error {
 	var busy *store.BusyError
 	if errors.As(err, &busy) {
-		return &unavailableError{reason: "too many changes at once", retryAfter: busy.After}
+		return &unavailableError{reason: "too many changes at once", retryAfter: busy.RetryAfter}
 	}
 	return errElsewhere
 }
@@ -157,7 +157,7 @@
 	var busy *aimd.BusyError
 	switch {
 	case errors.As(err, &busy):
-		return &unavailableError{reason: "too many questions at once", retryAfter: busy.After}
+		return &unavailableError{reason: "too many questions at once", retryAfter: busy.RetryAfter}
 	case errors.Is(err, store.ErrThrottled):
 		return retryLater("too many requests at once")
 	}
--- a/internal/httpapi/health.go
+++ b/internal/httpapi/health.go
@@ -9,10 +9,10 @@
 // ready answers health checks. A node is out only while it cannot serve and
 // another can: in an outage that all share, leaving would help nobody.
 func (s *Server) ready(c echo.Context) error {
-	if !s.JobCache.Synced() || s.Catalog() == nil {
+	if !s.JobCache.HasSynced() || s.Catalog() == nil {
 		return retryLater("still catching up")
 	}
-	if s.Store.ProofAge() > s.Config.LeaderLeaseTTL()*3/2 && (s.peerServes() || s.isIsolated()) {
+	if s.Store.SinceLastExecuted() > s.Config.LeaderLeaseTTL()*3/2 && (s.peerServes() || s.isIsolated()) {
 		return errElsewhere
 	}
 	return c.NoContent(http.StatusOK)
--- a/internal/httpapi/operators.go
+++ b/internal/httpapi/operators.go
@@ -50,7 +50,7 @@
 	if err := dec.Decode(&next); err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
-	if err := records.CheckSettings(next); err != nil {
+	if err := records.ValidateSettings(next); err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
 	var conflict *store.ConflictError
--- a/internal/httpapi/submit.go
+++ b/internal/httpapi/submit.go
@@ -46,7 +46,7 @@
 	}
 	ctx, cancel := userContext(c, submitWait)
 	defer cancel()
-	if len(spec.Dependencies) > 0 && s.Version.InForce() < clusterversion.Pipelines {
+	if len(spec.Dependencies) > 0 && s.Version.InForce() < clusterversion.JobDAGs {
 		return errOlderRelease
 	}
 	status, err := s.Statuses.Initial(ctx, &spec)
@@ -68,13 +68,13 @@
 // accept records a new job, and answers with its status.
 func (s *Server) accept(ctx context.Context, c echo.Context, spec *wire.JobSpec, status wire.JobStatus) error {
 	value := records.Encode(records.Job{
-		Spec:   *spec,
-		Status: status,
-		AtMs:   time.Now().UnixMilli(),
-		Per:    records.TasksPerPlacement(s.Config.CurrentValueBytes(), s.Config.ValueBytes()),
+		Spec:              *spec,
+		Status:            status,
+		AcceptedAtMs:      time.Now().UnixMilli(),
+		TasksPerPlacement: records.TasksPerPlacement(s.Config.CurrentMaxValueBytes(), s.Config.MaxValueBytes()),
 	})
-	if len(value) > s.Config.ValueBytes() {
-		return s.refuse(c, spec.UID, http.StatusBadRequest, tooLongMessage(spec, len(value), s.Config.ValueBytes()))
+	if len(value) > s.Config.MaxValueBytes() {
+		return s.refuse(c, spec.UID, http.StatusBadRequest, tooLongMessage(spec, len(value), s.Config.MaxValueBytes()))
 	}
 	err := s.recordJob(ctx, spec, value)
 	var conflict *store.ConflictError
@@ -101,11 +101,11 @@
 		Compares: []wire.Compare{{Key: records.JobKey(spec.UID)}, {Key: records.FinalKey(spec.UID)}},
 		Changes:  []wire.Change{{Set: records.JobKey(spec.UID), Value: value}},
 	}
-	_, err := s.Store.Commit(store.User(ctx, reserved), tx)
-	for errors.Is(err, store.ErrUnknown) && ctx.Err() == nil {
+	_, err := s.Store.Commit(store.WithUserLane(ctx, reserved), tx)
+	for errors.Is(err, store.ErrOutcomeUnknown) && ctx.Err() == nil {
 		// Its answer is lost: once more. If it was carried out, or will be, the
 		// compares let only one of them through.
-		_, err = s.Store.Commit(store.User(ctx, reserved), tx)
+		_, err = s.Store.Commit(store.WithUserLane(ctx, reserved), tx)
 	}
 	return err
 }
--- a/internal/httpapi/users.go
+++ b/internal/httpapi/users.go
@@ -21,7 +21,7 @@
 	pollWait   = 1200 * time.Millisecond // and 2 s for one to a poll; a peer may still be asked
 )
 
-// user wraps what answers a user: the request is refused while too many are answered,
+// userLane wraps what answers a userLane: the request is refused while too many are answered,
 // and forwarded to a peer if this node cannot serve it.
 func (s *Server) user(h echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
@@ -89,7 +89,7 @@
 // understands reports whether a peer that a user's request would be forwarded to reads it
 // as this node does.
 func understands(version clusterversion.Version, method, path string, body []byte) bool {
-	if method != http.MethodPost || path != submitPath || version >= clusterversion.Pipelines {
+	if method != http.MethodPost || path != submitPath || version >= clusterversion.JobDAGs {
 		return true
 	}
 	return !wire.HasDependencies(body)
@@ -130,7 +130,7 @@
 
 // userContext bounds the work for a user who waits for at most limit.
 func userContext(c echo.Context, limit time.Duration) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(store.User(c.Request().Context(), 0), limit)
+	return context.WithTimeout(store.WithUserLane(c.Request().Context(), 0), limit)
 }
 
 // jobID returns the id of the job that a request is about.
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(store.Lookup(c.Request().Context()), pollWait)
+	ctx, cancel := context.WithTimeout(store.WithLookupLane(c.Request().Context()), pollWait)
 	defer cancel()
 	view, known, err := s.Statuses.Read(ctx, uid)
 	switch {
--- a/internal/jobdag/graph.go
+++ b/internal/jobdag/graph.go
@@ -108,7 +108,7 @@
 	return n
 }
 
-// Finish records that a job's end or cancellation is committed. A final state never changes.
+// SetFinal records that a job's end or cancellation is committed. A final state never changes.
 func (g *Graph) Finish(uid string, state State) Effects {
 	var effects Effects
 	if n := g.nodes[uid]; n != nil && state.Final() {
--- a/internal/jobstatus/reader.go
+++ b/internal/jobstatus/reader.go
@@ -60,7 +60,7 @@
 		return wire.JobView{UID: uid, Status: status}, true, nil
 	}
 	switch err := r.refresher.Refresh(ctx); {
-	case errors.Is(err, watchcache.ErrNotListed) || errors.Is(err, store.ErrTooOld):
+	case errors.Is(err, watchcache.ErrNotSynced) || errors.Is(err, store.ErrCompacted):
 		return r.Lookup(ctx, uid)
 	case err != nil:
 		return wire.JobView{}, false, err
@@ -94,7 +94,7 @@
 	return err == nil, err
 }
 
-// Lookup reads the status of a job from its own records. The result is false if the job
+// WithLookupLane reads the status of a job from its own records. The result is false if the job
 // was never accepted.
 func (r *Reader) Lookup(ctx context.Context, uid string) (wire.JobView, bool, error) {
 	view := wire.JobView{UID: uid}
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -56,11 +56,11 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		placement := records.Placement{Next: 2}
+		placement := records.Placement{NextAttempt: 2}
 		for task := range tasksPerMachine {
-			placement.Live = append(placement.Live, records.Placed{Task: task, Attempt: 1, Host: benchHost(i), Incarnation: 1})
+			placement.Live = append(placement.Live, records.PlacedAttempt{Task: task, Attempt: 1, Host: benchHost(i), Incarnation: 1})
 		}
-		job := records.Job{Spec: spec, Status: wire.JobQueued, AtMs: time.Now().UnixMilli(), Per: 80}
+		job := records.Job{Spec: spec, Status: wire.JobQueued, AcceptedAtMs: time.Now().UnixMilli(), TasksPerPlacement: 80}
 		commit(wire.Change{Set: records.JobKey(spec.UID), Value: records.Encode(job)},
 			wire.Change{Set: records.PlacementKey(spec.UID, 0), Value: records.Encode(placement)})
 	}
@@ -93,7 +93,7 @@
 	b.Cleanup(cancel)
 	n.Start(ctx)
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if l := n.controller(); l != nil && l.Status().Loaded && n.catalog.Load() != nil && n.jobCache.Synced() {
+		if l := n.controller(); l != nil && l.Status().Loaded && n.catalog.Load() != nil && n.jobCache.HasSynced() {
 			break
 		}
 		if time.Now().After(deadline) {
--- a/internal/node/controlleroptions.go
+++ b/internal/node/controlleroptions.go
@@ -47,7 +47,7 @@
 	o.node.statuses.RecordFinal(uid, status)
 }
 
-func (o termObserver) FailoverFinished(report records.Takeover) {
+func (o termObserver) FailoverFinished(report records.Failover) {
 	if o.node.standby.enabled() {
 		o.node.standby.recordFailover(report)
 	}
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -47,7 +47,7 @@
 		return s.always.RoundTrip(r)
 	}
 	rec := httptest.NewRecorder()
-	rec.Body.Write(records.Encode(wire.KeyValue{Key: "j/run-000001", ModRevision: 7, Value: records.Encode(records.Job{Spec: wire.JobSpec{UID: "run-000001", TaskCount: 1}, Status: wire.JobQueued, Per: 1})}))
+	rec.Body.Write(records.Encode(wire.KeyValue{Key: "j/run-000001", ModRevision: 7, Value: records.Encode(records.Job{Spec: wire.JobSpec{UID: "run-000001", TaskCount: 1}, Status: wire.JobQueued, TasksPerPlacement: 1})}))
 	if s.meanwhile != nil {
 		s.meanwhile()
 	}
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -187,7 +187,7 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go n.load.Run(ctx, cfg.Grid(), cfg.HeartbeatInterval()/8)
+	go n.load.Run(ctx, cfg.TimerGrid(), cfg.HeartbeatInterval()/8)
 	until("served", http.StatusOK)
 	var spinning sync.WaitGroup
 	var over atomic.Bool
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,7 +63,7 @@
 		leadership: &leadership{cfg: cfg, peers: peer.NewPeers(cfg, cfg.LeaderLeaseTTL()/4, network.DialPeer)},
 		store: store.New(
 			cfg.Services.State,
-			store.Limits{Rps: limits.Rps, WriteRps: limits.WriteRps, Nodes: len(cfg.Members) + 1},
+			store.Limits{RequestsPerSecond: limits.Rps, WritesPerSecond: limits.WriteRps, Nodes: len(cfg.Members) + 1},
 			timeout,
 			network.State,
 		),
@@ -79,7 +79,7 @@
 	n.statuses = jobstatus.NewReader(jobstatus.Options{
 		Store:     n.store,
 		Jobs:      n.jobCache,
-		Refresher: watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReads(), timeout),
+		Refresher: watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReadLimiter(), timeout),
 		MemoryMb:  cfg.Cluster.Limits.MemMb,
 		Counts:    n.taskCounts,
 	})
@@ -87,13 +87,13 @@
 	n.relays = newRelays(n.leadership, n.metrics)
 	campaign := &campaign{leadership: n.leadership, isRelaying: n.relays.isRelaying}
 	n.standby = newWarmStandby(n.leadership, n.store, campaign)
-	n.elector.Align(cfg.Grid())
+	n.elector.Align(cfg.TimerGrid())
 	n.elector.Prefer(campaign.ownDelay, campaign.shouldTransfer)
 	n.elector.DeferTo(n.standby.peerIsPreferred)
 	n.renewals = &renewals{leadership: n.leadership, store: n.store, serving: n.isServing, renewed: map[string]time.Time{}}
 	n.heartbeats = &heartbeats{
 		leadership: n.leadership,
-		leases:     workerlease.NewRenewer(n.jobCache, cfg.KnowledgeLimit()),
+		leases:     workerlease.NewRenewer(n.jobCache, cfg.MaxCancellationAge()),
 		load:       n.load,
 		relays:     n.relays,
 		renewals:   n.renewals,
@@ -176,7 +176,7 @@
 		func() { n.version.Announce(ctx, n.store, n.cfg.Label, 2*n.cfg.LeaderLeaseTTL()) },
 		func() { n.readCatalog(ctx) },
 		func() { n.keepCacheFresh(ctx) },
-		func() { n.load.Run(ctx, n.cfg.Grid(), n.cfg.LeaderLeaseTTL()/8) },
+		func() { n.load.Run(ctx, n.cfg.TimerGrid(), n.cfg.LeaderLeaseTTL()/8) },
 		func() { n.renewals.publish(ctx) },
 		func() { n.relays.sender.Run(ctx) },
 		func() { n.standby.followLeader(ctx) },
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -31,7 +31,7 @@
 // ApplyCancellation applies a committed cancellation that a peer announces.
 func (n *Node) ApplyCancellation(c peer.Cancellation) {
 	n.statuses.RecordFinal(c.UID, c.Record.Status)
-	n.jobCache.Hint(c.UID, c.Record, c.ModRevision)
+	n.jobCache.ApplyFromPeer(c.UID, c.Record, c.ModRevision)
 }
 
 // announceCancelled tells this node and its peers of a committed cancellation, so that a leader
--- a/internal/node/pinging.go
+++ b/internal/node/pinging.go
@@ -30,7 +30,7 @@
 			n.elector.ObserveTerm(r.Term, p.Label)
 		}
 		n.raiseVersion(ctx)
-		timeralign.Sleep(ctx, n.cfg.Grid().Next(time.Now(), n.cfg.LeaderLeaseTTL()/4))
+		timeralign.Sleep(ctx, n.cfg.TimerGrid().UntilNext(time.Now(), n.cfg.LeaderLeaseTTL()/4))
 	}
 }
 
@@ -104,7 +104,7 @@
 	for _, p := range n.peers {
 		version := p.SupportedVersion()
 		if _, reached := p.LastPing(n.cfg.LeaderLeaseTTL()); !reached && version < clusterversion.Latest {
-			announced, compare, err := clusterversion.Announced(ctx, n.store, p.Label)
+			announced, compare, err := clusterversion.ReadAnnounced(ctx, n.store, p.Label)
 			if err != nil {
 				slog.Debug("announced version could not be read", "peer", p.Label, "err", err)
 			}
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -40,7 +40,7 @@
 	r.sender = relay.NewSender(relay.SenderConfig{
 		Label:         l.cfg.Label,
 		Exchange:      r.sendBatch,
-		Grid:          l.cfg.Grid(),
+		Grid:          l.cfg.TimerGrid(),
 		Period:        interval / batchesPerInterval,
 		AnswerTimeout: min(interval/2+3*interval/batchesPerInterval+callTimeout, relay.WorkerTimeout*7/8),
 		Observe:       m.countRelayed,
@@ -96,7 +96,7 @@
 				receiver.Retain(c.HasMachine)
 			}
 		}
-		timeralign.Sleep(ctx, r.cfg.Grid().Next(time.Now(), r.cfg.LeaderLeaseTTL()/4))
+		timeralign.Sleep(ctx, r.cfg.TimerGrid().UntilNext(time.Now(), r.cfg.LeaderLeaseTTL()/4))
 	}
 }
 
--- a/internal/node/renewals.go
+++ b/internal/node/renewals.go
@@ -34,20 +34,20 @@
 // fleet from the new leader, which declared it dead.
 func (r *renewals) answer(heartbeat *wire.Heartbeat) (*wire.Commands, error) {
 	v := r.elector.View()
-	if !v.Synced || v.Known == 0 {
+	if !v.Synced || v.ConfirmedTerm == 0 {
 		return nil, httpapi.ErrNoTerm
 	}
-	if heartbeat.FencingToken > v.Known {
+	if heartbeat.FencingToken > v.ConfirmedTerm {
 		r.elector.ObserveTerm(heartbeat.FencingToken, "")
 		return nil, &httpapi.RedirectError{}
 	}
 	r.mu.Lock()
 	if _, ok := r.renewed[heartbeat.Host]; !ok {
-		slog.Info("worker lease is renewed on the leader's behalf", "host", heartbeat.Host, "term", v.Known)
+		slog.Info("worker lease is renewed on the leader's behalf", "host", heartbeat.Host, "term", v.ConfirmedTerm)
 	}
 	r.renewed[heartbeat.Host] = time.Now()
 	r.mu.Unlock()
-	return &wire.Commands{FencingToken: v.Known, Commands: []wire.Command{}}, nil
+	return &wire.Commands{FencingToken: v.ConfirmedTerm, Commands: []wire.Command{}}, nil
 }
 
 // hosts lists the machines whose leases were renewed within a leader's lease.
@@ -75,11 +75,11 @@
 			continue
 		}
 		for i := 0; len(hosts) > 0; i++ {
-			part := records.FitNames(hosts, r.cfg.ValueBytes())
+			part := records.FitNames(hosts, r.cfg.MaxValueBytes())
 			hosts = hosts[len(part):]
 			value := records.Encode(records.RenewedLeases{Hosts: part})
 			key := fmt.Sprintf("%s%s/%d", records.RenewedLeasesPrefix, r.cfg.Label, i)
-			if _, err := r.store.Commit(store.User(ctx, 0), wire.Transaction{Changes: []wire.Change{{Set: key, Value: value}}}); err != nil {
+			if _, err := r.store.Commit(store.WithUserLane(ctx, 0), wire.Transaction{Changes: []wire.Change{{Set: key, Value: value}}}); err != nil {
 				slog.Debug("renewed worker leases could not be published", "err", err)
 			}
 		}
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -53,7 +53,7 @@
 		slog.Error("stored settings cannot be read", "err", err)
 		return
 	}
-	if err := records.CheckSettings(next); err != nil {
+	if err := records.ValidateSettings(next); err != nil {
 		slog.Error("stored settings are not valid", "err", err)
 		return
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -17,7 +17,7 @@
 		State:  n.elector.State().String(),
 		Leader: v.Leader,
 		Term:   v.Term,
-		Proof:  min(n.store.ProofAge(), time.Hour).Seconds(),
+		Proof:  min(n.store.SinceLastExecuted(), time.Hour).Seconds(),
 	}
 	if c := n.controller(); c != nil {
 		status.Lead = n.leaderStatus(c)
--- a/internal/node/upkeep.go
+++ b/internal/node/upkeep.go
@@ -14,7 +14,7 @@
 
 // isServing reports whether this node has read the state service lately. keepCacheFresh
 // reads it often enough that an idle node is not taken for cut off.
-func (n *Node) isServing() bool { return n.store.ProofAge() < n.cfg.LeaderLeaseTTL()/2 }
+func (n *Node) isServing() bool { return n.store.SinceLastExecuted() < n.cfg.LeaderLeaseTTL()/2 }
 
 // keepCacheFresh brings the watch cache of jobs up to date past its watch, until ctx ends: an idle
 // node is then not taken for cut off, and what it knows of cancellations is never older
@@ -22,14 +22,14 @@
 func (n *Node) keepCacheFresh(ctx context.Context) {
 	interval := n.cfg.LeaderLeaseTTL() / 8
 	for ctx.Err() == nil {
-		if n.store.ProofAge() > interval || time.Since(n.jobCache.Fresh()) > n.cfg.WorkerLease()/10 {
-			rctx, cancel := context.WithTimeout(store.Urgent(ctx), 2*interval)
+		if n.store.SinceLastExecuted() > interval || time.Since(n.jobCache.FreshAsOf()) > n.cfg.WorkerLease()/10 {
+			rctx, cancel := context.WithTimeout(store.WithUrgentLane(ctx), 2*interval)
 			if err := n.jobCache.Refresh(rctx, n.store); err != nil {
 				slog.Debug("watch cache of jobs could not be refreshed", "err", err)
 			}
 			cancel()
 		}
-		timeralign.Sleep(ctx, n.cfg.Grid().Next(time.Now(), interval))
+		timeralign.Sleep(ctx, n.cfg.TimerGrid().UntilNext(time.Now(), interval))
 	}
 }
 
@@ -51,8 +51,8 @@
 // followSettings follows what the state service keeps for all nodes, until ctx ends.
 func (n *Node) followSettings(ctx context.Context, wait, pause time.Duration) {
 	apply := func(event wire.WatchEvent) {
-		n.version.Take(event)
+		n.version.Apply(event)
 		n.settings.apply(event)
 	}
-	watchcache.Follow(ctx, n.store, records.SettingsPrefix, wait, pause, watchcache.Funcs{Listed: apply, Changed: apply})
+	watchcache.Follow(ctx, n.store, records.SettingsPrefix, wait, pause, watchcache.HandlerFuncs{OnListed: apply, OnChanged: apply})
 }
--- a/internal/node/warmstandby.go
+++ b/internal/node/warmstandby.go
@@ -87,7 +87,7 @@
 }
 
 // recordFailover records how the failover to this node went.
-func (w *warmStandby) recordFailover(failover records.Takeover) {
+func (w *warmStandby) recordFailover(failover records.Failover) {
 	if failover.Warm {
 		w.follower.MarkPromoted(fmt.Sprintf("decides after %d ms", failover.DecidedMs))
 	}
@@ -157,7 +157,7 @@
 	if !w.enabled() {
 		return
 	}
-	for timeralign.Sleep(ctx, w.cfg.Grid().Next(time.Now(), w.cfg.LeaderLeaseTTL()/4)) {
+	for timeralign.Sleep(ctx, w.cfg.TimerGrid().UntilNext(time.Now(), w.cfg.LeaderLeaseTTL()/4)) {
 		if w.controller() != nil {
 			continue
 		}
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -231,7 +231,7 @@
 var fullCancellation = Cancellation{
 	UID:         "run-000412",
 	ModRevision: 12,
-	Record:      records.Job{Spec: fullSpec, Status: wire.JobAborted, AtMs: 1, Per: 85},
+	Record:      records.Job{Spec: fullSpec, Status: wire.JobAborted, AcceptedAtMs: 1, TasksPerPlacement: 85},
 }
 
 var fullBatch = HeartbeatBatch{
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -225,18 +225,18 @@
 	job := JobMessage{
 		Spec:   workMessage(&c.Record.Spec),
 		Status: c.Record.Status,
-		AtMs:   c.Record.AtMs,
-		Per:    c.Record.Per,
+		AtMs:   c.Record.AcceptedAtMs,
+		Per:    c.Record.TasksPerPlacement,
 	}
 	return WithdrawnArgs{UID: c.UID, Rec: job, Stamp: c.ModRevision}
 }
 
 func (m *WithdrawnArgs) cancellation() Cancellation {
 	record := records.Job{
-		Spec:   m.Rec.Spec.jobSpec(),
-		Status: m.Rec.Status,
-		AtMs:   m.Rec.AtMs,
-		Per:    m.Rec.Per,
+		Spec:              m.Rec.Spec.jobSpec(),
+		Status:            m.Rec.Status,
+		AcceptedAtMs:      m.Rec.AtMs,
+		TasksPerPlacement: m.Rec.Per,
 	}
 	return Cancellation{UID: m.UID, Record: record, ModRevision: m.Stamp}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -67,7 +67,7 @@
 	return err
 }
 
-// User answers a user's request that a peer forwards.
+// WithUserLane answers a user's request that a peer forwards.
 func (s *service) User(a UserArgs, r *UserReply) error {
 	*r = s.handler.ServeUserRequest(a)
 	return nil
--- a/internal/records/bench_test.go
+++ b/internal/records/bench_test.go
@@ -4,9 +4,9 @@
 
 // The record of a placement of eight tasks is encoded.
 func BenchmarkEncodePlacement(b *testing.B) {
-	placement := Placement{Next: 2, Done: []byte{0}}
+	placement := Placement{NextAttempt: 2, DoneBits: []byte{0}}
 	for task := range 8 {
-		placement.Live = append(placement.Live, Placed{Task: task, Attempt: 1, Host: "m-000001", Incarnation: 1})
+		placement.Live = append(placement.Live, PlacedAttempt{Task: task, Attempt: 1, Host: "m-000001", Incarnation: 1})
 	}
 	b.ReportAllocs()
 	for range b.N {
--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -20,12 +20,12 @@
 		"leader": {Leader{Node: "n"}, new(Leader)},
 		"job": {Job{Spec: wire.JobSpec{UID: "run-000412", JobClass: "train", Team: "vision", Kind: wire.JobArray, Priority: wire.High, TaskCount: 16, Cores: 8, Gpus: 1, RAMGb: 64,
 			Image: "img-07", ImageGb: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SingleZone: true, SpreadZones: true, AllowSpot: true, ExpectedRunS: 240, CheckpointIntervalS: 30, CheckpointOnStopS: 4, DeadlineS: &due},
-			Status: wire.JobQueued, AtMs: 1, Per: 85}, new(Job)},
+			Status: wire.JobQueued, AcceptedAtMs: 1, TasksPerPlacement: 85}, new(Job)},
 		"final":   {Final{Status: wire.JobDone}, new(Final)},
-		"returns": {Returns{Hosts: []string{"m-1"}}, new(Returns)},
+		"returns": {ScaleIns{Hosts: []string{"m-1"}}, new(ScaleIns)},
 		"images":  {Images{Names: []string{"img-07"}}, new(Images)},
 		"kept":    {RenewedLeases{Hosts: []string{"m-1"}}, new(RenewedLeases)},
-		"piece":   {Placement{Next: 3, Done: []byte{5}, Live: []Placed{{Task: 1, Attempt: 2, Host: "m-1", Incarnation: 4}}}, new(Placement)},
+		"piece":   {Placement{NextAttempt: 3, DoneBits: []byte{5}, Live: []PlacedAttempt{{Task: 1, Attempt: 2, Host: "m-1", Incarnation: 4}}}, new(Placement)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join("testdata", "golden", name+".json")
@@ -52,7 +52,7 @@
 			}
 		})
 	}
-	keys := []string{JobKey("run-000412"), FinalKey("run-000412"), ImagesKey("m-1"), PlacementKey("run-000412", 7), LeaderKey, TermKey, SettingsKey, ReturnsPrefix, RenewedLeasesPrefix}
+	keys := []string{JobKey("run-000412"), FinalKey("run-000412"), ImagesKey("m-1"), PlacementKey("run-000412", 7), LeaderKey, TermKey, SettingsKey, ScaleInPrefix, RenewedLeasesPrefix}
 	want := []string{"j/run-000412", "f/run-000412", "i/m-1", "p/run-000412/000007", "e/leader", "e/term", "o/settings", "r/", "k/"}
 	for i := range keys {
 		if keys[i] != want[i] {
--- a/internal/records/placement.go
+++ b/internal/records/placement.go
@@ -11,17 +11,17 @@
 // Placement is the placement of Per tasks in a row. Next is above every Try that
 // was ever used in it, so that no Try is used twice.
 type Placement struct {
-	Next uint64   `json:"N"`
-	Done []byte   `json:"D,omitempty"` // bit per task
-	Live []Placed `json:"A,omitempty"`
-	// Dense holds the attempts in less room, in place of Live.
-	Dense *Dense `json:"B,omitempty"`
+	NextAttempt uint64          `json:"N"`
+	DoneBits    []byte          `json:"D,omitempty"` // bit per task
+	Live        []PlacedAttempt `json:"A,omitempty"`
+	// DenseAttempts holds the attempts in less room, in place of Live.
+	Dense *DenseAttempts `json:"B,omitempty"`
 }
 
-// Dense lists attempts in columns: attempt i is of task Tasks[i] with try Tries[i] on
+// DenseAttempts lists attempts in columns: attempt i is of task Tasks[i] with try Tries[i] on
 // machine Machines[i] of Hosts and Sessions. A machine has one entry for each session
 // that attempts are known from.
-type Dense struct {
+type DenseAttempts struct {
 	Tasks        []int    `json:"L"`
 	Attempts     []uint64 `json:"T"`
 	Machines     []int    `json:"M"`
@@ -35,9 +35,9 @@
 	incarnation uint64
 }
 
-// newDense lists attempts densely.
-func newDense(live []Placed) *Dense {
-	dense := &Dense{}
+// newDenseAttempts lists attempts densely.
+func newDenseAttempts(live []PlacedAttempt) *DenseAttempts {
+	dense := &DenseAttempts{}
 	index := map[hostIncarnation]int{}
 	for _, placed := range live {
 		key := hostIncarnation{placed.Host, placed.Incarnation}
@@ -55,17 +55,17 @@
 	return dense
 }
 
-// placed lists the attempts one by one.
-func (d *Dense) placed() ([]Placed, error) {
+// list lists the attempts one by one.
+func (d *DenseAttempts) list() ([]PlacedAttempt, error) {
 	if len(d.Attempts) != len(d.Tasks) || len(d.Machines) != len(d.Tasks) || len(d.Incarnations) != len(d.Hosts) {
 		return nil, fmt.Errorf("columns of different lengths: %d tasks, %d tries, %d machines", len(d.Tasks), len(d.Attempts), len(d.Machines))
 	}
-	live := make([]Placed, 0, len(d.Tasks))
+	live := make([]PlacedAttempt, 0, len(d.Tasks))
 	for i, machine := range d.Machines {
 		if machine < 0 || machine >= len(d.Hosts) {
 			return nil, fmt.Errorf("machine %d of %d", machine, len(d.Hosts))
 		}
-		live = append(live, Placed{Task: d.Tasks[i], Attempt: d.Attempts[i], Host: d.Hosts[machine], Incarnation: d.Incarnations[machine]})
+		live = append(live, PlacedAttempt{Task: d.Tasks[i], Attempt: d.Attempts[i], Host: d.Hosts[machine], Incarnation: d.Incarnations[machine]})
 	}
 	return live, nil
 }
@@ -78,7 +78,7 @@
 	if len(value) <= valueBytes || !dense {
 		return value
 	}
-	placement.Dense, placement.Live = newDense(placement.Live), nil
+	placement.Dense, placement.Live = newDenseAttempts(placement.Live), nil
 	return Encode(placement)
 }
 
@@ -91,7 +91,7 @@
 	if placement.Dense == nil {
 		return placement, nil
 	}
-	live, err := placement.Dense.placed()
+	live, err := placement.Dense.list()
 	if err != nil {
 		return Placement{}, fmt.Errorf("piece: %w", err)
 	}
@@ -120,25 +120,27 @@
 // listed one by one.
 func FitsPlain(tasks, valueBytes int) bool { return tasks <= valueBytes/placedBytes }
 
-// DenseBytes is at most what an attempt adds to a densely listed piece of so many tasks.
-func DenseBytes(placed Placed, tasks int) int {
+// DenseAttemptBytes is at most what an attempt adds to a densely listed piece of so many tasks.
+func DenseAttemptBytes(placed PlacedAttempt, tasks int) int {
 	const separators = 7 // commas and quotes
 	return len(strconv.Itoa(placed.Task)) + len(strconv.FormatUint(placed.Attempt, 10)) + len(placed.Host) +
 		len(strconv.FormatUint(placed.Incarnation, 10)) + len(strconv.Itoa(tasks)) + separators
 }
 
-// DenseRoom is how many bytes a densely listed piece of so many tasks has for attempts.
-func DenseRoom(valueBytes, tasks int) int { return valueBytes - denseFrameBytes - (tasks+7)/8*4/3 }
+// DenseAttemptsRoom is how many bytes a densely listed piece of so many tasks has for attempts.
+func DenseAttemptsRoom(valueBytes, tasks int) int {
+	return valueBytes - denseFrameBytes - (tasks+7)/8*4/3
+}
 
-// DoneBit reports whether task i of the piece is done.
-func (p *Placement) DoneBit(i int) bool {
-	return i/8 < len(p.Done) && p.Done[i/8]&(1<<(i%8)) != 0
+// IsDone reports whether task i of the piece is done.
+func (p *Placement) IsDone(i int) bool {
+	return i/8 < len(p.DoneBits) && p.DoneBits[i/8]&(1<<(i%8)) != 0
 }
 
-// SetDone marks task i of the piece done.
-func (p *Placement) SetDone(i int) {
-	for len(p.Done) <= i/8 {
-		p.Done = append(p.Done, 0)
+// MarkDone marks task i of the piece done.
+func (p *Placement) MarkDone(i int) {
+	for len(p.DoneBits) <= i/8 {
+		p.DoneBits = append(p.DoneBits, 0)
 	}
-	p.Done[i/8] |= 1 << (i % 8)
+	p.DoneBits[i/8] |= 1 << (i % 8)
 }
--- a/internal/records/placement_test.go
+++ b/internal/records/placement_test.go
@@ -13,8 +13,8 @@
 )
 
 // placedGen draws attempts as a leader may have to record them.
-var placedGen = rapid.Custom(func(t *rapid.T) Placed {
-	return Placed{Task: rapid.IntRange(0, wire.MaxTasks).Draw(t, "leg"), Attempt: rapid.Uint64().Draw(t, "try"),
+var placedGen = rapid.Custom(func(t *rapid.T) PlacedAttempt {
+	return PlacedAttempt{Task: rapid.IntRange(0, wire.MaxTasks).Draw(t, "leg"), Attempt: rapid.Uint64().Draw(t, "try"),
 		Host: rapid.StringMatching(`m-[0-9a-z"<]{1,20}`).Draw(t, "host"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "shift")}
 })
 
@@ -22,10 +22,10 @@
 // reckoned with before a task is placed.
 func TestDensePlacements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		placement := Placement{Next: rapid.Uint64().Draw(t, "next"), Done: rapid.SliceOfN(rapid.Byte(), 0, 11).Draw(t, "done"),
+		placement := Placement{NextAttempt: rapid.Uint64().Draw(t, "next"), DoneBits: rapid.SliceOfN(rapid.Byte(), 0, 11).Draw(t, "done"),
 			Live: rapid.SliceOfN(placedGen, 0, 85).Draw(t, "live")}
-		if len(placement.Done) == 0 {
-			placement.Done = nil
+		if len(placement.DoneBits) == 0 {
+			placement.DoneBits = nil
 		}
 		const smallest = 1
 		value := EncodePlacement(placement, smallest, true)
@@ -40,9 +40,9 @@
 		bytes := 0
 		for _, placed := range placement.Live {
 			plain = plain && !strings.ContainsAny(placed.Host, `"<`)
-			bytes += DenseBytes(placed, tasks)
+			bytes += DenseAttemptBytes(placed, tasks)
 		}
-		if limit := 2048; plain && bytes <= DenseRoom(limit, tasks) && len(value) > limit {
+		if limit := 2048; plain && bytes <= DenseAttemptsRoom(limit, tasks) && len(value) > limit {
 			t.Fatalf("%d attempts take %d bytes", len(placement.Live), len(value))
 		}
 	})
@@ -56,13 +56,13 @@
 	if tasks != TasksPerPlacement(current, current) {
 		t.Errorf("%d tasks to a piece, %d before the limit was announced", tasks, TasksPerPlacement(current, current))
 	}
-	placement := Placement{Next: 3}
-	room := DenseRoom(lowest, tasks)
+	placement := Placement{NextAttempt: 3}
+	room := DenseAttemptsRoom(lowest, tasks)
 	for i := range tasks {
-		placed := Placed{Task: 2*tasks + i, Attempt: 1, Host: fmt.Sprintf("m-%06d", i), Incarnation: 1}
-		placement.SetDone(i)
+		placed := PlacedAttempt{Task: 2*tasks + i, Attempt: 1, Host: fmt.Sprintf("m-%06d", i), Incarnation: 1}
+		placement.MarkDone(i)
 		placement.Live = append(placement.Live, placed)
-		room -= DenseBytes(placed, tasks)
+		room -= DenseAttemptBytes(placed, tasks)
 	}
 	if value := EncodePlacement(placement, lowest, true); len(value) > lowest || room < 0 {
 		t.Errorf("%d tasks take %d bytes, %d left by reckoning", tasks, len(value), room)
@@ -87,7 +87,7 @@
 // As long as an older release may read it, a piece is written as that release knows it,
 // also if it does not fit.
 func TestPlacementsForOlderReleases(t *testing.T) {
-	placement := Placement{Next: 3, Done: []byte{5}, Live: []Placed{{1, 2, "m-1", 4}, {2, 1, "m-2", 1}}}
+	placement := Placement{NextAttempt: 3, DoneBits: []byte{5}, Live: []PlacedAttempt{{1, 2, "m-1", 4}, {2, 1, "m-2", 1}}}
 	var got piece1
 	if err := json.Unmarshal(EncodePlacement(placement, 1, false), &got); err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 	const limit = 2 << 10
 	long := strings.Repeat("x", 200)
 	job := Job{Spec: wire.JobSpec{UID: "run-000412", JobClass: "train", Team: "vision", Kind: wire.JobArray, Priority: wire.High, TaskCount: 16, Cores: 8, Gpus: 1, RAMGb: 64,
-		Image: long, Zone: long}, Status: wire.JobQueued, AtMs: 1, Per: 85}
+		Image: long, Zone: long}, Status: wire.JobQueued, AcceptedAtMs: 1, TasksPerPlacement: 85}
 	for range 12 {
 		job.Spec.MachineTypes = append(job.Spec.MachineTypes, long)
 	}
@@ -111,15 +111,15 @@
 		t.Fatal("the record is small")
 	}
 	finished := job
-	finished.Finish(wire.JobAborted, limit)
+	finished.SetFinal(wire.JobAborted, limit)
 	if size := len(Encode(finished)); size > limit {
 		t.Errorf("%d bytes are left", size)
 	}
-	if finished.Status != wire.JobAborted || finished.Per != job.Per || finished.Spec.TaskCount != 16 || finished.Spec.Team != "vision" || finished.Spec.Cores != 8 {
+	if finished.Status != wire.JobAborted || finished.TasksPerPlacement != job.TasksPerPlacement || finished.Spec.TaskCount != 16 || finished.Spec.Team != "vision" || finished.Spec.Cores != 8 {
 		t.Errorf("finished as %+v", finished)
 	}
 	small := Job{Spec: wire.JobSpec{UID: "run-000412", MachineTypes: []string{"g8"}, Image: "img"}}
-	small.Finish(wire.JobDone, limit)
+	small.SetFinal(wire.JobDone, limit)
 	if small.Spec.Image != "img" || small.Spec.MachineTypes == nil {
 		t.Error("a record that fits has lost something")
 	}
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -32,10 +32,10 @@
 	JobPrefix           = "j/"
 	PlacementPrefix     = "p/"
 	FinalPrefix         = "f/"
-	ReturnsPrefix       = "r/"
+	ScaleInPrefix       = "r/"
 	ImagesPrefix        = "i/"
 	RenewedLeasesPrefix = "k/"
-	TakeoverKey         = "t/last"
+	FailoverKey         = "t/last"
 	SettingsPrefix      = "o/"
 	SettingsKey         = "o/settings"
 	VersionKey          = "o/version"
@@ -49,10 +49,10 @@
 
 // Job is an accepted job. Status is queued until it is final.
 type Job struct {
-	Spec   wire.JobSpec   `json:"Spec"`
-	Status wire.JobStatus `json:"Status"`
-	AtMs   int64          `json:"AtMs"` // time of day of acceptance
-	Per    int            `json:"Per"`  // tasks to a piece of its placement
+	Spec              wire.JobSpec   `json:"Spec"`
+	Status            wire.JobStatus `json:"Status"`
+	AcceptedAtMs      int64          `json:"AtMs"` // time of day of acceptance
+	TasksPerPlacement int            `json:"Per"`  // tasks to a piece of its placement
 }
 
 // ClusterVersion is the value of VersionKey.
@@ -60,10 +60,10 @@
 	Version int `json:"Version"`
 }
 
-// Finish gives the job its final status. If the record is larger than a value may be,
+// SetFinal gives the job its final status. If the record is larger than a value may be,
 // it loses what nothing of a job that is over is read for: a record that was written
 // under higher limits can then be written all the same.
-func (j *Job) Finish(status wire.JobStatus, valueBytes int) {
+func (j *Job) SetFinal(status wire.JobStatus, valueBytes int) {
 	j.Status = status
 	if len(Encode(j)) <= valueBytes {
 		return
@@ -76,9 +76,9 @@
 	Status wire.JobStatus `json:"Status"`
 }
 
-// Returns lists machines that may be gone at any time: they are never used again
+// ScaleIns lists machines that may be gone at any time: they are never used again
 // and their return is repeated until the cloud confirms it.
-type Returns struct {
+type ScaleIns struct {
 	Hosts []string `json:"Hosts"`
 }
 
@@ -93,9 +93,9 @@
 	Hosts []string `json:"Hosts"`
 }
 
-// Takeover is how a change of leader went: what the new leader has proven, and when.
+// Failover is how a change of leader went: what the new leader has proven, and when.
 // Times are milliseconds since the new leader saw that nobody leads.
-type Takeover struct {
+type Failover struct {
 	Term uint64 `json:"Term"`
 	Node string `json:"Node"`
 	// Warm: the new leader took over what it had followed. If not, Cause says why, and it
@@ -120,8 +120,8 @@
 	DecidedMs int64 `json:"DecidedMs"` // the first round that could place tasks has ended
 }
 
-// Placed is an attempt that was decided and is not yet recorded as ended.
-type Placed struct {
+// PlacedAttempt is an attempt that was decided and is not yet recorded as ended.
+type PlacedAttempt struct {
 	Task        int    `json:"L"`
 	Attempt     uint64 `json:"T"`
 	Host        string `json:"H"`
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -24,7 +24,7 @@
 			if len(part) == 0 {
 				t.Fatal("an empty part")
 			}
-			if n := len(Encode(Returns{Hosts: part})); n > valueBytes {
+			if n := len(Encode(ScaleIns{Hosts: part})); n > valueBytes {
 				t.Fatalf("%d names take %d bytes", len(part), n)
 			}
 			got, left = append(got, part...), left[len(part):]
--- a/internal/records/settings.go
+++ b/internal/records/settings.go
@@ -13,8 +13,8 @@
 	return wire.Settings{IntervalS: reportS / 3, Window: 200, Headroom: 2}
 }
 
-// CheckSettings reports what is wrong with the operators' own settings.
-func CheckSettings(s wire.Settings) error {
+// ValidateSettings reports what is wrong with the operators' own settings.
+func ValidateSettings(s wire.Settings) error {
 	var faults []error
 	if !(s.IntervalS >= 0.1 && s.IntervalS <= 60) {
 		faults = append(faults, errors.New("setting IntervalS must be from 0.1 to 60"))
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -176,7 +176,7 @@
 		case <-s.wake:
 		}
 		for s.hasPending() {
-			if !timeralign.Sleep(ctx, s.Grid.Next(time.Now(), s.Period)) {
+			if !timeralign.Sleep(ctx, s.Grid.UntilNext(time.Now(), s.Period)) {
 				return
 			}
 			for s.exchange() {
--- a/internal/simcluster/checker_records.go
+++ b/internal/simcluster/checker_records.go
@@ -42,7 +42,7 @@
 		_, isKeyCompared := compared[key]
 		switch {
 		case strings.HasPrefix(key, records.PlacementPrefix) && (term == 0 || !isKeyCompared),
-			strings.HasPrefix(key, records.ReturnsPrefix) && term == 0,
+			strings.HasPrefix(key, records.ScaleInPrefix) && term == 0,
 			strings.HasPrefix(key, records.JobPrefix) && !isKeyCompared:
 			c.report(ruleUnguarded, "%s is written with compares %v", key, tx.Compares)
 		}
@@ -80,7 +80,7 @@
 
 // checkReturn checks that a machine's return was recorded before the machine is returned.
 func (c *Checker) checkReturn(host string) {
-	for _, item := range c.store.Items(records.ReturnsPrefix) {
+	for _, item := range c.store.Items(records.ScaleInPrefix) {
 		if bytes.Contains(item.Value, []byte(`"`+host+`"`)) {
 			return
 		}
--- a/internal/simcluster/cloud.go
+++ b/internal/simcluster/cloud.go
@@ -126,7 +126,7 @@
 		return
 	}
 	after := r.URL.Query().Get("After")
-	lag := c.cluster.Config.ListLag()
+	lag := c.cluster.Config.CloudListLag()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := wire.HostList{Hosts: []wire.ListedHost{}}
--- a/internal/simcluster/failover_test.go
+++ b/internal/simcluster/failover_test.go
@@ -175,9 +175,9 @@
 }
 
 // failoverRecord is how the newest failover went.
-func (sc *scenario) failoverRecord() (record records.Takeover) {
+func (sc *scenario) failoverRecord() (record records.Failover) {
 	sc.t.Helper()
-	item, ok := sc.cluster.Store.Get(records.TakeoverKey)
+	item, ok := sc.cluster.Store.Get(records.FailoverKey)
 	if !ok {
 		return record
 	}
--- a/internal/simcluster/faultnet/transport.go
+++ b/internal/simcluster/faultnet/transport.go
@@ -171,7 +171,7 @@
 	return nil, e.req.Context().Err()
 }
 
-// serve carries the request out.
+// leadTerm carries the request out.
 func (e *exchange) serve(ctx context.Context, handler http.Handler) *httptest.ResponseRecorder {
 	rec := httptest.NewRecorder()
 	handler.ServeHTTP(rec, httptest.NewRequestWithContext(ctx, e.req.Method, e.req.URL.String(), bytes.NewReader(e.body)))
--- a/internal/simcluster/remote.go
+++ b/internal/simcluster/remote.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Listen serves a handler on a TCP address until the process ends; ctx bounds only the opening of
+// SetListener serves a handler on a TCP address until the process ends; ctx bounds only the opening of
 // the listener. It returns the address that it got.
 func Listen(ctx context.Context, address string, handler http.Handler) (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", address)
--- a/internal/simcluster/worker_commands.go
+++ b/internal/simcluster/worker_commands.go
@@ -12,7 +12,7 @@
 // minFetchS and fetchSpreadS bound the times that images take to be fetched, in seconds.
 const minFetchS, fetchSpreadS = 1, 4
 
-// serve answers direct commands.
+// leadTerm answers direct commands.
 func (w *Worker) serve(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -22,7 +22,7 @@
 
 // recordPrefixes are the keys of the records that only the leader writes and that a new
 // leader needs. Jobs are not among them: every node keeps a watch cache of these.
-var recordPrefixes = []string{records.PlacementPrefix, records.ReturnsPrefix, records.ImagesPrefix}
+var recordPrefixes = []string{records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix}
 
 // isRecord reports whether a key is that of a followed record.
 func isRecord(key string) bool {
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -18,7 +18,7 @@
 	BehindAfter time.Duration
 }
 
-// Follower keeps a copy of the leader's state. It is safe for concurrent use, but Pull must be
+// Handler keeps a copy of the leader's state. It is safe for concurrent use, but Pull must be
 // called by one goroutine at a time.
 type Follower struct {
 	FollowerConfig
--- a/internal/standby/positions.go
+++ b/internal/standby/positions.go
@@ -19,7 +19,7 @@
 	unsettled map[string]bool // after an unknown outcome: keys that it may still change
 }
 
-// begin opens a commit and returns its number.
+// startRead opens a commit and returns its number.
 func (p *positionTracker) begin() uint64 {
 	p.lastID++
 	p.open[p.lastID] = &openCommit{floor: p.newestRevision}
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -47,7 +47,7 @@
 		return nil, f.failVerification(fmt.Errorf("%w at %d", ErrDigest, followed.sequence))
 	}
 	events, err := changesSince(ctx, r, followed.position)
-	if errors.Is(err, store.ErrTooOld) {
+	if errors.Is(err, store.ErrCompacted) {
 		return nil, f.failVerification(fmt.Errorf("%w: %d", ErrTooFarBehind, followed.position))
 	}
 	if err != nil {
@@ -102,7 +102,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			changes[i], errs[i] = r.Changes(ctx, prefix, position, 0)
+			changes[i], errs[i] = r.Watch(ctx, prefix, position, 0)
 		}()
 	}
 	wg.Wait()
@@ -127,7 +127,7 @@
 	current := edit.contents()
 	proven := &Proven{
 		Placements:   current.list(records.PlacementPrefix),
-		Returns:      current.list(records.ReturnsPrefix),
+		Returns:      current.list(records.ScaleInPrefix),
 		Images:       current.list(records.ImagesPrefix),
 		FollowedTerm: followed.term,
 		Position:     followed.position,
--- a/internal/standby/recordingstore.go
+++ b/internal/standby/recordingstore.go
@@ -45,7 +45,7 @@
 	switch {
 	case err == nil:
 		r.source.commitSucceeded(id, tx, keys, revision)
-	case errors.Is(err, store.ErrUnknown):
+	case errors.Is(err, store.ErrOutcomeUnknown):
 		r.source.commitUnknown(id, comparedKeys(tx, keys))
 	default:
 		r.source.commitFailed(id)
--- a/internal/standby/service_test.go
+++ b/internal/standby/service_test.go
@@ -79,16 +79,16 @@
 	case refused:
 		return 0, store.ErrRefused
 	case droppedRequest:
-		return 0, store.ErrUnknown
+		return 0, store.ErrOutcomeUnknown
 	case lateRequest:
 		s.late = append(s.late, tx)
-		return 0, store.ErrUnknown
+		return 0, store.ErrOutcomeUnknown
 	}
 	if !s.apply(tx) {
 		return 0, &store.ConflictError{Failed: []string{"some"}}
 	}
 	if how == droppedAnswer {
-		return 0, store.ErrUnknown
+		return 0, store.ErrOutcomeUnknown
 	}
 	return s.revision, nil
 }
@@ -108,12 +108,12 @@
 	return rows, s.revision, s.down
 }
 
-func (s *service) Changes(_ context.Context, under string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
+func (s *service) Watch(_ context.Context, under string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
 	if s.down != nil {
 		return wire.WatchResponse{}, s.down
 	}
 	if after < s.oldestKnown {
-		return wire.WatchResponse{}, store.ErrTooOld
+		return wire.WatchResponse{}, store.ErrCompacted
 	}
 	response := wire.WatchResponse{Revision: s.revision}
 	for _, event := range s.log {
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -27,7 +27,7 @@
 // checkSameAsListed compares what is proven with what the state service lists.
 func checkSameAsListed(t rapid.TB, s *service, p *Proven) {
 	t.Helper()
-	for prefix, got := range map[string][]wire.KeyValue{records.PlacementPrefix: p.Placements, records.ReturnsPrefix: p.Returns} {
+	for prefix, got := range map[string][]wire.KeyValue{records.PlacementPrefix: p.Placements, records.ScaleInPrefix: p.Returns} {
 		want, _, _ := s.List(context.Background(), prefix)
 		if len(got) != len(want) {
 			t.Fatalf("%d records under %s are proven, there are %d", len(got), prefix, len(want))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -29,22 +29,22 @@
 	ErrRefused = errors.New("state service refused the request")
 	// ErrThrottled: it was refused since the service gets too many. It is an ErrRefused too.
 	ErrThrottled = fmt.Errorf("%w: too many requests", ErrRefused)
-	// ErrUnknown: the service may have executed the request, or may do so later.
-	ErrUnknown = errors.New("outcome at the state service is unknown")
+	// ErrOutcomeUnknown: the service may have executed the request, or may do so later.
+	ErrOutcomeUnknown = errors.New("outcome at the state service is unknown")
 	// ErrLeaseNotFound: the hold has ended.
 	ErrLeaseNotFound = errors.New("no such hold")
-	// ErrPage: a page of a listing does not follow on the one before.
-	ErrPage = errors.New("page of a listing is not in order")
-	// ErrTooOld: a watch asked for changes that are no longer kept.
-	ErrTooOld = errors.New("changes are no longer kept")
+	// ErrPageOutOfOrder: a page of a listing does not follow on the one before.
+	ErrPageOutOfOrder = errors.New("page of a listing is not in order")
+	// ErrCompacted: a watch asked for changes that are no longer kept.
+	ErrCompacted = errors.New("changes are no longer kept")
 )
 
 // BusyError means that a request of a user has no room in the budget now. It
 // was not sent. After says when there will be room.
-type BusyError struct{ After time.Duration }
+type BusyError struct{ RetryAfter time.Duration }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("no room in the budget of changes for %s", e.After.Round(time.Millisecond))
+	return fmt.Sprintf("no room in the budget of changes for %s", e.RetryAfter.Round(time.Millisecond))
 }
 
 // RejectedError means that the service takes a request for malformed or for larger
@@ -65,34 +65,34 @@
 
 // Client is a client of the state service. It is safe for concurrent use.
 type Client struct {
-	base     string
-	http     *http.Client
-	timeout  time.Duration
-	reqs     *rate.Limiter
-	writes   *rate.Limiter // for records: they wait their turn
-	users    *rate.Limiter // for what users ask to change: it never waits
-	shared   *aimd.Limiter // for reads that answer many users at once
-	lookups  *aimd.Limiter // for reads of single records that answer users
-	proven   atomic.Int64  // start of the last answered request, as time since epoch
-	revision time.Time
+	base          string
+	http          *http.Client
+	timeout       time.Duration
+	requestBudget *rate.Limiter
+	recordWrites  *rate.Limiter // for records: they wait their turn
+	userWrites    *rate.Limiter // for what users ask to change: it never waits
+	sharedReads   *aimd.Limiter // for reads that answer many users at once
+	lookups       *aimd.Limiter // for reads of single records that answer users
+	lastExecuted  atomic.Int64  // start of the last answered request, as time since epoch
+	created       time.Time
 	// rejections counts commits that were answered 400.
-	rejections atomic.Uint64
-	throttled  atomic.Uint64 // answers that the service gets too many requests
-	refused    atomic.Uint64 // pages of listings that were not in order
+	rejectedCommits   atomic.Uint64
+	throttledRequests atomic.Uint64 // answers that the service gets too many requests
+	outOfOrderPages   atomic.Uint64 // pages of listings that were not in order
 
-	mu       sync.Mutex
-	promised time.Time // until when users were told to stay away
+	mu          sync.Mutex
+	nextRetryAt time.Time // until when users were told to stay away
 }
 
-// RecordShare is the share of the service's limit of changes that the leader
+// RecordWriteShare is the share of the service's limit of changes that the leader
 // has for records.
-const RecordShare = 0.6
+const RecordWriteShare = 0.6
 
 // Shares of any node: over half of the limits. When many users come at once,
 // what leaves room for records is that the service refuses the rest.
 const (
-	RequestShare = 0.6
-	userShare    = 0.6
+	RequestShare   = 0.6
+	userWriteShare = 0.6
 )
 
 // Shares of all nodes together of the limit of requests, for what users ask. With what the
@@ -109,66 +109,66 @@
 
 // Limits are those of the service, which all nodes share.
 type Limits struct {
-	Rps      float64 // requests a second
-	WriteRps float64 // changes a second
-	Nodes    int     // how many share them
+	RequestsPerSecond float64 // requests a second
+	WritesPerSecond   float64 // changes a second
+	Nodes             int     // how many share them
 }
 
-// PageSize is how many keys a page of a listing has at most.
-const PageSize = 500
+// ListPageSize is how many keys a page of a listing has at most.
+const ListPageSize = 500
 
-// overtakenShare of the time-out of a request is what a commit waits at least
+// overtakenDivisor of the time-out of a request is what a commit waits at least
 // before it counts as overtaken.
-const overtakenShare = 5
+const overtakenDivisor = 5
 
 // New makes a client that speaks over rt.
 func New(addr string, limits Limits, timeout time.Duration, rt http.RoundTripper) *Client {
 	limiter := func(perS float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(perS), max(1, int(perS))) }
 	return &Client{
-		base:     "http://" + addr,
-		timeout:  timeout,
-		http:     &http.Client{Transport: rt},
-		reqs:     limiter(limits.Rps * RequestShare),
-		writes:   limiter(limits.WriteRps * RecordShare),
-		users:    limiter(limits.WriteRps * userShare),
-		shared:   aimd.New(limits.Rps * sharedReadShare / float64(max(1, limits.Nodes))),
-		lookups:  aimd.New(limits.Rps * lookupShare / float64(max(1, limits.Nodes))),
-		revision: time.Now(),
+		base:          "http://" + addr,
+		timeout:       timeout,
+		http:          &http.Client{Transport: rt},
+		requestBudget: limiter(limits.RequestsPerSecond * RequestShare),
+		recordWrites:  limiter(limits.WritesPerSecond * RecordWriteShare),
+		userWrites:    limiter(limits.WritesPerSecond * userWriteShare),
+		sharedReads:   aimd.New(limits.RequestsPerSecond * sharedReadShare / float64(max(1, limits.Nodes))),
+		lookups:       aimd.New(limits.RequestsPerSecond * lookupShare / float64(max(1, limits.Nodes))),
+		created:       time.Now(),
 	}
 }
 
-// ProofAge is the time since the start of the last request that the service
+// SinceLastExecuted is the time since the start of the last request that the service
 // executed for this node.
-func (c *Client) ProofAge() time.Duration {
-	p := c.proven.Load()
+func (c *Client) SinceLastExecuted() time.Duration {
+	p := c.lastExecuted.Load()
 	if p == 0 {
 		return time.Duration(1<<62 - 1)
 	}
-	return time.Since(c.revision) - time.Duration(p)
+	return time.Since(c.created) - time.Duration(p)
 }
 
-// prove records that a request begun at start was executed.
-func (c *Client) prove(start time.Time) {
-	at := int64(start.Sub(c.revision))
+// recordExecuted records that a request begun at start was executed.
+func (c *Client) recordExecuted(start time.Time) {
+	at := int64(start.Sub(c.created))
 	for {
-		old := c.proven.Load()
-		if old >= at || c.proven.CompareAndSwap(old, max(at, 1)) {
+		old := c.lastExecuted.Load()
+		if old >= at || c.lastExecuted.CompareAndSwap(old, max(at, 1)) {
 			return
 		}
 	}
 }
 
 // call does one request. It returns the status and the body, or ErrRefused or
-// ErrUnknown.
+// ErrOutcomeUnknown.
 func (c *Client) call(ctx context.Context, method, path string, body any, wait time.Duration) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+wait)
 	defer cancel()
-	if err := c.admit(ctx); err != nil {
+	if err := c.waitForRequestBudget(ctx); err != nil {
 		return 0, nil, err
 	}
 	if path == commitPath {
 		var stop context.CancelFunc
-		ctx, stop = c.overtaken(ctx)
+		ctx, stop = c.withOvertakenCancel(ctx)
 		defer stop()
 	}
 	var rd io.Reader
@@ -189,23 +189,23 @@
 	start := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable:
 		return resp.StatusCode, nil, fmt.Errorf("%w: status %d", ErrRefused, resp.StatusCode)
 	case http.StatusTooManyRequests:
-		c.noteThrottled(body)
+		c.onThrottled(body)
 		return resp.StatusCode, nil, ErrThrottled
 	}
-	c.noteAnswered(ctx)
+	c.onExecuted(ctx)
 	if wait == 0 { // a watch may have waited through an outage: it proves nothing
-		c.prove(start)
+		c.recordExecuted(start)
 	}
 	return resp.StatusCode, data, nil
 }
@@ -235,7 +235,7 @@
 	var revision uint64
 	after := ""
 	for {
-		q := url.Values{"Under": {under}, "Most": {strconv.Itoa(PageSize)}}
+		q := url.Values{"Under": {under}, "Most": {strconv.Itoa(ListPageSize)}}
 		if after != "" {
 			q.Set("After", after)
 		}
@@ -254,7 +254,7 @@
 			revision = page.Revision
 		}
 		if err := checkPage(&page, under, after); err != nil {
-			c.refused.Add(1)
+			c.outOfOrderPages.Add(1)
 			return nil, 0, fmt.Errorf("list %s: %w", under, err)
 		}
 		rows = append(rows, page.KeyValues...)
@@ -269,34 +269,34 @@
 // new leader would not know of what they hold.
 func checkPage(page *wire.KeyValueList, under, after string) error {
 	if page.More && len(page.KeyValues) == 0 {
-		return fmt.Errorf("%w: it is empty, and there are more", ErrPage)
+		return fmt.Errorf("%w: it is empty, and there are more", ErrPageOutOfOrder)
 	}
 	for i := range page.KeyValues {
 		key := page.KeyValues[i].Key
 		if key <= after || !strings.HasPrefix(key, under) {
-			return fmt.Errorf("%w: %q follows on %q", ErrPage, key, after)
+			return fmt.Errorf("%w: %q follows on %q", ErrPageOutOfOrder, key, after)
 		}
 		after = key
 	}
 	return nil
 }
 
-// overtaken makes a context that ends when a request is overtaken: requests that
+// withOvertakenCancel makes a context that ends when a request is withOvertakenCancel: requests that
 // were begun well after it have been answered, and it has not. Its answer is then
 // lost or the service holds it up, and waiting on would only hold up what waits
 // for the outcome. While nothing else is answered either, as on a slow node or
 // link, it says nothing: giving up would only add requests.
-func (c *Client) overtaken(ctx context.Context) (context.Context, context.CancelFunc) {
+func (c *Client) withOvertakenCancel(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	begun := time.Since(c.revision)
-	patience := c.timeout / overtakenShare
+	begun := time.Since(c.created)
+	patience := c.timeout / overtakenDivisor
 	var look func()
 	var mu sync.Mutex
 	var timer *time.Timer
 	look = func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if time.Duration(c.proven.Load()) > begun+patience/2 {
+		if time.Duration(c.lastExecuted.Load()) > begun+patience/2 {
 			cancel()
 		} else if ctx.Err() == nil {
 			timer = time.AfterFunc(patience/4, look)
@@ -315,10 +315,10 @@
 
 // Commit applies a guarded transaction and returns its epoch. Its error is a
 // *ConflictError, *BusyError, *RejectedError, ErrLeaseNotFound, ErrRefused (nothing happened) or
-// ErrUnknown.
+// ErrOutcomeUnknown.
 func (c *Client) Commit(ctx context.Context, tx wire.Transaction) (uint64, error) {
 	if n := len(tx.Changes); n > 0 {
-		if err := c.fit(ctx, n); err != nil {
+		if err := c.reserveWrites(ctx, n); err != nil {
 			return 0, fmt.Errorf("commit: %w", err)
 		}
 	}
@@ -336,7 +336,7 @@
 	switch status {
 	case http.StatusOK, http.StatusConflict:
 		if err := wire.Decode(data, &reply); err != nil {
-			return 0, fmt.Errorf("commit: %w: %w", ErrUnknown, err)
+			return 0, fmt.Errorf("commit: %w: %w", ErrOutcomeUnknown, err)
 		}
 		if status == http.StatusConflict {
 			return 0, &ConflictError{Failed: reply.Failed}
@@ -346,7 +346,7 @@
 		if bytes.Contains(data, []byte("lease")) || bytes.Contains(data, []byte("hold")) {
 			return 0, fmt.Errorf("commit: %w", ErrLeaseNotFound)
 		}
-		c.rejections.Add(1)
+		c.rejectedCommits.Add(1)
 		return 0, fmt.Errorf("commit: %w", &RejectedError{Keys: changedKeys(tx), Detail: string(data)})
 	}
 	return 0, fmt.Errorf("commit: %w: status %d: %.200s", ErrRefused, status, data)
@@ -361,17 +361,17 @@
 	return keys
 }
 
-// Rejections counts the commits that the service has rejected as malformed or too large.
-func (c *Client) Rejections() uint64 { return c.rejections.Load() }
+// RejectedCommits counts the commits that the service has rejected as malformed or too large.
+func (c *Client) RejectedCommits() uint64 { return c.rejectedCommits.Load() }
 
-// Throttled counts the answers that the service gets too many requests.
-func (c *Client) Throttled() uint64 { return c.throttled.Load() }
+// ThrottledRequests counts the answers that the service gets too many requests.
+func (c *Client) ThrottledRequests() uint64 { return c.throttledRequests.Load() }
 
-// RefusedPages counts the pages of listings that were not in order.
-func (c *Client) RefusedPages() uint64 { return c.refused.Load() }
+// OutOfOrderPages counts the pages of listings that were not in order.
+func (c *Client) OutOfOrderPages() uint64 { return c.outOfOrderPages.Load() }
 
-// Changes waits up to hold for changes under a prefix after an epoch.
-func (c *Client) Changes(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error) {
+// Watch waits up to hold for changes under a prefix after an epoch.
+func (c *Client) Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error) {
 	q := url.Values{"Under": {under}, "After": {strconv.FormatUint(after, 10)},
 		"HoldMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	status, data, err := c.call(ctx, http.MethodGet, "/changes?"+q.Encode(), nil, wait)
@@ -386,7 +386,7 @@
 		}
 		return ch, nil
 	case http.StatusGone:
-		return wire.WatchResponse{}, ErrTooOld
+		return wire.WatchResponse{}, ErrCompacted
 	}
 	return wire.WatchResponse{}, fmt.Errorf("watch %s: status %d", under, status)
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -33,7 +33,7 @@
 func TestOvertakenCommitsAreGivenUp(t *testing.T) {
 	for _, well := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			c := New("state:1", Limits{Rps: 100, WriteRps: 100}, 2*time.Second, &lossy{well})
+			c := New("state:1", Limits{RequestsPerSecond: 100, WritesPerSecond: 100}, 2*time.Second, &lossy{well})
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go func() {
@@ -47,7 +47,7 @@
 			begun := time.Now()
 			_, err := c.Commit(ctx, wire.Transaction{Changes: []wire.Change{{Drop: "x"}}})
 			took := time.Since(begun)
-			if !errors.Is(err, ErrUnknown) {
+			if !errors.Is(err, ErrOutcomeUnknown) {
 				t.Errorf("well %v: %v", well, err)
 			}
 			if well && took > 700*time.Millisecond || !well && took != 2*time.Second {
@@ -78,10 +78,10 @@
 		ask  func(c *Client) error
 		cut  bool
 	}{
-		{"a hold", func(c *Client) error { return c.RenewLease(Urgent(t.Context()), 1) }, true},
-		{"a question", func(c *Client) error { _, _, err := c.Get(Lookup(t.Context()), "f/run-000001"); return err }, true},
+		{"a hold", func(c *Client) error { return c.RenewLease(WithUrgentLane(t.Context()), 1) }, true},
+		{"a question", func(c *Client) error { _, _, err := c.Get(WithLookupLane(t.Context()), "f/run-000001"); return err }, true},
 		{"a question by a transaction", func(c *Client) error {
-			_, err := c.Commit(Lookup(t.Context()), wire.Transaction{Compares: guards})
+			_, err := c.Commit(WithLookupLane(t.Context()), wire.Transaction{Compares: guards})
 			return err
 		}, true},
 		{"a commit", func(c *Client) error {
@@ -89,12 +89,12 @@
 			return err
 		}, false},
 	} {
-		c := New("state:1", Limits{Rps: 100, WriteRps: 100, Nodes: 1}, time.Second, throttling{})
-		before := c.Lookups().Allowed()
+		c := New("state:1", Limits{RequestsPerSecond: 100, WritesPerSecond: 100, Nodes: 1}, time.Second, throttling{})
+		before := c.LookupLimiter().Rate()
 		if err := tc.ask(c); !errors.Is(err, ErrThrottled) || !errors.Is(err, ErrRefused) {
 			t.Errorf("%s: %v", tc.name, err)
 		}
-		if cut := c.Lookups().Allowed() < before && c.SharedReads().Cuts() == 1; cut != tc.cut || c.Throttled() != 1 {
+		if cut := c.LookupLimiter().Rate() < before && c.SharedReadLimiter().Cuts() == 1; cut != tc.cut || c.ThrottledRequests() != 1 {
 			t.Errorf("%s: what users may ask is cut: %v, want %v", tc.name, cut, tc.cut)
 		}
 	}
--- a/internal/timeralign/grid.go
+++ b/internal/timeralign/grid.go
@@ -5,15 +5,15 @@
 
 import "time"
 
-// Grid is a sequence of moments, Unit apart. The zero Grid aligns nothing.
+// TimerGrid is a sequence of moments, Unit apart. The zero TimerGrid aligns nothing.
 type Grid struct{ Unit time.Duration }
 
 // tolerance is the part of a period by which alignment may change it.
 const tolerance = 0.01
 
-// Next is how long to wait so that work of a period falls on multiples of the
+// UntilNext is how long to wait so that work of a period falls on multiples of the
 // period. A period that is no multiple of the unit is waited for in full.
-func (g Grid) Next(now time.Time, period time.Duration) time.Duration {
+func (g Grid) UntilNext(now time.Time, period time.Duration) time.Duration {
 	if g.Unit <= 0 {
 		return period
 	}
@@ -24,9 +24,9 @@
 	return aligned - time.Duration(now.UnixNano()%int64(aligned))
 }
 
-// Within is how long to wait to end on the grid: at most limit, and less by no more
+// UntilLastWithin is how long to wait to end on the grid: at most limit, and less by no more
 // than a unit.
-func (g Grid) Within(now time.Time, limit time.Duration) time.Duration {
+func (g Grid) UntilLastWithin(now time.Time, limit time.Duration) time.Duration {
 	if g.Unit <= 0 || limit <= g.Unit {
 		return limit
 	}
--- a/internal/timeralign/grid_test.go
+++ b/internal/timeralign/grid_test.go
@@ -19,7 +19,7 @@
 		multiple := rapid.Int64Range(1, 20).Draw(t, "multiple")
 		now := time.Unix(0, rapid.Int64Range(0, 1<<62).Draw(t, "now"))
 		grid, period := Grid{Unit: unit}, time.Duration(multiple)*unit
-		wait := grid.Next(now, period)
+		wait := grid.UntilNext(now, period)
 		if wait <= 0 || wait > period {
 			t.Fatalf("waits %s for a period of %s", wait, period)
 		}
@@ -27,7 +27,7 @@
 			t.Fatalf("ends %s past a multiple of %s", time.Duration(off), period)
 		}
 		limit := time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "limit"))
-		wait = grid.Within(now, limit)
+		wait = grid.UntilLastWithin(now, limit)
 		if wait > limit || wait < limit-unit {
 			t.Fatalf("waits %s of at most %s with a unit of %s", wait, limit, unit)
 		}
@@ -40,7 +40,7 @@
 	for _, tc := range []struct{ unit, period time.Duration }{
 		{0, time.Second}, {100 * time.Millisecond, 130 * time.Millisecond}, {time.Second, 100 * time.Millisecond},
 	} {
-		if got := (Grid{Unit: tc.unit}).Next(now, tc.period); got != tc.period {
+		if got := (Grid{Unit: tc.unit}).UntilNext(now, tc.period); got != tc.period {
 			t.Errorf("a period of %s becomes %s on a grid of %s", tc.period, got, tc.unit)
 		}
 	}
--- a/internal/watchcache/bench_test.go
+++ b/internal/watchcache/bench_test.go
@@ -12,7 +12,7 @@
 func benchRecord(i int) wire.KeyValue {
 	uid := fmt.Sprintf("run-%06d", i)
 	job := records.Job{Spec: wire.JobSpec{UID: uid, JobClass: "serve", Team: "team", Kind: wire.Service, Priority: wire.High, TaskCount: 8, Cores: 8, Gpus: 1, RAMGb: 40,
-		Image: "img-1", ImageGb: 20}, Status: wire.JobQueued, AtMs: 1_800_000_000_000, Per: 80}
+		Image: "img-1", ImageGb: 20}, Status: wire.JobQueued, AcceptedAtMs: 1_800_000_000_000, TasksPerPlacement: 80}
 	return wire.KeyValue{Key: records.JobKey(uid), Value: records.Encode(job), ModRevision: uint64(i + 1)}
 }
 
--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -46,9 +46,9 @@
 	return rows, s.revision, nil
 }
 
-func (s *fakeStore) Changes(_ context.Context, _ string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
+func (s *fakeStore) Watch(_ context.Context, _ string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
 	if after < s.oldestKnown {
-		return wire.WatchResponse{}, store.ErrTooOld
+		return wire.WatchResponse{}, store.ErrCompacted
 	}
 	ch := wire.WatchResponse{Revision: s.revision}
 	for _, n := range s.log {
@@ -93,7 +93,7 @@
 				if exists && !strings.Contains(string(it.Value), string(wire.JobAborted)) {
 					s.set(uid, wire.JobAborted)
 					if modRevision := s.revision; rapid.Bool().Draw(t, "hint") {
-						answer(func() { m.Hint(uid, records.Job{Status: wire.JobAborted}, modRevision) })
+						answer(func() { m.ApplyFromPeer(uid, records.Job{Status: wire.JobAborted}, modRevision) })
 					}
 				} else if !exists {
 					s.set(uid, wire.JobQueued)
@@ -106,7 +106,7 @@
 				m.mu.Lock()
 				after := m.revision
 				m.mu.Unlock()
-				if ch, err := s.Changes(t.Context(), records.JobPrefix, after, 0); err == nil && m.Synced() {
+				if ch, err := s.Watch(t.Context(), records.JobPrefix, after, 0); err == nil && m.HasSynced() {
 					answer(func() { m.Apply(ch, after, begun) })
 				}
 			case 9, 10:
@@ -125,7 +125,7 @@
 			}
 			history = append(history, then{clock, s.revision, maps.Clone(s.items)})
 			for _, h := range slices.Backward(history) {
-				if h.at.After(m.Fresh()) {
+				if h.at.After(m.FreshAsOf()) {
 					continue
 				}
 				for key, it := range h.items {
@@ -134,10 +134,10 @@
 						continue // its record has changed since
 					}
 					if m.jobs[uid].ModRevision != it.ModRevision {
-						t.Fatalf("fresh up to %v, but %s is known as of %d, not %d", m.Fresh().Unix(), uid, m.jobs[uid].ModRevision, it.ModRevision)
+						t.Fatalf("fresh up to %v, but %s is known as of %d, not %d", m.FreshAsOf().Unix(), uid, m.jobs[uid].ModRevision, it.ModRevision)
 					}
-					w, fresh := m.Cancelled([]string{uid})
-					if w[uid] != (m.jobs[uid].Job.Status == wire.JobAborted) || !fresh.Equal(m.Fresh()) {
+					w, fresh := m.CancelledAmong([]string{uid})
+					if w[uid] != (m.jobs[uid].Job.Status == wire.JobAborted) || !fresh.Equal(m.FreshAsOf()) {
 						t.Fatalf("%s withdrawn: %v up to %v", uid, w[uid], fresh)
 					}
 				}
@@ -170,7 +170,7 @@
 	m := New()
 	at := time.Unix(1000, 0)
 	refresh := func() func() {
-		ch, err := s.Changes(t.Context(), records.JobPrefix, m.revision, 0)
+		ch, err := s.Watch(t.Context(), records.JobPrefix, m.revision, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/watchcache/linearizable.go
+++ b/internal/watchcache/linearizable.go
@@ -8,8 +8,8 @@
 	"lotusstile.dev/lotusstile/internal/store"
 )
 
-// Pace lets whoever asks a service wait for its turn.
-type Pace interface {
+// Pacer lets whoever asks a service wait for its turn.
+type Pacer interface {
 	Wait(ctx context.Context) error
 }
 
@@ -21,7 +21,7 @@
 type LinearizableReader struct {
 	cache    *Cache
 	reader   Reader
-	pace     Pace
+	pace     Pacer
 	timeout  time.Duration // of one read
 	patience time.Duration // after it, a read that is not answered holds up no other
 
@@ -30,7 +30,7 @@
 	waiting *sharedRead // the read that begins next; nil if nobody waits for one
 }
 
-// sharedRead is one read and those who wait for it.
+// sharedReadLane is one read and those who wait for it.
 type sharedRead struct {
 	begun time.Time
 	done  chan struct{} // closed when it has ended
@@ -38,14 +38,14 @@
 }
 
 // NewLinearizableReader makes a Refresher whose reads keep to a pace.
-func NewLinearizableReader(m *Cache, r Reader, pace Pace, timeout time.Duration) *LinearizableReader {
+func NewLinearizableReader(cache *Cache, r Reader, pace Pacer, timeout time.Duration) *LinearizableReader {
 	const patienceShare = 20
-	return &LinearizableReader{cache: m, reader: r, pace: pace, timeout: timeout, patience: timeout / patienceShare}
+	return &LinearizableReader{cache: cache, reader: r, pace: pace, timeout: timeout, patience: timeout / patienceShare}
 }
 
 // Refresh returns nil once the mirror knows all that was committed before the call.
 func (r *LinearizableReader) Refresh(ctx context.Context) error {
-	read := r.join()
+	read := r.joinNextRead()
 	select {
 	case <-read.done:
 		return read.err
@@ -54,8 +54,8 @@
 	}
 }
 
-// join finds a read that has not begun yet, or makes one.
-func (r *LinearizableReader) join() *sharedRead {
+// joinNextRead finds a read that has not begun yet, or makes one.
+func (r *LinearizableReader) joinNextRead() *sharedRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.waiting != nil {
@@ -63,18 +63,18 @@
 	}
 	read := &sharedRead{done: make(chan struct{})}
 	r.waiting = read
-	go r.beginAfter(r.running, read)
+	go r.startReadAfter(r.running, read)
 	return read
 }
 
-// begin starts a read. r.mu is held.
-func (r *LinearizableReader) begin(read *sharedRead) {
+// startRead starts a read. r.mu is held.
+func (r *LinearizableReader) startRead(read *sharedRead) {
 	read.begun = time.Now()
 	r.running = read
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), r.timeout)
 		defer cancel()
-		read.err = r.cache.Refresh(store.SharedRead(ctx), r.reader)
+		read.err = r.cache.Refresh(store.WithSharedReadLane(ctx), r.reader)
 		r.mu.Lock()
 		if r.running == read {
 			r.running = nil
@@ -84,9 +84,9 @@
 	}()
 }
 
-// beginAfter starts the next read in its turn, when the one before, if there is any, has ended
+// startReadAfter starts the next read in its turn, when the one before, if there is any, has ended
 // or has taken too long.
-func (r *LinearizableReader) beginAfter(before, next *sharedRead) {
+func (r *LinearizableReader) startReadAfter(before, next *sharedRead) {
 	if before != nil {
 		patience := time.NewTimer(r.patience - time.Since(before.begun))
 		select {
@@ -105,5 +105,5 @@
 		close(next.done)
 		return
 	}
-	r.begin(next)
+	r.startRead(next)
 }
--- a/internal/watchcache/linearizable_test.go
+++ b/internal/watchcache/linearizable_test.go
@@ -20,11 +20,11 @@
 	answer func(read int) time.Duration
 }
 
-func (s *slowRecords) Changes(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error) {
+func (s *slowRecords) Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error) {
 	s.mu.Lock()
 	read := s.reads
 	s.reads++
-	ch, err := s.fakeStore.Changes(ctx, under, after, wait)
+	ch, err := s.fakeStore.Watch(ctx, under, after, wait)
 	s.mu.Unlock()
 	select {
 	case <-time.After(s.answer(read)):
--- a/internal/workerlease/workerlease.go
+++ b/internal/workerlease/workerlease.go
@@ -16,10 +16,10 @@
 
 // CancelledJobs is what a node knows of cancelled jobs.
 type CancelledJobs interface {
-	// Fresh is the time up to which every cancellation is known; zero before the first read.
-	Fresh() time.Time
-	// Cancelled returns which of some jobs are cancelled, and Fresh of the same moment.
-	Cancelled(uids []string) (cancelled map[string]bool, fresh time.Time)
+	// FreshAsOf is the time up to which every cancellation is known; zero before the first read.
+	FreshAsOf() time.Time
+	// CancelledAmong returns which of some jobs are cancelled, and Fresh of the same moment.
+	CancelledAmong(uids []string) (cancelled map[string]bool, fresh time.Time)
 }
 
 // Renewer decides whether worker leases may be renewed.
@@ -29,14 +29,14 @@
 }
 
 // NewRenewer returns the rule of a node whose knowledge of cancelled jobs may be maxAge
-// old: cancel_s less a worker lease and a margin (config.KnowledgeLimit).
+// old: cancel_s less a worker lease and a margin (config.MaxCancellationAge).
 func NewRenewer(jobs CancelledJobs, maxAge time.Duration) *Renewer {
 	return &Renewer{jobs: jobs, maxAge: maxAge}
 }
 
 // CheckFresh returns ErrStale if no lease may be renewed now. It lets a heartbeat be
 // refused early; only Renew permits an answer.
-func (r *Renewer) CheckFresh() error { return r.check(r.jobs.Fresh()) }
+func (r *Renewer) CheckFresh() error { return r.check(r.jobs.FreshAsOf()) }
 
 // check returns ErrStale if knowledge of all cancellations up to a time is too old to
 // renew a lease on.
@@ -59,7 +59,7 @@
 // the answer, and removes launches of cancelled work from it.
 func (r *Renewer) Renew(heartbeat *wire.Heartbeat, answer *wire.Commands) error {
 	// Both are learned at once: a cancellation that came between would be lost.
-	cancelled, fresh := r.jobs.Cancelled(concernedJobs(heartbeat, answer))
+	cancelled, fresh := r.jobs.CancelledAmong(concernedJobs(heartbeat, answer))
 	if err := r.check(fresh); err != nil {
 		return err
 	}
--- a/internal/workerlease/workerlease_test.go
+++ b/internal/workerlease/workerlease_test.go
@@ -16,9 +16,9 @@
 	fresh     time.Time
 }
 
-func (f *fakeJobs) Fresh() time.Time { return f.fresh }
+func (f *fakeJobs) FreshAsOf() time.Time { return f.fresh }
 
-func (f *fakeJobs) Cancelled(uids []string) (map[string]bool, time.Time) {
+func (f *fakeJobs) CancelledAmong(uids []string) (map[string]bool, time.Time) {
 	found := map[string]bool{}
 	for _, uid := range uids {
 		if f.cancelled[uid] {
