--- a/internal/records/releasebefore_test.go
+++ b/internal/records/releasebefore_test.go
@@ -165,7 +165,7 @@
 	if entry, _ := cache.Job("run-000412"); cache.Len() != 2 || entry.Job == nil || !reflect.DeepEqual(*entry.Job, wantArrayJob()) {
 		t.Errorf("%d jobs are known, run-000412 as %+v", cache.Len(), entry.Job)
 	}
-	if cancelled, _ := cache.Cancelled([]string{"run-000412", "run-000413"}); cancelled["run-000412"] || !cancelled["run-000413"] {
+	if cancelled, _ := cache.CancelledAmong([]string{"run-000412", "run-000413"}); cancelled["run-000412"] || !cancelled["run-000413"] {
 		t.Errorf("cancelled are %v", cancelled)
 	}
 
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -206,9 +206,9 @@
 	return found
 }
 
-// Cancelled returns which of the jobs are cancelled, as far as the cache knows (nil if none
+// CancelledAmong returns which of the jobs are cancelled, as far as the cache knows (nil if none
 // is), and the time up to which every cancellation is known.
-func (c *Cache) Cancelled(uids []string) (cancelled map[string]bool, freshAsOf time.Time) {
+func (c *Cache) CancelledAmong(uids []string) (cancelled map[string]bool, freshAsOf time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, uid := range uids {
