--- a/internal/jobstatus/reader.go
+++ b/internal/jobstatus/reader.go
@@ -94,7 +94,7 @@
 	return err == nil, err
 }
 
-// WithLookupLane reads the status of a job from its own records. The result is false if the job
+// Lookup reads the status of a job from its own records. The result is false if the job
 // was never accepted.
 func (r *Reader) Lookup(ctx context.Context, uid string) (wire.JobView, bool, error) {
 	view := wire.JobView{UID: uid}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -83,13 +83,19 @@
 		MemoryMb:  cfg.Cluster.Limits.MemMb,
 		Counts:    n.taskCounts,
 	})
-	n.elector = election.New(n.store, cfg.Label, cfg.LeaderLeaseTTL(), n.leadTerm)
 	n.relays = newRelays(n.leadership, n.metrics)
 	campaign := &campaign{leadership: n.leadership, isRelaying: n.relays.isRelaying}
 	n.standby = newWarmStandby(n.leadership, n.store, campaign)
-	n.elector.Align(cfg.TimerGrid())
-	n.elector.Prefer(campaign.ownDelay, campaign.shouldTransfer)
-	n.elector.DeferTo(n.standby.peerIsPreferred)
+	n.elector = election.New(election.Options{
+		Store:              n.store,
+		Node:               cfg.Label,
+		LeaseTTL:           cfg.LeaderLeaseTTL(),
+		Lead:               n.leadTerm,
+		Timers:             cfg.TimerGrid(),
+		CampaignDelaySteps: campaign.ownDelay,
+		DeferToStandby:     n.standby.peerIsPreferred,
+		TransferWanted:     campaign.shouldTransfer,
+	})
 	n.renewals = &renewals{leadership: n.leadership, store: n.store, serving: n.isServing, renewed: map[string]time.Time{}}
 	n.heartbeats = &heartbeats{
 		leadership: n.leadership,
