--- a/internal/httpapi/users.go
+++ b/internal/httpapi/users.go
@@ -21,7 +21,7 @@
 	pollWait   = 1200 * time.Millisecond // and 2 s for one to a poll; a peer may still be asked
 )
 
-// userLane wraps what answers a userLane: the request is refused while too many are answered,
+// user wraps what answers a user: the request is refused while too many are answered,
 // and forwarded to a peer if this node cannot serve it.
 func (s *Server) user(h echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -111,7 +111,7 @@
 		t.Fatalf("fresh as of %v, but %s is known as of %d, not %d",
 			m.cache.FreshAsOf().Unix(), uid, known.ModRevision, modRevision)
 	}
-	cancelled, freshAsOf := m.cache.CancelledAmong([]string{uid})
+	cancelled, freshAsOf := m.cache.Cancelled([]string{uid})
 	if cancelled[uid] != (known.Job.Status == wire.JobAborted) || !freshAsOf.Equal(m.cache.FreshAsOf()) {
 		t.Fatalf("%s cancelled: %v as of %v", uid, cancelled[uid], freshAsOf)
 	}
--- a/internal/workerlease/workerlease.go
+++ b/internal/workerlease/workerlease.go
@@ -16,10 +16,10 @@
 
 // CancelledJobs is what a node knows of cancelled jobs.
 type CancelledJobs interface {
-	// FreshAsOf is the time up to which every cancellation is known; zero before the first read.
+	// Fresh is the time up to which every cancellation is known; zero before the first read.
 	FreshAsOf() time.Time
-	// CancelledAmong returns which of some jobs are cancelled, and Fresh of the same moment.
-	CancelledAmong(uids []string) (cancelled map[string]bool, fresh time.Time)
+	// Cancelled returns which of some jobs are cancelled, and Fresh of the same moment.
+	Cancelled(uids []string) (cancelled map[string]bool, fresh time.Time)
 }
 
 // Renewer decides whether worker leases may be renewed.
@@ -59,7 +59,7 @@
 // the answer, and removes launches of cancelled work from it.
 func (r *Renewer) Renew(heartbeat *wire.Heartbeat, answer *wire.Commands) error {
 	// Both are learned at once: a cancellation that came between would be lost.
-	cancelled, fresh := r.jobs.CancelledAmong(concernedJobs(heartbeat, answer))
+	cancelled, fresh := r.jobs.Cancelled(concernedJobs(heartbeat, answer))
 	if err := r.check(fresh); err != nil {
 		return err
 	}
