--- a/internal/clusterversion/clusterversion.go
+++ b/internal/clusterversion/clusterversion.go
@@ -1,8 +1,9 @@
 // Package clusterversion decides which formats of records and requests are in use
-// while releases of different age serve together.
+// while two releases serve side by side.
 //
 // Every node says in its pings which version it understands; one that says nothing is
-// at First. A node that the leader cannot reach is known by a record on a lease. The version in force is a record in the state service. The leader raises
+// at First. A node that the leader cannot reach announces its version by a record on a lease. The
+// version in force is a record in the state store. The leader raises
 // it, and never lowers it, once every member has said that it understands the newer
 // one. Until then nothing is stored or sent that a node of the older release would
 // misread, lose or refuse.
@@ -21,17 +22,17 @@
 // Version numbers the formats that nodes understand.
 type Version int
 
-// The versions there are.
+// The versions.
 const (
-	First   Version = 1 // releases that say no version
-	JobDAGs Version = 2 // jobs that wait for others, densely listed placements
+	First   Version = 1 // releases that announce no version
+	JobDAGs Version = 2 // jobs with dependencies, placement records in the dense form
 	Latest          = JobDAGs
 )
 
-// Normalize is the version that a node understands which has said v: 0 is nothing.
-func Normalize(v int) Version { return max(First, Version(v)) }
+// Normalize returns the version that a node understands which has announced a number; 0 is none.
+func Normalize(announced int) Version { return max(First, Version(announced)) }
 
-// Store is what raising the version needs of the state service.
+// Store is what raising the version needs of the state store.
 type Store interface {
 	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 }
@@ -40,21 +41,21 @@
 // concurrent use.
 type Tracker struct {
 	mu          sync.Mutex
-	force       Version
-	modRevision uint64 // of the record
+	inForce     Version
+	modRevision uint64 // of the version's record; 0 if there is none
 }
 
-// NewTracker makes a tracker that has learned nothing yet.
-func NewTracker() *Tracker { return &Tracker{force: First} }
+// NewTracker makes a tracker for which First is in force.
+func NewTracker() *Tracker { return &Tracker{inForce: First} }
 
-// InForce is the version in force.
+// InForce returns the version in force.
 func (t *Tracker) InForce() Version {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.force
+	return t.inForce
 }
 
-// Apply learns from a change of a record; others than that of the version are passed over.
+// Apply learns from a change of a record; records other than the version's are ignored.
 func (t *Tracker) Apply(event wire.WatchEvent) {
 	if event.Set != records.VersionKey {
 		return
@@ -72,29 +73,36 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.modRevision = max(t.modRevision, modRevision)
-	if version <= t.force {
+	if version <= t.inForce {
 		return
 	}
-	slog.Info("cluster version", "from", int(t.force), "to", int(version))
-	t.force = version
+	slog.Info("cluster version raised", "from", int(t.inForce), "to", int(version))
+	t.inForce = version
 }
 
 // Raise brings the version that all members understand into force, in a commit that
-// only the leader of the term can make, while what was read of members still holds.
-func (t *Tracker) Raise(ctx context.Context, store Store, term uint64, understood []Version, read ...wire.Compare) error {
+// only the leader of the term can make. understood are the versions of the other members; the
+// commit also compares compares, which show that what was read about members still holds. If
+// there is nothing to raise it sends nothing and returns nil.
+func (t *Tracker) Raise(ctx context.Context, store Store, term uint64, understood []Version, compares ...wire.Compare) error {
 	to := Latest
 	for _, version := range understood {
 		to = min(to, version)
 	}
 	t.mu.Lock()
-	force, modRevision := t.force, t.modRevision
+	inForce, modRevision := t.inForce, t.modRevision
 	t.mu.Unlock()
-	if to <= force {
+	if to <= inForce {
 		return nil
 	}
+	guarded := append([]wire.Compare{
+		{Key: records.LeaderKey, ModRevision: term},
+		{Key: records.VersionKey, ModRevision: modRevision},
+	}, compares...)
+	record := records.Encode(records.ClusterVersion{Version: int(to)})
 	revision, err := store.Commit(ctx, wire.Transaction{
-		Compares: append([]wire.Compare{{Key: records.LeaderKey, ModRevision: term}, {Key: records.VersionKey, ModRevision: modRevision}}, read...),
-		Changes:  []wire.Change{{Set: records.VersionKey, Value: records.Encode(records.ClusterVersion{Version: int(to)})}},
+		Compares: guarded,
+		Changes:  []wire.Change{{Set: records.VersionKey, Value: record}},
 	})
 	if err != nil {
 		return fmt.Errorf("raise the cluster version: %w", err)
--- a/internal/clusterversion/clusterversion_test.go
+++ b/internal/clusterversion/clusterversion_test.go
@@ -8,7 +8,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// fakeStore takes every commit and remembers it.
+// fakeStore executes every commit and records it.
 type fakeStore struct{ commits []wire.Transaction }
 
 func (s *fakeStore) Commit(_ context.Context, tx wire.Transaction) (uint64, error) {
@@ -17,15 +17,15 @@
 }
 
 // The version is raised once every member understands the newer one, by a commit that
-// only the term's leader can make, and never falls.
+// only the term's leader can make, and only once.
 func TestVersionIsRaisedOnceAllUnderstand(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		understood []Version
 		want       Version
 	}{
-		{"one has said nothing", []Version{JobDAGs, Normalize(0)}, First},
-		{"all have said it", []Version{JobDAGs, JobDAGs}, JobDAGs},
+		{"one has announced nothing", []Version{JobDAGs, Normalize(0)}, First},
+		{"all have announced it", []Version{JobDAGs, JobDAGs}, JobDAGs},
 		{"a later release is among them", []Version{Latest + 1, JobDAGs}, JobDAGs},
 		{"a node alone", nil, JobDAGs},
 	} {
@@ -43,18 +43,23 @@
 				}
 				return
 			}
-			guards := store.commits[0].Compares
-			if guards[0] != (wire.Compare{Key: records.LeaderKey, ModRevision: 7}) || guards[1] != (wire.Compare{Key: records.VersionKey}) {
-				t.Errorf("guarded by %v", guards)
+			compares := store.commits[0].Compares
+			if compares[0] != (wire.Compare{Key: records.LeaderKey, ModRevision: 7}) || compares[1] != (wire.Compare{Key: records.VersionKey}) {
+				t.Errorf("the commit compares %v", compares)
 			}
 			if err := tracker.Raise(context.Background(), store, 7, []Version{First}); err != nil || len(store.commits) > 1 {
 				t.Errorf("it is written again: %v", err)
 			}
 		})
 	}
+}
+
+// The version in force follows its record alone, and never falls.
+func TestVersionInForceFollowsItsRecord(t *testing.T) {
 	tracker := NewTracker()
 	record := func(version int) wire.WatchEvent {
-		return wire.WatchEvent{Set: records.VersionKey, Value: records.Encode(records.ClusterVersion{Version: version}), ModRevision: uint64(version)}
+		value := records.Encode(records.ClusterVersion{Version: version})
+		return wire.WatchEvent{Set: records.VersionKey, Value: value, ModRevision: uint64(version)}
 	}
 	tracker.Apply(wire.WatchEvent{Set: records.SettingsKey, Value: records.Encode(records.ClusterVersion{Version: 9})})
 	if tracker.InForce() != First {
