--- a/internal/aimd/aimd.go
+++ b/internal/aimd/aimd.go
@@ -1,7 +1,7 @@
-// Package aimd limits how often a client asks a service that other clients ask too. The rate
-// follows additive increase, multiplicative decrease: it is cut when the service refuses a
+// Package aimd limits how often a client sends requests to a service that it shares with others. The
+// rate follows additive increase, multiplicative decrease: it is cut when the service refuses a
 // request for being asked too often, and grows back slowly while it answers. Clients that do the same
-// come to share what the service can take (D. Chiu and R. Jain, "Analysis of the increase and
+// come to share the service's capacity (D. Chiu and R. Jain, "Analysis of the increase and
 // decrease algorithms for congestion avoidance in computer networks", 1989).
 package aimd
 
@@ -12,6 +12,8 @@
 	"time"
 
 	"golang.org/x/time/rate"
+
+	"lotusstile.dev/lotusstile/internal/timeralign"
 )
 
 const (
@@ -21,10 +23,12 @@
 	minRateShare = 1. / 4
 	// growthPerSecond is the part of the highest rate that the rate grows by in a second.
 	growthPerSecond = 1. / 16
-	// adjustInterval is how long one cut counts for all refusals: those of requests that were under
+	// adjustInterval is the least time between two cuts, and between two steps of growth. A cut
+	// counts for all refusals in that time: those of requests that were under
 	// way when it was made say nothing new.
 	adjustInterval = time.Second
-	// burstSeconds is for how many seconds of the highest rate a client that was quiet may ask at once.
+	// burstSeconds is for how many seconds of the highest rate a client that was idle may send
+	// requests at once.
 	burstSeconds = 0.5
 )
 
@@ -34,28 +38,35 @@
 	maxRate float64 // requests a second
 
 	mu          sync.Mutex
-	currentRate float64 // requests a second now
+	currentRate float64 // requests a second
 	lastCut     time.Time
-	lastGrowth  time.Time // up to when growth is counted
+	lastGrowth  time.Time // the last step of growth, or the last cut if that is later
 	cuts        uint64
 }
 
-// BusyError means that a request cannot be sent within the time that its sender has. After
-// says when there will be room.
-type BusyError struct{ RetryAfter time.Duration }
+// BusyError means that a request cannot be sent within the time that its sender has. It was not
+// sent.
+type BusyError struct {
+	RetryAfter time.Duration // when there will be room
+}
 
+// Error implements error.
 func (e *BusyError) Error() string {
 	return fmt.Sprintf("no request can be sent for %s", e.RetryAfter.Round(time.Millisecond))
 }
 
-// New makes a limiter that allows at most so many requests a second.
-func New(mostPerSecond float64) *Limiter {
-	burst := max(1, int(mostPerSecond*burstSeconds))
-	return &Limiter{tokens: rate.NewLimiter(rate.Limit(mostPerSecond), burst), maxRate: mostPerSecond, currentRate: mostPerSecond}
+// New makes a limiter that starts at its highest rate, in requests a second.
+func New(maxRate float64) *Limiter {
+	burst := max(1, int(maxRate*burstSeconds))
+	return &Limiter{
+		tokens:      rate.NewLimiter(rate.Limit(maxRate), burst),
+		maxRate:     maxRate,
+		currentRate: maxRate,
+	}
 }
 
-// Wait waits for room for one request. If there will be none before ctx ends it returns a
-// *BusyError at once and takes nothing.
+// Wait waits for room for one request. If there will be none before ctx's deadline it returns a
+// *BusyError at once and takes nothing; if ctx ends while it waits it returns ctx's error.
 func (l *Limiter) Wait(ctx context.Context) error {
 	now := time.Now()
 	reservation := l.tokens.ReserveN(now, 1)
@@ -67,18 +78,14 @@
 	if delay <= 0 {
 		return nil
 	}
-	timer := time.NewTimer(delay)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
+	if !timeralign.Sleep(ctx, delay) {
 		reservation.Cancel()
 		return ctx.Err()
 	}
+	return nil
 }
 
-// OnThrottled notes that the service refused a request for being asked too often.
+// OnThrottled cuts the rate: the service refused a request for being asked too often.
 func (l *Limiter) OnThrottled(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,7 +97,7 @@
 	l.setRate(now, max(l.currentRate*cutFactor, l.maxRate*minRateShare))
 }
 
-// OnAnswered notes that the service has carried out a request.
+// OnAnswered lets the rate grow back: the service executed a request.
 func (l *Limiter) OnAnswered(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,20 +108,20 @@
 	l.lastGrowth = now
 }
 
-// set changes the rate. l.mu is held.
+// setRate is the one function that changes the rate. l.mu is held.
 func (l *Limiter) setRate(now time.Time, perSecond float64) {
 	l.currentRate = perSecond
 	l.tokens.SetLimitAt(now, rate.Limit(perSecond))
 }
 
-// Rate is how many requests a second are allowed now.
+// Rate returns how many requests a second are allowed now.
 func (l *Limiter) Rate() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.currentRate
 }
 
-// Cuts counts how often the rate was cut.
+// Cuts returns how often the rate was cut.
 func (l *Limiter) Cuts() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/aimd/aimd_test.go
+++ b/internal/aimd/aimd_test.go
@@ -4,30 +4,65 @@
 	"context"
 	"errors"
 	"math"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 )
 
-// Clients that share a service come to ask no more than it takes, each its fair part, however
-// unequal they begin, and use what is free again once one of them is quiet.
+// sharedService executes at most capacity requests in a second and refuses the rest.
+type sharedService struct {
+	capacity int
+
+	mu       sync.Mutex
+	second   time.Time // when the current second began
+	executed int       // requests in it
+	refused  int
+}
+
+// serve executes or refuses a request of a client.
+func (s *sharedService) serve(client *Limiter) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Now()
+	if now.Sub(s.second) >= time.Second {
+		s.second, s.executed = now, 0
+	}
+	if s.executed++; s.executed > s.capacity {
+		s.refused++
+		client.OnThrottled(now)
+		return
+	}
+	client.OnAnswered(now)
+}
+
+// resetRefused returns how many requests were refused since the last call.
+func (s *sharedService) resetRefused() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	refused := s.refused
+	s.refused = 0
+	return refused
+}
+
+// meanRates returns the mean rates of clients over some seconds.
+func meanRates(clients []*Limiter, seconds int) []float64 {
+	rates := make([]float64, len(clients))
+	for range seconds {
+		time.Sleep(time.Second)
+		for i, client := range clients {
+			rates[i] += client.Rate() / float64(seconds)
+		}
+	}
+	return rates
+}
+
+// Clients that share a service come to ask no more than it takes, each its fair share, however
+// unequal they begin, and use what is free again once one of them is idle.
 func TestClientsShareAService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const capacity, clients = 60, 3
-		var taken, refused int
-		var second time.Time
-		serve := func(l *Limiter) {
-			now := time.Now()
-			if now.Sub(second) >= time.Second {
-				second, taken = now, 0
-			}
-			if taken++; taken > capacity {
-				refused++
-				l.OnThrottled(now)
-				return
-			}
-			l.OnAnswered(now)
-		}
+		service := &sharedService{capacity: capacity}
 		ctx, stop := context.WithCancel(t.Context())
 		limiters := make([]*Limiter, clients)
 		for i := range limiters {
@@ -38,26 +73,20 @@
 			}
 			go func() {
 				for limiters[i].Wait(ctx) == nil {
-					serve(limiters[i])
+					service.serve(limiters[i])
 				}
 			}()
 		}
 		time.Sleep(30 * time.Second)
-		refused = 0
+		service.resetRefused()
 		const seconds = 60
-		shares := make([]float64, clients)
-		for range seconds {
-			time.Sleep(time.Second)
-			for i, l := range limiters {
-				shares[i] += l.Rate() / seconds
-			}
-		}
-		if refused > seconds*capacity/4 {
+		shares := meanRates(limiters, seconds)
+		if refused := service.resetRefused(); refused > seconds*capacity/4 {
 			t.Errorf("%d of about %d requests are refused", refused, seconds*capacity)
 		}
 		for i, share := range shares {
 			if fair := float64(capacity) / clients; math.Abs(share-fair) > fair/2 {
-				t.Errorf("client %d is allowed %.1f a second, a fair part is %.1f", i, share, fair)
+				t.Errorf("client %d is allowed %.1f a second, a fair share is %.1f", i, share, fair)
 			}
 		}
 		stop()
@@ -72,8 +101,8 @@
 	})
 }
 
-// Who cannot be served in time learns so at once, and takes nobody's place.
-func TestBusyAtOnce(t *testing.T) {
+// A request that cannot be sent in time is refused at once, and takes no other's place.
+func TestWaitRefusesAtOnceBeyondTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(2)
 		if err := l.Wait(t.Context()); err != nil {
@@ -97,7 +126,7 @@
 	})
 }
 
-// A burst of refusals is one sign, and no cut goes below the least rate.
+// A burst of refusals makes one cut, and no cut goes below the least rate.
 func TestCutsAreBounded(t *testing.T) {
 	l, now := New(16), time.Unix(1000, 0)
 	for range 50 {
--- a/internal/timeralign/grid_test.go
+++ b/internal/timeralign/grid_test.go
@@ -11,7 +11,7 @@
 // The same inputs every run; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// Works of periods that are multiples of the unit meet: each ends its wait on a
+// Timers whose periods are multiples of the unit fire together: each wait ends on a
 // multiple of its period, and no wait is longer than the period.
 func TestPeriodsMeetOnTheGrid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -34,7 +34,7 @@
 	})
 }
 
-// A period that an operator sets is kept where the grid does not have it.
+// A period that an operator sets is kept if it is no multiple of the unit.
 func TestOtherPeriodsAreNotAligned(t *testing.T) {
 	now := time.Unix(1000, 12345)
 	for _, tc := range []struct{ unit, period time.Duration }{
