--- /dev/null
+++ b/internal/config/durations.go
@@ -0,0 +1,47 @@
+package config
+
+import (
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/timeralign"
+)
+
+const (
+	// leaderLeaseDivisor of the workers' lease is the leader's: a successor has most of a worker
+	// lease left to gather the workers.
+	leaderLeaseDivisor = 5
+	// gridUnitsPerHeartbeat is how many units of the timer grid a heartbeat interval has: halves,
+	// thirds and quarters of the interval are multiples of the unit.
+	gridUnitsPerHeartbeat = 12
+	// cancelMarginDivisor of the workers' lease is the margin of MaxCancellationAge.
+	cancelMarginDivisor = 10
+)
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// WorkerLease returns how long a worker keeps its tasks without an answered heartbeat (lease_s).
+func (c *Config) WorkerLease() time.Duration { return seconds(c.Cluster.Workers.LeaseS) }
+
+// HeartbeatInterval returns the interval of workers' heartbeats (report_s).
+func (c *Config) HeartbeatInterval() time.Duration { return seconds(c.Cluster.Workers.ReportS) }
+
+// CloudListLag returns the usual age of the cloud's machine list (list_lag_s).
+func (c *Config) CloudListLag() time.Duration { return seconds(c.Cluster.Cloud.ListLagS) }
+
+// LeaderLeaseTTL returns the time to live of the leader's lease in the state store: a fifth of the
+// workers' lease, so that a successor has most of a lease left to gather the workers.
+func (c *Config) LeaderLeaseTTL() time.Duration { return c.WorkerLease() / leaderLeaseDivisor }
+
+// TimerGrid returns the grid that the process's periodic work is aligned to.
+func (c *Config) TimerGrid() timeralign.Grid {
+	return timeralign.Grid{Unit: c.HeartbeatInterval() / gridUnitsPerHeartbeat}
+}
+
+// MaxCancellationAge returns how old a node's knowledge of cancellations may be for it to
+// go on renewing worker leases. A task that was cancelled right after the read that the
+// knowledge comes from ends by its lease, which counts from when the worker sent
+// its heartbeat: no later than cancel_s after that read, less a tenth of a lease.
+// docs/safety.md says what that margin is for.
+func (c *Config) MaxCancellationAge() time.Duration {
+	return seconds(c.Cluster.Workers.CancelS) - c.WorkerLease() - c.WorkerLease()/cancelMarginDivisor
+}
--- a/internal/node/campaigndelay.go
+++ b/internal/node/campaigndelay.go
@@ -31,7 +31,7 @@
 // delayOf is how long a node should wait before it campaigns, in units of the elector: 0 for the
 // node that is placed best to lead.
 func (c *campaign) delayOf(label string, unreachable func(label string) bool) int {
-	return c.cfg.CampaignDelay(label) + c.cfg.UnreachableSuccessors(label, unreachable)
+	return c.cfg.CampaignDelaySteps(label) + c.cfg.UnreachableSuccessors(label, unreachable)
 }
 
 // ownDelay is this node's campaign delay when nobody leads.
