--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -16,13 +16,13 @@
 	return cfg
 }
 
-// The settings of the large deployments carry 4,000 machines, five controllers 6,000; what does
-// not carry a fleet is said by its key, and what happens then.
-func TestWarnings(t *testing.T) {
+// The settings of the large deployments carry 4,000 machines, five controllers 6,000; a warning
+// names the setting that does not carry a fleet.
+func TestWarningsNameTheSettingsThatDoNotCarryAFleet(t *testing.T) {
 	for _, tc := range []struct {
 		controllers, connections, machines int
 		relay                              bool
-		want                               []string // keys that are warned of
+		want                               []string // parts of the settings that are warned of
 	}{
 		{5, 2589, 4096, true, nil},
 		{5, 2589, 6000, true, nil},
