--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -76,9 +76,9 @@
 		slog.Warn("scheduling cycle overran its interval", "term", c.term, "took", took.String(), "window", c.window)
 		return cycleRequests{}
 	}
-	status.Started = c.launch(plan.Placements, s, now)
+	status.Started = c.launch(plan.Placements, &s, now)
 	status.Stopped = len(plan.Preemptions)
-	c.preempt(plan.Preemptions, s, now)
+	c.preempt(plan.Preemptions, &s, now)
 	c.lastCycle = status
 	requests := cycleRequests{failover: c.finishFailover(c.now())}
 	c.stopIdleViewTracking(now)
@@ -87,7 +87,7 @@
 			"waiting", status.Waiting, "started", status.Started, "stopped", status.Stopped, "short", status.Short,
 			"objective", math.Round(plan.Objective*100)/100, "reserved", plan.ReservedFor, "ms", status.TookMs)
 	}
-	requests.provision = c.scale(s, plan, now)
+	requests.provision = c.scale(&s, plan, now)
 	return requests
 }
 
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -38,7 +38,7 @@
 }
 
 // newSnapshot makes the snapshot of a cycle.
-func (c *Controller) newSnapshot(now time.Time, interval time.Duration) *snapshot {
+func (c *Controller) newSnapshot(now time.Time, interval time.Duration) snapshot {
 	c.refreshNodes(now)
 	in := &sched.Input{
 		Now:              now,
@@ -50,7 +50,7 @@
 		WithinQuota:      c.withinQuotas(),
 		PreemptOnlyBelow: 1, // nothing is preempted while nothing waits
 	}
-	s := &snapshot{in: in, fleet: c.fleet, urgency: c.urgency()}
+	s := snapshot{in: in, fleet: c.fleet, urgency: c.urgency()}
 	for _, j := range c.jobs.byUID {
 		if team := in.Teams[j.record.Spec.Team]; team != nil {
 			addUsage(team, j, in.WithinQuota != nil)
