--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -10,9 +10,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Answers that have no commands wait for some, but not when another controller
-// relays the report or the node is behind. The waits of many machines end together:
-// each with a wake-up of its own, they took an eighth of a leader's processor time.
+// Answers that have no commands wait for some, but not when another controller relays the
+// heartbeat or the node is behind. The waits of many machines end together: each with a wake-up
+// of its own, they took an eighth of a leader's processor time.
 func TestWaitingAnswersEndTogether(t *testing.T) {
 	const machines = 120
 	synctest.Test(t, func(t *testing.T) {
@@ -24,14 +24,14 @@
 		longest := c.Config.HeartbeatInterval() / 2
 		for i := range machines {
 			time.Sleep(c.Config.HeartbeatInterval() / machines)
-			report := wire.Heartbeat{Host: fmt.Sprintf("m-%d", i), Incarnation: 1, Sequence: 1, FencingToken: c.term}
+			heartbeat := wire.Heartbeat{Host: fmt.Sprintf("m-%d", i), Incarnation: 1, Sequence: 1, FencingToken: c.term}
 			began := time.Now()
-			if _, ok := c.Heartbeat(context.Background(), &report, HeartbeatOptions{}); !ok || time.Since(began) > 0 {
+			if _, ok := c.Heartbeat(context.Background(), &heartbeat, HeartbeatOptions{}); !ok || time.Since(began) > 0 {
 				t.Fatalf("an answer that may not wait is given after %s", time.Since(began))
 			}
-			report.Sequence++
+			heartbeat.Sequence++
 			go func() {
-				c.Heartbeat(context.Background(), &report, HeartbeatOptions{MayWait: true})
+				c.Heartbeat(context.Background(), &heartbeat, HeartbeatOptions{MayWait: true})
 				if waited := time.Since(began); waited > longest || waited < longest-c.Config.TimerGrid().Unit {
 					t.Errorf("answered after %s", waited)
 				}
@@ -42,7 +42,7 @@
 		for range machines {
 			moments[<-ends] = true
 		}
-		// The machines report over one interval and wait half of one: the units of
+		// The heartbeats come over one interval and wait half of one: the units of
 		// the grid in that, and one more for where it begins.
 		most := int(c.Config.HeartbeatInterval()/c.Config.TimerGrid().Unit) + 2
 		if len(moments) > most {
@@ -66,7 +66,7 @@
 			return time.Since(began)
 		}
 		if waited(1) == 0 {
-			t.Error("no wait while the state service is read")
+			t.Error("no wait while the state store is read")
 		}
 		time.Sleep(c.Config.LeaderLeaseTTL())
 		if took := waited(2); took > 0 {
--- a/internal/controller/jobevents.go
+++ b/internal/controller/jobevents.go
@@ -79,8 +79,8 @@
 	c.recordEnds(j, now)
 }
 
-// recordEnds lets workers be told that the ends of a job's attempts are recorded: the job is
-// over by its own record.
+// recordEnds lets workers forget the attempts of a job that have ended: the job is over by its own
+// record, so their ends need none.
 func (c *Controller) recordEnds(j *job, now time.Time) {
 	for _, p := range j.placements {
 		for _, a := range p.ended {
@@ -148,7 +148,7 @@
 	}
 	if j.record.Status.Final() {
 		// Nothing of a cancelled job is ever launched again, so its end need not be recorded
-		// before the worker is told so.
+		// before the worker may forget it.
 		c.fleet.MarkEndRecorded(a, now)
 		return
 	}
--- a/internal/controller/jobtable_test.go
+++ b/internal/controller/jobtable_test.go
@@ -9,7 +9,7 @@
 )
 
 // A follower that asks again and again learns the final status of every job that ends, without
-// gaps, and of none that has not; what is kept to be told is bounded.
+// gaps, and of none that has not; what is kept for followers is bounded.
 func TestFollowersLearnEachFinalStatus(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -44,10 +44,10 @@
 	ask()
 	for uid, status := range want {
 		if announced[uid] != status || own[uid] != status {
-			t.Fatalf("%s is %s: a follower was told %q, this node %q", uid, status, announced[uid], own[uid])
+			t.Fatalf("%s is %s: a follower learned %q, this node %q", uid, status, announced[uid], own[uid])
 		}
 	}
 	if len(announced) != len(want) || len(c.jobs.finalStatuses) > maxFinalStatuses {
-		t.Errorf("%d statuses of %d jobs are told, %d are kept", len(announced), len(want), len(c.jobs.finalStatuses))
+		t.Errorf("a follower learned %d statuses of %d jobs, %d are kept", len(announced), len(want), len(c.jobs.finalStatuses))
 	}
 }
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -14,7 +14,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// listOnlyStore is a state service that only lists.
+// listOnlyStore is a state store that only lists.
 type listOnlyStore struct {
 	Store
 	rows   map[string][]wire.KeyValue
@@ -80,8 +80,8 @@
 }
 
 // A standby is no proof that a task is off, nor that a machine takes work: with whatever views,
-// the picture has the attempts and returns of the records, no machine is ready before it
-// reports, and reports count as without views.
+// the state has the attempts and returns of the records, no machine is ready before it sends a
+// heartbeat, and heartbeats count as without views.
 func TestViewsProveNothing(t *testing.T) {
 	rows := recordsOfTwoTasks()
 	for _, proof := range []struct {
@@ -121,7 +121,7 @@
 	}
 }
 
-// While the state service does not answer, the proof is tried again, and then all is listed.
+// While the state store does not answer, the proof is tried again, and then all is listed.
 func TestUnansweredProofIsRetriedBeforeListing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -140,7 +140,7 @@
 	}
 }
 
-// Views are made of what has changed, and of everything for a standby that asks anew.
+// Views are made of what has changed, and of everything for a standby that asks again.
 func TestDrainChangedViewsReturnsWhatChanged(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
