--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -47,7 +47,7 @@
 	WriteRps float64 `toml:"write_rps"`
 	ValueKb  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// UntilNext holds the limits that the service will have from some moment on, without
+	// Next holds the limits that the service will have from some moment on, without
 	// notice; nil if no change is expected.
 	Next *NextStateLimits `toml:"next"`
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -31,7 +31,7 @@
 	return p
 }
 
-// list is an attempt as a placement record lists it.
+// placed is an attempt as a placement record lists it.
 func placed(a *fleet.Attempt) records.PlacedAttempt {
 	return records.PlacedAttempt{Task: a.TaskIndex, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}
 }
--- a/internal/timeralign/grid.go
+++ b/internal/timeralign/grid.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// TimerGrid is a sequence of moments, Unit apart. The zero TimerGrid aligns nothing.
+// Grid is a sequence of moments, Unit apart. The zero Grid aligns nothing.
 type Grid struct{ Unit time.Duration }
 
 // tolerance is the part of a period by which alignment may change it.
