--- a/internal/controller/hugearray_test.go
+++ b/internal/controller/hugearray_test.go
@@ -70,7 +70,7 @@
 // An array with more placements than a commit may have compares is done once its tasks are, its
 // workers are ordered to reap, and its records are dropped. All its placements were once counted
 // against the one commit that only writes its status: it stayed unfinished for ever.
-func TestHugeArrayIsFinished(t *testing.T) {
+func TestHugeArrayIsArchived(t *testing.T) {
 	const tasks = 25_000
 	now := time.Unix(10_000, 0)
 	services, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Resources{Cores: 0.25, RAM: 1})
