--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -200,6 +200,26 @@
 	}
 }
 
+// Machines of unknown zone are counted once, with the whole fleet, and so are those of a zone there:
+// they are no zone of their own.
+func TestEvidenceCountsMachinesOfUnknownZoneWithTheFleet(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	ms := machines{}.withGroup(7, "a", "", now, interval).withGroup(2, "", "", now, 3*interval).
+		withGroup(1, "", "", now, 3*interval+1)
+	e := newTestDetector(now).gather(ms, now)
+	for zone, want := range map[string]group{
+		"":  {total: 10, silent: 3, longSilent: 1},
+		"a": {total: 7},
+	} {
+		if got := *e.zones[zone]; got != want {
+			t.Errorf("zone %q: %+v, want %+v", zone, got, want)
+		}
+	}
+	if len(e.zones) != 2 || e.total != 10 {
+		t.Errorf("%d zones, %d machines", len(e.zones), e.total)
+	}
+}
+
 func TestResetGivesMachinesTheirTimeAgain(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	d := newTestDetector(now)
@@ -208,6 +228,11 @@
 		t.Fatalf("before the reset: %v", got)
 	}
 	d.Reset(ms, now)
+	for _, m := range ms {
+		if !m.LastHeartbeat.Equal(now) || !m.LastHeartbeatHere.Equal(now) {
+			t.Fatalf("last heartbeats are %s and, here, %s", m.LastHeartbeat, m.LastHeartbeatHere)
+		}
+	}
 	if got := causes(d.Judge(observe(ms, now, "", "a", "b", "c")), ms); got[NotDead] != len(ms) {
 		t.Errorf("after the reset: %v", got)
 	}
