--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -19,9 +19,7 @@
 		commands = append(commands, wire.Command{Verb: verb, Task: task.task, Attempt: task.attempt})
 	}
 	for _, a := range m.attempts {
-		if command, ok := a.endCommand(); ok {
-			commands = append(commands, command)
-		}
+		commands = a.appendEndCommand(commands)
 	}
 	if launches && m.State == Ready {
 		commands = f.appendLaunches(commands, m, now)
@@ -29,22 +27,23 @@
 	return commands
 }
 
-// endCommand returns the command that brings the attempt nearer to its end: to acknowledge its
-// recorded end, or to stop it. ok is false if there is none.
-func (a *Attempt) endCommand() (command wire.Command, ok bool) {
+// appendEndCommand appends the command that brings the attempt nearer to its end, if there is one: to
+// acknowledge its recorded end, or to stop it.
+func (a *Attempt) appendEndCommand(commands []wire.Command) []wire.Command {
 	switch a.State {
 	case EndRecorded:
-		return wire.Command{Verb: wire.Acknowledge, Task: a.TaskName(), Attempt: a.Number}, true
+		return append(commands, wire.Command{Verb: wire.Acknowledge, Task: a.TaskName(), Attempt: a.Number})
 	case LaunchSent, Fetching, Running:
 		if a.Stopping {
-			return wire.Command{Verb: wire.Stop, Task: a.TaskName(), Attempt: a.Number, GracePeriodS: a.GracePeriodS}, true
+			command := wire.Command{Verb: wire.Stop, Task: a.TaskName(), Attempt: a.Number, GracePeriodS: a.GracePeriodS}
+			return append(commands, command)
 		}
 	case Saving:
 		if a.Stopping && a.GracePeriodS == 0 {
-			return wire.Command{Verb: wire.Stop, Task: a.TaskName(), Attempt: a.Number}, true
+			return append(commands, wire.Command{Verb: wire.Stop, Task: a.TaskName(), Attempt: a.Number})
 		}
 	}
-	return wire.Command{}, false
+	return commands
 }
 
 // appendLaunches appends the launches of the attempts that are committed, and marks these as sent
--- a/internal/relay/departure.go
+++ b/internal/relay/departure.go
@@ -34,8 +34,11 @@
 // isRecent reports whether a departure still counts.
 func (r *Router) isRecent(d departure, now time.Time) bool { return now.Sub(d.at) < stayLeases*r.Lease }
 
-// dropOldDepartures drops the departures of a worker that do not count any more.
+// dropOldDepartures drops the departures of a worker that do not count any more. Most workers have none.
 func (r *Router) dropOldDepartures(worker *workerState, now time.Time) {
+	if len(worker.departures) == 0 {
+		return
+	}
 	worker.departures = slices.DeleteFunc(worker.departures, func(d departure) bool { return !r.isRecent(d, now) })
 }
 
