--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -7,37 +7,38 @@
 
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/records"
-	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// broken is a leader beside machines of which one may be faulty, with a mistaken array and others.
-type broken struct {
+// faultyFleet is a leader beside machines of which one may be faulty, with a faulty array and
+// other jobs.
+type faultyFleet struct {
 	t        *testing.T
 	c        *Controller
 	now      time.Time
 	sequence uint64
-	faulty   string          // machine that fails all tasks
-	mistaken map[string]bool // jobs that fail everywhere
-	failed   map[string]int  // by job
+	machine  string          // fails all tasks
+	jobs     map[string]bool // fail everywhere
+	failed   map[string]int  // failed attempts by job
 }
 
-func newBroken(t *testing.T, machines, tasks int) (*broken, *limited, *job) {
-	b := &broken{t: t, now: time.Unix(10_000, 0), sequence: 1, mistaken: map[string]bool{}, failed: map[string]int{}}
+func newFaultyFleet(t *testing.T, machines, tasks int) (*faultyFleet, *limitedStore, *job) {
+	t.Helper()
+	b := &faultyFleet{t: t, now: time.Unix(10_000, 0), sequence: 1, jobs: map[string]bool{}, failed: map[string]int{}}
 	services, c, j := leaderWithArray(t, &b.now, machines, tasks, fleet.Resources{Cores: 16, RAM: 1})
 	b.c = c
 	b.c.now = func() time.Time { return b.now }
-	b.c.steady = b.now.Add(time.Hour) // idle machines stay
-	b.mistaken[j.uid] = true
+	b.c.detector.Start(b.now.Add(time.Hour)) // idle machines stay
+	b.jobs[j.uid] = true
 	return b, services, j
 }
 
 // outcome: whoever is at fault fails tasks as they start; others run to their end in two steps.
-func (b *broken) outcome(a *fleet.Attempt) (wire.TaskStatus, wire.Cause) {
+func (b *faultyFleet) outcome(a *fleet.Attempt) (wire.TaskStatus, wire.Cause) {
 	switch {
 	case a.State >= fleet.Ended:
 		return wire.TaskEnded, a.Cause
-	case b.mistaken[a.JobUID] || a.Machine.ID == b.faulty:
+	case b.jobs[a.JobUID] || a.Machine.ID == b.machine:
 		b.failed[a.JobUID]++
 		return wire.TaskEnded, wire.CauseError
 	case a.State == fleet.Running:
@@ -46,28 +47,36 @@
 	return wire.TaskRunning, ""
 }
 
-// step is a second: a round, its writes, and a report of each machine.
-func (b *broken) step() {
+// step is a second: a scheduling cycle, its commits, and a heartbeat of each machine.
+func (b *faultyFleet) step() {
 	b.now = b.now.Add(time.Second)
 	b.sequence++
-	b.c.runRound(time.Second)
-	writeAll(b.t, b.c)
+	b.c.runCycle(time.Second)
+	commitAll(b.t, b.c)
 	reportAll(b.t, b.c, b.sequence, b.outcome)
 }
 
-// add brings a job of some tasks that can be done.
-func (b *broken) add(uid string, tasks int) *job {
-	spec := wire.JobSpec{UID: uid, JobClass: "good", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: 16, RAMGb: 1, Image: "img"}
-	b.c.applyJobEventLocked(uid, watchcache.Entry{Job: &records.Job{Spec: spec, Status: wire.JobQueued, Per: 8}, ModRevision: 1})
-	return b.c.jobs[uid]
+// add adds a job of some tasks that can be done.
+func (b *faultyFleet) add(uid string, tasks int) *job {
+	return b.c.addTestJob(wire.JobSpec{
+		UID:       uid,
+		JobClass:  "good",
+		Team:      "crew",
+		Kind:      wire.JobArray,
+		Priority:  wire.Standard,
+		TaskCount: tasks,
+		Cores:     16,
+		RAMGb:     1,
+		Image:     "img",
+	}, 8)
 }
 
 // An array that fails everywhere is tried again ever less often, and with one task at a time: 25
-// tasks once failed together, again and again, in room that others could have used. No machine is passed
-// over for it for longer than the first doubt lasts, and it is never given up.
-func TestMistakenArrayIsTriedWithOneTask(t *testing.T) {
+// tasks once failed together, again and again, in room that others could have used. No machine is
+// quarantined for it for longer than the first suspicion lasts, and it is never abandoned.
+func TestFaultyArrayIsRetriedWithOneTask(t *testing.T) {
 	const tasks, minutes = 25, 5
-	b, _, j := newBroken(t, 10, tasks)
+	b, _, j := newFaultyFleet(t, 10, tasks)
 	for range 20 {
 		b.step()
 	}
@@ -82,7 +91,7 @@
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
 			if i > 5 && !m.AcceptsAttempts(b.now) {
-				t.Fatalf("%s is passed over, faulty with %.2f", m.ID, b.c.evidence.MachineFaultProbability(m.ID))
+				t.Fatalf("%s is quarantined, faulty with probability %.2f", m.ID, b.c.evidence.MachineFaultProbability(m.ID))
 			}
 		})
 	}
@@ -91,29 +100,29 @@
 		t.Errorf("%d tasks are tried in %d minutes", again, minutes)
 	}
 	// Once what it lacked is there, it runs whole.
-	b.mistaken[j.uid] = false
+	b.jobs[j.uid] = false
 	for range 60 {
 		b.step()
 	}
-	if b.c.jobs[j.uid] != nil && j.done != tasks {
+	if b.c.jobs.get(j.uid) != nil && j.done != tasks {
 		t.Errorf("%d of %d tasks are done", j.done, tasks)
 	}
 }
 
-// A faulty machine is found while jobs fail by mistakes of their own, and it comes back once
+// A faulty machine is found while jobs fail by faults of their own, and its quarantine ends once
 // its tasks work again.
-func TestFaultyMachineIsFoundBesideMistakenJobs(t *testing.T) {
-	b, _, _ := newBroken(t, 6, 12)
-	b.faulty = "m-000002"
+func TestFaultyMachineIsQuarantinedBesideFaultyJobs(t *testing.T) {
+	b, _, _ := newFaultyFleet(t, 6, 12)
+	b.machine = "m-000002"
 	good := map[string]*job{}
 	quarantined := 0
 	watch := func() {
 		b.step()
-		if m := b.c.fleet.Get(b.faulty); !m.AcceptsAttempts(b.now) {
+		if m := b.c.fleet.Get(b.machine); !m.AcceptsAttempts(b.now) {
 			quarantined++
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
-			if m.ID != b.faulty && b.c.evidence.IsMachineFaulty(m.ID) {
+			if m.ID != b.machine && b.c.evidence.IsMachineFaulty(m.ID) {
 				t.Errorf("%s is taken for faulty", m.ID)
 			}
 		})
@@ -125,17 +134,17 @@
 		watch()
 	}
 	if quarantined < 60 {
-		t.Errorf("the faulty machine is passed over for %d of 80 s", quarantined)
+		t.Errorf("the faulty machine is quarantined for %d of 80 s", quarantined)
 	}
 	for range 30 {
 		watch()
 	}
 	for uid, j := range good {
-		if b.c.jobs[uid] != nil && j.done < 8 {
+		if b.c.jobs.get(uid) != nil && j.done < 8 {
 			t.Errorf("%s has done %d of 8 tasks", uid, j.done)
 		}
 	}
-	b.faulty = ""
+	b.machine = ""
 	for range 70 {
 		b.step()
 	}
@@ -143,14 +152,16 @@
 	for range 20 {
 		b.step()
 	}
-	if m := b.c.fleet.Get("m-000002"); !m.AcceptsAttempts(b.now) || b.c.evidence.IsMachineFaulty(m.ID) || b.c.jobs[late.uid] != nil && late.done < 48 {
+	m := b.c.fleet.Get("m-000002")
+	isDone := b.c.jobs.get(late.uid) == nil || late.done == 48
+	if !m.AcceptsAttempts(b.now) || b.c.evidence.IsMachineFaulty(m.ID) || !isDone {
 		t.Errorf("a machine that has recovered takes work: %v, %d tasks are done", m.AcceptsAttempts(b.now), late.done)
 	}
 }
 
-// The next leader, which has the records only, does not start a mistaken array whole again.
-func TestNextLeaderDoubtsWhatNeverWorked(t *testing.T) {
-	b, services, j := newBroken(t, 10, 25)
+// The next leader, which has the records only, does not start a faulty array whole again.
+func TestNextLeaderSuspectsArraysThatNeverSucceeded(t *testing.T) {
+	b, services, j := newFaultyFleet(t, 10, 25)
 	for range 30 {
 		b.step()
 	}
@@ -168,8 +179,8 @@
 			placement.SetDone(0)
 			services.items[key] = wire.KeyValue{Key: key, Value: records.Encode(placement), ModRevision: services.revision}
 		}
-		next := services.leaderOf(6, &b.now)
-		if got := next.jobs[j.uid]; got == nil || got.suspect != tc.suspect {
+		next := services.newLeader(6, &b.now)
+		if got := next.jobs.get(j.uid); got == nil || got.suspect != tc.suspect {
 			t.Errorf("%s: %+v", tc.name, got)
 		}
 	}
