--- a/internal/simcluster/combined_faults_test.go
+++ b/internal/simcluster/combined_faults_test.go
@@ -78,7 +78,7 @@
 	time.Sleep(15 * time.Second)
 }
 
-func cancelledOnLostMachines(sc *scenario, r *rand.Rand) {
+func cancelledOnUnreachableMachines(sc *scenario, r *rand.Rand) {
 	for i := range 3 {
 		sc.hangWorkers(r, 3)
 		faultRandomHosts(r, 3, time.Duration(5+r.IntN(25))*time.Second, sc.net.Partition)
@@ -171,7 +171,7 @@
 	time.Sleep(10 * time.Second)
 }
 
-func isolatedLeaderAndDeafMachines(sc *scenario, r *rand.Rand) {
+func isolatedLeaderAndOneWayLinks(sc *scenario, r *rand.Rand) {
 	sc.cluster.CaptureHeartbeats(true)
 	leader := sc.leaderIndex()
 	isolate := func(on bool) {
@@ -207,7 +207,7 @@
 	time.Sleep(20 * time.Second)
 }
 
-func machinesDeafToNewLeader(sc *scenario, r *rand.Rand) {
+func machinesCutOffFromNewLeader(sc *scenario, r *rand.Rand) {
 	for i := range 3 {
 		set := sc.net.Partition
 		if i%2 == 0 {
--- a/internal/simcluster/dependencies_test.go
+++ b/internal/simcluster/dependencies_test.go
@@ -84,7 +84,7 @@
 func allOlderRelease(sc *scenario) { sc.olderRelease = [3]bool{true, true, true} }
 
 // Nothing that a node of the release before would run too early is accepted while there
-// is such a node: neither by a new node, nor passed on to an old one.
+// is such a node: neither by a new node, nor forwarded to an old one.
 func TestDependenciesAreRefusedWhileAnOlderReleaseServes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -98,7 +98,7 @@
 		sc.expectStatus(http.StatusCreated, "n2", http.MethodPost, "/work", jobJSON(first))
 		for i := range nodeNames {
 			if i > 0 {
-				sc.net.Partition("n0", storeAddress, true) // it can only pass requests on
+				sc.net.Partition("n0", storeAddress, true) // it can only forward requests
 				time.Sleep(3 * time.Second)
 				status, _, header := sc.request("n0", http.MethodPost, "/work", jobJSON(second))
 				if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
--- a/internal/simcluster/failover_test.go
+++ b/internal/simcluster/failover_test.go
@@ -75,9 +75,9 @@
 // placementLimit is how soon after its leader's end the next one has to place.
 const placementLimit = 10 * time.Second
 
-// Leaders end or stand still in the middle of placements, with commands and commits in
+// Leaders crash or are paused in the middle of placements, with commands and commits in
 // flight: no rule is broken with or without a standby, most terms begin warm with one, and
-// none that does takes longer to decide than ten seconds after its leader's end.
+// none that does takes longer to its first placement than ten seconds after its leader's end.
 func TestFailoverPlacesWithinTheLimit(t *testing.T) {
 	t.Parallel()
 	for _, standby := range []bool{false, true} {
--- a/internal/simcluster/fakestore/store.go
+++ b/internal/simcluster/fakestore/store.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// failedCompares lists the keys whose compares do not hold. s.mu is held.
+// failedCompares lists the keys whose compares fail. s.mu is held.
 func (s *Store) failedCompares(compares []wire.Compare) (failed []string) {
 	for _, compare := range compares {
 		if s.items[compare.Key].ModRevision != compare.ModRevision {
--- a/internal/simcluster/fault_combinations_test.go
+++ b/internal/simcluster/fault_combinations_test.go
@@ -112,7 +112,7 @@
 		},
 		{
 			name:     "teams at their limit, cancelled on machines that are cut off or hang, a new leader",
-			machines: 8, makeJob: mixedJob, jobCount: 40, submitInterval: s / 2, injectFaults: cancelledOnLostMachines,
+			machines: 8, makeJob: mixedJob, jobCount: 40, submitInterval: s / 2, injectFaults: cancelledOnUnreachableMachines,
 		},
 		{
 			name:     "cancelled while the work changes hands, all end and one returns",
@@ -140,7 +140,7 @@
 		},
 		{
 			name:     "a leader without state service and peers, reports from late, deaf and mute machines",
-			machines: 8, makeJob: mixedJob, jobCount: 30, submitInterval: s, injectFaults: isolatedLeaderAndDeafMachines,
+			machines: 8, makeJob: mixedJob, jobCount: 30, submitInterval: s, injectFaults: isolatedLeaderAndOneWayLinks,
 		},
 		{
 			name:     "all controllers are away for longer than a lease, machines hang and go on",
@@ -148,7 +148,7 @@
 		},
 		{
 			name:     "long tasks on machines that do not hear the new leader",
-			machines: 6, makeJob: longJob, jobCount: 24, submitInterval: s, injectFaults: machinesDeafToNewLeader,
+			machines: 6, makeJob: longJob, jobCount: 24, submitInterval: s, injectFaults: machinesCutOffFromNewLeader,
 		},
 		{
 			name:     "refused and down in turn while users cancel and ask",
--- a/internal/simcluster/faultnet/pause.go
+++ b/internal/simcluster/faultnet/pause.go
@@ -6,7 +6,7 @@
 // processor while its clocks run on: what it has asked for is carried out, and it learns so when
 // it goes on, late or as a time-out; what it was about to send goes out then, and what others
 // asked of it is answered then, though they have given up. Its own timers are not stopped, as they
-// would be: what it decides meanwhile on what it has not heard goes out as well, which is the
+// would be: what it decides meanwhile, without those responses, goes out as well, which is the
 // harder trial.
 func (n *Network) PauseProcess(name string, on bool) {
 	n.mu.Lock()
--- a/internal/simcluster/jobs_test.go
+++ b/internal/simcluster/jobs_test.go
@@ -45,7 +45,7 @@
 	return spec, 0
 }
 
-// replicaJob makes services that stand until they are cancelled, after stay.
+// replicaJob makes services that run until they are cancelled, after stay.
 func replicaJob(stay time.Duration) makeJob {
 	return func(i int, r *rand.Rand) (wire.JobSpec, time.Duration) {
 		return wire.JobSpec{
--- a/internal/simcluster/leadership_test.go
+++ b/internal/simcluster/leadership_test.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// While a controller is lost, no leader stays whose workers would try the lost one next: it transfers
-// leadership to one with a live successor, without losing a task, and when that stands still or ends
-// its workers find the other one within their lease. With the leader before the lost node, all
+// While a controller is unreachable, no leader stays whose workers would try it next: it transfers
+// leadership to one with a live successor, without losing a task, and when that is paused or crashes
+// its workers find the other one within their lease. With the leader before the unreachable node, all
 // leases ended: a worker waits four seconds for an answer at each.
 func TestLeaderTransfersWhenItsSuccessorIsLost(t *testing.T) {
 	t.Parallel()
@@ -103,7 +103,7 @@
 				sc.net.PauseProcess("n2", true) // for longer than restarts take
 				time.Sleep(50 * time.Second)
 				if !sc.isLeader("n0") {
-					t.Error("n1 has not transferred leadership to n0, though n2 is lost, which its workers would try next")
+					t.Error("n1 has not transferred leadership to n0, though n2 is paused, which its workers would try next")
 				}
 				sc.loseNode(0, crashes, 6*time.Second)
 				time.Sleep(20 * time.Second)
--- a/internal/simcluster/process_pause_test.go
+++ b/internal/simcluster/process_pause_test.go
@@ -59,22 +59,22 @@
 
 func isRenewal(path string) bool { return strings.HasSuffix(path, "/touch") }
 
-// A controller stands still while its clocks run on, in every phase of a term, for
+// A controller's process is paused while its clocks run on, in every phase of a term, for
 // less than its lease of leadership, a worker lease or cancel_s and for more. On waking it has an
 // old snapshot, old heartbeats to answer and answers to what it asked long ago.
 func TestProcessPause(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []pausePhase{
-		{name: "elected, not yet told so", whoPauses: leaderSends(isPath("/commit")), leaderEnds: true},
+		{name: "is elected and has no response yet", whoPauses: leaderSends(isPath("/commit")), leaderEnds: true},
 		{name: "reads the records", whoPauses: leaderSends(isPath("/kv")), leaderEnds: true},
-		{name: "has committed and not heard so", whoPauses: leaderSends(isPath("/commit"))},
-		{name: "is about to take a report", whoPauses: leaderReceivesHeartbeat(false)},
-		{name: "has taken a report and not answered it", whoPauses: leaderReceivesHeartbeat(true)},
-		{name: "has renewed its hold", whoPauses: leaderSends(isRenewal)},
-		{name: "has read what is withdrawn", whoPauses: leaderSends(isPath("/changes"))},
+		{name: "has committed and has no response yet", whoPauses: leaderSends(isPath("/commit"))},
+		{name: "is about to receive a heartbeat", whoPauses: leaderReceivesHeartbeat(false)},
+		{name: "has applied a heartbeat and not answered it", whoPauses: leaderReceivesHeartbeat(true)},
+		{name: "has renewed its lease", whoPauses: leaderSends(isRenewal)},
+		{name: "has read the cancellations", whoPauses: leaderSends(isPath("/changes"))},
 		{name: "has returned machines", whoPauses: leaderSends(isPath("/machines/return"))},
-		{name: "leads while another node records a withdrawal", whoPauses: leaderWhileOtherCommits},
-		{name: "has recorded a withdrawal and told nobody", whoPauses: followerCommits},
+		{name: "leads while another node records a cancellation", whoPauses: leaderWhileOtherCommits},
+		{name: "has recorded a cancellation and announced it to nobody", whoPauses: followerCommits},
 	} {
 		t.Run(phase.name, func(t *testing.T) {
 			t.Parallel()
@@ -87,7 +87,7 @@
 				seeds:          seedCount(t, 1),
 				injectFaults:   func(sc *scenario, r *rand.Rand) { pauses += pauseInPhase(sc, r, phase) },
 			}.run(t)
-			if pauses < 2*seedCount(t, 1) { // of four: nobody may withdraw anything in time
+			if pauses < 2*seedCount(t, 1) { // of four: there may be no cancellation in time
 				t.Errorf("a controller was paused %d times", pauses)
 			}
 		})
--- a/internal/simcluster/random_faults_test.go
+++ b/internal/simcluster/random_faults_test.go
@@ -17,8 +17,8 @@
 	settleAfterFaults = 40 * time.Second
 )
 
-// The rules hold on days of crashes, cuts, outages, dead, hung, sick and deaf
-// machines, late transactions and late copies of heartbeats, and every accepted
+// The rules hold in scenarios of crashes, partitions, outages, machines that are dead, hung,
+// failing or get no responses, late transactions and late copies of heartbeats, and every accepted
 // job is over some time after the last fault.
 func TestRulesHoldWhateverFails(t *testing.T) {
 	t.Parallel()
@@ -119,7 +119,7 @@
 	(*randomFault).killWorker,
 	(*randomFault).hangWorker,
 	(*randomFault).failTasksOfWorker,
-	(*randomFault).deafWorker,
+	(*randomFault).dropResponsesToWorker,
 	(*randomFault).partitionWorker,
 	(*randomFault).leaveWithWorkersOnly,
 	(*randomFault).partitionZone,
@@ -205,8 +205,8 @@
 	}
 }
 
-// deafWorker loses the responses to a worker's heartbeats.
-func (f *randomFault) deafWorker() {
+// dropResponsesToWorker loses the responses to a worker's heartbeats.
+func (f *randomFault) dropResponsesToWorker() {
 	if worker := f.sc.cluster.Cloud.RandomWorker(); worker != nil {
 		f.whileItLasts(func(on bool) {
 			for _, name := range nodeNames {
--- a/internal/simcluster/users_test.go
+++ b/internal/simcluster/users_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// A node that alone lost the state service passes its users on; when nobody
-// reaches it they are told at once when to come back.
+// A node that alone cannot reach the state service forwards its users' requests; when nobody
+// reaches it, users get a Retry-After at once.
 func TestNodeWithoutStateServiceForwardsUserRequests(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
--- a/internal/simcluster/worker_heartbeats.go
+++ b/internal/simcluster/worker_heartbeats.go
@@ -16,8 +16,8 @@
 	changeDelay = 200 * time.Millisecond
 	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// copiedHeartbeat is the how manieth heartbeat each time arrives once more, much later:
-	// after minCopyDelayS and up to copyDelaySpreadS more, in seconds.
+	// One in copiedHeartbeat heartbeats arrives a second time, much later: after minCopyDelayS and
+	// up to copyDelaySpreadS more, in seconds.
 	copiedHeartbeat                 = 7
 	minCopyDelayS, copyDelaySpreadS = 2, 25
 )
