--- a/internal/node/controlleroptions.go
+++ b/internal/node/controlleroptions.go
@@ -8,22 +8,47 @@
 )
 
 // controllerPeers is the controller.Peers of a node.
-type controllerPeers struct{ node *Node }
+type controllerPeers struct{ *leadership }
+
+// RenewedHosts lists the machines whose leases peers renew on the leader's behalf.
+func (p controllerPeers) RenewedHosts() []string {
+	var hosts []string
+	for _, other := range p.peers {
+		if r, ok := other.LastPing(p.cfg.LeaderLeaseTTL()); ok {
+			hosts = append(hosts, r.RenewedHosts...)
+		}
+	}
+	return hosts
+}
 
-func (p controllerPeers) RenewedHosts() []string         { return p.node.renewedByPeers() }
-func (p controllerPeers) ReachedZones() []string         { return p.node.reached() }
-func (p controllerPeers) RelayReached(label string) bool { return p.node.relayReached(label) }
+// ReachedZones lists the zones of the controllers that answer, this one's own included.
+func (p controllerPeers) ReachedZones() []string {
+	zones := []string{p.cfg.Location}
+	for _, other := range p.peers {
+		if _, ok := other.LastPing(p.cfg.LeaderLeaseTTL()); ok {
+			zones = append(zones, other.Location)
+		}
+	}
+	return zones
+}
+
+// RelayReached reports whether a follower that relays heartbeats answers pings.
+func (p controllerPeers) RelayReached(label string) bool {
+	return p.isReached(label, p.cfg.LeaderLeaseTTL())
+}
 
 // termObserver is the controller.Observer of a node.
 type termObserver struct{ node *Node }
 
 func (o termObserver) TermObserved(term uint64)         { o.node.elector.ObserveTerm(term, "") }
-func (o termObserver) CycleFinished(took time.Duration) { o.node.rounded(took) }
+func (o termObserver) CycleFinished(took time.Duration) { o.node.metrics.observeCycle(took) }
 
-func (o termObserver) JobFinished(uid string, status wire.JobStatus) { o.node.finals.put(uid, status) }
+func (o termObserver) JobFinished(uid string, status wire.JobStatus) {
+	o.node.statuses.RecordFinal(uid, status)
+}
 
 func (o termObserver) FailoverFinished(report records.Takeover) {
-	if o.node.cfg.WarmStandby {
-		o.node.promoted(report)
+	if o.node.standby.enabled() {
+		o.node.standby.recordFailover(report)
 	}
 }
