--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -150,7 +150,7 @@
 	}
 	cluster := simcluster.NewCluster(ctx, cfg, network, nodes, c.catalog())
 	cluster.Users.PollInterval, cluster.Users.AllowUnfinishedJobs = c.Poll, true
-	cluster.Cloud.Capacity = c.capacity()
+	cluster.Cloud.SetCapacity(c.capacity())
 	cluster.Cloud.ListenWorker = func(handler http.Handler) string {
 		address, err := simcluster.Listen(ctx, "127.0.0.1:0", handler)
 		if err != nil {
--- a/internal/simcluster/checker_test.go
+++ b/internal/simcluster/checker_test.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"net/http"
 	"strings"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -61,6 +62,31 @@
 	})
 }
 
+// scriptedNode answers every request alike, as it was told last.
+type scriptedNode struct {
+	t *testing.T
+
+	mu        sync.Mutex
+	status    int
+	jobStatus wire.JobStatus
+}
+
+func (n *scriptedNode) answerWith(status int, jobStatus wire.JobStatus) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.status, n.jobStatus = status, jobStatus
+}
+
+// ServeHTTP answers a request.
+func (n *scriptedNode) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	w.WriteHeader(n.status)
+	if err := json.NewEncoder(w).Encode(wire.JobView{Status: n.jobStatus}); err != nil {
+		n.t.Error(err)
+	}
+}
+
 // The checker sees answers that break a rule, and jobs that are not served.
 func TestCheckerReportsViolationsInAnswers(t *testing.T) {
 	t.Parallel()
@@ -68,13 +94,8 @@
 		network := faultnet.New(rand.New(rand.NewPCG(1, 1)))
 		cluster := simcluster.NewCluster(context.Background(), nodeConfig(t, 0), network, nodeNames[:1], catalog)
 		cluster.Cloud.AddMachines("g8", "a", 1)
-		status, view := 0, wire.JobView{}
-		network.Attach("n0", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
-			rw.WriteHeader(status)
-			if err := json.NewEncoder(rw).Encode(view); err != nil {
-				t.Error(err)
-			}
-		}), nil)
+		node := &scriptedNode{t: t}
+		network.Attach("n0", node, nil)
 		go cluster.WatchInvariants(time.Now().Add(10 * time.Minute))
 		jobs := make([]wire.JobSpec, 4)
 		for i := range jobs {
@@ -112,7 +133,7 @@
 			{"late_begin", 200, wire.JobQueued, checker.CheckJobsServed},
 			{"unserved", 200, wire.JobQueued, checker.CheckJobsServed},
 		} {
-			status, view.Status = step.status, step.told
+			node.answerWith(step.status, step.told)
 			before := len(checker.Violations())
 			step.act()
 			seen := strings.Join(checker.Violations()[before:], "\n")
@@ -130,7 +151,7 @@
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
 		users := sc.cluster.Users
-		sc.cluster.Cloud.Capacity = 2 // no more machines than there are
+		sc.cluster.Cloud.SetCapacity(2) // no more machines than there are
 		first := stageJob(1, 1)
 		first.ExpectedRunS = 100
 		second := stageJob(2, 1, first.UID)
--- a/internal/simcluster/cloud.go
+++ b/internal/simcluster/cloud.go
@@ -17,10 +17,6 @@
 // Cloud is a fake of the cloud, and owns the machines that it has provisioned. It is an
 // http.Handler.
 type Cloud struct {
-	// Capacity is how many machines there may be at once; a request for more is filled in part.
-	Capacity int
-	// BootTime is how long provisioned machines take to boot; 0: by chance.
-	BootTime time.Duration
 	// ListenWorker, if set, lets a worker listen for direct commands and returns its address.
 	// Without it, workers are reached over the simulated network by their names.
 	ListenWorker func(handler http.Handler) (address string)
@@ -29,6 +25,8 @@
 	catalog wire.Catalog
 
 	mu         sync.Mutex
+	capacity   int
+	bootTime   time.Duration       // 0: by chance
 	workers    map[string]*Worker  // by host name, also those that are gone
 	bookings   map[string][]string // by request: the hosts that were provisioned for it
 	nextSerial int
@@ -44,7 +42,7 @@
 
 func newCloud(cluster *Cluster, catalog wire.Catalog) *Cloud {
 	return &Cloud{
-		Capacity: defaultCapacity,
+		capacity: defaultCapacity,
 		cluster:  cluster,
 		catalog:  catalog,
 		workers:  map[string]*Worker{},
@@ -83,14 +81,14 @@
 		jsonhttp.Reply(w, http.StatusOK, wire.HostNames{Hosts: hosts})
 		return
 	}
-	count := min(request.Count, c.Capacity-len(c.liveWorkers()))
+	count := min(request.Count, c.capacity-len(c.liveWorkers()))
 	if count <= 0 {
 		jsonhttp.Reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
 		return
 	}
 	var hosts []string
 	for range count {
-		boot := c.BootTime
+		boot := c.bootTime
 		if boot == 0 {
 			boot = time.Duration(minBootS+c.cluster.Net.RandIntN(bootSpreadS)) * time.Second
 		}
@@ -144,6 +142,27 @@
 	jsonhttp.Reply(w, http.StatusOK, out)
 }
 
+// SetCapacity sets how many machines there may be at once; a request for more is filled in part.
+func (c *Cloud) SetCapacity(machines int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.capacity = machines
+}
+
+// Capacity is how many machines there may be at once.
+func (c *Cloud) Capacity() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.capacity
+}
+
+// SetBootTime sets how long provisioned machines take to boot; 0: by chance.
+func (c *Cloud) SetBootTime(boot time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.bootTime = boot
+}
+
 // AddMachines makes machines that are up at once.
 func (c *Cloud) AddMachines(machineType, zone string, count int) {
 	c.mu.Lock()
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -74,7 +74,7 @@
 
 // taskEnded is called when a task leaves a machine; completed if it ran to its end.
 func (c *Cluster) taskEnded(task, host string, completed bool) {
-	if uid, jobCompleted := c.Checker.TaskEnded(task, host, completed); jobCompleted && c.Users.CancelOnCompletion {
+	if uid, jobCompleted := c.Checker.TaskEnded(task, host, completed); jobCompleted && c.Users.CancelOnCompletion.Load() {
 		go c.Users.Cancel(c.Nodes[len(uid)%len(c.Nodes)], uid)
 	}
 }
--- a/internal/simcluster/combined_faults_test.go
+++ b/internal/simcluster/combined_faults_test.go
@@ -51,7 +51,8 @@
 }
 
 func lostCommitResponses(sc *scenario, r *rand.Rand) {
-	sc.cluster.Users.CrossCheckAnswers, sc.cluster.Users.CancelOnCompletion = true, true
+	sc.cluster.Users.CrossCheckAnswers.Store(true)
+	sc.cluster.Users.CancelOnCompletion.Store(true)
 	sc.net.DelayCommits(0.4, true)
 	time.Sleep(15*time.Second + milliseconds(r.IntN(3000)))
 	sc.crashLeader(milliseconds(800))
@@ -61,7 +62,8 @@
 }
 
 func manySmallJobs(sc *scenario, r *rand.Rand) {
-	sc.cluster.Users.CrossCheckAnswers, sc.cluster.Users.CancelOnCompletion = true, true
+	sc.cluster.Users.CrossCheckAnswers.Store(true)
+	sc.cluster.Users.CancelOnCompletion.Store(true)
 	sc.net.DelayCommits(0.15, r.IntN(2) == 0)
 	time.Sleep(10*time.Second + milliseconds(r.IntN(2000)))
 	sc.crashLeader(3 * time.Second)
@@ -70,7 +72,8 @@
 
 func lateCommitsAndCrashes(sc *scenario, r *rand.Rand) {
 	sc.net.DelayCommits(0.3, false)
-	sc.cluster.Users.CrossCheckAnswers, sc.cluster.Users.CancelOnCompletion = true, true
+	sc.cluster.Users.CrossCheckAnswers.Store(true)
+	sc.cluster.Users.CancelOnCompletion.Store(true)
 	for range 4 {
 		time.Sleep(6*time.Second + milliseconds(r.IntN(4000)))
 		sc.crashLeader(milliseconds(300 + r.IntN(5000)))
@@ -125,7 +128,8 @@
 }
 
 func newMachinesAndLateCommits(sc *scenario, r *rand.Rand) {
-	sc.cluster.Cloud.Capacity, sc.cluster.Cloud.BootTime = 10, 2*time.Second
+	sc.cluster.Cloud.SetCapacity(10)
+	sc.cluster.Cloud.SetBootTime(2 * time.Second)
 	sc.net.DelayCommits(0.4, false)
 	for range 3 {
 		time.Sleep(4*time.Second + milliseconds(r.IntN(6000)))
@@ -136,7 +140,7 @@
 }
 
 func overloadOnSlowLinks(sc *scenario, r *rand.Rand) {
-	sc.cluster.Cloud.Capacity = 6
+	sc.cluster.Cloud.SetCapacity(6)
 	sc.net.SetExtraLatency(milliseconds(150 + r.IntN(150)))
 	time.Sleep(10*time.Second + milliseconds(r.IntN(3000)))
 	sc.crashLeader(milliseconds(300 + r.IntN(4000)))
@@ -220,7 +224,7 @@
 }
 
 func refusalsAndOutages(sc *scenario, r *rand.Rand) {
-	sc.cluster.Users.CrossCheckAnswers = true
+	sc.cluster.Users.CrossCheckAnswers.Store(true)
 	for i := range 3 {
 		leader := max(0, sc.leaderIndex())
 		sc.net.RefuseRequests(nodeNames[leader], storeAddress, true)
--- a/internal/simcluster/fault_combinations_test.go
+++ b/internal/simcluster/fault_combinations_test.go
@@ -48,7 +48,7 @@
 		r := rand.New(rand.NewPCG(seed, 5))
 		sc.cluster.Cloud.AddMachines("g8", "a", (m.machines+1)/2)
 		sc.cluster.Cloud.AddMachines("g8", "b", m.machines/2)
-		sc.cluster.Cloud.Capacity = m.machines + 2
+		sc.cluster.Cloud.SetCapacity(m.machines + 2)
 		time.Sleep(5 * time.Second)
 		deadline := time.Now().Add(600 * time.Second)
 		var users sync.WaitGroup
@@ -62,7 +62,8 @@
 		go sc.cluster.WatchInvariants(deadline)
 		time.Sleep(faultsBegin)
 		m.injectFaults(sc, r)
-		sc.cluster.Users.CrossCheckAnswers, sc.cluster.Users.CancelOnCompletion = false, false
+		sc.cluster.Users.CrossCheckAnswers.Store(false)
+		sc.cluster.Users.CancelOnCompletion.Store(false)
 		sc.endFaults()
 		time.Sleep(settleTime)
 		sc.cluster.Checker.FaultsOver()
--- a/internal/simcluster/large_fleet_test.go
+++ b/internal/simcluster/large_fleet_test.go
@@ -74,7 +74,7 @@
 func playLargeFleet(t *testing.T, machines int, duration time.Duration, inject func(sc *scenario)) (violations []string, started int) {
 	t.Helper()
 	sc := newScenario(t, 7)
-	sc.cluster.Cloud.Capacity = machines + machines/8
+	sc.cluster.Cloud.SetCapacity(machines + machines/8)
 	r := rand.New(rand.NewPCG(7, 2))
 	sc.cluster.Cloud.AddMachines("g8", "a", machines/2)
 	sc.cluster.Cloud.AddMachines("g8", "b", machines-machines/2)
@@ -153,7 +153,7 @@
 func TestLargestArrayMakesProgressAcrossFailovers(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
-		sc.cluster.Cloud.Capacity = 4
+		sc.cluster.Cloud.SetCapacity(4)
 		spec := wire.JobSpec{
 			UID:          "run-000001",
 			JobClass:     "large",
--- a/internal/simcluster/pipelines_test.go
+++ b/internal/simcluster/pipelines_test.go
@@ -127,7 +127,7 @@
 func TestRulesHoldWhenDependentsComeAroundTheEndOfAJob(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
-		sc.cluster.Users.CrossCheckAnswers = true
+		sc.cluster.Users.CrossCheckAnswers.Store(true)
 		r := rand.New(rand.NewPCG(7, 7))
 		deadline := time.Now().Add(2 * time.Minute)
 		var users sync.WaitGroup
--- a/internal/simcluster/quota_test.go
+++ b/internal/simcluster/quota_test.go
@@ -38,7 +38,7 @@
 		sc := newScenario(t, 5, func(sc *scenario) {
 			sc.teams = []config.Team{{Name: "crew", Cpus: 128, Gpus: 16}, {Name: "free"}}
 		})
-		sc.cluster.Cloud.Capacity = 6
+		sc.cluster.Cloud.SetCapacity(6)
 		sc.cluster.Cloud.AddMachines("g8", "a", 6)
 		time.Sleep(5 * time.Second)
 		service, array := jobsWithoutQuota()
--- a/internal/simcluster/refused_leader_test.go
+++ b/internal/simcluster/refused_leader_test.go
@@ -140,7 +140,7 @@
 	t.Parallel()
 	const machines, replicas = 48, 300
 	runScenario(t, func(sc *scenario) {
-		sc.cluster.Cloud.Capacity = machines + 2
+		sc.cluster.Cloud.SetCapacity(machines + 2)
 		sc.cluster.Cloud.AddMachines("g8", "a", machines-2)
 		spec := serviceJob("run-000001", "free", wire.High, replicas)
 		sc.startJob(spec, 40*time.Second)
--- a/internal/simcluster/relays_test.go
+++ b/internal/simcluster/relays_test.go
@@ -76,7 +76,7 @@
 	machineType.Zones = z.zones
 	zonedCatalog := wire.Catalog{MachineTypes: []wire.MachineType{machineType}}
 	z.cluster = simcluster.NewCluster(context.Background(), z.config(0), z.net, z.names, zonedCatalog)
-	z.cluster.Cloud.Capacity = 2 * zoneCount * workersPerZone
+	z.cluster.Cloud.SetCapacity(2 * zoneCount * workersPerZone)
 	for i := range z.names {
 		z.startNode(i)
 	}
@@ -131,7 +131,7 @@
 			outside = append(outside, name, peerAddress(name))
 		}
 	}
-	for k := range 2 * z.cluster.Cloud.Capacity { // those that were provisioned as headroom too
+	for k := range 2 * z.cluster.Cloud.Capacity() { // those that were provisioned as headroom too
 		if host := hostName(k); z.cluster.Cloud.ZoneOf(host) == z.zones[zone] {
 			inside = append(inside, host)
 		} else {
@@ -266,7 +266,7 @@
 	expectNoTaskLost(t, func(z *zonedCluster) {
 		leader := z.names[z.leader()]
 		for _, on := range []bool{true, false} {
-			for k := range 2 * z.cluster.Cloud.Capacity {
+			for k := range 2 * z.cluster.Cloud.Capacity() {
 				z.net.Partition(leader, hostName(k), on)
 			}
 			time.Sleep(30 * time.Second)
--- a/internal/simcluster/users.go
+++ b/internal/simcluster/users.go
@@ -17,9 +17,9 @@
 	// PollInterval is how often a user asks about a job.
 	PollInterval time.Duration
 	// CrossCheckAnswers makes users ask at all nodes at once when an answer tells something new.
-	CrossCheckAnswers bool
+	CrossCheckAnswers atomic.Bool
 	// CancelOnCompletion makes users cancel jobs in the moment of their completion.
-	CancelOnCompletion bool
+	CancelOnCompletion atomic.Bool
 	// AllowUnfinishedJobs says that the users' deadline is no promise, but the end of a run in the
 	// middle of its work: jobs that are not over then are counted, and break no rule.
 	AllowUnfinishedJobs bool
@@ -181,7 +181,7 @@
 
 // observe gives an answer to the checker, and cross-checks what is new in it.
 func (u *Users) observe(uid string, asked time.Time, status int, view wire.JobView) {
-	if u.cluster.Checker.checkAnswer(uid, asked, status, view) && u.CrossCheckAnswers {
+	if u.cluster.Checker.checkAnswer(uid, asked, status, view) && u.CrossCheckAnswers.Load() {
 		u.CrossCheck(uid)
 	}
 }
