--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -10,29 +10,29 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Answers that have no commands wait for some, but not when another controller
-// relays the report or the node is behind. The waits of many machines end together:
-// each with a wake-up of its own, they took an eighth of a leader's processor time.
-func TestWaitsForCommandsEndSingleZone(t *testing.T) {
+// Answers that have no commands wait for some, but not when another controller relays the
+// heartbeat or the node is behind. The waits of many machines end together: each with a wake-up
+// of its own, they took an eighth of a leader's processor time.
+func TestWaitingAnswersEndTogether(t *testing.T) {
 	const machines = 120
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
-		c := watched(&now)
+		c := newTestLeader(&now)
 		c.now = time.Now
 		c.JobCache.Reset(nil, 1, now)
 		ends := make(chan time.Time, machines)
 		longest := c.Config.HeartbeatInterval() / 2
 		for i := range machines {
 			time.Sleep(c.Config.HeartbeatInterval() / machines)
-			report := wire.Heartbeat{Host: fmt.Sprintf("m-%d", i), Incarnation: 1, Sequence: 1, FencingToken: c.term}
+			heartbeat := wire.Heartbeat{Host: fmt.Sprintf("m-%d", i), Incarnation: 1, Sequence: 1, FencingToken: c.term}
 			began := time.Now()
-			if _, ok := c.Heartbeat(context.Background(), &report, HeartbeatOptions{}); !ok || time.Since(began) > 0 {
+			if _, ok := c.Heartbeat(context.Background(), &heartbeat, HeartbeatOptions{}); !ok || time.Since(began) > 0 {
 				t.Fatalf("an answer that may not wait is given after %s", time.Since(began))
 			}
-			report.Sequence++
+			heartbeat.Sequence++
 			go func() {
-				c.Heartbeat(context.Background(), &report, HeartbeatOptions{MayWait: true})
-				if waited := time.Since(began); waited > longest || waited < longest-c.Config.Grid().Unit {
+				c.Heartbeat(context.Background(), &heartbeat, HeartbeatOptions{MayWait: true})
+				if waited := time.Since(began); waited > longest || waited < longest-c.Config.TimerGrid().Unit {
 					t.Errorf("answered after %s", waited)
 				}
 				ends <- time.Now()
@@ -42,30 +42,31 @@
 		for range machines {
 			moments[<-ends] = true
 		}
-		// The machines report over one interval and wait half of one: the units of
+		// The heartbeats come over one interval and wait half of one: the units of
 		// the grid in that, and one more for where it begins.
-		most := int(c.Config.HeartbeatInterval()/c.Config.Grid().Unit) + 2
+		most := int(c.Config.HeartbeatInterval()/c.Config.TimerGrid().Unit) + 2
 		if len(moments) > most {
 			t.Errorf("%d waits end at %d moments, want at most %d", machines, len(moments), most)
 		}
 	})
 }
 
-// While the state service is not read, no answer waits for commands, which could not be launched:
-// the worker's next report comes sooner, and its lease is younger when the node has to stop
+// While the state store is not read, no answer waits for commands, which could not be sent: the
+// worker's next heartbeat comes sooner, and its lease is younger when the node has to stop
 // answering.
-func TestNoWaitWhileTheStateServiceIsNotRead(t *testing.T) {
+func TestAnswersDoNotWaitWhileTheStateStoreIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := watched(new(time.Time))
+		c := newTestLeader(new(time.Time))
 		c.now = time.Now
 		c.JobCache.Reset(nil, 1, time.Now())
 		waited := func(sequence uint64) time.Duration {
 			began := time.Now()
-			c.Heartbeat(t.Context(), &wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, FencingToken: c.term}, HeartbeatOptions{MayWait: true})
+			h := wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, FencingToken: c.term}
+			c.Heartbeat(t.Context(), &h, HeartbeatOptions{MayWait: true})
 			return time.Since(began)
 		}
 		if waited(1) == 0 {
-			t.Error("no wait while the state service is read")
+			t.Error("no wait while the state store is read")
 		}
 		time.Sleep(c.Config.LeaderLeaseTTL())
 		if took := waited(2); took > 0 {
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -14,7 +14,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// listOnlyStore is a state service that only lists.
+// listOnlyStore is a state store that only lists.
 type listOnlyStore struct {
 	Store
 	rows   map[string][]wire.KeyValue
@@ -26,38 +26,62 @@
 	return l.rows[under], 4, nil
 }
 
-func (l *listOnlyStore) Changes(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
+func (*listOnlyStore) Watch(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
 	return wire.WatchResponse{Revision: 4}, nil
 }
 
 // recordsOfTwoTasks are a job with two tasks on machines, and a machine that is returned.
 func recordsOfTwoTasks() map[string][]wire.KeyValue {
-	job := records.Job{Spec: wire.JobSpec{UID: "run-000001", JobClass: "serve", Kind: wire.Service, Priority: wire.High, TaskCount: 2, Cores: 1, Image: "img"}, Status: wire.JobQueued, Per: 8}
-	placement := records.Placement{Next: 3, Live: []records.Placed{{Task: 0, Attempt: 1, Host: "m-1", Incarnation: 1}, {Task: 1, Attempt: 2, Host: "m-2", Incarnation: 1}}}
+	spec := wire.JobSpec{
+		UID:       "run-000001",
+		JobClass:  "serve",
+		Kind:      wire.Service,
+		Priority:  wire.High,
+		TaskCount: 2,
+		Cores:     1,
+		Image:     "img",
+	}
+	job := records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: 8}
+	placement := records.Placement{NextAttempt: 3, Live: []records.PlacedAttempt{
+		{Task: 0, Attempt: 1, Host: "m-1", Incarnation: 1},
+		{Task: 1, Attempt: 2, Host: "m-2", Incarnation: 1},
+	}}
+	returned := records.ScaleIns{Hosts: []string{"m-3"}}
 	return map[string][]wire.KeyValue{
 		records.JobPrefix:       {{Key: records.JobKey("run-000001"), Value: records.Encode(job), ModRevision: 2}},
 		records.PlacementPrefix: {{Key: records.PlacementKey("run-000001", 0), Value: records.Encode(placement), ModRevision: 3}},
-		records.ReturnsPrefix:   {{Key: records.ReturnsPrefix + "3-1", Value: records.Encode(records.Returns{Hosts: []string{"m-3"}}), ModRevision: 4}},
+		records.ScaleInPrefix:   {{Key: records.ScaleInPrefix + "3-1", Value: records.Encode(returned), ModRevision: 4}},
 	}
 }
 
-// misleading is a proof whose views say what is not so: that a machine is in a later session,
+// misleadingProof is a proof whose views say what is not so: that a machine is in a later session,
 // that another one which was returned takes work, and that nothing of the job runs.
-func misleading(t *testing.T, rows map[string][]wire.KeyValue) *standby.Proven {
+func misleadingProof(t *testing.T, rows map[string][]wire.KeyValue) *standby.Proven {
+	t.Helper()
 	job := standby.JobView{UID: "run-000001", HasRun: true}
-	if err := job.SetRunning([]standby.RunningTask{{Task: 0, Attempt: 1, SinceS: 900}, {Task: 1, Attempt: 9, SinceS: 900}, {Task: 7, Attempt: 1, SinceS: 900}}); err != nil {
+	running := []standby.RunningTask{
+		{Task: 0, Attempt: 1, SinceS: 900},
+		{Task: 1, Attempt: 9, SinceS: 900},
+		{Task: 7, Attempt: 1, SinceS: 900},
+	}
+	if err := job.SetRunning(running); err != nil {
 		t.Fatal(err)
 	}
-	return &standby.Proven{Placements: rows[records.PlacementPrefix], Returns: rows[records.ReturnsPrefix], Jobs: []standby.JobView{job},
+	return &standby.Proven{
+		Placements: rows[records.PlacementPrefix],
+		Returns:    rows[records.ScaleInPrefix],
+		Jobs:       []standby.JobView{job},
 		Machines: []standby.MachineView{
 			{Host: "m-1", Type: "g8", Zone: "a", Incarnation: 9, FencingToken: 4, Images: []string{"img"}},
 			{Host: "m-3", Type: "g8", Zone: "a", Incarnation: 1, FencingToken: 4},
-			{Host: "m-4", Type: "g8", Zone: "b", Incarnation: 1, FencingToken: 4}}}
+			{Host: "m-4", Type: "g8", Zone: "b", Incarnation: 1, FencingToken: 4},
+		},
+	}
 }
 
 // A standby is no proof that a task is off, nor that a machine takes work: with whatever views,
-// the picture has the attempts and returns of the records, no machine is ready before it
-// reports, and reports count as without views.
+// the state has the attempts and returns of the records, no machine is ready before it sends a
+// heartbeat, and heartbeats count as without views.
 func TestViewsProveNothing(t *testing.T) {
 	rows := recordsOfTwoTasks()
 	for _, proof := range []struct {
@@ -66,20 +90,20 @@
 		listed int
 	}{{"warm", nil, 0}, {"cold", standby.ErrDigest, 4}} {
 		now := time.Unix(1000, 0)
-		c := watched(&now)
+		c := newTestLeader(&now)
 		c.loaded = false
 		store := &listOnlyStore{rows: rows}
 		c.Store = store
 		c.JobCache.Reset(rows[records.JobPrefix], 4, time.Now().Add(-time.Second))
-		c.JobCache.Listen(c.applyJobEvent)
-		c.Prove = func(context.Context, uint64) (*standby.Proven, error) { return misleading(t, rows), proof.err }
+		c.JobCache.SetListener(c.applyJobEvent)
+		c.Prove = func(context.Context, uint64) (*standby.Proven, error) { return misleadingProof(t, rows), proof.err }
 		if err := c.loadState(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		if store.listed != proof.listed || c.failover.record.Warm != (proof.err == nil) {
 			t.Errorf("%s: %d listings, the takeover is %+v", proof.name, store.listed, c.failover.record)
 		}
-		j := c.jobs["run-000001"]
+		j := c.jobs.get("run-000001")
 		if j.live != 2 || c.fleet.Get("m-3").State != fleet.Returning {
 			t.Errorf("%s: %d attempts, the returned machine is %s", proof.name, j.live, c.fleet.Get("m-3").State)
 		}
@@ -97,10 +121,10 @@
 	}
 }
 
-// While the state service does not answer, the proof is tried again, and then all is listed.
-func TestProofThatIsNotAnswered(t *testing.T) {
+// While the state store does not answer, the proof is tried again, and then all is listed.
+func TestUnansweredProofIsRetriedBeforeListing(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	c.loaded = false
 	store := &listOnlyStore{rows: recordsOfTwoTasks()}
 	c.Store = store
@@ -116,12 +140,12 @@
 	}
 }
 
-// Views are made of what has changed, and of everything for a standby that asks anew.
-func TestChangedViews(t *testing.T) {
+// Views are made of what has changed, and of everything for a standby that asks again.
+func TestDrainChangedViewsReturnsWhatChanged(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := watched(&now)
+	c := newTestLeader(&now)
 	for i := range 600 {
-		c.hearFrom(i, 1, now)
+		c.heartbeatFrom(i, 1, now)
 	}
 	take := func() (keys []string) {
 		for more := true; more; {
--- /dev/null
+++ b/internal/controller/scalein_test.go
@@ -0,0 +1,79 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/fleet"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// newLeaderReleasing is a leader that releases so many machines, beside a state store that gives
+// these answers to commits.
+func newLeaderReleasing(machines int, answers ...error) (*Controller, *scriptedStore, *recordingCloud) {
+	now := time.Unix(1000, 0)
+	c := newTestLeader(&now)
+	state, cloud := &scriptedStore{answers: answers}, &recordingCloud{}
+	c.Store, c.Cloud, c.Config.Cluster.State.ValueKb = state, cloud, 1
+	for i := range machines {
+		c.heartbeatFrom(i, 1, now)
+	}
+	c.fleet.Each(func(m *fleet.Machine) { c.startRelease(m, now, "test") })
+	return c, state, cloud
+}
+
+// A record whose outcome is unknown is not written again under its key, and no machine is released
+// before its record is known to be stored.
+func TestReleasesAreRecordedFirst(t *testing.T) {
+	const machines = 150
+	c, state, cloud := newLeaderReleasing(machines, store.ErrOutcomeUnknown, nil, nil)
+	if c.recordReleases(t.Context()) || c.sendReleases(t.Context()) {
+		t.Fatal("goes on although nothing is known to be recorded")
+	}
+	for c.recordReleases(t.Context()) {
+	}
+	for c.sendReleases(t.Context()) {
+	}
+	if len(cloud.hosts) != machines {
+		t.Errorf("%d machines are released, want %d", len(cloud.hosts), machines)
+	}
+	keys := map[string]bool{}
+	for _, tx := range state.commits {
+		key := tx.Changes[0].Set
+		isGuarded := tx.Compares[0] == wire.Compare{Key: records.LeaderKey, ModRevision: 5} && tx.Compares[1] == wire.Compare{Key: key}
+		if keys[key] || len(tx.Changes) != 1 || !isGuarded {
+			t.Errorf("commit %+v", tx)
+		}
+		keys[key] = true
+	}
+	if len(keys) != 3 { // the unknown one, and two parts that fit a value
+		t.Errorf("%d records, want 3", len(keys))
+	}
+}
+
+// A leader that learns from the record of a release that it is deposed ends its term and still
+// answers. It once waited for its own lock, and its node for ever for the term to end.
+func TestLeaderDeposedWhileReleasingStepsDown(t *testing.T) {
+	c, _, cloud := newLeaderReleasing(3, &store.ConflictError{Failed: []string{records.LeaderKey}})
+	errEnded := errors.New("deposed")
+	ctx, cancel := context.WithCancelCause(t.Context())
+	c.cancel = func() { cancel(errEnded) }
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		c.recordReleases(ctx)
+		c.Counts("run-000001")
+	}()
+	select {
+	case <-done:
+	case <-time.After(10 * time.Second):
+		t.Fatal("stuck")
+	}
+	if !errors.Is(context.Cause(ctx), errEnded) || len(cloud.hosts) > 0 {
+		t.Errorf("the term goes on, or %v were released", cloud.hosts)
+	}
+}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -15,18 +15,18 @@
 // The same inputs every run; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// A token in a worker's report, or a ping, may tell a newer term before the
-// leader of that term has told its name. The name must still be taken when it
-// comes: a node that cannot read the state service has no other source for it,
-// and else keeps workers that belong to the leader.
-func TestNameOfNewerTermIsTakenLater(t *testing.T) {
-	e := New(nil, "a", 1, func(context.Context, uint64) {})
+// A fencing token in a worker's heartbeat, or a ping, may show a newer term before the
+// leader of that term has announced its name. The name must still be learned when it
+// comes: a node that cannot read the state store has no other source for it,
+// and else keeps workers that it should redirect to the leader.
+func TestLeaderOfNewerTermIsLearnedLater(t *testing.T) {
+	e := New(Options{Node: "a", LeaseTTL: 1, Lead: func(context.Context, uint64) {}})
 	e.ObserveTerm(7, "")
-	if v := e.View(); v.Term != 7 || v.Known != 0 {
-		t.Fatalf("after a worker's token the view is %+v", v)
+	if v := e.View(); v.Term != 7 || v.ConfirmedTerm != 0 {
+		t.Fatalf("after a worker's fencing token the view is %+v", v)
 	}
 	e.ObserveTerm(7, "b")
-	if v := e.View(); v.Term != 7 || v.Known != 7 || v.Leader != "b" {
+	if v := e.View(); v.Term != 7 || v.ConfirmedTerm != 7 || v.Leader != "b" {
 		t.Fatalf("view is %+v", v)
 	}
 	e.ObserveTerm(6, "c")
@@ -35,19 +35,19 @@
 	}
 }
 
-// Whatever order news of the leadership comes in, over watches, pings and
-// tokens, the known term never falls, a leader is only known for the newest
+// In whatever order events of the leadership arrive, over watches, pings and
+// fencing tokens, the known term never falls, a leader is only known for the newest
 // term, and a node that leads an older term is stopped.
 func TestTermNeverFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := New(nil, "a", 1, func(context.Context, uint64) {})
+		e := New(Options{Node: "a", LeaseTTL: 1, Lead: func(context.Context, uint64) {}})
 		names := map[uint64]string{} // who leads a term
 		stopped := false
-		e.term = rapid.Uint64Range(1, 10).Draw(t, "own")
-		e.stop = func() { stopped = true }
-		e.view = View{Leader: "a", Term: e.term, Synced: true}
-		names[e.term] = "a"
-		last := e.term
+		e.ownTerm = rapid.Uint64Range(1, 10).Draw(t, "own")
+		e.endTerm = func() { stopped = true }
+		e.view = View{Leader: "a", Term: e.ownTerm, Synced: true}
+		names[e.ownTerm] = "a"
+		last := e.ownTerm
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			term := rapid.Uint64Range(1, 20).Draw(t, "term")
 			if names[term] == "" {
@@ -59,13 +59,16 @@
 			case 1:
 				e.ObserveTerm(term, names[term])
 			case 2:
-				e.Apply(wire.WatchResponse{Events: []wire.WatchEvent{{Set: records.LeaderKey, Value: records.Encode(records.Leader{Node: names[term]}), ModRevision: term}}}, 0, time.Time{})
+				record := records.Encode(records.Leader{Node: names[term]})
+				event := wire.WatchEvent{Set: records.LeaderKey, Value: record, ModRevision: term}
+				e.Apply(wire.WatchResponse{Events: []wire.WatchEvent{event}}, 0, time.Time{})
 			case 3:
-				e.Apply(wire.WatchResponse{Events: []wire.WatchEvent{{Drop: records.LeaderKey, ModRevision: term}}}, 0, time.Time{})
+				event := wire.WatchEvent{Drop: records.LeaderKey, ModRevision: term}
+				e.Apply(wire.WatchResponse{Events: []wire.WatchEvent{event}}, 0, time.Time{})
 			}
 			v := e.View()
-			if v.Known > v.Term {
-				t.Fatalf("term %d is known, but the last one is %d", v.Known, v.Term)
+			if v.ConfirmedTerm > v.Term {
+				t.Fatalf("term %d is known, but the last one is %d", v.ConfirmedTerm, v.Term)
 			}
 			if v.Term < last {
 				t.Fatalf("term fell from %d to %d", last, v.Term)
@@ -73,8 +76,8 @@
 			if v.Leader != "" && v.Leader != names[v.Term] {
 				t.Fatalf("%s is taken for the leader of term %d, it is %s", v.Leader, v.Term, names[v.Term])
 			}
-			if v.Term > e.term && !stopped {
-				t.Fatalf("term %d is known, but the leader of %d goes on", v.Term, e.term)
+			if v.Term > e.ownTerm && !stopped {
+				t.Fatalf("term %d is known, but the leader of %d goes on", v.Term, e.ownTerm)
 			}
 			last = v.Term
 		}
--- a/internal/jobstatus/reader.go
+++ b/internal/jobstatus/reader.go
@@ -60,7 +60,7 @@
 		return wire.JobView{UID: uid, Status: status}, true, nil
 	}
 	switch err := r.refresher.Refresh(ctx); {
-	case errors.Is(err, watchcache.ErrNotListed) || errors.Is(err, store.ErrTooOld):
+	case errors.Is(err, watchcache.ErrNotSynced) || errors.Is(err, store.ErrCompacted):
 		return r.Lookup(ctx, uid)
 	case err != nil:
 		return wire.JobView{}, false, err
--- a/internal/workerlease/workerlease.go
+++ b/internal/workerlease/workerlease.go
@@ -17,7 +17,7 @@
 // CancelledJobs is what a node knows of cancelled jobs.
 type CancelledJobs interface {
 	// Fresh is the time up to which every cancellation is known; zero before the first read.
-	Fresh() time.Time
+	FreshAsOf() time.Time
 	// Cancelled returns which of some jobs are cancelled, and Fresh of the same moment.
 	Cancelled(uids []string) (cancelled map[string]bool, fresh time.Time)
 }
@@ -29,14 +29,14 @@
 }
 
 // NewRenewer returns the rule of a node whose knowledge of cancelled jobs may be maxAge
-// old: cancel_s less a worker lease and a margin (config.KnowledgeLimit).
+// old: cancel_s less a worker lease and a margin (config.MaxCancellationAge).
 func NewRenewer(jobs CancelledJobs, maxAge time.Duration) *Renewer {
 	return &Renewer{jobs: jobs, maxAge: maxAge}
 }
 
 // CheckFresh returns ErrStale if no lease may be renewed now. It lets a heartbeat be
 // refused early; only Renew permits an answer.
-func (r *Renewer) CheckFresh() error { return r.check(r.jobs.Fresh()) }
+func (r *Renewer) CheckFresh() error { return r.check(r.jobs.FreshAsOf()) }
 
 // check returns ErrStale if knowledge of all cancellations up to a time is too old to
 // renew a lease on.
