--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -12,9 +12,9 @@
 )
 
 // LoadMonitor watches how late this node's timers fire, and admits users' requests
-// while that is little. Heartbeats of workers are always taken; scheduling cycles that
-// overrun start nothing and shrink; submissions are refused first, with the time after
-// which to retry.
+// while that is little. Heartbeats of workers are always answered; scheduling cycles
+// that overrun start nothing and shrink; users are refused first, with the time after which
+// to retry.
 type LoadMonitor struct {
 	maxLag   time.Duration
 	maxUsers int64
--- a/internal/httpapi/errors.go
+++ b/internal/httpapi/errors.go
@@ -24,9 +24,10 @@
 // unavailableError means that a request cannot be decided now, here or elsewhere: 503.
 type unavailableError struct {
 	reason     string        // part of the answer
-	retryAfter time.Duration // when to come back; answered in whole seconds, at least one
+	retryAfter time.Duration // answered in whole seconds, at least one
 }
 
+// Error is part of the answer.
 func (e *unavailableError) Error() string { return e.reason }
 
 // retryLater is the error of a request that is worth another attempt in a second.
@@ -49,6 +50,7 @@
 	Leader string // label of the controller to go to; "" if the worker has to look for it
 }
 
+// Error says where to go; the answer has it as a wire.Redirect.
 func (e *RedirectError) Error() string {
 	if e.Leader == "" {
 		return "not the leader, which is not known"
@@ -62,6 +64,7 @@
 // MalformedError means that a heartbeat cannot be parsed.
 type MalformedError struct{ Err error }
 
+// Error is part of the answer.
 func (e *MalformedError) Error() string { return e.Err.Error() }
 
 // Unwrap returns why it cannot be parsed.
@@ -140,8 +143,8 @@
 	return status, records.Encode(&wire.ErrorResponse{Error: err.Error()})
 }
 
-// changeError maps why a change could not be recorded: at once with word when to
-// come back if the budget is spent, else by another node.
+// changeError maps why a change could not be committed: the user is refused at once with a
+// Retry-After if the budget of changes is spent; otherwise another node may serve the request.
 func changeError(err error) error {
 	var busy *store.BusyError
 	if errors.As(err, &busy) {
@@ -150,9 +153,9 @@
 	return errElsewhere
 }
 
-// pollError maps why a question could not be answered: at once with word when to come back if
-// it is the state service that gets too many requests, which a peer would only add to, else by
-// another node.
+// pollError maps why a status could not be read: the user is refused at once with a Retry-After
+// if the state service gets too many requests, which a peer would only add to; otherwise another
+// node may serve the request.
 func pollError(err error) error {
 	var busy *aimd.BusyError
 	switch {
--- a/internal/httpapi/users_test.go
+++ b/internal/httpapi/users_test.go
@@ -17,8 +17,8 @@
 
 func (fakeOperations) CountRequest(string, int) {}
 
-// Under overload submissions are refused at once with word when to come back,
-// and admitted again after it.
+// Users are refused at once with a Retry-After while as many are answered as may be, and while
+// the node is overloaded.
 func TestUsersAreRefusedUnderOverload(t *testing.T) {
 	s := &Server{Options: Options{
 		Config:      &config.Config{},
--- a/internal/jobstatus/reader.go
+++ b/internal/jobstatus/reader.go
@@ -148,8 +148,8 @@
 	if view.Running > 0 {
 		view.Status = wire.JobRunning
 	}
-	// Reading and counting take time: a final status that was told meanwhile,
-	// here or at a peer, is not answered with something older.
+	// Reading and counting take time: a final status that was announced meanwhile,
+	// here or by a peer, is not answered with something older.
 	if status, ok := r.finals.get(uid); ok {
 		return wire.JobView{UID: uid, Status: status}, nil
 	}
--- a/internal/jobstatus/taskcounts.go
+++ b/internal/jobstatus/taskcounts.go
@@ -9,8 +9,8 @@
 )
 
 // TaskCounts is what a follower knows of how many tasks of each job are done and
-// running. The zero TaskCounts knows none. The leader sends what has changed with its answers to pings, so that a
-// poll at a follower needs no call to the leader.
+// running. The leader sends what has changed with its answers to pings, so that a
+// poll at a follower needs no call to the leader. The zero TaskCounts knows none.
 type TaskCounts struct {
 	mu       sync.Mutex
 	leader   string
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -87,7 +87,10 @@
 	}}}
 	n := New(cfg, Network{State: handlerTransport{benchState(tb, machines)}, Cloud: handlerTransport{fakeCloud(catalog)}})
 	ctx, cancel := context.WithCancel(context.Background())
-	tb.Cleanup(cancel)
+	tb.Cleanup(func() {
+		cancel()
+		n.Wait()
+	})
 	n.Start(ctx)
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if l := n.controller(); l != nil && l.Status().Loaded && n.catalog.Load() != nil && n.jobCache.Synced() {
--- a/internal/node/upkeep.go
+++ b/internal/node/freshness.go
@@ -5,11 +5,8 @@
 	"log/slog"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/internal/timeralign"
-	"lotusstile.dev/lotusstile/internal/watchcache"
-	"lotusstile.dev/lotusstile/wire"
 )
 
 // isServing reports whether this node has read the state service lately. keepCacheFresh
@@ -32,27 +29,3 @@
 		timeralign.Sleep(ctx, n.cfg.Grid().Next(time.Now(), interval))
 	}
 }
-
-// readCatalog reads the machine types, which submissions are checked against.
-func (n *Node) readCatalog(ctx context.Context) {
-	pause := n.cfg.LeaderLeaseTTL() / 4
-	for ctx.Err() == nil {
-		catalog, err := n.cloud.Catalog(ctx)
-		if err == nil && len(catalog.MachineTypes) > 0 {
-			n.catalog.Store(&catalog)
-			return
-		}
-		slog.Warn("machine types could not be read yet", "err", err)
-		timeralign.Sleep(ctx, pause)
-		pause = min(2*pause, n.cfg.WorkerLease())
-	}
-}
-
-// followSettings follows what the state service keeps for all nodes, until ctx ends.
-func (n *Node) followSettings(ctx context.Context, wait, pause time.Duration) {
-	apply := func(event wire.WatchEvent) {
-		n.version.Take(event)
-		n.settings.apply(event)
-	}
-	watchcache.Follow(ctx, n.store, records.SettingsPrefix, wait, pause, watchcache.Funcs{Listed: apply, Changed: apply})
-}
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -17,8 +17,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// heartbeats answers workers: the leader itself, or a follower that sends the
-// worker to the leader, relays its heartbeat, or renews its lease on the leader's behalf.
+// heartbeats answers workers: as the leader, or as a follower that redirects the worker
+// to the leader, relays its heartbeat, or renews its lease on the leader's behalf.
 type heartbeats struct {
 	*leadership
 	leases   *workerlease.Renewer
@@ -184,15 +184,15 @@
 
 // contact is how a follower has answered a machine.
 type contact struct {
-	relayed    time.Time // the first heartbeat was relayed
-	redirected time.Time // a later one was sent to the leader
-	until      time.Time // it came back from there: its heartbeats are relayed till then
+	relayed    time.Time // when its first heartbeat was relayed
+	redirected time.Time // when it was redirected to the leader with a later one
+	until      time.Time // it came back from the leader: its heartbeats are relayed until then
 }
 
 // relaysSingly decides whether a machine's heartbeat is relayed to the leader or the
-// machine is sent there. A machine that comes may have lost seconds of its
-// lease to a leader that it cannot reach, and would lose as many again: its
-// first heartbeat is relayed. If it comes back from the leader, so are the next.
+// machine is redirected there. A machine that turns to this node may have spent seconds of
+// its lease on a leader that it cannot reach, and would spend as many again: its first
+// heartbeat is relayed. If it comes back from the leader, so are the next.
 func (h *heartbeats) relaysSingly(host string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -16,10 +16,10 @@
 )
 
 // A node whose processor has far more to do than it can: users are refused at once
-// with word when to come back, submissions and questions alike, while reports of
-// workers are still answered; once there is less to do, users are served again. The
-// load is real here, and so is the clock: goroutines that spin share one processor
-// with the node, as a small share of a core would have it.
+// with a Retry-After, while heartbeats of workers are still answered; once there is
+// less to do, users are served again. The load is real here, and so is the clock:
+// goroutines that spin share one processor with the node, as a small share of a core
+// would have it.
 func TestSlowProcessorServesWorkersFirst(t *testing.T) {
 	cfg := testConfig(1e6, 1e6)
 	cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.CancelS = 5, 0.2, 600
@@ -29,7 +29,7 @@
 	ask := func(method, path, body string) int {
 		rec := serve(t.Context(), n, method, path, body)
 		if rec.Code == http.StatusServiceUnavailable && rec.Header().Get(echo.HeaderRetryAfter) == "" {
-			t.Error("refused without word when to come back")
+			t.Error("refused without Retry-After")
 		}
 		return rec.Code
 	}
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -36,8 +36,8 @@
 
 // announceCancelled tells this node and its peers of a committed cancellation, so that a leader
 // that the state service refuses, or whose watch is late, stops the tasks at once. No
-// rule rests on it: a peer that it does not reach learns of the cancellation by
-// reading, or stops renewing leases.
+// rule rests on it: a peer that is not reached learns of the cancellation by
+// reading, or stops renewing worker leases.
 func (n *Node) announceCancelled(c peer.Cancellation) {
 	n.ApplyCancellation(c)
 	for _, p := range n.peers {
@@ -46,7 +46,7 @@
 		}
 		n.background.Go(func() {
 			if err := p.NotifyCancelled(c); err != nil {
-				slog.Debug("peer could not be told of a cancellation", "peer", p.Label, "uid", c.UID, "err", err)
+				slog.Debug("cancellation could not be announced to peer", "peer", p.Label, "uid", c.UID, "err", err)
 			}
 		})
 	}
--- a/internal/node/renewals.go
+++ b/internal/node/renewals.go
@@ -25,13 +25,13 @@
 	renewed map[string]time.Time // by machine: when its lease was renewed last
 }
 
-// answer answers for a leader that this node cannot reach: the lease goes
-// on and nothing is launched. A worker that has seen a newer token than the state
-// service or a leader has told this node has been reached by that token's leader,
-// past this node: it is sent to look for it. The others keep the token that this node
-// knows. A deposed leader that had lost the state service and its peers gave all its
-// workers the new token as soon as the first of them had it, and so kept a whole
-// fleet from the new leader, which declared it dead.
+// answer renews a worker's lease on behalf of a leader that this node cannot reach, and
+// launches nothing. A worker that has seen a newer fencing token than the state service or a
+// leader has announced to this node was reached directly by that token's leader: it is
+// redirected to look for that leader. All others get the token that this node knows. A deposed
+// leader that was cut off from the state service and its peers gave all its workers the new
+// token as soon as the first of them presented it, and so kept a whole fleet from the new
+// leader, which declared it dead.
 func (r *renewals) answer(heartbeat *wire.Heartbeat) (*wire.Commands, error) {
 	v := r.elector.View()
 	if !v.Synced || v.Known == 0 {
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -5,9 +5,11 @@
 	"encoding/json"
 	"log/slog"
 	"sync/atomic"
+	"time"
 
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -61,3 +63,12 @@
 	slog.Info("settings changed", "settings", next)
 	s.current.Store(&next)
 }
+
+// followSettings follows what the state service keeps for all nodes, until ctx ends.
+func (n *Node) followSettings(ctx context.Context, wait, pause time.Duration) {
+	apply := func(event wire.WatchEvent) {
+		n.version.Take(event)
+		n.settings.apply(event)
+	}
+	watchcache.Follow(ctx, n.store, records.SettingsPrefix, wait, pause, watchcache.Funcs{Listed: apply, Changed: apply})
+}
--- a/internal/node/submissions_test.go
+++ b/internal/node/submissions_test.go
@@ -37,21 +37,20 @@
 	}
 }
 
-// A submission that cannot be taken is answered at once with word when to come
-// back, from the first moment of an outage of the state service and when the
+// A submission that cannot be accepted is answered at once with a Retry-After, from the first moment of an outage of the state service and when the
 // budget of changes is spent: a wait would only postpone the refusal.
-func TestSubmissionsThatCannotBeTakenAreRefusedAtOnce(t *testing.T) {
+func TestSubmissionsThatCannotBeCommittedAreRefusedAtOnce(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		state  fixedStatus
-		budget float64
-		taken  int
+		name     string
+		state    fixedStatus
+		budget   float64
+		accepted int
 	}{
 		{"outage", http.StatusServiceUnavailable, 100, 0},
 		{"budget", http.StatusOK, 5, 3}, // a node has six tenths
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkRefusals(t, tc.state, tc.budget, tc.taken) })
+			synctest.Test(t, func(t *testing.T) { checkRefusals(t, tc.state, tc.budget, tc.accepted) })
 		})
 	}
 }
@@ -66,7 +65,7 @@
 	time.Sleep(time.Millisecond)
 	reachStore(t, n)
 	state = status
-	taken, last := 0, ""
+	accepted, last := 0, ""
 	for i := range 20 {
 		began := time.Now()
 		rec := serve(t.Context(), n, http.MethodPost, "/work", fmt.Sprintf(jobDescription, i))
@@ -76,7 +75,7 @@
 		last = rec.Body.String()
 		switch rec.Code {
 		case http.StatusCreated:
-			taken++
+			accepted++
 		case http.StatusServiceUnavailable:
 			if rec.Header().Get(echo.HeaderRetryAfter) == "" {
 				t.Error("no Retry-After")
@@ -85,8 +84,8 @@
 			t.Errorf("answered %d: %s", rec.Code, rec.Body)
 		}
 	}
-	if taken != want {
-		t.Errorf("%d submissions were taken, expected %d; last answer %s", taken, want, last)
+	if accepted != want {
+		t.Errorf("%d submissions were accepted, expected %d; last answer %s", accepted, want, last)
 	}
 }
 
