--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -13,11 +13,11 @@
 // Answers that have no commands wait for some, but not when another controller
 // relays the report or the node is behind. The waits of many machines end together:
 // each with a wake-up of its own, they took an eighth of a leader's processor time.
-func TestWaitsForCommandsEndSingleZone(t *testing.T) {
+func TestWaitingAnswersEndTogether(t *testing.T) {
 	const machines = 120
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
-		c := watched(&now)
+		c := newTestLeader(&now)
 		c.now = time.Now
 		c.JobCache.Reset(nil, 1, now)
 		ends := make(chan time.Time, machines)
@@ -51,17 +51,18 @@
 	})
 }
 
-// While the state service is not read, no answer waits for commands, which could not be launched:
-// the worker's next report comes sooner, and its lease is younger when the node has to stop
+// While the state store is not read, no answer waits for commands, which could not be sent: the
+// worker's next heartbeat comes sooner, and its lease is younger when the node has to stop
 // answering.
-func TestNoWaitWhileTheStateServiceIsNotRead(t *testing.T) {
+func TestAnswersDoNotWaitWhileTheStateStoreIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := watched(new(time.Time))
+		c := newTestLeader(new(time.Time))
 		c.now = time.Now
 		c.JobCache.Reset(nil, 1, time.Now())
 		waited := func(sequence uint64) time.Duration {
 			began := time.Now()
-			c.Heartbeat(t.Context(), &wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, FencingToken: c.term}, HeartbeatOptions{MayWait: true})
+			h := wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, FencingToken: c.term}
+			c.Heartbeat(t.Context(), &h, HeartbeatOptions{MayWait: true})
 			return time.Since(began)
 		}
 		if waited(1) == 0 {
--- a/internal/controller/huge_test.go
+++ b/internal/controller/hugearray_test.go
@@ -1,51 +1,62 @@
 package controller
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/config"
 	"lotusstile.dev/lotusstile/internal/fleet"
 	"lotusstile.dev/lotusstile/internal/records"
-	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// leaderWithArray is a leader beside services with usual limits, with machines that have reported
-// and an array.
-func leaderWithArray(t *testing.T, now *time.Time, machines, tasks int, need fleet.Resources) (*limited, *Controller, *job) {
-	services := &limited{t: t, limits: config.StateLimits{Rps: 250, WriteRps: 100, ValueKb: 8, TxnOps: 24}, items: map[string]wire.KeyValue{}}
-	c := services.leaderOf(5, now)
-	spec := wire.JobSpec{UID: "run-000001", JobClass: "huge", Team: "crew", Kind: wire.JobArray, Priority: wire.Standard, TaskCount: tasks, Cores: need.Cores, RAMGb: need.RAM, Image: "img"}
-	rec := records.Job{Spec: spec, Status: wire.JobQueued, Per: records.TasksPerPlacement(8192, 8192)}
-	services.items[records.JobKey(spec.UID)] = wire.KeyValue{Key: records.JobKey(spec.UID), Value: records.Encode(rec), ModRevision: 1}
-	c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: &rec, ModRevision: 1})
-	var hosts []wire.ListedHost
-	for i := range machines {
-		hosts = append(hosts, wire.ListedHost{UID: fmt.Sprintf("m-%06d", i), MachineType: "g8", Zone: "a", Status: "running"})
+// leaderWithArray is a leader beside a state store with usual limits, with machines that have sent
+// a heartbeat and an array.
+func leaderWithArray(t *testing.T, now *time.Time, machines, tasks int, need fleet.Resources) (*limitedStore, *Controller, *job) {
+	t.Helper()
+	services := newLimitedStore(t, config.StateLimits{Rps: 250, WriteRps: 100, ValueKb: 8, TxnOps: 24})
+	c := services.newLeader(5, now)
+	spec := wire.JobSpec{
+		UID:       "run-000001",
+		JobClass:  "huge",
+		Team:      "crew",
+		Kind:      wire.JobArray,
+		Priority:  wire.Standard,
+		TaskCount: tasks,
+		Cores:     need.Cores,
+		RAMGb:     need.RAM,
+		Image:     "img",
 	}
-	c.listed(hosts, *now)
+	services.addJob(c, spec)
+	c.applyMachineList(listedHosts(machines, "a"), *now)
 	reportAll(t, c, 1, nil)
-	return services, c, c.jobs[spec.UID]
+	return services, c, c.jobs.get(spec.UID)
 }
 
-// outcome says how a machine reports an attempt.
-type outcome func(a *fleet.Attempt) (wire.TaskStatus, wire.Cause)
+// taskOutcome says how a machine reports an attempt.
+type taskOutcome func(a *fleet.Attempt) (wire.TaskStatus, wire.Cause)
 
 // always reports every attempt in the same way.
-func always(status wire.TaskStatus, cause wire.Cause) outcome {
+func always(status wire.TaskStatus, cause wire.Cause) taskOutcome {
 	return func(*fleet.Attempt) (wire.TaskStatus, wire.Cause) { return status, cause }
 }
 
-// reportAll lets every machine report the attempts that it has been sent.
-func reportAll(t *testing.T, c *Controller, sequence uint64, how outcome) {
+// reportAll lets every machine report, in a heartbeat, the attempts that it has been sent.
+func reportAll(t *testing.T, c *Controller, sequence uint64, outcome taskOutcome) {
+	t.Helper()
 	c.JobCache.Apply(wire.WatchResponse{}, 0, c.now()) // the jobs are read all the time
 	c.fleet.Each(func(m *fleet.Machine) {
-		r := wire.Heartbeat{Host: m.ID, MachineType: "g8", Zone: m.Zone, Incarnation: 1, Sequence: sequence, FencingToken: c.term}
+		r := wire.Heartbeat{
+			Host:         m.ID,
+			MachineType:  "g8",
+			Zone:         m.Zone,
+			Incarnation:  1,
+			Sequence:     sequence,
+			FencingToken: c.term,
+		}
 		m.Each(func(a *fleet.Attempt) {
 			if a.State > fleet.Committed && a.State != fleet.EndRecorded {
-				status, cause := how(a)
+				status, cause := outcome(a)
 				r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.TaskName(), Attempt: a.Number, Status: status, Cause: cause})
 			}
 		})
@@ -56,25 +67,18 @@
 	})
 }
 
-// writeAll commits all that is due.
-func writeAll(t *testing.T, c *Controller) {
-	for b := c.nextBatch(); b != nil; b = c.nextBatch() {
-		c.commit(t.Context(), b)
-	}
-}
-
-// An array with more pieces than a commit may have conditions is called done once its tasks
-// are, its workers are told to reap, and its records go. All its pieces were once counted
+// An array with more placements than a commit may have compares is done once its tasks are, its
+// workers are ordered to reap, and its records are dropped. All its placements were once counted
 // against the one commit that only writes its status: it stayed unfinished for ever.
-func TestHugeArrayIsFinished(t *testing.T) {
+func TestHugeArrayIsArchived(t *testing.T) {
 	const tasks = 25_000
 	now := time.Unix(10_000, 0)
 	services, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Resources{Cores: 0.25, RAM: 1})
 	sequence := uint64(1)
 	for rounds := 0; j.done < tasks && rounds < 1000; rounds++ {
 		now = now.Add(3 * time.Second)
-		c.runRound(time.Second)
-		writeAll(t, c)
+		c.runCycle(time.Second)
+		commitAll(t, c)
 		reportAll(t, c, sequence+1, always(wire.TaskRunning, ""))
 		reportAll(t, c, sequence+2, always(wire.TaskEnded, wire.CauseDone))
 		sequence += 2
@@ -83,9 +87,9 @@
 		t.Fatalf("%d tasks are done", j.done)
 	}
 	now = now.Add(3 * time.Second)
-	writeAll(t, c)
-	if c.jobs[j.uid] != nil {
-		t.Errorf("the job is still in the picture as %s", j.record.Status)
+	commitAll(t, c)
+	if c.jobs.get(j.uid) != nil {
+		t.Errorf("the job is still known as %s", j.record.Status)
 	}
 	if left := len(services.items); left != 1 || services.items[records.FinalKey(j.uid)].ModRevision == 0 {
 		t.Errorf("%d records are left", left)
@@ -99,20 +103,20 @@
 	})
 }
 
-// A machine gets no more tasks than its report has room for, those that have ended and wait to
+// A machine gets no more tasks than its heartbeat has room for, those that have ended and wait to
 // be reaped included, but as many as that: an array of which more would fit a machine once
 // started nothing at all.
-func TestReportsOfTinyTasksFitABody(t *testing.T) {
+func TestHeartbeatsOfTinyTasksFitABody(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Resources{Cores: 0.02, RAM: 0.1})
-	c.runRound(time.Second)
-	writeAll(t, c)
+	c.runCycle(time.Second)
+	commitAll(t, c)
 	if j.live != maxTasksPerMachine {
 		t.Fatalf("%d tasks are started, want %d", j.live, maxTasksPerMachine)
 	}
 	reportAll(t, c, 2, always(wire.TaskEnded, wire.CauseDone))
-	c.runRound(time.Second) // nothing is reaped yet: the ends are written later
-	writeAll(t, c)
+	c.runCycle(time.Second) // nothing is reaped yet: the ends are written later
+	commitAll(t, c)
 	reportAll(t, c, 3, always(wire.TaskEnded, wire.CauseDone))
 	if j.live != 0 {
 		t.Errorf("%d tasks are started beside %d that are not reaped", j.live, maxTasksPerMachine)
--- a/internal/httpapi/submit.go
+++ b/internal/httpapi/submit.go
@@ -11,9 +11,9 @@
 
 	"github.com/labstack/echo/v4"
 
+	"lotusstile.dev/lotusstile/internal/autoscaler"
 	"lotusstile.dev/lotusstile/internal/clusterversion"
 	"lotusstile.dev/lotusstile/internal/jobstatus"
-	"lotusstile.dev/lotusstile/internal/provision"
 	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
@@ -156,7 +156,7 @@
 	if !ok {
 		return "unknown team"
 	}
-	if !provision.Fits(catalog, spec) {
+	if !autoscaler.FitsAnyMachine(catalog, spec) {
 		return "a task fits no machine type that the job allows"
 	}
 	tasks := 1.0
