--- a/internal/node/submissions_test.go
+++ b/internal/node/submissions_test.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// A submission that cannot be accepted is answered at once with a Retry-After, from the first moment of an outage of the state service and when the
-// budget of changes is spent: a wait would only postpone the refusal.
+// A submission that cannot be accepted is answered at once with a Retry-After, from the
+// first moment of an outage of the state service and when the budget of changes is spent:
+// a wait would only postpone the refusal.
 func TestSubmissionsThatCannotBeCommittedAreRefusedAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
