--- a/internal/httpapi/users_test.go
+++ b/internal/httpapi/users_test.go
@@ -17,8 +17,8 @@
 
 func (fakeOperations) CountRequest(string, int) {}
 
-// Under overload submissions are refused at once with word when to come back,
-// and admitted again after it.
+// Users are refused at once with a Retry-After while as many are answered as may be, and while
+// the node is overloaded.
 func TestUsersAreRefusedUnderOverload(t *testing.T) {
 	s := &Server{Options: Options{
 		Config:      &config.Config{},
@@ -36,7 +36,7 @@
 	}))
 	ask := func() *httptest.ResponseRecorder {
 		rec := httptest.NewRecorder()
-		e.ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/work", nil))
+		e.ServeHTTP(rec, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/work", nil))
 		return rec
 	}
 	answers := make(chan int, 2)
