--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -1,4 +1,4 @@
-// Command fleetsim runs a fake state service, a fake cloud, workers and users on
+// Command fleetsim runs a fake state store, a fake cloud, workers and users on
 // this machine's loopback interface. lotusstile can be tried and profiled
 // against them; docs/operations.md shows how.
 package main
--- a/internal/controller/imagerecords.go
+++ b/internal/controller/imagerecords.go
@@ -52,7 +52,7 @@
 	now := c.now()
 	tx.Compares = []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}
 	recorded = map[string]recordedImages{}
-	// A commit that is larger than the state service takes would be rejected, and no image
+	// A commit that is larger than the state store takes would be rejected, and no image
 	// would ever be recorded.
 	most := min(max(1, int(c.Config.StateLimits().WriteRps/8)), c.maxBatchChanges())
 	size := 0
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -40,7 +40,7 @@
 }
 
 // followRenewedLeases follows which machines are answered by followers that are cut off from this
-// node, but not from the state service: these machines are alive. Without this, every machine
+// node, but not from the state store: these machines are alive. Without this, every machine
 // behind a cut between zones was released with all its tasks.
 func (c *Controller) followRenewedLeases(ctx context.Context) {
 	wait, pause := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -23,7 +23,7 @@
 	HeartbeatInterval time.Duration
 	WorkerLease       time.Duration
 	// TasksEndWithin is how long after its last heartbeat nothing of a machine behind a cut runs
-	// on: a node without the state service stops renewing leases in time for the tasks of
+	// on: a node without the state store stops renewing leases in time for the tasks of
 	// cancelled jobs to end.
 	TasksEndWithin time.Duration
 	// Controllers is how many controllers the deployment has, this one included.
--- a/internal/httpapi/errors.go
+++ b/internal/httpapi/errors.go
@@ -154,7 +154,7 @@
 }
 
 // pollError maps why a status could not be read: the user is refused at once with a Retry-After
-// if the state service gets too many requests, which a peer would only add to; otherwise another
+// if the state store gets too many requests, which a peer would only add to; otherwise another
 // node may serve the request.
 func pollError(err error) error {
 	var busy *aimd.BusyError
--- a/internal/httpapi/health.go
+++ b/internal/httpapi/health.go
@@ -18,7 +18,7 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// peerServes reports whether a peer reaches the state service.
+// peerServes reports whether a peer reaches the state store.
 func (s *Server) peerServes() bool {
 	for _, p := range s.Peers {
 		if r, ok := p.LastPing(s.Config.LeaderLeaseTTL()); ok && r.Serving {
@@ -28,7 +28,7 @@
 	return false
 }
 
-// isIsolated reports whether no peer has answered lately. With the state service not
+// isIsolated reports whether no peer has answered lately. With the state store not
 // reached either, it is this node that is cut off: in an outage that all share, peers
 // answer.
 func (s *Server) isIsolated() bool {
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -64,7 +64,7 @@
 	Operations  Operations
 	// Catalog returns the machine types, or nil before they are known.
 	Catalog func() *wire.Catalog
-	// Serving reports whether this node has read the state service lately.
+	// Serving reports whether this node has read the state store lately.
 	Serving func() bool
 	// AnnounceCancelled tells this node and its peers of a committed cancellation.
 	AnnounceCancelled func(peer.Cancellation)
--- a/internal/httpapi/users.go
+++ b/internal/httpapi/users.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// serveOrForward answers a user: if this node has lost the state service and
+// serveOrForward answers a user: if this node has lost the state store and
 // a peer has not, the request is forwarded to the peer.
 func (s *Server) serveOrForward(c echo.Context, h echo.HandlerFunc) error {
 	body, err := readBody(c)
@@ -71,7 +71,7 @@
 	return c.JSONBlob(reply.Status, reply.Body)
 }
 
-// forward asks the peers that reach the state service, one after another, until one answers.
+// forward asks the peers that reach the state store, one after another, until one answers.
 func (s *Server) forward(req *http.Request, body []byte) (peer.UserReply, bool) {
 	for _, p := range s.Peers {
 		r, ok := p.LastPing(s.Config.LeaderLeaseTTL())
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -33,7 +33,7 @@
 
 func benchUID(machine int) string { return fmt.Sprintf("run-%06d", machine) }
 
-// benchState is a state service with a job of eight tasks for each machine, all placed on it.
+// benchState is a state store with a job of eight tasks for each machine, all placed on it.
 func benchState(tb testing.TB, machines int) *fakestore.Store {
 	tb.Helper()
 	state := fakestore.New()
@@ -159,7 +159,7 @@
 	}
 }
 
-// A poll for a job that runs; the state service's own work is part of it.
+// A poll for a job that runs; the state store's own work is part of it.
 func BenchmarkPoll(b *testing.B) {
 	n := benchNode(b, benchMachines, 700)
 	b.ReportAllocs()
@@ -172,7 +172,7 @@
 	}
 }
 
-// A submission that is known already; the state service's own work is part of it.
+// A submission that is known already; the state store's own work is part of it.
 func BenchmarkRepeatedSubmission(b *testing.B) {
 	n := benchNode(b, benchMachines, 700)
 	b.ReportAllocs()
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -12,7 +12,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// testConfig is the settings of a node whose state service allows so many requests and
+// testConfig is the settings of a node whose state store allows so many requests and
 // changes a second.
 func testConfig(rps, writeRps float64) *config.Config {
 	cfg := &config.Config{}
@@ -42,7 +42,7 @@
 	return response(int(*s), "{}"), nil
 }
 
-// lossyStore is a state service that loses the answers to the first commits.
+// lossyStore is a state store that loses the answers to the first commits.
 type lossyStore struct {
 	fixedStatus
 	lose int
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -35,7 +35,7 @@
 }
 
 // announceCancelled tells this node and its peers of a committed cancellation, so that a leader
-// that the state service refuses, or whose watch is late, stops the tasks at once. No
+// that the state store refuses, or whose watch is late, stops the tasks at once. No
 // rule rests on it: a peer that is not reached learns of the cancellation by
 // reading, or stops renewing worker leases.
 func (n *Node) announceCancelled(c peer.Cancellation) {
--- a/internal/node/renewals.go
+++ b/internal/node/renewals.go
@@ -26,10 +26,10 @@
 }
 
 // answer renews a worker's lease on behalf of a leader that this node cannot reach, and
-// launches nothing. A worker that has seen a newer fencing token than the state service or a
+// launches nothing. A worker that has seen a newer fencing token than the state store or a
 // leader has announced to this node was reached directly by that token's leader: it is
 // redirected to look for that leader. All others get the token that this node knows. A deposed
-// leader that was cut off from the state service and its peers gave all its workers the new
+// leader that was cut off from the state store and its peers gave all its workers the new
 // token as soon as the first of them presented it, and so kept a whole fleet from the new
 // leader, which declared it dead.
 func (r *renewals) answer(heartbeat *wire.Heartbeat) (*wire.Commands, error) {
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -13,7 +13,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// settings are the operators' own settings, as the state service has them.
+// settings are the operators' own settings, as the state store has them.
 type settings struct {
 	store   *store.Client
 	reportS float64 // the heartbeat interval in seconds, which the defaults go by
@@ -64,7 +64,7 @@
 	s.current.Store(&next)
 }
 
-// followSettings follows what the state service keeps for all nodes, until ctx ends.
+// followSettings follows what the state store keeps for all nodes, until ctx ends.
 func (n *Node) followSettings(ctx context.Context, wait, pause time.Duration) {
 	apply := func(event wire.WatchEvent) {
 		n.version.Apply(event)
--- a/internal/node/submissions_test.go
+++ b/internal/node/submissions_test.go
@@ -29,7 +29,7 @@
 	return rec
 }
 
-// reachStore lets a node read the state service, so that it serves users.
+// reachStore lets a node read the state store, so that it serves users.
 func reachStore(t *testing.T, n *Node) {
 	t.Helper()
 	if _, _, err := n.store.Get(t.Context(), "e/term"); err != nil {
@@ -38,7 +38,7 @@
 }
 
 // A submission that cannot be accepted is answered at once with a Retry-After, from the
-// first moment of an outage of the state service and when the budget of changes is spent:
+// first moment of an outage of the state store and when the budget of changes is spent:
 // a wait would only postpone the refusal.
 func TestSubmissionsThatCannotBeCommittedAreRefusedAtOnce(t *testing.T) {
 	for _, tc := range []struct {
@@ -56,7 +56,7 @@
 	}
 }
 
-// checkRefusals submits 20 jobs to a node whose state service answers with a status once it
+// checkRefusals submits 20 jobs to a node whose state store answers with a status once it
 // has been reached.
 func checkRefusals(t *testing.T, status fixedStatus, budget float64, want int) {
 	t.Helper()
@@ -91,7 +91,7 @@
 }
 
 // A submission whose commit gets no answer is recorded once more while the state
-// service answers other requests, and its user need not come back: each took
+// store answers other requests, and its user need not come back: each took
 // 1.25 s and then another node.
 func TestSubmissionIsCommittedAgainWhenItsAnswerIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/node/warmstandby.go
+++ b/internal/node/warmstandby.go
@@ -116,7 +116,7 @@
 }
 
 // choose names the node that is to follow this leader: one that is reached, reads
-// the state service and has as short a campaign delay as any. It stays the same while that
+// the state store and has as short a campaign delay as any. It stays the same while that
 // holds.
 func (w *warmStandby) choose() string {
 	if w.source.Load() == nil {
@@ -145,7 +145,7 @@
 	return w.chosen
 }
 
-// canFollow reports whether a peer is reached, reads the state service and understands
+// canFollow reports whether a peer is reached, reads the state store and understands
 // how to follow a leader.
 func (w *warmStandby) canFollow(p *peer.Peer) bool {
 	last, ok := p.LastPing(w.cfg.LeaderLeaseTTL())
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -315,7 +315,7 @@
 	Full     bool   // the transfer holds everything, not changes since Base
 	Base     uint64 // sequence number that the changes follow on
 	// What holds once the last part is applied: sequence number, position in the state
-	// service's history up to which all records are part of it, and digest.
+	// store's history up to which all records are part of it, and digest.
 	Sequence, Position, Digest uint64
 	Entries                    int // in Body
 	Size                       int // of Body, decompressed
--- a/internal/peer/types.go
+++ b/internal/peer/types.go
@@ -9,7 +9,7 @@
 type PingResult struct {
 	Term    uint64 // newest term that it knows
 	Leading bool   // it leads that term
-	Serving bool   // it has read the state service lately
+	Serving bool   // it has read the state store lately
 	// RenewedHosts are the machines whose worker leases it has renewed on the leader's behalf
 	// during the last worker lease.
 	RenewedHosts []string
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -1,4 +1,4 @@
-// Package simcluster simulates what a fleet of controllers works with: a fake state service
+// Package simcluster simulates what a fleet of controllers works with: a fake state store
 // (fakestore), a fake cloud with machines and their workers, users, and a network with faults
 // between all of them (faultnet). All fakes are written from the published protocol. A checker
 // watches that no rule of the service is broken, whatever fails. Tests play whole scenarios in the
@@ -33,7 +33,7 @@
 	stopped atomic.Bool
 }
 
-// NewCluster makes a cluster for a deployment, without machines. The state service and the cloud
+// NewCluster makes a cluster for a deployment, without machines. The state store and the cloud
 // answer on the network under their names in the settings. What users and workers send later ends
 // with ctx: it does not belong to whatever made them send it.
 func NewCluster(
--- a/internal/simcluster/dependencies_test.go
+++ b/internal/simcluster/dependencies_test.go
@@ -118,7 +118,7 @@
 }
 
 // A node that the leader cannot reach is upgraded all the same: the leader learns from
-// the state service that it is, and that it is no longer old from nowhere else.
+// the state store that it is, and that it is no longer old from nowhere else.
 func TestClusterVersionRisesWhenAMemberIsUnreachable(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -151,7 +151,7 @@
 
 // What needs a cancelled job is called cancelled by every node at once, whether anyone
 // can write it into the records or not: also without a leader, with the leader alone
-// refused by the state service, and after an outage of longer than cancel_s; also if it
+// refused by the state store, and after an outage of longer than cancel_s; also if it
 // was submitted after the cancellation, and whatever lies between the two.
 func TestCancellationReachesAllDependentJobs(t *testing.T) {
 	t.Parallel()
--- a/internal/simcluster/fakestore/handlers.go
+++ b/internal/simcluster/fakestore/handlers.go
@@ -26,7 +26,7 @@
 	Revision uint64 `json:"Epoch"`
 }
 
-// ServeHTTP answers the protocol of the state service.
+// ServeHTTP answers the protocol of the state store.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	limited := s.limits.isOverRequestRate()
--- a/internal/simcluster/fakestore/limits.go
+++ b/internal/simcluster/fakestore/limits.go
@@ -12,7 +12,7 @@
 // comparesPerChange is how many compares a transaction may have for each change that it may.
 const comparesPerChange = 4
 
-// Limits is what the state service takes. Zero fields are no limit.
+// Limits is what the state store takes. Zero fields are no limit.
 type Limits struct {
 	ValueBytes int
 	TxnOps     int
--- a/internal/simcluster/fakestore/store.go
+++ b/internal/simcluster/fakestore/store.go
@@ -1,4 +1,4 @@
-// Package fakestore is a fake of the state service, written from its published protocol: a
+// Package fakestore is a fake of the state store, written from its published protocol: a
 // consistent key-value store with transactions, leases and watches. It can be down, and it can
 // have limits on the size and the rate of requests. Checks read it past all faults.
 package fakestore
@@ -12,7 +12,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Store is the state service. It is an http.Handler and safe for concurrent use.
+// Store is the state store. It is an http.Handler and safe for concurrent use.
 type Store struct {
 	// OnCommit, if set, sees every transaction just before it is applied. The store is locked
 	// meanwhile, so it must not call the store. Set it before the store serves.
--- a/internal/simcluster/large_fleet_test.go
+++ b/internal/simcluster/large_fleet_test.go
@@ -38,7 +38,7 @@
 
 // The same at the size of the largest fleets, with all that may fail together:
 // a rush of hundreds of jobs, a third of the machines cut off, machines that hang
-// and die, and all controllers down at once with the state service.
+// and die, and all controllers down at once with the state store.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	const machines = 1070
@@ -149,7 +149,7 @@
 }
 
 // The largest array is accepted, makes progress and keeps within the limits of
-// the state service, also when the leader changes.
+// the state store, also when the leader changes.
 func TestLargestArrayMakesProgressAcrossFailovers(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
--- a/internal/simcluster/limits_test.go
+++ b/internal/simcluster/limits_test.go
@@ -12,7 +12,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// lowerLimits is what the state service of the tests comes to allow.
+// lowerLimits is what the state store of the tests comes to allow.
 var lowerLimits = fakestore.Limits{ValueBytes: 2 << 10, TxnOps: 6, WriteRps: 70}
 
 // announcedLimits is how the settings announce lowerLimits.
@@ -27,7 +27,7 @@
 }
 
 // Once all nodes are new, nothing that is written is over the limits that the state
-// service has, or is going to have.
+// store has, or is going to have.
 func TestCommitsKeepWithinLowerLimitsAfterUpgrade(t *testing.T) {
 	t.Parallel()
 	if rejected := playUpgradeWithLowerLimits(t, 60*time.Second); len(rejected) > 0 {
@@ -85,7 +85,7 @@
 	return rejected
 }
 
-// A record that the state service rejects for another reason than the known limits holds
+// A record that the state store rejects for another reason than the known limits holds
 // up no other job.
 func TestRejectedRecordDelaysNoOtherJob(t *testing.T) {
 	t.Parallel()
--- a/internal/simcluster/older_release_test.go
+++ b/internal/simcluster/older_release_test.go
@@ -107,7 +107,7 @@
 }
 
 // unannouncedRelease carries the requests of a node of the release before, which announces no
-// version in the state service.
+// version in the state store.
 type unannouncedRelease struct{ http.RoundTripper }
 
 // RoundTrip refuses to carry announcements.
--- a/internal/simcluster/pipelines_test.go
+++ b/internal/simcluster/pipelines_test.go
@@ -12,7 +12,7 @@
 )
 
 // The rules hold for pipelines too, whatever fails while a new release is brought in and
-// the state service lowers its limits.
+// the state store lowers its limits.
 func TestPipelinesWhateverFails(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seedCount(t, 8)) {
@@ -31,7 +31,7 @@
 }
 
 // playPipelines plays a scenario in which the release before is replaced node by node, the
-// state service lowers its limits, and pipelines come from then on, with faults by
+// state store lowers its limits, and pipelines come from then on, with faults by
 // chance at any time.
 func playPipelines(t *testing.T, seed uint64, faults int) (violations, rejected []string, started int) {
 	t.Helper()
--- a/internal/simcluster/poll_load_test.go
+++ b/internal/simcluster/poll_load_test.go
@@ -57,7 +57,7 @@
 	return time.Since(began)
 }
 
-// Users ask 600 questions a second of a state service that takes 120 requests, about jobs that
+// Users ask 600 questions a second of a state store that takes 120 requests, about jobs that
 // run, have ended and never were: the leader keeps its lease, work starts and is cancelled in time,
 // questions about known jobs are answered, and after the leader's end the next one reads the
 // records and places soon. Each node once read as often as its whole share allowed, for
--- a/internal/simcluster/random_faults_test.go
+++ b/internal/simcluster/random_faults_test.go
@@ -226,7 +226,7 @@
 	}
 }
 
-// leaveWithWorkersOnly cuts a controller off from the state service and two controllers, of which
+// leaveWithWorkersOnly cuts a controller off from the state store and two controllers, of which
 // it may be one itself.
 func (f *randomFault) leaveWithWorkersOnly() {
 	f.whileItLasts(func(on bool) {
@@ -238,7 +238,7 @@
 }
 
 // partitionZone cuts a zone with one controller off from the rest. It may have lost the state
-// service too.
+// store too.
 func (f *randomFault) partitionZone() {
 	f.duration += time.Duration(f.r.IntN(60)) * time.Second
 	withoutStore := f.r.IntN(2) == 0
--- a/internal/simcluster/refused_leader_test.go
+++ b/internal/simcluster/refused_leader_test.go
@@ -10,9 +10,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// outageAfterRefusal is a gap in which the leader alone loses the state service, and then all do.
+// outageAfterRefusal is a gap in which the leader alone loses the state store, and then all do.
 type outageAfterRefusal struct {
-	fault       string        // what keeps the leader from the state service
+	fault       string        // what keeps the leader from the state store
 	faultFor    time.Duration // for how long
 	outageAfter time.Duration // from the beginning of that; 0: from the election of another
 	outageFor   time.Duration
@@ -22,7 +22,7 @@
 // gapJobs is how many jobs there are in the gap.
 const gapJobs = 8
 
-// The gap: the state service refuses the leader alone while another controller
+// The gap: the state store refuses the leader alone while another controller
 // confirms cancellations, and is then down for all for longer than cancel_s
 // while workers keep reporting to the old leader. Its last answered request may
 // be younger than what it knows of cancellations, and a leader that was elected
@@ -84,7 +84,7 @@
 	sc.cancelJobs(nodeNames[0], gapJobs, 20*time.Second)
 }
 
-// setFault keeps the leader from the state service, or no longer.
+// setFault keeps the leader from the state store, or no longer.
 func (g outageAfterRefusal) setFault(sc *scenario, leader int, on bool) {
 	if g.fault == "refuse" {
 		sc.net.RefuseRequests(nodeNames[leader], storeAddress, on)
@@ -96,7 +96,7 @@
 	}
 }
 
-// A leader that the state service refuses, alone, learns of a cancellation from the
+// A leader that the state store refuses, alone, learns of a cancellation from the
 // node that confirmed it: the tasks are gone in seconds, not with their leases.
 func TestRefusedLeaderStopsTasksOnAnnouncedCancellation(t *testing.T) {
 	t.Parallel()
@@ -132,7 +132,7 @@
 	}
 }
 
-// A leader that has lost the state service and its peers keeps the leases of the
+// A leader that has lost the state store and its peers keeps the leases of the
 // workers that still reach it. The next leader neither declares their machines dead
 // nor waits until the old one's knowledge is too old: it tells them its token, and
 // they come to it with all that they run.
@@ -160,7 +160,7 @@
 	})
 }
 
-// A zone is left with one controller that has lost the state service. A job
+// A zone is left with one controller that has lost the state store. A job
 // that is cancelled meanwhile must be gone within cancel_s: that controller
 // stops to keep leases in time, although nothing tells it of the cancellation.
 func TestCancelledTasksEndInTimeBehindAPartition(t *testing.T) {
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -126,7 +126,7 @@
 	net          *faultnet.Network
 	stops        [3]context.CancelFunc
 	olderRelease [3]bool                 // nodes of the release before cluster version 2
-	nextLimits   *config.NextStateLimits // what the nodes are told of the state service's limits
+	nextLimits   *config.NextStateLimits // what the nodes are told of the state store's limits
 	// teams, if any, are those of the deployment.
 	teams []config.Team
 	// relayConnections, if above 0, lets followers relay heartbeats, with so many connections to a
--- a/internal/simcluster/users_test.go
+++ b/internal/simcluster/users_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// A node that alone cannot reach the state service forwards its users' requests; when nobody
+// A node that alone cannot reach the state store forwards its users' requests; when nobody
 // reaches it, users get a Retry-After at once.
 func TestNodeWithoutStateServiceForwardsUserRequests(t *testing.T) {
 	t.Parallel()
--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -107,7 +107,7 @@
 	return sum
 }
 
-// list returns the records under a prefix as the state service would list them.
+// list returns the records under a prefix as the state store would list them.
 func (c contents) list(prefix string) []wire.KeyValue {
 	var rows []wire.KeyValue
 	c.tree.Root().WalkPrefix([]byte(prefix), func(_ []byte, entry *Entry) bool {
--- a/internal/standby/late_commit_test.go
+++ b/internal/standby/late_commit_test.go
@@ -8,7 +8,7 @@
 
 // The input at which TestWhatIsProvenIsWhatIsListed once failed: a commit whose answer was lost is
 // carried out late, after 13 commits of another key, and changes a key that an earlier commit had set.
-// The standby proved the earlier value (revision 10), while the state service had the later one
+// The standby proved the earlier value (revision 10), while the state store had the later one
 // (revision 25).
 func TestProofIncludesACommitCarriedOutLate(t *testing.T) {
 	s := newService()
--- a/internal/standby/positions.go
+++ b/internal/standby/positions.go
@@ -1,6 +1,6 @@
 package standby
 
-// positionTracker derives the position of a term: the revision of the state service up to which all
+// positionTracker derives the position of a term: the revision of the state store up to which all
 // commits of the term are known to the leader that made them.
 //
 // A commit is open from before it is sent until its outcome is settled. It can only get a
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -13,7 +13,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Proven is a copy that agrees with the state service: its records are those that a
+// Proven is a copy that agrees with the state store: its records are those that a
 // listing begun after the election would show.
 type Proven struct {
 	Placements []wire.KeyValue
@@ -32,7 +32,7 @@
 }
 
 // Prove checks the copy for a term that this node has been elected for. The election
-// itself shows that the previous leader can change nothing any more: the state service has ended its
+// itself shows that the previous leader can change nothing any more: the state store has ended its
 // lease, and compares refuse its commits. The changes after the followed position are read after that,
 // so all commits of earlier terms are among them or part of the copy.
 //
--- a/internal/standby/recordingstore.go
+++ b/internal/standby/recordingstore.go
@@ -9,7 +9,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Store is what a controller needs of the state service.
+// Store is what a controller needs of the state store.
 type Store interface {
 	watchcache.Reader
 	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
--- a/internal/standby/service_test.go
+++ b/internal/standby/service_test.go
@@ -12,7 +12,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// outcome is what a fake state service does with a commit.
+// outcome is what a fake state store does with a commit.
 type outcome int
 
 const (
@@ -24,7 +24,7 @@
 	outcomes
 )
 
-// service is a fake state service that keeps its whole history.
+// service is a fake state store that keeps its whole history.
 type service struct {
 	revision    uint64
 	items       map[string]wire.KeyValue
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -4,12 +4,12 @@
 // At the leader a Source holds the records that its term has written and views of what it
 // knows beyond them, in a persistent tree. The standby's Follower pulls that in
 // transfers: a whole one first, then what has changed since. Every transfer ends with a
-// sequence number, a position in the state service's history and a digest. A transfer
+// sequence number, a position in the state store's history and a digest. A transfer
 // that is not complete, or whose digest disagrees, is discarded whole.
 //
 // The position is the heart of the proof: all that the leader's term has committed up to it
 // is part of the copy. A standby that has been elected reads the changes after
-// it from the state service, and then holds what a full listing would show (see docs/standby.md).
+// it from the state store, and then holds what a full listing would show (see docs/standby.md).
 // Views are hints: no attempt is ever concluded to be off its machine, launched or cancelled
 // because of one.
 package standby
@@ -30,7 +30,7 @@
 	Syncing                // pulls its first whole transfer
 	Following              // has a complete copy and keeps up with the leader
 	Behind                 // has an older copy: the leader is unreachable, or keeps no changes that old
-	Verifying              // this node is elected: its copy is checked against the state service
+	Verifying              // this node is elected: its copy is checked against the state store
 	Ready                  // the copy is proven: the controller loads it
 	Promoted               // the controller of this node's term has loaded the copy
 )
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -24,7 +24,7 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 }
 
-// checkSameAsListed compares what is proven with what the state service lists.
+// checkSameAsListed compares what is proven with what the state store lists.
 func checkSameAsListed(t rapid.TB, s *service, p *Proven) {
 	t.Helper()
 	for prefix, got := range map[string][]wire.KeyValue{records.PlacementPrefix: p.Placements, records.ScaleInPrefix: p.Returns} {
@@ -228,7 +228,7 @@
 }
 
 // A standby that has lost the leader is behind; its copy can be proven for as long as the
-// state service keeps the changes since, and not after that. One that comes back later than
+// state store keeps the changes since, and not after that. One that comes back later than
 // the leader keeps changes pulls everything again.
 func TestFollowerFallsBehindAndCatchesUp(t *testing.T) {
 	s := newService()
@@ -272,7 +272,7 @@
 	}
 }
 
-// While the state service refuses this node alone, the proof waits: nothing is ready, and
+// While the state store refuses this node alone, the proof waits: nothing is ready, and
 // nothing is discarded.
 func TestStateServiceRefusesTheStandby(t *testing.T) {
 	s := newService()
