--- a/internal/httpapi/body.go
+++ b/internal/httpapi/body.go
@@ -17,7 +17,8 @@
 	forwardedKey = "forwarded" // set if a peer has forwarded the request
 )
 
-// readBody returns the body of a request.
+// readBody returns the body of a request. Its error is an *echo.HTTPError: 413 if the body is
+// longer than wire.MaxBody, 400 if it cannot be read.
 func readBody(c echo.Context) ([]byte, error) {
 	if body, ok := c.Get(bodyKey).([]byte); ok {
 		return body, nil
@@ -34,8 +35,8 @@
 	return data, nil
 }
 
-// readAll reads a body whose length is known as a rule: 0 or below if it is not. A
-// body that is not of that length is read all the same.
+// readAll reads a body. length is the announced one, 0 or below if it is unknown: it only
+// sizes the buffer, and a body of another length is read all the same.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	var buffer bytes.Buffer
 	if length > 0 && length <= wire.MaxBody {
--- a/internal/httpapi/cancel.go
+++ b/internal/httpapi/cancel.go
@@ -15,7 +15,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// cancel cancels a job, or says that it is done.
+// cancel cancels a job, unless its status is final already, and answers the final status. If
+// others change the record meanwhile it reads it again, for up to submitWait.
 func (s *Server) cancel(c echo.Context) error {
 	uid, err := jobID(c)
 	if err != nil {
@@ -50,9 +51,9 @@
 	return retryLater("cannot be decided now")
 }
 
-// cancelRecord commits a job's record as cancelled, unless its status is final already.
-// Whichever it is, the status is recorded as final then. Without an error and without a
-// final status the record has changed meanwhile, and has to be read again.
+// cancelRecord commits a job's record as cancelled, unless its status is final already. In both
+// cases the final status is recorded with Statuses. If there is neither an error nor a final
+// status, others have changed the record meanwhile: the caller has to read it again.
 func (s *Server) cancelRecord(ctx context.Context, uid string, item wire.KeyValue) error {
 	var job records.Job
 	if err := json.Unmarshal(item.Value, &job); err != nil {
--- a/internal/httpapi/errors.go
+++ b/internal/httpapi/errors.go
@@ -58,7 +58,7 @@
 	return "not the leader, which is " + e.Leader
 }
 
-// errNoRoom sends a worker to another node at once: this one has no connection for it.
+// errNoRoom makes a worker try another node at once: this one has no connection for it.
 var errNoRoom = &RedirectError{}
 
 // MalformedError means that a heartbeat cannot be parsed.
@@ -124,7 +124,7 @@
 	return c.JSON(status, wire.ErrorResponse{Error: text})
 }
 
-// setRetryAfter tells the client to come back after a time, in whole seconds.
+// setRetryAfter sets Retry-After: the wait in whole seconds, rounded up, at least one.
 func setRetryAfter(c echo.Context, wait time.Duration) {
 	c.Response().Header().Set(echo.HeaderRetryAfter, strconv.Itoa(max(1, int(math.Ceil(wait.Seconds())))))
 }
@@ -144,7 +144,7 @@
 }
 
 // changeError maps why a change could not be committed: the user is refused at once with a
-// Retry-After if the budget of changes is spent; otherwise another node may serve the request.
+// Retry-After if this node's write budget is spent; otherwise another node may serve the request.
 func changeError(err error) error {
 	var busy *store.BusyError
 	if errors.As(err, &busy) {
@@ -154,8 +154,8 @@
 }
 
 // pollError maps why a status could not be read: the user is refused at once with a Retry-After
-// if the state store gets too many requests, which a peer would only add to; otherwise another
-// node may serve the request.
+// if the state store gets too many requests, since a peer's request would only add to them;
+// otherwise another node may serve the request.
 func pollError(err error) error {
 	var busy *aimd.BusyError
 	switch {
--- a/internal/httpapi/errors_test.go
+++ b/internal/httpapi/errors_test.go
@@ -69,7 +69,7 @@
 		{"leader known", nil, &RedirectError{Leader: "b"}, http.StatusMisdirectedRequest, `{"Dispatcher":"b"}`},
 		{"no room", nil, errNoRoom, http.StatusMisdirectedRequest, `{}`},
 		{"stale", nil, workerlease.ErrStale, http.StatusServiceUnavailable,
-			`{"error":"what is known of withdrawals is too old to renew a lease on"}`},
+			`{"error":"what is known of cancellations is too old to renew a lease on"}`},
 		{"no term", nil, ErrNoTerm, http.StatusServiceUnavailable, `{"error":"no answer can be given yet"}`},
 		{"malformed", nil, &MalformedError{Err: errors.New("no Host")}, http.StatusBadRequest, `{"error":"no Host"}`},
 	} {
--- a/internal/httpapi/health.go
+++ b/internal/httpapi/health.go
@@ -6,8 +6,9 @@
 	"github.com/labstack/echo/v4"
 )
 
-// ready answers health checks. A node is out only while it cannot serve and
-// another can: in an outage that all share, leaving would help nobody.
+// ready answers the load balancer's health checks. A node reports itself unready only while it
+// cannot serve and another node may: in an outage that all nodes share, leaving the balancer
+// would help nobody.
 func (s *Server) ready(c echo.Context) error {
 	if !s.JobCache.HasSynced() || s.Catalog() == nil {
 		return retryLater("still catching up")
@@ -28,9 +29,9 @@
 	return false
 }
 
-// isIsolated reports whether no peer has answered lately. With the state store not
-// reached either, it is this node that is cut off: in an outage that all share, peers
-// answer.
+// isIsolated reports whether no peer has answered a ping lately. A node that cannot reach the
+// state store either is itself cut off: in an outage of the state store that all nodes share,
+// peers still answer.
 func (s *Server) isIsolated() bool {
 	for _, p := range s.Peers {
 		if _, ok := p.LastPing(s.Config.LeaderLeaseTTL() * 3 / 2); ok {
--- a/internal/httpapi/operators.go
+++ b/internal/httpapi/operators.go
@@ -19,8 +19,7 @@
 	return c.Blob(http.StatusOK, "text/plain; version=0.0.4", out.Bytes())
 }
 
-// status answers how this node stands and, if the leader is reached, how
-// the whole service does.
+// status answers the state of this node and, if the leader is reached, of the whole service.
 func (s *Server) status(c echo.Context) error { return c.JSON(http.StatusOK, s.Operations.Status()) }
 
 // settings answers the operators' settings in force.
@@ -28,8 +27,8 @@
 	return c.JSON(http.StatusOK, s.Settings.Current())
 }
 
-// changeSettings changes the operators' settings. Fields that are left out stay
-// as they are; Stamp must be the version that the change was made from.
+// changeSettings changes the operators' settings. Fields that are left out stay as they are;
+// Stamp, the mod revision, must be that of the settings that the change was made from.
 func (s *Server) changeSettings(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -40,7 +40,7 @@
 	Change(ctx context.Context, next wire.Settings) error
 }
 
-// Operations is what operators are shown.
+// Operations is the state of the node that the administration API shows.
 type Operations interface {
 	Status() wire.Status
 	// WriteMetrics writes the metrics in the Prometheus text format.
@@ -66,11 +66,11 @@
 	Catalog func() *wire.Catalog
 	// Serving reports whether this node has read the state store lately.
 	Serving func() bool
-	// AnnounceCancelled tells this node and its peers of a committed cancellation.
+	// AnnounceCancelled applies a committed cancellation at this node and announces it to its peers.
 	AnnounceCancelled func(peer.Cancellation)
 }
 
-// Server answers users, workers, operators and health checks.
+// Server answers users, workers, operators and health checks. It is safe for concurrent use.
 type Server struct {
 	Options
 	echo *echo.Echo
--- a/internal/httpapi/submit.go
+++ b/internal/httpapi/submit.go
@@ -19,11 +19,11 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// errOlderRelease means that a controller may serve which does not understand dependencies
-// (Awaits), and would start the job at once.
+// errOlderRelease means that a controller of an older release may be serving: it does not
+// understand dependencies (Awaits) and would start the job at once.
 var errOlderRelease = fmt.Errorf("not all controllers are known to understand Awaits yet: %w", errElsewhere)
 
-// submit accepts a job, or says why not.
+// submit accepts a job, or answers why it does not.
 func (s *Server) submit(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
@@ -91,8 +91,8 @@
 
 // recordJob commits the record of a new job, unless the job is known.
 func (s *Server) recordJob(ctx context.Context, spec *wire.JobSpec, value json.RawMessage) (known bool, err error) {
-	// When many come at once, those of higher priority are admitted first: each priority
-	// leaves a quarter of the budget to each priority above it.
+	// When many submissions come at once, those of higher priority are admitted first: each
+	// priority leaves a quarter of the write budget to each priority above it.
 	reserved := float64(wire.Critical.Level()-admissionPriority(spec).Level()) / float64(wire.Critical.Level())
 	tx := wire.Transaction{
 		Compares: []wire.Compare{{Key: records.JobKey(spec.UID)}, {Key: records.FinalKey(spec.UID)}},
@@ -100,8 +100,8 @@
 	}
 	_, err = s.Store.Commit(store.WithUserLane(ctx, reserved), tx)
 	for errors.Is(err, store.ErrOutcomeUnknown) && ctx.Err() == nil {
-		// Its answer is lost: once more. If it was carried out, or will be, the
-		// compares let only one of them through.
+		// The commit may have been carried out, or may be carried out late. It is sent
+		// again: the compares let only one of them succeed.
 		_, err = s.Store.Commit(store.WithUserLane(ctx, reserved), tx)
 	}
 	var conflict *store.ConflictError
@@ -111,7 +111,7 @@
 	return false, err
 }
 
-// answerKnown answers the repeated submission of a job with how it stands.
+// answerKnown answers the repeated submission of a job with the job's current status.
 func (s *Server) answerKnown(ctx context.Context, c echo.Context, uid string) error {
 	view, known, err := s.Statuses.Lookup(ctx, uid)
 	switch {
@@ -124,9 +124,9 @@
 }
 
 // admissionPriority is the priority by which a submission is admitted when many come at once.
-// A job that waits for others is a stage of a pipeline. Users give the priority that they
-// care about to its last stage only, and can submit that only once the others are
-// accepted: all of them are admitted like work of high priority.
+// A job that depends on others is a stage of a pipeline. Users give the priority that they
+// care about only to the last stage, and can submit that one only once the others are
+// accepted: all stages with dependencies are admitted with at least high priority.
 func admissionPriority(spec *wire.JobSpec) wire.Priority {
 	if len(spec.Dependencies) > 0 && spec.Priority.Level() < wire.High.Level() {
 		return wire.High
@@ -169,7 +169,8 @@
 	return ""
 }
 
-// tooLongMessage says how much of a job's description can be stored.
+// tooLongMessage returns the error text for a description of size bytes where limit can be
+// stored, and estimates how many dependencies would fit.
 func tooLongMessage(spec *wire.JobSpec, size, limit int) string {
 	if len(spec.Dependencies) == 0 {
 		return fmt.Sprintf("the description is too long: it takes %d bytes of at most %d", size, limit)
--- a/internal/httpapi/users.go
+++ b/internal/httpapi/users.go
@@ -21,8 +21,8 @@
 	pollWait   = 1200 * time.Millisecond // and 2 s for one to a poll; a peer may still be asked
 )
 
-// user wraps what answers a user: the request is refused while too many are answered,
-// and forwarded to a peer if this node cannot serve it.
+// user wraps a handler of users' requests: a request is refused while the node is overloaded
+// or already answers as many as it may, and forwarded to a peer if this node cannot serve it.
 func (s *Server) user(h echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		defer func() { s.Operations.CountRequest("user", c.Response().Status) }()
@@ -44,8 +44,8 @@
 	}
 }
 
-// serveOrForward answers a user: if this node has lost the state store and
-// a peer has not, the request is forwarded to the peer.
+// serveOrForward answers a user's request here, or forwards it to a peer if this node cannot
+// reach the state store and the peer can.
 func (s *Server) serveOrForward(c echo.Context, h echo.HandlerFunc) error {
 	body, err := readBody(c)
 	if err != nil {
@@ -86,8 +86,8 @@
 	return peer.UserReply{}, false
 }
 
-// understands reports whether a peer that a user's request would be forwarded to reads it
-// as this node does.
+// understands reports whether a peer of a cluster version interprets a user's request as this
+// node does: an older release does not understand the dependencies of a submission.
 func understands(version clusterversion.Version, method, path string, body []byte) bool {
 	if method != http.MethodPost || path != submitPath || version >= clusterversion.JobDAGs {
 		return true
@@ -112,7 +112,8 @@
 	return peer.UserReply{Status: recorder.status, RetryAfter: recorder.header.Get(echo.HeaderRetryAfter), Body: recorder.body.Bytes()}
 }
 
-// responseRecorder keeps an answer that goes back to a peer.
+// responseRecorder is the http.ResponseWriter of a forwarded request: it records the answer
+// that goes back to the peer.
 type responseRecorder struct {
 	header http.Header
 	status int
@@ -125,10 +126,11 @@
 // WriteHeader records the status.
 func (r *responseRecorder) WriteHeader(status int) { r.status = status }
 
-// Write keeps a part of the body.
+// Write appends a part of the body.
 func (r *responseRecorder) Write(part []byte) (int, error) { return r.body.Write(part) }
 
-// userContext bounds the work for a user who waits for at most limit.
+// userContext returns the context of a user's change: it ends after limit, and commits go in the
+// users' lane, where a spent write budget refuses them at once.
 func userContext(c echo.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(store.WithUserLane(c.Request().Context(), 0), limit)
 }
