--- a/internal/jobstatus/dependencies.go
+++ b/internal/jobstatus/dependencies.go
@@ -8,7 +8,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// DependencyError says why a submission can never run for a job that it depends on.
+// DependencyError means that a submission can never run because of a job that it depends on.
 type DependencyError struct {
 	UID    string // of the dependency
 	Reason string
@@ -21,18 +21,18 @@
 // status that this node can see.
 var errInconsistent = errors.New("a job that others wait for is not found")
 
-// Initial is the status that a new job's record is made with: cancelled if a job
-// that it depends on is, also by way of others. Its error is a *DependencyError if the job
+// Initial returns the status for a new job's record: cancelled if a job that it depends
+// on, directly or through others, is cancelled. Its error is a *DependencyError if the job
 // can never run, or another one if that cannot be decided now.
 //
-// All is decided on a read that began after the request. What happens to the named
-// jobs between that read and the commit is not lost: readers derive a job's status
-// from the records of those that it needs, each time (see dependencyCancelled).
+// It decides on a read that began after the request. A dependency that is cancelled between
+// that read and the commit is not missed: readers derive a job's status from the records of
+// its dependencies each time (see dependencyCancelled).
 func (r *Reader) Initial(ctx context.Context, spec *wire.JobSpec) (wire.JobStatus, error) {
 	if len(spec.Dependencies) == 0 {
 		return wire.JobQueued, nil
 	}
-	if err := r.refresher.Refresh(ctx); err != nil {
+	if err := r.linearizable.Refresh(ctx); err != nil {
 		return "", err
 	}
 	for _, dependency := range spec.Dependencies {
@@ -50,7 +50,8 @@
 	return wire.JobQueued, nil
 }
 
-// checkDependency checks that a job may wait for another one.
+// checkDependency returns a *DependencyError if a job may not depend on another one, or the
+// error of a read that failed.
 func (r *Reader) checkDependency(ctx context.Context, uid, dependency string) error {
 	if uid == dependency {
 		return &DependencyError{UID: dependency, Reason: "which is the job itself"}
@@ -73,17 +74,18 @@
 	return nil
 }
 
-// dependencyCancelled reports whether one of the named jobs, or one that they need in
-// turn, is cancelled, as of the last read of the jobs. It follows from records alone,
-// whether anyone has written it into the records of those that wait or not. A job that
-// is done cannot be cancelled any more, so nothing before it matters.
+// dependencyCancelled reports whether one of the named jobs, or one that they depend on in
+// turn, is cancelled, as of the last read of the jobs. It goes by the records of the
+// dependencies alone, whether or not anyone has written it to the records of the jobs that
+// wait. A job that is done cannot be cancelled any more, so its own dependencies do not
+// matter.
 func (r *Reader) dependencyCancelled(ctx context.Context, dependencies []string, visited map[string]bool) (bool, error) {
 	for _, uid := range dependencies {
 		if visited[uid] {
 			continue
 		}
 		visited[uid] = true
-		status, needs, err := r.ownStatus(ctx, uid)
+		status, ofDependency, err := r.ownStatus(ctx, uid)
 		switch {
 		case err != nil:
 			return false, err
@@ -92,14 +94,15 @@
 		case status == wire.JobDone:
 			continue
 		}
-		if cancelled, err := r.dependencyCancelled(ctx, needs, visited); cancelled || err != nil {
+		if cancelled, err := r.dependencyCancelled(ctx, ofDependency, visited); cancelled || err != nil {
 			return cancelled, err
 		}
 	}
 	return false, nil
 }
 
-// ownStatus returns a job's status by its own records, and the jobs that it depends on.
+// ownStatus returns a job's status by its own records, and the jobs that it depends on if it is
+// not archived and has no cached final status.
 func (r *Reader) ownStatus(ctx context.Context, uid string) (wire.JobStatus, []string, error) {
 	if status, ok := r.finals.get(uid); ok {
 		return status, nil, nil
@@ -107,7 +110,7 @@
 	if entry, ok := r.jobs.Job(uid); ok {
 		return entry.Job.Status, entry.Job.Spec.Dependencies, nil
 	}
-	// Its record is gone, and its final status was written with that.
+	// The job is archived: the commit that dropped its record wrote its final status.
 	view, found, err := r.readFinal(ctx, uid)
 	switch {
 	case err != nil:
--- a/internal/jobstatus/finals.go
+++ b/internal/jobstatus/finals.go
@@ -6,19 +6,19 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// finalStatuses keeps final statuses for as long as they fit: they can be read again. Those that
-// nobody has asked about for longest go first.
+// finalStatuses is a cache of final statuses. The least recently used are evicted first: they can
+// be read from the state store again.
 type finalStatuses struct {
 	cache *lru.Cache[string, wire.JobStatus]
 }
 
 const (
-	finalsShare = 1 / 16. // of a node's memory
-	finalBytes  = 256     // that one takes
-	leastFinals = 1000
+	finalsShare = 1 / 16. // share of a node's memory that the cache may take
+	finalBytes  = 256     // estimate of what one entry takes
+	leastFinals = 1000    // entries on a node with less memory than that share allows
 )
 
-// newFinalStatuses makes a cache for a node with so much memory, in MiB.
+// newFinalStatuses returns an empty cache for a node with memoryMb MiB of memory.
 func newFinalStatuses(memoryMb float64) finalStatuses {
 	room := int(finalsShare * memoryMb * (1 << 20) / finalBytes)
 	cache, err := lru.New[string, wire.JobStatus](max(leastFinals, room))
--- a/internal/jobstatus/reader.go
+++ b/internal/jobstatus/reader.go
@@ -1,5 +1,5 @@
-// Package jobstatus answers what the status of a job is, at any node and never with
-// anything older than what was true when the question came. docs/safety.md ("What users
+// Package jobstatus answers polls of a job's status, at any node and never with a status
+// older than the one that was true when the request came. docs/safety.md ("What users
 // are told") argues why an answer never goes back.
 package jobstatus
 
@@ -18,48 +18,49 @@
 	Store *store.Client
 	// Jobs is this node's copy of the jobs that are not archived.
 	Jobs *watchcache.Cache
-	// Refresher brings Jobs up to date; questions that come together share one read.
-	Refresher *watchcache.LinearizableReader
-	// MemoryMb is the memory of this node in MiB; a share of it keeps final statuses.
+	// LinearizableReader brings Jobs up to date; concurrent callers share one read.
+	LinearizableReader *watchcache.LinearizableReader
+	// MemoryMb is the memory of this node in MiB; a share of it caches final statuses.
 	MemoryMb float64
-	// Counts returns how many tasks of a job are done and running, as far as the leader tells.
+	// Counts returns how many tasks of a job are done and running by the leader's last counts;
+	// zeros if they are not known.
 	Counts func(uid string) (done, running int)
 }
 
-// Reader reads the statuses of jobs.
+// Reader reads the statuses of jobs. It is safe for concurrent use.
 type Reader struct {
-	store     *store.Client
-	jobs      *watchcache.Cache
-	refresher *watchcache.LinearizableReader
-	finals    finalStatuses
-	counts    func(uid string) (done, running int)
+	store        *store.Client
+	jobs         *watchcache.Cache
+	linearizable *watchcache.LinearizableReader // of jobs
+	finals       finalStatuses
+	counts       func(uid string) (done, running int)
 }
 
 // NewReader returns a reader.
 func NewReader(o Options) *Reader {
 	return &Reader{
-		store:     o.Store,
-		jobs:      o.Jobs,
-		refresher: o.Refresher,
-		finals:    newFinalStatuses(o.MemoryMb),
-		counts:    o.Counts,
+		store:        o.Store,
+		jobs:         o.Jobs,
+		linearizable: o.LinearizableReader,
+		finals:       newFinalStatuses(o.MemoryMb),
+		counts:       o.Counts,
 	}
 }
 
 // Final returns the final status of a job if this node knows it without reading.
 func (r *Reader) Final(uid string) (wire.JobStatus, bool) { return r.finals.get(uid) }
 
-// RecordFinal keeps a job's final status, which is committed.
+// RecordFinal caches a job's final status. It must be committed already: answers rely on it.
 func (r *Reader) RecordFinal(uid string, status wire.JobStatus) { r.finals.add(uid, status) }
 
 // Read answers a poll from this node's copy of the jobs, brought up to date by a read
-// that began after the question; polls that come together share one. A final status is
-// cached for ever. The result is false if the job was never accepted.
+// that began after the request; concurrent polls share one. A cached final status is answered
+// without a read, since it never changes. The result is false if the job was never accepted.
 func (r *Reader) Read(ctx context.Context, uid string) (wire.JobView, bool, error) {
 	if status, ok := r.finals.get(uid); ok {
 		return wire.JobView{UID: uid, Status: status}, true, nil
 	}
-	switch err := r.refresher.Refresh(ctx); {
+	switch err := r.linearizable.Refresh(ctx); {
 	case errors.Is(err, watchcache.ErrNotSynced) || errors.Is(err, store.ErrCompacted):
 		return r.Lookup(ctx, uid)
 	case err != nil:
@@ -69,8 +70,8 @@
 		view, err := r.view(ctx, uid, entry.Job)
 		return view, err == nil, err
 	}
-	// It is archived, as a rule. If it is not, it was never accepted, or its record
-	// is not in the copy for a reason that only the records themselves tell.
+	// Usually it is archived. If it is not, it was never accepted, or its record is missing
+	// from the copy for a reason that only the records themselves show.
 	if view, found, err := r.readFinal(ctx, uid); found || err != nil {
 		return view, found, err
 	}
@@ -81,10 +82,10 @@
 	return r.Lookup(ctx, uid)
 }
 
-// neverAccepted reports whether a job has neither a record nor a final status at one moment,
-// which only a job has that was not accepted before. It is a transaction that changes nothing: two
+// neverAccepted reports whether a job has neither a record nor a final status at one moment:
+// that is so only if it was not accepted before. It is a transaction that changes nothing: two
 // reads could miss a job that is archived between them, and take one request more for each
-// question about a job that nobody has submitted.
+// poll of a job that nobody has submitted.
 func (r *Reader) neverAccepted(ctx context.Context, uid string) (bool, error) {
 	_, err := r.store.Commit(ctx, wire.Transaction{Compares: []wire.Compare{{Key: records.JobKey(uid)}, {Key: records.FinalKey(uid)}}})
 	var conflict *store.ConflictError
@@ -116,8 +117,8 @@
 		return view, false, err
 	}
 	if len(job.Spec.Dependencies) > 0 && !job.Status.Final() {
-		// The jobs that it needs are looked up in this node's copy.
-		if err := r.refresher.Refresh(ctx); err != nil {
+		// Its dependencies are looked up in this node's copy.
+		if err := r.linearizable.Refresh(ctx); err != nil {
 			return view, false, err
 		}
 	}
@@ -125,9 +126,9 @@
 	return view, err == nil, err
 }
 
-// view makes the answer for a job whose record was read after the question, as was
-// this node's copy of the jobs if it waits for others. A job that needs a cancelled one
-// is cancelled from then on, and stays so: it has no task, and its record can only
+// view makes the answer for a job whose record was read after the request came. If the job has
+// dependencies, this node's copy of the jobs must be as new. A job that depends on a cancelled
+// one is cancelled from then on, and stays so: it has no task, and its record can only
 // become that of a cancelled job.
 func (r *Reader) view(ctx context.Context, uid string, job *records.Job) (wire.JobView, error) {
 	view := wire.JobView{UID: uid, Status: job.Status}
@@ -148,8 +149,8 @@
 	if view.Running > 0 {
 		view.Status = wire.JobRunning
 	}
-	// Reading and counting take time: a final status that was announced meanwhile,
-	// here or by a peer, is not answered with something older.
+	// Reading and counting take time: if a final status was recorded here meanwhile, by this
+	// node or on a peer's announcement, an older status must not be answered.
 	if status, ok := r.finals.get(uid); ok {
 		return wire.JobView{UID: uid, Status: status}, nil
 	}
--- a/internal/jobstatus/taskcounts.go
+++ b/internal/jobstatus/taskcounts.go
@@ -11,16 +11,17 @@
 // TaskCounts is what a follower knows of how many tasks of each job are done and
 // running. The leader sends what has changed with its answers to pings, so that a
 // poll at a follower needs no call to the leader. The zero TaskCounts knows none.
+// It is safe for concurrent use.
 type TaskCounts struct {
 	mu       sync.Mutex
 	leader   string
 	term     uint64
 	revision uint64                  // of the leader's counts, up to which all are known
-	more     bool                    // the leader has said that there are more
+	more     bool                    // the leader has more that did not fit its last answer
 	jobs     map[string]wire.JobView // by job id
 }
 
-// jobIndex is the jobs that are not archived.
+// jobIndex says which jobs are not archived.
 type jobIndex interface {
 	Len() int
 	Has(uid string) bool
@@ -36,8 +37,9 @@
 	return t.term, t.revision
 }
 
-// Update applies the counts in a peer's answer to a ping. Counts of archived jobs
-// are dropped once they are most of all.
+// Update applies the counts in a peer's answer to a ping. asked are the arguments of that ping:
+// counts that build on more than is known here are ignored, as are older ones. Counts of
+// archived jobs are dropped once most counts are of such jobs.
 func (t *TaskCounts) Update(from string, asked peer.PingArgs, answer peer.PingResult, jobs jobIndex) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,7 +50,7 @@
 		t.leader, t.term, t.revision, t.jobs = from, answer.Term, 0, map[string]wire.JobView{}
 	}
 	if asked.CountsTerm == answer.Term && asked.CountsRevision > t.revision || answer.CountsRevision < t.revision {
-		return // what came between is not known here, or it is older than what is
+		return // it builds on counts that are not known here, or is older than those that are
 	}
 	for _, view := range answer.Counts {
 		if view.Status.Final() {
@@ -58,14 +60,14 @@
 		t.jobs[view.UID] = view
 	}
 	t.revision, t.more = answer.CountsRevision, answer.CountsMore
-	const few = 64
-	if len(t.jobs) > 2*jobs.Len()+few {
+	const slack = 64 // so that a small cluster does not search the counts at every ping
+	if len(t.jobs) > 2*jobs.Len()+slack {
 		maps.DeleteFunc(t.jobs, func(uid string, _ wire.JobView) bool { return !jobs.Has(uid) })
 	}
 }
 
-// Get returns the counts of a job; ok is false if not all counts of this leader and term
-// are known.
+// Get returns the counts of a job, zeros for a job without any. ok is false unless all counts of
+// this leader and term are known.
 func (t *TaskCounts) Get(leader string, term uint64, uid string) (done, running int, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -78,11 +78,11 @@
 	}
 	n.settings = newSettings(n.store, cfg.Cluster.Workers.ReportS)
 	n.statuses = jobstatus.NewReader(jobstatus.Options{
-		Store:     n.store,
-		Jobs:      n.jobCache,
-		Refresher: watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReadLimiter(), timeout),
-		MemoryMb:  cfg.Cluster.Limits.MemMb,
-		Counts:    n.taskCounts,
+		Store:              n.store,
+		Jobs:               n.jobCache,
+		LinearizableReader: watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReadLimiter(), timeout),
+		MemoryMb:           cfg.Cluster.Limits.MemMb,
+		Counts:             n.taskCounts,
 	})
 	n.relays = newRelays(n.leadership, n.metrics)
 	campaign := &campaign{leadership: n.leadership, isRelaying: n.relays.isRelaying}
