--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -14,8 +14,9 @@
 // workerClient sends direct commands to workers.
 type workerClient struct{ http *http.Client }
 
-// Announce tells a worker a fencing token by an empty direct command. It returns the
-// worker's heartbeat.
+// Announce sends a worker a fencing token with an empty list of direct commands, at address
+// (host:port). It returns the heartbeat that the worker answers with. It takes one heartbeat
+// interval at most.
 func (w *workerClient) Announce(ctx context.Context, address string, token, incarnation uint64) (wire.Heartbeat, error) {
 	body, err := json.Marshal(wire.DirectCommands{FencingToken: token, Incarnation: incarnation, Commands: []wire.Command{}})
 	if err != nil {
@@ -30,7 +31,7 @@
 	if err != nil {
 		return wire.Heartbeat{}, fmt.Errorf("announce: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // it has been read, or its error is returned
+	defer func() { _ = resp.Body.Close() }() // the body has been read, or the error of the read is returned
 	data, err := io.ReadAll(io.LimitReader(resp.Body, 4*wire.MaxBody))
 	if err != nil {
 		return wire.Heartbeat{}, fmt.Errorf("announce: %w", err)
--- a/internal/node/campaigndelay.go
+++ b/internal/node/campaigndelay.go
@@ -7,29 +7,30 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// Which node should lead: one whose workers find another controller in time if it ends. That is
-// a matter of zones, which do not change, and of who is unreachable, which does. After a controller had
-// been unreachable for over a minute the leader before it in the workers' order stood still for 5 s:
-// its workers tried the unreachable one next, and the leases of all 112 machines ended.
+// The node that should lead is one whose workers find another controller in time if it fails. That
+// depends on the zones, which do not change, and on which nodes are unreachable, which does. While a
+// controller had been unreachable for over a minute, the leader before it in the workers' order
+// paused for 5 s: its workers tried the unreachable one next, and the leases of all 112 machines ended.
 
-// transferLeases is for how many worker leases a leader has led, and a peer with a shorter
-// campaign delay has been well, before the leadership is transferred.
+// transferLeases is the number of worker leases that a leader must have led, and a peer with a
+// shorter campaign delay must have been serving, before the leadership is transferred.
 const transferLeases = 3
 
-// campaign is this node's priority in elections.
+// campaign computes how long nodes should wait before they campaign in an election.
 type campaign struct {
 	*leadership
 	// isRelaying reports whether this node leads and wants followers to relay heartbeats.
 	isRelaying func() bool
 }
 
-// isUnreachable reports whether a node has not answered for a time. This node never is.
+// isUnreachable reports whether a peer has not answered a ping for patience. It is false for this
+// node.
 func (c *campaign) isUnreachable(label string, patience time.Duration) bool {
 	return c.peer(label) != nil && !c.isReached(label, patience)
 }
 
-// delayOf is how long a node should wait before it campaigns, in units of the elector: 0 for the
-// node that is placed best to lead.
+// delayOf returns how long a node should wait before it campaigns, in the elector's
+// CampaignDelaySteps: 0 for the node that is placed best to lead.
 func (c *campaign) delayOf(label string, unreachable func(label string) bool) int {
 	return c.cfg.CampaignDelaySteps(label) + c.cfg.UnreachableSuccessors(label, unreachable)
 }
@@ -46,9 +47,9 @@
 	})
 }
 
-// shouldTransfer reports whether a peer with a shorter campaign delay has been well for so long
-// that it is worth a change of leader. Who is unreachable counts once it has been for a lease, so
-// that restarts do not, and only while all workers report to the leader.
+// shouldTransfer reports whether a peer with a shorter campaign delay has been serving for so long
+// that a change of leader is worth it. An unreachable node counts only after a worker lease, so that
+// a restart does not, and only while all workers send their heartbeats to the leader.
 func (c *campaign) shouldTransfer() bool {
 	own := c.controller()
 	enough := transferLeases * c.cfg.WorkerLease()
--- a/internal/node/controlleroptions.go
+++ b/internal/node/controlleroptions.go
@@ -40,13 +40,13 @@
 // termObserver is the controller.Observer of a node.
 type termObserver struct{ node *Node }
 
-// TermObserved takes the term of another leader.
+// TermObserved tells the elector of another leader's term.
 func (o termObserver) TermObserved(term uint64) { o.node.elector.ObserveTerm(term, "") }
 
 // CycleFinished records how long a scheduling cycle took.
 func (o termObserver) CycleFinished(took time.Duration) { o.node.metrics.observeCycle(took) }
 
-// JobFinished records a final status, which is committed.
+// JobFinished records a final status that has been committed.
 func (o termObserver) JobFinished(uid string, status wire.JobStatus) {
 	o.node.statuses.RecordFinal(uid, status)
 }
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -29,7 +29,7 @@
 	return &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g", Cores: 8, Gpus: 8, RAMGb: 8, Zones: []string{"a"}}}}
 }
 
-// jobDescription is a submission; its verb is the number of the job.
+// jobDescription is the format of a submission; its one argument is the number of the job.
 const jobDescription = `{"Uid":"run-%06d","Berth":"b","Crew":"crew","Shape":"sweep","Rank":"critical","Legs":1,` +
 	`"Cores":1,"Gpus":1,"RamGb":1,"Rollout":"i","ImageGb":1,"Together":false,"Scatter":false,"Standby":false,` +
 	`"ExpectS":5,"MarkS":0,"StowS":0}`
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -9,13 +9,13 @@
 	"lotusstile.dev/lotusstile/internal/timeralign"
 )
 
-// isServing reports whether this node has read the state store lately. keepCacheFresh
-// reads it often enough that an idle node is not taken for cut off.
+// isServing reports whether the state store has executed a request of this node within half a leader
+// lease. keepCacheFresh reads often enough that an idle node does not look cut off.
 func (n *Node) isServing() bool { return n.store.SinceLastExecuted() < n.cfg.LeaderLeaseTTL()/2 }
 
-// keepCacheFresh brings the watch cache of jobs up to date past its watch, until ctx ends: an idle
-// node is then not taken for cut off, and what it knows of cancellations is never older
-// than a tenth of a worker lease while it reaches the state store.
+// keepCacheFresh refreshes the watch cache of jobs in addition to its watch, until ctx ends: an idle
+// node then does not look cut off, and its knowledge of cancellations is refreshed once it is older
+// than a tenth of a worker lease, so that it can answer heartbeats.
 func (n *Node) keepCacheFresh(ctx context.Context) {
 	interval := n.cfg.LeaderLeaseTTL() / 8
 	for ctx.Err() == nil {
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -27,23 +27,25 @@
 	renewals *renewals
 
 	mu       sync.Mutex
-	contacts map[string]contact // by machine: how it was answered while it is relayed singly
+	contacts map[string]contact // by machine, for relaysSingly
 }
 
-// origin is how a heartbeat has come to this node.
+// origin is the way that a heartbeat took to this node.
 type origin struct {
-	direct   bool   // from the worker itself
-	follower string // label of the follower that relays it in a batch; "": it is relayed singly
-	// pressure is how short of connections the node is that the worker reports to.
+	direct   bool   // the worker itself sent it here
+	follower string // label of the follower that relays it in a batch; "" if it is relayed singly
+	// pressure is how short of connections the node is that the worker sent it to.
 	pressure relay.Pressure
 }
 
-// Answer decides the answer to a heartbeat that a worker has sent to this node.
+// Answer decides the answer to a heartbeat that a worker has sent to this node. Its error is a
+// *httpapi.MalformedError, or one of those of answer.
 func (h *heartbeats) Answer(ctx context.Context, body []byte, pressure relay.Pressure) (*wire.Commands, error) {
 	return h.parseAndAnswer(ctx, body, origin{direct: true, pressure: pressure})
 }
 
-// answerSingle answers one heartbeat that a follower relays outside batches.
+// answerSingle answers one heartbeat that a follower relays outside batches, with the status and
+// the body of the HTTP answer to the worker.
 func (h *heartbeats) answerSingle(ctx context.Context, body []byte) (status int, answer []byte) {
 	if h.controller() == nil {
 		return http.StatusMisdirectedRequest, nil
@@ -77,10 +79,11 @@
 	return h.answer(ctx, &heartbeat, body, from)
 }
 
-// answer decides the answer to a heartbeat, whichever way it has come. Without an error
-// the commands renew the worker's lease.
+// answer decides the answer to a heartbeat, whichever way it came. Commands without an error renew
+// the worker's lease. The error is workerlease.ErrStale, or one of those of commands.
 func (h *heartbeats) answer(ctx context.Context, heartbeat *wire.Heartbeat, body []byte, from origin) (*wire.Commands, error) {
-	// What could not be answered in the end does not change what the leader knows of the machine.
+	// This check comes first: a heartbeat that would not be answered in the end must not change
+	// what the leader knows of the machine.
 	if err := h.leases.CheckFresh(); err != nil {
 		return nil, err
 	}
@@ -94,8 +97,8 @@
 	return commands, nil
 }
 
-// commands finds the commands for a worker. Its error is a *httpapi.RedirectError if the
-// worker has to go elsewhere, or httpapi.ErrNoTerm if no term is known yet.
+// commands returns the commands for a worker. Its error is a *httpapi.RedirectError if the worker
+// has to send its heartbeats elsewhere, or httpapi.ErrNoTerm if no answer can be given now.
 func (h *heartbeats) commands(ctx context.Context, heartbeat *wire.Heartbeat, body []byte, from origin) (*wire.Commands, error) {
 	if c := h.controller(); c != nil {
 		return h.leaderCommands(ctx, c, heartbeat, from)
@@ -144,8 +147,8 @@
 	return nil, &httpapi.RedirectError{}
 }
 
-// relayBatched relays a worker's heartbeat to the leader by the next batch, and returns the
-// leader's answer to it. If the leader is not reached, the lease is renewed on its behalf.
+// relayBatched relays a worker's heartbeat to the leader in the next batch, and returns the
+// leader's answer to it. If the leader is not reached, this node renews the lease on its behalf.
 func (h *heartbeats) relayBatched(
 	ctx context.Context, leader *peer.Peer, heartbeat *wire.Heartbeat, body []byte, pressure relay.Pressure,
 ) (*wire.Commands, error) {
@@ -156,7 +159,7 @@
 	a, err := h.relays.sender.Relay(ctx, relay.Leader{Label: leader.Label, Term: last.Term}, heartbeat, body, pressure)
 	switch {
 	case errors.Is(err, relay.ErrSuperseded):
-		return nil, httpapi.ErrNoTerm // nobody waits for an answer to this one any more
+		return nil, httpapi.ErrNoTerm // the worker has sent a newer heartbeat and waits for that answer
 	case err != nil:
 		return h.renewals.answer(heartbeat)
 	case a.Status == http.StatusOK:
@@ -168,7 +171,7 @@
 }
 
 // relaySingly relays the body of a heartbeat to the leader at once. The result is false
-// if the leader gives no commands.
+// if the leader is not reached or answers without commands.
 func relaySingly(leader *peer.Peer, body []byte) (*wire.Commands, bool) {
 	reply, err := leader.RelayHeartbeat(body)
 	if err != nil || reply.Status != http.StatusOK {
@@ -182,17 +185,18 @@
 	return &commands, true
 }
 
-// contact is how a follower has answered a machine.
+// contact records how a follower has answered a machine whose heartbeats it does not relay in batches.
 type contact struct {
 	relayed    time.Time // when its first heartbeat was relayed
-	redirected time.Time // when it was redirected to the leader with a later one
-	until      time.Time // it came back from the leader: its heartbeats are relayed until then
+	redirected time.Time // when a later heartbeat was redirected to the leader
+	until      time.Time // the machine came back from the leader: its heartbeats are relayed until then
 }
 
-// relaysSingly decides whether a machine's heartbeat is relayed to the leader or the
-// machine is redirected there. A machine that turns to this node may have spent seconds of
-// its lease on a leader that it cannot reach, and would spend as many again: its first
-// heartbeat is relayed. If it comes back from the leader, so are the next.
+// relaysSingly decides, and records, whether a machine's heartbeat is relayed to the leader (true)
+// or the machine is redirected there (false). A machine that turns to this node may have spent
+// seconds of its lease on a leader that it cannot reach, and a redirect would cost it as many again:
+// its first heartbeat is relayed. If it comes back after a redirect, its heartbeats are relayed for
+// three leases.
 func (h *heartbeats) relaysSingly(host string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -10,7 +10,8 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// leadership is who leads: this node, or a peer that answers pings.
+// leadership knows who leads: this node, or a peer that answers pings. It is safe for concurrent
+// use once the node is made.
 type leadership struct {
 	cfg     *config.Config
 	elector *election.Elector
@@ -21,7 +22,9 @@
 // controller returns the controller of the term that this node leads, or nil.
 func (l *leadership) controller() *controller.Controller { return l.own.Load() }
 
-// leader returns the peer that leads, if it answers pings, or nil.
+// leader returns the peer that leads, or nil. A peer counts only while it says itself, in an answer
+// to a ping within three quarters of a leader lease, that it leads a term that is not older than the
+// elector's.
 func (l *leadership) leader() *peer.Peer {
 	v := l.elector.View()
 	for _, p := range l.peers {
@@ -45,13 +48,13 @@
 	return nil
 }
 
-// isReached reports whether a peer has answered a ping within a time. It is false for
-// labels that are no peer's.
-func (l *leadership) isReached(label string, within time.Duration) bool {
+// isReached reports whether a peer has answered a ping that was sent at most maxAge ago. It is false
+// for a label that is not a peer's, such as this node's own.
+func (l *leadership) isReached(label string, maxAge time.Duration) bool {
 	p := l.peer(label)
 	if p == nil {
 		return false
 	}
-	_, reached := p.LastPing(within)
+	_, reached := p.LastPing(maxAge)
 	return reached
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -30,13 +30,13 @@
 	}
 }
 
-// gauge adds a metric that is read from f on demand.
-func (m *nodeMetrics) gauge(name string, f func() float64) { m.set.NewGauge(name, f) }
+// gauge adds a metric whose value is read when the metrics are written.
+func (m *nodeMetrics) gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
 // observeCycle records how long a scheduling cycle took.
 func (m *nodeMetrics) observeCycle(took time.Duration) { m.cycles.Update(took.Seconds()) }
 
-// requestKind is what answered requests are counted by.
+// requestKind is the key by which answered requests are counted: the labels of their metric.
 type requestKind struct {
 	kind   string
 	status int
@@ -123,7 +123,7 @@
 // CountRequest counts an answered request of a kind by its status.
 func (n *Node) CountRequest(kind string, status int) { n.metrics.countRequest(kind, status) }
 
-// writeLeaderMetrics writes what only the leader knows.
+// writeLeaderMetrics writes the metrics that only the leader has.
 func writeLeaderMetrics(out io.Writer, c *controller.Controller) {
 	status := c.Status()
 	for state, count := range status.Machines {
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -10,10 +10,12 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// Network is how a node reaches others.
+// Network is how a node reaches the services, the workers and its peers. Tests replace it.
 type Network struct {
-	State, Cloud, Workers http.RoundTripper
-	DialPeer              peer.Dialer
+	State    http.RoundTripper // to the state store
+	Cloud    http.RoundTripper
+	Workers  http.RoundTripper
+	DialPeer peer.Dialer
 }
 
 // connectionLimits bound the connections to one service.
@@ -34,7 +36,7 @@
 	}
 }
 
-// TCP is the network of a node that runs as a process of its own.
+// TCP returns the network of a node that runs as a process of its own.
 func TCP(cfg *config.Config) Network {
 	lease, interval := cfg.WorkerLease(), cfg.HeartbeatInterval()
 	return Network{
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node assembles one controller node: it makes its parts, starts them, and owns
-// the goroutines that they run in.
+// Package node assembles one controller node: it makes the parts of the node, starts them, and
+// owns the goroutines that they run in.
 package node
 
 import (
@@ -36,7 +36,7 @@
 	workers *workerClient
 	metrics *nodeMetrics
 
-	// What the node knows.
+	// The state that the node answers and decides from.
 	jobCache *watchcache.Cache
 	catalog  atomic.Pointer[wire.Catalog] // nil before it has been read
 	settings *settings
@@ -44,7 +44,7 @@
 	counts   jobstatus.TaskCounts
 	statuses *jobstatus.Reader
 
-	// Who is answered, and how.
+	// The parts that admit and answer requests.
 	load        *admission.LoadMonitor
 	connections *admission.Connections
 	heartbeats  *heartbeats
@@ -56,7 +56,7 @@
 	background sync.WaitGroup // all goroutines of the node
 }
 
-// New makes a node.
+// New makes a node. It sends nothing before Run or Start.
 func New(cfg *config.Config, network Network) *Node {
 	timeout := cfg.WorkerLease() / 5
 	limits := cfg.StateLimits()
@@ -131,11 +131,12 @@
 	})
 }
 
-// Handler answers users, workers, operators and health checks.
+// Handler returns the handler of all HTTP routes: users, workers, operators and health checks.
 func (n *Node) Handler() http.Handler { return n.api.Handler() }
 
-// Run listens and serves until ctx ends or a listener fails. It returns once the parts of the
-// node have stopped, or after the time-out of a request to the services: the process ends then.
+// Run listens and serves until ctx ends or a listener fails, whose error it returns. After that it
+// waits until the parts of the node have stopped, but no longer than a request to the services may
+// take: the process ends then.
 func (n *Node) Run(ctx context.Context) error {
 	srv, err := peer.NewServer(n)
 	if err != nil {
@@ -145,7 +146,7 @@
 	if err != nil {
 		return fmt.Errorf("listen on mesh_addr: %w", err)
 	}
-	// Idle connections are closed by time limits: probes on each would only cost
+	// Idle connections are closed by time limits: keep-alive probes on each would only cost
 	// system calls.
 	withoutProbes := net.ListenConfig{KeepAlive: -1}
 	clients, err := withoutProbes.Listen(ctx, "tcp", n.cfg.Listen)
@@ -180,7 +181,8 @@
 	}
 }
 
-// Start begins all that a node does beside answering. It ends with ctx; Wait waits for that.
+// Start starts everything that a node does besides answering requests, once. It stops when ctx ends;
+// Wait waits for that.
 func (n *Node) Start(ctx context.Context) {
 	watchFor, pause := n.cfg.WorkerLease(), n.cfg.LeaderLeaseTTL()/8
 	for _, part := range []func(){
@@ -208,18 +210,18 @@
 	})
 }
 
-// Wait returns once all goroutines of the node have ended. They do after the end of the
-// context that Start was given, once their last request has been answered or given up.
+// Wait returns once all goroutines of the node have ended: after the context of Start has ended and
+// their last request has been answered or abandoned.
 func (n *Node) Wait() { n.background.Wait() }
 
-// waitFor waits for at most d, and reports whether all goroutines have ended.
-func (n *Node) waitFor(d time.Duration) bool {
+// waitFor waits for timeout at most, and reports whether all goroutines have ended.
+func (n *Node) waitFor(timeout time.Duration) bool {
 	ended := make(chan struct{})
 	go func() {
 		n.Wait()
 		close(ended)
 	}()
-	timer := time.NewTimer(d)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ended:
@@ -229,7 +231,8 @@
 	}
 }
 
-// leadTerm leads one term, until ctx ends or another leader is seen.
+// leadTerm leads one term, until ctx ends or the controller finds that another node leads. What the
+// term started has stopped when it returns.
 func (n *Node) leadTerm(ctx context.Context, term uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer n.relays.watch.Wait()
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -7,8 +7,8 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// A Node answers the calls of other controllers; Ping, Counts and LeadStatus stand beside
-// what they tell of.
+// A Node answers the calls of other controllers. Ping and Counts are in pinging.go, LeadStatus in
+// status.go.
 var _ peer.Handler = (*Node)(nil)
 
 // ServeUserRequest answers a user's request that a peer forwards.
@@ -34,10 +34,10 @@
 	n.jobCache.ApplyFromPeer(c.UID, c.Record, c.ModRevision)
 }
 
-// announceCancelled tells this node and its peers of a committed cancellation, so that a leader
-// that the state store refuses, or whose watch is late, stops the tasks at once. No
-// rule rests on it: a peer that is not reached learns of the cancellation by
-// reading, or stops renewing worker leases.
+// announceCancelled applies a committed cancellation here and announces it to the peers that are
+// reached, without waiting for them: a leader that the state store refuses, or whose watch is late,
+// then stops the tasks at once. No rule depends on it: a peer that is not reached learns of the
+// cancellation by reading, or stops renewing worker leases.
 func (n *Node) announceCancelled(c peer.Cancellation) {
 	n.ApplyCancellation(c)
 	for _, p := range n.peers {
--- a/internal/node/pinging.go
+++ b/internal/node/pinging.go
@@ -11,7 +11,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// ping keeps in touch with a peer until ctx ends.
+// ping pings a peer once every quarter of a leader lease until ctx ends, and applies its answers.
 func (n *Node) ping(ctx context.Context, p *peer.Peer) {
 	for ctx.Err() == nil {
 		args := peer.PingArgs{From: n.cfg.Label, Term: n.elector.View().Term, Version: int(clusterversion.Latest)}
@@ -34,7 +34,8 @@
 	}
 }
 
-// Ping answers a peer.
+// Ping answers a peer's ping. If this node leads and the caller knows a newer term, the elector
+// observes that term.
 func (n *Node) Ping(a peer.PingArgs) peer.PingResult {
 	r := peer.PingResult{
 		Term:         n.elector.View().Term,
@@ -58,7 +59,7 @@
 	return r
 }
 
-// Counts answers a peer that wants to tell a user how a job stands.
+// Counts answers a peer that polls a job for a user: how many of its tasks are done and running.
 func (n *Node) Counts(a peer.CountsArgs) peer.CountsReply {
 	c := n.controller()
 	if c == nil {
@@ -68,8 +69,9 @@
 	return peer.CountsReply{Known: ok, Done: done, Running: running}
 }
 
-// taskCounts returns how many tasks of a job are done and running, as far as the leader
-// tells: as it had them at the last ping. A leader that does not send them is asked.
+// taskCounts returns how many tasks of a job are done and running: at a follower, as the leader had
+// them at the last ping. A leader whose pings do not bring the counts is asked by a call. Without a
+// leader both are zero.
 func (n *Node) taskCounts(uid string) (done, running int) {
 	if c := n.controller(); c != nil {
 		done, running, _ = c.Counts(uid)
@@ -89,9 +91,9 @@
 	return r.Done, r.Running
 }
 
-// raiseVersion raises the cluster version if this node leads and all members
-// understand a newer one. What counts is what each has said last: a node that is put
-// back to an older release says so with its next ping.
+// raiseVersion raises the cluster version if this node leads and all members understand a newer
+// one, by what each has announced last: a node that is rolled back to an older release announces
+// that with its next ping.
 func (n *Node) raiseVersion(ctx context.Context) {
 	c := n.controller()
 	if c == nil || n.version.InForce() == clusterversion.Latest {
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -16,8 +16,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// batchesPerInterval is how many batches of relayed heartbeats a follower sends in a
-// heartbeat interval at most: one in each unit of the grid.
+// batchesPerInterval is how many times in a heartbeat interval a follower sends batches of relayed
+// heartbeats: once in each unit of the timer grid.
 const batchesPerInterval = 12
 
 // relays is a node's part in relaying heartbeats: the sender while it follows, router and
@@ -25,7 +25,7 @@
 type relays struct {
 	*leadership
 	sender     *relay.Sender
-	malformed  *metrics.Counter // batches that could not be taken apart
+	malformed  *metrics.Counter // batches that could not be decoded
 	router     atomic.Pointer[relay.Router]
 	receiver   atomic.Pointer[relay.Receiver]
 	leaderMode atomic.Int32   // the relay.Mode that a leader announced last
@@ -48,7 +48,7 @@
 	return r
 }
 
-// sendBatch sends a batch to the leader.
+// sendBatch sends a batch to the leader. It is the sender's relay.ExchangeFunc.
 func (r *relays) sendBatch(to relay.Leader, batch peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
 	if p := r.peer(to.Label); p != nil {
 		return p.RelayHeartbeats(batch)
@@ -56,8 +56,8 @@
 	return peer.HeartbeatBatchReply{}, relay.ErrLeaderUnreachable
 }
 
-// beginTerm makes this node's router and receiver of a term that ends with ctx. endTerm
-// has to be called then.
+// beginTerm makes this node's router and receiver for a term that ends with ctx. The caller must
+// call endTerm after that, and wait for watch.
 func (r *relays) beginTerm(ctx context.Context, term uint64, answer relay.AnswerFunc) {
 	if !r.cfg.RelayHeartbeats {
 		return
@@ -79,14 +79,14 @@
 	r.watch.Go(func() { r.watchFleetSize(ctx) })
 }
 
-// endTerm drops a term's router and receiver.
+// endTerm drops the term's router and receiver: batches are refused from then on.
 func (r *relays) endTerm() {
 	r.router.Store(nil)
 	r.receiver.Store(nil)
 }
 
-// watchFleetSize tells the router how many machines there are, and lets the receiver
-// forget those that are gone, until the term ends.
+// watchFleetSize keeps the router's fleet size up to date and, once a worker lease, lets the
+// receiver forget the machines that are gone, until ctx ends with the term.
 func (r *relays) watchFleetSize(ctx context.Context) {
 	forgotten := time.Now()
 	for ctx.Err() == nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// resizeRouter tells the router how many machines there are, and reports whether that is known.
+// resizeRouter sets the router's fleet size, and reports whether the number of machines is known.
 func (r *relays) resizeRouter(c *controller.Controller) bool {
 	router, receiver := r.router.Load(), r.receiver.Load()
 	if router == nil || receiver == nil {
@@ -132,7 +132,8 @@
 	return ok && last.WantsRelays && r.cfg.RelayHeartbeats
 }
 
-// route returns where a worker that reports at a controller has to go instead, or "".
+// route returns the label of the controller that a worker has to send its heartbeats to instead of
+// the one at which they arrive, or "" if it stays there.
 func (r *relays) route(heartbeat *wire.Heartbeat, at string, pressure relay.Pressure) string {
 	router := r.router.Load()
 	if router == nil {
@@ -141,7 +142,8 @@
 	return router.Route(heartbeat, at, pressure, time.Now())
 }
 
-// recordPing records what a ping says of a peer's part in relaying.
+// recordPing records whether a peer can relay and, from a leader, whether it wants relays, by the
+// answer to a ping or the lack of one.
 func (r *relays) recordPing(label string, reply peer.PingResult, reached bool) {
 	if router := r.router.Load(); router != nil {
 		router.SetUsable(label, reached && reply.CanRelay)
--- a/internal/node/renewals.go
+++ b/internal/node/renewals.go
@@ -15,23 +15,23 @@
 )
 
 // renewals are the worker leases that this node renews on behalf of a leader that it
-// cannot reach.
+// cannot reach. It is safe for concurrent use.
 type renewals struct {
 	*leadership
 	store   *store.Client
 	serving func() bool
 
 	mu      sync.Mutex
-	renewed map[string]time.Time // by machine: when its lease was renewed last
+	renewed map[string]time.Time // by machine: when its lease was last renewed here
 }
 
 // answer renews a worker's lease on behalf of a leader that this node cannot reach, and
-// launches nothing. A worker that has seen a newer fencing token than the state store or a
-// leader has announced to this node was reached directly by that token's leader: it is
+// launches nothing. A worker that has seen a newer fencing token than this node knows from the
+// state store or a leader has been in direct contact with the leader of that token: it is
 // redirected to look for that leader. All others get the token that this node knows. A deposed
-// leader that was cut off from the state store and its peers gave all its workers the new
-// token as soon as the first of them presented it, and so kept a whole fleet from the new
-// leader, which declared it dead.
+// leader that was cut off from the state store and its peers once passed the new token on to all
+// its workers as soon as the first of them presented it: none of them looked for the new leader,
+// which declared the whole fleet dead.
 func (r *renewals) answer(heartbeat *wire.Heartbeat) (*wire.Commands, error) {
 	v := r.elector.View()
 	if !v.Synced || v.ConfirmedTerm == 0 {
@@ -66,8 +66,8 @@
 	return hosts
 }
 
-// publish writes which machines this node answers while it cannot reach
-// the leader, where the leader can read it, until ctx ends.
+// publish writes to the state store, for the leader to read, the machines whose leases this node
+// renews while it cannot reach the leader, once every fifth of a worker lease until ctx ends.
 func (r *renewals) publish(ctx context.Context) {
 	for timeralign.Sleep(ctx, r.cfg.WorkerLease()/5) {
 		hosts := r.hosts()
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -13,10 +13,11 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// settings are the operators' own settings, as the state store has them.
+// settings are the operators' own settings, as the state store has them. It is safe for concurrent
+// use.
 type settings struct {
 	store   *store.Client
-	reportS float64 // the heartbeat interval in seconds, which the defaults go by
+	reportS float64 // heartbeat interval in seconds, from which the defaults are derived
 	current atomic.Pointer[wire.Settings]
 }
 
@@ -31,7 +32,7 @@
 func (s *settings) Current() *wire.Settings { return s.current.Load() }
 
 // Change commits settings made from Current, and applies them. A *store.ConflictError
-// means that others were committed meanwhile.
+// means that others were committed meanwhile. The caller must have validated them.
 func (s *settings) Change(ctx context.Context, next wire.Settings) error {
 	value := records.Encode(next)
 	modRevision, err := s.store.Commit(ctx, wire.Transaction{
@@ -45,7 +46,8 @@
 	return nil
 }
 
-// apply puts the settings of an event in force, if it bears newer ones that are valid.
+// apply puts the settings of an event in force if they are newer and valid. Settings that are not
+// valid are logged, and the ones before stay in force.
 func (s *settings) apply(event wire.WatchEvent) {
 	if event.Set != records.SettingsKey || event.ModRevision <= s.Current().ModRevision {
 		return
@@ -64,7 +66,8 @@
 	s.current.Store(&next)
 }
 
-// followSettings follows what the state store keeps for all nodes, until ctx ends.
+// followSettings follows the settings and the cluster version in the state store until ctx ends. wait
+// is the duration of one watch request, pause the wait after a failed one.
 func (n *Node) followSettings(ctx context.Context, wait, pause time.Duration) {
 	apply := func(event wire.WatchEvent) {
 		n.version.Apply(event)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -8,8 +8,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Status is how this node stands and, if the leader is reached, how the whole
-// service does.
+// Status returns the state of this node and, if the leader is reached, of the whole service.
 func (n *Node) Status() wire.Status {
 	v := n.elector.View()
 	status := wire.Status{
@@ -32,7 +31,7 @@
 	return status
 }
 
-// LeadStatus answers a peer that shows the leader's status; nil if this node does not lead.
+// LeadStatus answers a peer that asks for the leader's status; nil if this node does not lead.
 func (n *Node) LeadStatus() *wire.LeadStatus {
 	c := n.controller()
 	if c == nil || n.elector.State() == election.Following {
@@ -41,7 +40,7 @@
 	return n.leaderStatus(c)
 }
 
-// leaderStatus is how the leader's work stands, with who answers the workers.
+// leaderStatus returns the leader's status, with the number of workers at each controller.
 func (n *Node) leaderStatus(c *controller.Controller) *wire.LeadStatus {
 	status := c.Status()
 	if router := n.relays.router.Load(); router != nil {
--- a/internal/node/warmstandby.go
+++ b/internal/node/warmstandby.go
@@ -20,8 +20,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// warmStandby is a node's part in keeping a warm standby: the follower in any term, and the
-// source while it leads. follower is nil, and nothing is done, unless the node may have one.
+// warmStandby is a node's part in the warm standby: the follower in any term, and the source while
+// the node leads. Unless the configuration enables it, follower is nil and nothing is done.
 type warmStandby struct {
 	*leadership
 	store    *store.Client
@@ -32,10 +32,10 @@
 	mu         sync.Mutex
 	chosen     string // at the leader: the label of the node that is to follow it
 	announced  string // at a follower: the label that the leader announced last
-	failoverMs int64  // from when nobody led to the first decision of the last term here
+	failoverMs int64  // of the last term here: from when nobody led to its first decision
 }
 
-// newWarmStandby makes the part that a node needs in any term.
+// newWarmStandby makes the parts that a node needs in any term.
 func newWarmStandby(l *leadership, st *store.Client, c *campaign) *warmStandby {
 	w := &warmStandby{leadership: l, store: st, campaign: c}
 	if w.enabled() {
@@ -48,10 +48,10 @@
 	return w
 }
 
-// enabled reports whether this node takes part.
+// enabled reports whether this node may follow a leader and offer its state to a follower.
 func (w *warmStandby) enabled() bool { return w.cfg.WarmStandby }
 
-// fetch asks a peer for a part of its state.
+// fetch asks a leader for a part of its state.
 func (w *warmStandby) fetch(leader string, args peer.FollowArgs) (peer.FollowReply, error) {
 	if p := w.peer(leader); p != nil {
 		return p.FollowState(args)
@@ -59,7 +59,7 @@
 	return peer.FollowReply{}, fmt.Errorf("no peer is named %q", leader)
 }
 
-// answer answers a standby that follows this node.
+// answer answers a standby that asks this node for a part of its state.
 func (w *warmStandby) answer(args peer.FollowArgs) (peer.FollowReply, error) {
 	source := w.source.Load()
 	if source == nil {
@@ -68,8 +68,8 @@
 	return source.Follow(args)
 }
 
-// beginTerm lets a term start from what this node has followed, and offer what it knows.
-// endTerm has to be called when the term is over.
+// beginTerm sets the options with which a term starts from the copy that this node has followed,
+// and offers its own state to a standby. The caller must call endTerm when the term is over.
 func (w *warmStandby) beginTerm(options *controller.Options, term uint64) {
 	if !w.enabled() {
 		return
@@ -86,7 +86,7 @@
 	w.source.Store(source)
 }
 
-// recordFailover records how the failover to this node went.
+// recordFailover records how long the failover to this node took and whether it used the copy.
 func (w *warmStandby) recordFailover(failover records.Failover) {
 	if failover.Warm {
 		w.follower.MarkPromoted(fmt.Sprintf("decides after %d ms", failover.DecidedMs))
@@ -96,14 +96,15 @@
 	w.failoverMs = failover.DecidedMs
 }
 
-// lastFailover is how long nobody led before the last term here decided.
+// lastFailover returns the time from when nobody led to the first decision of the last term here; 0
+// before there was one.
 func (w *warmStandby) lastFailover() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Duration(w.failoverMs) * time.Millisecond
 }
 
-// endTerm drops what a term offered.
+// endTerm drops the term's source and the copy: a later term of this node starts from a new one.
 func (w *warmStandby) endTerm() {
 	if !w.enabled() {
 		return
@@ -115,9 +116,9 @@
 	w.chosen, w.announced = "", ""
 }
 
-// choose names the node that is to follow this leader: one that is reached, reads
-// the state store and has as short a campaign delay as any. It stays the same while that
-// holds.
+// choose returns the label of the node that is to follow this leader, "" for none: one that is
+// reached, serves and has as short a campaign delay as any. The choice stays the same while that is
+// true of it.
 func (w *warmStandby) choose() string {
 	if w.source.Load() == nil {
 		return ""
@@ -145,8 +146,7 @@
 	return w.chosen
 }
 
-// canFollow reports whether a peer is reached, reads the state store and understands
-// how to follow a leader.
+// canFollow reports whether a peer is reached, serves and is able to follow a leader.
 func (w *warmStandby) canFollow(p *peer.Peer) bool {
 	last, ok := p.LastPing(w.cfg.LeaderLeaseTTL())
 	return ok && last.Serving && last.CanFollow
@@ -178,7 +178,8 @@
 	}
 }
 
-// announcement is the leader, its term and the node that it wants to follow it.
+// announcement returns the leader, its term and the node that it wants to follow it, by its last
+// answer to a ping; "" if no leader is reached.
 func (w *warmStandby) announcement() (leader string, term uint64, follower string) {
 	p := w.leader()
 	if p == nil {
@@ -191,8 +192,8 @@
 	return p.Label, last.Term, last.Standby
 }
 
-// peerIsPreferred reports whether a peer that is reached follows the leader and this node
-// does not: it is the better successor.
+// peerIsPreferred reports whether a peer is the better successor: this node has no copy of the
+// leader's state, and the standby that the leader announced last is reached.
 func (w *warmStandby) peerIsPreferred() bool {
 	if !w.enabled() || w.follower.HasCopy() {
 		return false
@@ -205,25 +206,28 @@
 	})
 }
 
-// status is how the node follows, or what it offers as the leader.
+// status returns the state of the follower; at a leader, sizes and positions are those of the source
+// that it offers. It must not be called unless the warm standby is enabled.
 func (w *warmStandby) status() *wire.StandbyStatus {
-	f := w.follower.Status()
+	following := w.follower.Status()
 	status := &wire.StandbyStatus{
-		State:    f.State.String(),
-		Cause:    f.Cause,
-		Leader:   f.Leader,
-		Term:     f.Term,
-		Sequence: f.Sequence,
-		Position: f.Position,
-		LagS:     f.Lag.Seconds(),
-		Entries:  f.Entries,
-		Bytes:    f.Bytes,
-		Moved:    f.ReceivedBytes,
-		Refused:  f.Refused,
+		State:    following.State.String(),
+		Cause:    following.Cause,
+		Leader:   following.Leader,
+		Term:     following.Term,
+		Sequence: following.Sequence,
+		Position: following.Position,
+		LagS:     following.Lag.Seconds(),
+		Entries:  following.Entries,
+		Bytes:    following.Bytes,
+		Moved:    following.ReceivedBytes,
+		Refused:  following.Refused,
 	}
 	if source := w.source.Load(); source != nil {
-		s := source.Status()
-		status.Sequence, status.Position, status.Entries, status.Bytes, status.Moved = s.Sequence, s.Position, s.Entries, s.Bytes, s.SentBytes
+		offered := source.Status()
+		status.Sequence, status.Position = offered.Sequence, offered.Position
+		status.Entries, status.Bytes = offered.Entries, offered.Bytes
+		status.Moved = offered.SentBytes
 		status.LagS = 0
 		w.mu.Lock()
 		status.Standby = w.chosen
