--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -67,7 +67,7 @@
 	c := NewConnections(64, time.Second)
 	limits := c.Limits()
 	if limits.MaxOpen != 48 || limits.Reserve != 4 {
-		t.Errorf("%d places and %d of the reserve", limits.MaxOpen, limits.Reserve)
+		t.Errorf("%d open connections and %d of the reserve", limits.MaxOpen, limits.Reserve)
 	}
 	if c.WorkerReserve.Limit() != 2 || c.UserReserve.Limit() != 1 {
 		t.Errorf("the reserve is shared by %d workers and %d users", c.WorkerReserve.Limit(), c.UserReserve.Limit())
--- a/internal/admission/connections.go
+++ b/internal/admission/connections.go
@@ -12,18 +12,20 @@
 )
 
 // Shares of a node's connections. The rest is for the services, the workers and the peers that
-// it connects to itself.
+// the node itself connects to.
 const (
-	placesShare  = 0.75   // kept for workers, users and operators
-	reserveShare = 0.0625 // for one request each while no place is free
-	reserveParts = 4      // of the reserve: workers have two, users one, operators the rest
+	openShare    = 0.75   // connections that stay open for workers, users and operators
+	reserveShare = 0.0625 // connections for one request each while all of these are taken
+
+	// The reserve is divided into four parts: workers have two, users one, operators the rest.
+	reserveParts = 4
 	workersParts = 2
 	usersParts   = 1
 )
 
 // Slots bounds how many requests of one kind are answered on connections of the reserve
-// at a time. Those over the limit are answered at once, so that there is always one
-// connection left for operators.
+// at a time. Callers refuse the others at once, so that part of the reserve is always left for
+// operators. It is safe for concurrent use.
 type Slots struct {
 	limit int64
 	used  atomic.Int64
@@ -44,8 +46,8 @@
 // Limit is how many slots there are.
 func (s *Slots) Limit() int { return int(s.limit) }
 
-// Connections bounds the connections of users, workers and operators, and tells how
-// short of them the node is.
+// Connections bounds the connections of users, workers and operators, and reports how short of
+// them the node is. It is safe for concurrent use.
 type Connections struct {
 	// WorkerReserve and UserReserve bound who is answered on connections of the reserve.
 	WorkerReserve, UserReserve Slots
@@ -55,7 +57,7 @@
 }
 
 // NewConnections returns the bounds of a node that may have maxConnections in all and
-// whose workers send a heartbeat once an interval.
+// whose workers send a heartbeat once every heartbeatInterval.
 func NewConnections(maxConnections int, heartbeatInterval time.Duration) *Connections {
 	connections := float64(maxConnections)
 	reserve := int64(reserveShare * connections)
@@ -63,21 +65,21 @@
 		WorkerReserve: Slots{limit: max(1, reserve*workersParts/reserveParts)},
 		UserReserve:   Slots{limit: max(1, reserve*usersParts/reserveParts)},
 		limits: connlimit.Limits{
-			MaxOpen: int(placesShare * connections),
+			MaxOpen: int(openShare * connections),
 			Reserve: int(reserveShare * connections),
-			// A worker that is well is idle for no longer than one interval.
+			// The connection of a live worker is idle for no longer than one interval.
 			MinIdle:        2 * heartbeatInterval,
 			ReserveTimeout: heartbeatInterval,
 		},
 	}
 }
 
-// Limits is how many connections of users, workers and operators are kept, and for how
+// Limits returns how many connections of users, workers and operators may be open, and for how
 // long.
 func (c *Connections) Limits() connlimit.Limits { return c.limits }
 
-// Listen returns a listener that keeps l's connections within the limits. The bounds
-// are those of this listener from then on.
+// Listen returns a listener that keeps l's connections within the limits. Pressure and the counts
+// are those of the latest such listener.
 func (c *Connections) Listen(l net.Listener) *connlimit.Listener {
 	limited := connlimit.New(l, c.limits)
 	c.listener.Store(limited)
@@ -95,8 +97,8 @@
 	return relay.Relaxed
 }
 
-// CloseUnderPressure wraps a handler: connections are closed once their request is
-// answered while places are scarce, so that they serve others in turn.
+// CloseUnderPressure wraps a handler: while connections are short, each is closed once its request
+// is answered, so that another client gets its turn.
 func (c *Connections) CloseUnderPressure(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c.Pressure(r.Context()) != relay.Relaxed {
@@ -106,7 +108,8 @@
 	})
 }
 
-// Open is how many connections hold a place; 0 before the node listens.
+// Open returns how many connections are open, without those of the reserve; 0 before the node
+// listens.
 func (c *Connections) Open() int {
 	if l := c.listener.Load(); l != nil {
 		return l.Open()
@@ -114,7 +117,7 @@
 	return 0
 }
 
-// Reserved is how many connections of the reserve are in use; 0 before the node listens.
+// Reserved returns how many connections of the reserve are in use; 0 before the node listens.
 func (c *Connections) Reserved() int {
 	if l := c.listener.Load(); l != nil {
 		return l.Reserved()
@@ -122,7 +125,7 @@
 	return 0
 }
 
-// Evicted is how many idle connections have given way to others so far.
+// Evicted returns how many idle connections have been closed for new ones so far.
 func (c *Connections) Evicted() uint64 {
 	if l := c.listener.Load(); l != nil {
 		return l.Evicted()
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -1,5 +1,5 @@
-// Package admission decides which requests a node takes on while its processor or its
-// connections are short.
+// Package admission decides which requests a node answers while it is short of processor time or
+// of connections.
 package admission
 
 import (
@@ -11,10 +11,10 @@
 	"lotusstile.dev/lotusstile/internal/timeralign"
 )
 
-// LoadMonitor watches how late this node's timers fire, and admits users' requests
-// while that is little. Heartbeats of workers are always answered; scheduling cycles
-// that overrun start nothing and shrink; users are refused first, with the time after which
-// to retry.
+// LoadMonitor measures how late this node's timers fire, and admits users' requests while that lag
+// is below a limit. Under load, users are refused first, with a time to retry after; scheduling
+// cycles that overrun start nothing and shrink; heartbeats of workers are always answered. It is
+// safe for concurrent use.
 type LoadMonitor struct {
 	maxLag   time.Duration
 	maxUsers int64
@@ -24,7 +24,8 @@
 	overloaded atomic.Bool
 }
 
-// lagSmoothing is over how many measurements the lag is smoothed.
+// lagSmoothing is the divisor of the exponential smoothing of the lag: a new measurement counts for
+// a third.
 const lagSmoothing = 3
 
 // NewLoadMonitor returns a monitor of a node that is overloaded while its timers fire
@@ -45,7 +46,8 @@
 	}
 }
 
-// Record takes one measurement of how late a timer fired.
+// Record adds one measurement of how late a timer fired. It must be called by one goroutine at a
+// time, which is Run once that is started.
 func (m *LoadMonitor) Record(late time.Duration) {
 	lag := time.Duration(m.lag.Load())
 	lag += (late - lag) / lagSmoothing
@@ -62,8 +64,8 @@
 // IsOverloaded reports whether timers fire later than the limit.
 func (m *LoadMonitor) IsOverloaded() bool { return m.overloaded.Load() }
 
-// AdmitUser counts a user's request in and returns true, unless the node is overloaded
-// or answers as many already as it may. ReleaseUser counts an admitted one out.
+// AdmitUser admits a user's request and returns true, unless the node is overloaded or already
+// answers as many as it may. The caller must call ReleaseUser once an admitted request is answered.
 func (m *LoadMonitor) AdmitUser() bool {
 	if m.overloaded.Load() {
 		return false
@@ -75,5 +77,5 @@
 	return true
 }
 
-// ReleaseUser counts an admitted request out.
+// ReleaseUser ends a request that AdmitUser admitted.
 func (m *LoadMonitor) ReleaseUser() { m.users.Add(-1) }
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -2,9 +2,9 @@
 // connection that has been idle for longest is closed for a new one: connections that nobody
 // uses any more would otherwise keep users, workers and operators out until they time out.
 //
-// Without an idle connection, a new one is admitted to a small reserve, for one request. The
-// server can tell what is requested and by whom, and answer at once; an operator gets in
-// however many connections users and workers keep.
+// If no connection is idle, a new one is admitted to a small reserve, for one request. The
+// server can then read who requests what, and answer at once; an operator gets in
+// however many connections users and workers have open.
 package connlimit
 
 import (
@@ -18,9 +18,9 @@
 
 // Limits bounds a listener's connections.
 type Limits struct {
-	MaxOpen int           // connections that are kept from request to request; at least 1
-	Reserve int           // connections for one request beyond these
-	MinIdle time.Duration // a connection that is idle for this long is closed for a new one
+	MaxOpen int           // connections that may stay open from request to request; at least 1
+	Reserve int           // further connections, for one request each
+	MinIdle time.Duration // a connection that has been idle for this long may be closed for a new one
 	// ReserveTimeout is how long a connection of the reserve may take to send its request.
 	ReserveTimeout time.Duration
 }
@@ -28,16 +28,16 @@
 // pressureShare is the share of MaxOpen from which on a listener is under pressure.
 const pressureShare = 0.875
 
-// checksPerMinIdle is how often in MinIdle a listener without room looks for a connection that may be
-// closed.
+// checksPerMinIdle is how many times in MinIdle a listener without room looks for a connection that
+// may be closed.
 const checksPerMinIdle = 8
 
-// Listener accepts a limited number of connections at a time. Its ConnState and ConnContext have to be
-// the server's hooks of these names.
+// Listener accepts a limited number of connections at a time. Its ConnState and ConnContext must be
+// the http.Server's hooks of these names.
 type Listener struct {
 	net.Listener
 	limits Limits
-	freed  chan struct{} // a connection was closed
+	freed  chan struct{} // signals that a connection or the listener was closed; one signal is buffered
 
 	mu        sync.Mutex
 	open      map[*conn]struct{} // those that are not of the reserve
@@ -51,10 +51,10 @@
 type conn struct {
 	net.Conn
 	listener  *Listener
-	reserve   bool         // it is of the reserve
-	deadline  time.Time    // until when a connection of the reserve has to send its request
+	reserve   bool         // it is of the reserve; set before Accept returns it
+	deadline  time.Time    // by which a connection of the reserve has to send its request
 	idleSince atomic.Int64 // in nanoseconds of the Unix time; 0 while a request is answered
-	closed    bool         // it does not count any more; guarded by the listener's mu
+	closed    bool         // it no longer counts; guarded by the listener's mu
 }
 
 // New bounds the connections of a listener.
@@ -64,8 +64,8 @@
 }
 
 // Accept waits until there is room, or a connection that may be closed for a new one, and then for a
-// connection. Without room nothing is accepted, so that a load balancer can see that and
-// try another node.
+// connection. Without room it accepts nothing, so that a load balancer notices and turns to another
+// node.
 func (l *Listener) Accept() (net.Conn, error) {
 	for !l.hasRoom() && !l.closed.Load() {
 		l.waitForRoom()
@@ -85,7 +85,7 @@
 		l.waitForRoom()
 	}
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
-		_ = c.Close() // it is gone already: the server finds it closed
+		_ = c.Close() // it is broken already: the server finds it closed
 	}
 	return c, nil
 }
@@ -97,8 +97,9 @@
 	return len(l.open) < l.limits.MaxOpen || l.reserved < l.limits.Reserve || l.longestIdle(time.Now()) != nil
 }
 
-// admit counts a connection among the open ones, else in the reserve, and reports whether there was room.
-// Instead of using the reserve it closes an idle connection: the caller then has to try again.
+// admit counts a connection among the open ones, or else in the reserve, and reports whether there was
+// room. It prefers to close an idle connection to using the reserve: it then returns false, and the
+// caller has to call it again once the idle one no longer counts.
 func (l *Listener) admit(c *conn) bool {
 	l.mu.Lock()
 	if len(l.open) < l.limits.MaxOpen {
@@ -127,8 +128,8 @@
 	l.openCount.Store(int64(len(l.open)))
 }
 
-// longestIdle returns the connection that has been idle for longest, nil if none is for MinIdle.
-// l.mu is held.
+// longestIdle returns the connection that has been idle for longest, or nil if none has been for
+// MinIdle. l.mu is held.
 func (l *Listener) longestIdle(now time.Time) *conn {
 	var longest *conn
 	since := now.Add(-l.limits.MinIdle).UnixNano()
@@ -140,8 +141,8 @@
 	return longest
 }
 
-// waitForRoom waits until a connection was closed, or another one may have been idle for long
-// enough.
+// waitForRoom waits until a connection or the listener is closed, or until it is time to look again
+// for a connection that has been idle for MinIdle.
 func (l *Listener) waitForRoom() {
 	timer := time.NewTimer(l.limits.MinIdle / checksPerMinIdle)
 	defer timer.Stop()
@@ -151,7 +152,7 @@
 	}
 }
 
-// ConnState is the server's hook of this name. It follows which connections are idle.
+// ConnState is the http.Server's hook of this name. It records which connections are idle.
 func (*Listener) ConnState(c net.Conn, state http.ConnState) {
 	tracked, ok := c.(*conn)
 	if !ok {
@@ -168,20 +169,20 @@
 // connKey is the context key of the connection of a request.
 type connKey struct{}
 
-// ConnContext is the server's hook of this name. It lets OnReserve find a request's connection.
+// ConnContext is the http.Server's hook of this name. It lets OnReserve find a request's connection.
 func (*Listener) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// OnReserve reports whether a request has come on a connection of the reserve. It has to be
-// answered at once, and its connection closed.
+// OnReserve reports whether the request that ctx belongs to came on a connection of the reserve. The
+// server must answer it at once and then close the connection.
 func OnReserve(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	return ok && c.reserve
 }
 
-// UnderPressure reports whether nearly all connections are taken: one whose request is answered
-// should then be closed, so that others are served in turn.
+// UnderPressure reports whether nearly all connections are taken. The server should then close a
+// connection once its request is answered, so that another client gets its turn.
 func (l *Listener) UnderPressure() bool {
 	return float64(l.openCount.Load()) >= pressureShare*float64(l.limits.MaxOpen)
 }
@@ -206,8 +207,8 @@
 	return l.Listener.Close()
 }
 
-// SetReadDeadline bounds the time that a connection may take to send what is expected. One of the
-// reserve that sends no request is not kept for as long as others would be.
+// SetReadDeadline sets the read deadline. Until a connection of the reserve has sent a request, its
+// deadline is never later than ReserveTimeout allows: a silent client must not use up the reserve.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	if c.reserve && c.idleSince.Load() != 0 && (t.IsZero() || t.After(c.deadline)) {
 		t = c.deadline
@@ -215,13 +216,13 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close closes the connection, which does not count any more.
+// Close closes the connection, which no longer counts against the limits.
 func (c *conn) Close() error {
 	c.listener.release(c)
 	return c.Conn.Close()
 }
 
-// release stops counting a connection, once.
+// release stops counting a connection against the limits. Further calls do nothing.
 func (l *Listener) release(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
