--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -11,11 +11,11 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// maxBatchBytes is the most that the heartbeats of a batch which are sent in full may take, before
-// compression. What exceeds it goes with the next batch.
+// maxBatchBytes is the most that the bodies of a batch may take before compression. Heartbeats beyond
+// it go with the next batch.
 const maxBatchBytes = 16 * wire.MaxBody
 
-// batch collects heartbeats until they are sent.
+// batch collects heartbeats until they are sent. The Sender uses each in one goroutine.
 type batch struct {
 	heartbeats []peer.RelayedHeartbeat
 	bodies     []byte
@@ -47,7 +47,7 @@
 	b.bodies = append(b.bodies, body...)
 }
 
-// args returns the batch as it is sent.
+// args returns the batch as the peer RPC sends it, with the bodies compressed.
 func (b *batch) args(from string, term uint64) peer.HeartbeatBatch {
 	args := peer.HeartbeatBatch{From: from, Term: term, Heartbeats: b.heartbeats}
 	if len(b.bodies) > 0 {
@@ -86,8 +86,8 @@
 // errBodySize means that the bodies of a batch do not have the size that the batch says.
 var errBodySize = errors.New("size of the bodies")
 
-// decompressBodies decompresses the bodies of a batch, which must have a size. Nothing larger than is
-// allowed is decompressed.
+// decompressBodies decompresses the bodies of a batch, which must take exactly size bytes. It checks
+// that, and the limit of a batch, before it decompresses: a malformed batch must not exhaust memory.
 func decompressBodies(block []byte, size int) ([]byte, error) {
 	decoded, err := s2.DecodedLen(block)
 	if err != nil {
@@ -103,7 +103,7 @@
 // their sequence.
 func equalExceptSequence(a, b *wire.Heartbeat) bool {
 	if a.SpotNoticeS != nil || b.SpotNoticeS != nil {
-		return false // the time until the machine is reclaimed runs down
+		return false // the time until the machine is reclaimed differs in each heartbeat
 	}
 	return a.Host == b.Host && a.Address == b.Address && a.MachineType == b.MachineType && a.Zone == b.Zone && a.Spot == b.Spot &&
 		a.Incarnation == b.Incarnation && a.FencingToken == b.FencingToken && slices.Equal(a.Tasks, b.Tasks)
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Shares of a node's connections.
+// Numbers of workers, as shares of a node's connections.
 const (
-	relayAboveShare  = 0.5  // a fleet of more workers is relayed
-	directBelowShare = 0.4  // one of fewer is not; the gap keeps the mode from changing to and fro
-	followerShare    = 0.5  // workers that a follower takes
-	leaderShare      = 0.25 // workers that the leader keeps itself once others relay
-	maxShare         = 0.65 // workers that any controller takes where these are too few for the fleet
+	relayAboveShare  = 0.5  // the heartbeats of a larger fleet are relayed
+	directBelowShare = 0.4  // those of a smaller fleet are not; the gap prevents frequent mode changes
+	followerShare    = 0.5  // that a follower usually takes
+	leaderShare      = 0.25 // that the leader usually takes itself while others relay
+	maxShare         = 0.65 // that any controller takes if the usual shares have no room for the fleet
 )
 
 // Factors of a number of workers.
 const (
-	capacityFactor = 1.05 // times the fleet that the controllers together are to take
-	maxImbalance   = 1.25 // times the least load that a follower may have before it gives workers up
-	growthStep     = 1.1  // by which shares are raised until the fleet has room
+	capacityFactor = 1.05 // the controllers should have room for this many times the fleet
+	maxImbalance   = 1.25 // a follower with more than this many times the least load passes workers on
+	growthStep     = 1.1  // factor by which the usual shares are raised until the fleet has room
 )
 
-// MaxWorkers returns how many workers can keep a connection to a controller with so many connections.
+// MaxWorkers returns how many workers a controller that may have so many connections takes at most.
 func MaxWorkers(connections int) int { return int(maxShare * float64(connections)) }
 
-// adjustGrowth lets controllers take more than their usual share where the usual shares of those that
-// are reached have no room for the fleet. r.mu is held.
+// adjustGrowth raises the share that controllers take if the usual shares of those that are reached
+// have no room for the fleet. r.mu is held.
 func (r *Router) adjustGrowth() {
 	for r.growth = 1; ; r.growth *= growthStep {
 		room, allAtMax := 0, true
@@ -50,9 +50,10 @@
 // capacity returns how many workers a controller takes. r.mu is held.
 func (r *Router) capacity(label string) int { return int(r.share(label) * float64(r.Connections)) }
 
-// capacityFor returns up to how many workers a controller takes one of a zone. One of its own zone
-// has no other that it can reach while the zone is cut off: with a leader that took no more
-// than its usual share, a third of a cut-off zone of 700 machines lost their leases.
+// capacityFor returns the number of workers up to which a controller takes another one of a zone.
+// It is higher for the controller's own zone, whose workers can reach no other controller while the
+// zone is cut off: when a leader took no more than its usual share, the leases of a third of the
+// machines of a cut-off zone of 700 ended. r.mu is held.
 func (r *Router) capacityFor(label, zone string) int {
 	if r.Zones[label] == zone {
 		return MaxWorkers(r.Connections)
@@ -81,7 +82,7 @@
 	least := r.leastLoaded(now, zone, func(label string) bool { return label != r.Self && allowed(label) })
 	switch {
 	case least == "" && overloaded && at != r.Self && r.leaderHasRoom(now):
-		return r.Self // no follower has room: the leader takes what is too much for one
+		return r.Self // no follower has room: the leader takes the worker from an overloaded one
 	case least == "":
 		return at
 	case overloaded || r.shouldMove(at, least):
@@ -96,7 +97,8 @@
 }
 
 // shouldMove reports whether a worker that has no controller in its zone should move to the least loaded
-// follower. The leader has other things to do than to keep it. r.mu is held.
+// follower. The leader always passes it on, to save its own connections and processor time. r.mu is
+// held.
 func (r *Router) shouldMove(at, least string) bool {
 	return at == r.Self || !r.usable[at] || float64(r.load[at]) > maxImbalance*float64(r.load[least]+1)
 }
--- a/internal/relay/pressure.go
+++ b/internal/relay/pressure.go
@@ -6,8 +6,8 @@
 // The degrees of pressure. Their values travel in batches.
 const (
 	Relaxed       Pressure = iota // connections are free
-	UnderPressure                 // nearly all are taken: answers do not wait, and close their connection
-	Full                          // the heartbeat came on a connection of the reserve: the worker has to go
+	UnderPressure                 // nearly all are taken: answers do not wait, and then close their connection
+	Full                          // the heartbeat came on a connection of the reserve: the worker has to move
 )
 
 var pressureNames = [...]string{"relaxed", "crowded", "full"}
--- a/internal/relay/receiver.go
+++ b/internal/relay/receiver.go
@@ -15,7 +15,8 @@
 )
 
 // AnswerFunc decides the answer to a heartbeat that a follower relays. relay is the label of the
-// follower. It may wait for commands until ctx ends.
+// follower, pressure that of the follower's connections. It may wait for commands until ctx ends, and
+// is called by many goroutines at a time.
 type AnswerFunc func(ctx context.Context, heartbeat *wire.Heartbeat, relay string, pressure Pressure) peer.HeartbeatAnswer
 
 // Receiver answers the batches of a leader's followers, for one term. It is safe for concurrent use.
@@ -23,7 +24,7 @@
 	ctx    context.Context // ends with the term
 	term   uint64
 	answer AnswerFunc
-	// bases has by host the last heartbeat that was received: what the next may repeat.
+	// bases holds, by host, the last heartbeat that was received: the one that the next may repeat.
 	bases *xsync.Map[string, *wire.Heartbeat]
 
 	mu       sync.Mutex
@@ -45,10 +46,11 @@
 	return r
 }
 
-// Exchange accepts a batch and returns the answers that are ready for its sender. Each heartbeat is
-// answered by a goroutine of its own, whose answer goes with a later exchange. A batch of another term
-// is not accepted: Leading is false then. A batch that is malformed or of a stranger is refused with
-// an error that wraps ErrMalformedBatch or ErrUnknownRelay.
+// Exchange accepts a batch and returns the answers that are ready for its sender. A goroutine of its
+// own answers each heartbeat: the answer goes with this exchange if it is ready in time, else with a
+// later one. A batch of another term is not accepted, and Leading is false in the reply. A batch that
+// is malformed or not from a member is refused with an error that wraps ErrMalformedBatch or
+// ErrUnknownRelay.
 func (r *Receiver) Exchange(args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
 	reply := peer.HeartbeatBatchReply{Term: r.term}
 	if args.Term != r.term || r.ctx.Err() != nil {
@@ -86,8 +88,8 @@
 	return reply, nil
 }
 
-// resolve returns the heartbeat that a batch contains in full or by reference. It returns nil
-// if the heartbeat is needed in full.
+// resolve returns the heartbeat that a batch contains in full or by reference. It returns nil without
+// an error if a reference cannot be resolved, so that the sender has to send the heartbeat in full.
 func (r *Receiver) resolve(header *peer.RelayedHeartbeat, body []byte) (*wire.Heartbeat, error) {
 	if header.RepeatOf > 0 {
 		base, ok := r.bases.Load(header.Host)
@@ -128,8 +130,8 @@
 	return ok
 }
 
-// deliver keeps an answer until its relay exchanges the next batch. A newer one of the same host
-// replaces it: the worker waits for that one only.
+// deliver keeps an answer until its relay exchanges the next batch. A newer answer to the same host
+// replaces it: that is the only one that the worker still waits for.
 func (r *Receiver) deliver(relay string, answer peer.HeartbeatAnswer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -16,7 +16,7 @@
 // The modes. Their strings are part of the administration API.
 const (
 	Direct  Mode = iota // all workers send their heartbeats to the leader
-	Relayed             // followers keep workers and relay their heartbeats
+	Relayed             // workers send them to followers too, which relay them to the leader
 )
 
 var modeNames = [...]string{"direct", "relayed"}
@@ -38,8 +38,8 @@
 
 // Router decides at the leader which controller each worker sends its heartbeats to. Once the fleet
 // is larger than the connections of one controller allow, workers are sent to a
-// controller of their own zone, so that a zone that is cut off keeps its leases; those
-// of zones without one go where the fewest are. It is safe for concurrent use.
+// controller of their own zone, so that their leases continue while the zone is cut off; those
+// of zones without a controller go to the least loaded one. It is safe for concurrent use.
 type Router struct {
 	RouterConfig
 
@@ -49,23 +49,23 @@
 	workers        map[string]*workerState // by host
 	load           map[string]int          // workers by label
 	usable         map[string]bool         // followers that are reached and can relay
-	fullUntil      map[string]time.Time    // until when controllers that had no connection get no workers
-	growth         float64                 // times its usual share that a controller takes, up to maxShare
-	moves          *rate.Limiter
-	staleCheckedAt time.Time
-	census         census
+	fullUntil      map[string]time.Time    // by label: until then a controller that was Full gets no workers
+	growth         float64                 // factor of the usual shares, which then end at maxShare
+	moves          *rate.Limiter           // of workers that may stay but had better move
+	staleCheckedAt time.Time               // when forgetStale last searched
+	census         census                  // use currentCensus
 }
 
 // workerState is what is known of where a worker sends its heartbeats.
 type workerState struct {
 	incarnation   uint64 // of the newest heartbeat
 	sequence      uint64 // of the newest heartbeat
-	controller    string // label; where it was sent, if it was
+	controller    string // label of the one that it was sent to, else of the one it sends heartbeats to
 	lastHeartbeat time.Time
-	departures    []departure // from controllers that it has left by itself, in the last stayLeases
+	departures    []departure // from controllers that it has left on its own, in the last stayLeases
 }
 
-// NewRouter returns a router in a mode: that of the previous leader, if it is known.
+// NewRouter returns a router that starts in a mode: that of the previous leader, if it is known.
 func NewRouter(cfg RouterConfig, mode Mode) *Router {
 	return &Router{
 		RouterConfig: cfg,
@@ -79,7 +79,7 @@
 	}
 }
 
-// Mode returns the mode that followers are told.
+// Mode returns the mode, which pings announce to followers.
 func (r *Router) Mode() Mode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,13 +136,14 @@
 }
 
 // Route records that a worker's heartbeat arrived at a controller, and returns the label of the one that
-// the worker has to go to: "" if it stays. A late copy of a heartbeat says nothing about where the worker
-// is. A controller that has no connection left for it gives it up at once, if another one has room.
+// the worker has to move to, or "" if it stays. A late copy of a heartbeat changes nothing, since it does
+// not show where the worker is now. A worker for which its controller has no connection left moves at
+// once if another controller has room; others move at a limited rate.
 func (r *Router) Route(heartbeat *wire.Heartbeat, at string, pressure Pressure, now time.Time) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.mode == Direct {
-		return "" // all workers are the leader's: nothing is counted
+		return "" // all workers stay at the leader: nothing is counted
 	}
 	r.forgetStale(now)
 	worker, fresh := r.recordHeartbeat(heartbeat, at, now)
@@ -156,7 +157,7 @@
 	if to == at {
 		return ""
 	}
-	// What a controller has too much of goes at once: it has no connections left.
+	// Workers of an overloaded controller are exempt from the rate limit: it has no connections left.
 	if !r.isOverloaded(at, heartbeat.Zone, pressure) && !r.moves.AllowN(now, 1) {
 		return ""
 	}
@@ -184,7 +185,7 @@
 	return worker, true
 }
 
-// assign counts a worker at a controller. r.mu is held.
+// assign records and counts a worker at a controller, and no longer at the one before. r.mu is held.
 func (r *Router) assign(worker *workerState, to string) {
 	if worker.controller == to {
 		return
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -18,7 +18,7 @@
 const (
 	queued   heartbeatState = iota // waits for the next batch
 	sent                           // in a batch that is under way, or that the leader has received
-	answered                       // its answer, or the failure to get one, is delivered
+	answered                       // its answer, or the error without one, is delivered
 )
 
 // pendingHeartbeat is a heartbeat whose worker waits for an answer.
@@ -30,7 +30,7 @@
 	result    chan result // has room for the one result
 }
 
-// result is the answer to a heartbeat, or why there is none.
+// result is the answer to a heartbeat, or the error if there is none.
 type result struct {
 	answer peer.HeartbeatAnswer
 	err    error
@@ -39,7 +39,8 @@
 // setState is the one function that changes the state of a heartbeat. The Sender's mu is held.
 func (p *pendingHeartbeat) setState(to heartbeatState) { p.state = to }
 
-// ExchangeFunc sends a batch to the leader and returns its reply.
+// ExchangeFunc sends a batch to the leader and returns its reply. It is called by one goroutine at a
+// time.
 type ExchangeFunc func(to Leader, args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error)
 
 // SenderConfig configures a Sender.
@@ -75,7 +76,7 @@
 	acknowledged map[string]*wire.Heartbeat   // by host: the last heartbeat that the leader has received
 }
 
-// NewSender returns a Sender that sends nothing until it runs.
+// NewSender returns a Sender that sends nothing until Run is called.
 func NewSender(cfg SenderConfig) *Sender {
 	return &Sender{
 		SenderConfig: cfg,
@@ -85,8 +86,9 @@
 	}
 }
 
-// Relay relays one heartbeat to the leader and waits for the answer. The error is one of
-// the package's, or that of the context.
+// Relay relays one heartbeat to the leader and waits for the answer, up to AnswerTimeout. body is
+// what the heartbeat was parsed from. The error is ErrLeaderUnreachable, ErrSuperseded, ErrNoAnswer or
+// that of ctx.
 func (s *Sender) Relay(
 	ctx context.Context, to Leader, heartbeat *wire.Heartbeat, body []byte, pressure Pressure,
 ) (peer.HeartbeatAnswer, error) {
@@ -112,8 +114,8 @@
 	return res.answer, res.err
 }
 
-// enqueue queues a heartbeat for the next batch. A newer term of a leader fails what waits for an
-// older one.
+// enqueue queues a heartbeat for the next batch. If the leader or its term has changed, the heartbeats
+// that wait for the previous one fail. A heartbeat for an older term fails itself.
 func (s *Sender) enqueue(to Leader, p *pendingHeartbeat) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +146,7 @@
 	return h.Incarnation > than.Incarnation || h.Incarnation == than.Incarnation && h.Sequence > than.Sequence
 }
 
-// finish delivers the result of a heartbeat, once. s.mu is held.
+// finish delivers the result of a heartbeat. Only the first call for it does. s.mu is held.
 func (s *Sender) finish(p *pendingHeartbeat, res result) {
 	if p.state == answered {
 		return
@@ -156,8 +158,8 @@
 	p.result <- res
 }
 
-// failAll fails all that is pending: the leader is not reached, or another one leads. s.mu is
-// held.
+// failAll fails all pending heartbeats: the leader is not reached, or another one leads. What that
+// leader has acknowledged is forgotten. s.mu is held.
 func (s *Sender) failAll(err error) {
 	s.Observe(KindFailed, len(s.pending))
 	for _, p := range s.pending {
@@ -167,7 +169,7 @@
 	clear(s.acknowledged)
 }
 
-// Run sends batches until ctx ends. While nobody waits for an answer it sleeps.
+// Run sends batches, one at a time, until ctx ends. While no worker waits for an answer it sends none.
 func (s *Sender) Run(ctx context.Context) {
 	for {
 		select {
@@ -192,15 +194,15 @@
 	return len(s.pending) > 0
 }
 
-// exchange sends one batch and delivers the answers that come back. It reports whether
-// there is more to send at once.
+// exchange sends one batch, which may be empty to fetch answers, and delivers the answers that come
+// back. It reports whether the batch was full and more heartbeats have to be sent at once.
 func (s *Sender) exchange() (more bool) {
 	to, b, inBatch := s.takeBatch()
 	reply, err := s.Exchange(to, b.args(s.Label, to.Term))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leader != to {
-		return false // what waited for the other leader has failed already
+		return false // the heartbeats that waited for the other leader have failed already
 	}
 	if err != nil || !reply.Leading {
 		slog.Warn("heartbeats not relayed",
@@ -218,7 +220,8 @@
 	return len(s.queue) > 0 && b.isFull()
 }
 
-// takeBatch removes the next batch from the queue.
+// takeBatch removes the next batch from the queue. Heartbeats in the queue that are answered already
+// are dropped.
 func (s *Sender) takeBatch() (to Leader, b batch, inBatch []*pendingHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
