--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -11,17 +11,17 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Entry is one record or one view. The names of its fields are short in CBOR, since they are sent
-// with each.
+// Entry is one record or one view. The names of its fields are short in CBOR, since every entry
+// carries them. An entry must not be changed once it is part of contents.
 type Entry struct {
 	Key         string `cbor:"k"`
 	Value       []byte `cbor:"v,omitempty"`
 	ModRevision uint64 `cbor:"s,omitempty"` // of a record; 0 for a view
-	Dropped     bool   `cbor:"d,omitempty"`
+	Dropped     bool   `cbor:"d,omitempty"` // the key is dropped; Value is empty then
 }
 
-// recordPrefixes are the keys of the records that only the leader writes and that a new
-// leader needs. Jobs are not among them: every node keeps a watch cache of these.
+// recordPrefixes are the prefixes of the records that only the leader writes and that a new
+// leader needs. Jobs are not among them, since every node has a watch cache of the jobs.
 var recordPrefixes = []string{records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix}
 
 // isRecord reports whether a key is that of a followed record.
@@ -34,8 +34,8 @@
 	return false
 }
 
-// digest returns a hash of the entry. The digest of a set is the sum of those of its entries, so that
-// it is updated at the cost of the change alone.
+// digest returns a hash of the entry. The digest of a set is the sum of the digests of its entries, so
+// that an update costs only as much as the change.
 func (e *Entry) digest() uint64 {
 	var hash xxhash.Digest
 	hash.Reset()
@@ -50,12 +50,12 @@
 // size returns the bytes of the key and the value.
 func (e *Entry) size() int { return len(e.Key) + len(e.Value) }
 
-// absentEntry returns the entry of a record that was read as absent: it drops the record whatever its
-// mod revision.
+// absentEntry returns the entry of a record that a read did not find: it drops the record whatever
+// mod revision that has.
 func absentEntry(key string) *Entry { return &Entry{Key: key, Dropped: true, ModRevision: ^uint64(0)} }
 
-// contents is an immutable set of entries with its digest: it may be read for as long as it takes,
-// whatever is changed meanwhile.
+// contents is an immutable set of entries with its digest. A transfer can read it without a lock while
+// newer contents are made.
 type contents struct {
 	tree   *iradix.Tree[*Entry]
 	digest uint64 // sum of the digests of all entries
@@ -97,7 +97,7 @@
 
 func (e *editor) contents() contents { return contents{e.txn.Commit(), e.digest, e.bytes} }
 
-// computeDigest computes the digest from all entries again.
+// computeDigest computes the digest again from all entries, so that a corrupted copy is detected.
 func (c contents) computeDigest() uint64 {
 	sum := uint64(0)
 	c.tree.Root().Walk(func(_ []byte, entry *Entry) bool {
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -12,14 +12,14 @@
 // FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	Label string // of this node
-	// Fetch requests one part from a leader.
+	// Fetch requests one part from a leader, by its label. It may wait for the answer.
 	Fetch func(leader string, args peer.FollowArgs) (peer.FollowReply, error)
-	// BehindAfter is the age of the copy from which on the follower counts as behind.
+	// BehindAfter is the age of the copy after which the follower counts as behind.
 	BehindAfter time.Duration
 }
 
-// Follower keeps a copy of the leader's state. It is safe for concurrent use, but Pull must be
-// called by one goroutine at a time.
+// Follower has a copy of the leader's state and keeps it up to date. It is safe for concurrent use,
+// but Pull must be called by one goroutine at a time.
 type Follower struct {
 	FollowerConfig
 	now func() time.Time
@@ -39,7 +39,7 @@
 	leader      string
 	sequence    uint64
 	position    uint64
-	requestedAt time.Time // when the transfer that it comes from was requested
+	requestedAt time.Time // start of the transfer that brought it
 }
 
 // NewFollower returns a follower without a copy.
@@ -78,15 +78,16 @@
 	return status
 }
 
-// HasCopy reports whether there is a complete copy that could be verified.
+// HasCopy reports whether there is a complete copy that Prove could check.
 func (f *Follower) HasCopy() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.copy != nil && (f.state == Following || f.state == Behind)
 }
 
-// Pull updates the copy from the leader of a term, by one transfer. An error is counted and
-// logged: the copy is then as it was, or discarded if what the leader sent is wrong.
+// Pull updates the copy from the leader of a term, by one transfer. A transfer that fails is logged
+// and leaves the copy as it was. If what the leader sent is wrong, that is counted too and the copy is
+// discarded.
 func (f *Follower) Pull(leader string, term uint64) {
 	base, ok := f.beginPull(leader, term)
 	if !ok {
@@ -110,8 +111,8 @@
 	}
 }
 
-// beginPull returns the copy that the next transfer builds on, nil for none. ok is false if none may
-// begin now.
+// beginPull returns the copy that the next transfer builds on, nil for a whole transfer. ok is false
+// if no transfer may begin, since this node has been elected.
 func (f *Follower) beginPull(leader string, term uint64) (base *stateCopy, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,12 +124,13 @@
 		return nil, true
 	}
 	if f.copy.term != term || f.copy.leader != leader {
-		return nil, true // another leader: everything is pulled again, and the copy is kept till then
+		return nil, true // another leader: everything is pulled again, and this copy stays until then
 	}
 	return f.copy, true
 }
 
-// MarkLeaderUnreachable is called while no leader is reached: the copy grows old.
+// MarkLeaderUnreachable must be called regularly while no leader is reached: the state changes once
+// the copy is older than BehindAfter.
 func (f *Follower) MarkLeaderUnreachable() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,7 +139,7 @@
 	}
 }
 
-// recordFailedTransfer is called when a transfer did not come to its end. f.mu is held.
+// recordFailedTransfer changes the state after a transfer that was not completed. f.mu is held.
 func (f *Follower) recordFailedTransfer(err error) {
 	slog.Debug("standby received no state from the leader", "err", err)
 	switch {
@@ -157,7 +159,7 @@
 	f.setState(Empty, err.Error())
 }
 
-// Discard discards the copy: this node's term is over, or it is not to follow any more.
+// Discard discards the copy, since this node's term is over or it must no longer follow.
 func (f *Follower) Discard(cause string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standby/part.go
+++ b/internal/standby/part.go
@@ -12,12 +12,12 @@
 
 // Limits of a part.
 const (
-	// partBytes is the size of entries at which a part ends.
+	// partBytes is the size of keys and values after which a part ends.
 	partBytes = 256 << 10
 	// runningTaskBytes is the most that a running task takes in the view of its job.
 	runningTaskBytes = 16
-	// maxPartBytes is the most that a part may have decoded: one entry more than partBytes,
-	// the largest of which is the view of a job all of whose tasks run, with room to spare.
+	// maxPartBytes is the most that a part may take decompressed: twice partBytes, for the encoding,
+	// and one more entry, the largest of which is the view of a job all of whose tasks run.
 	maxPartBytes = 2*partBytes + wire.MaxTasks*runningTaskBytes
 )
 
@@ -30,7 +30,8 @@
 	return s2.Encode(nil, plain), len(plain), nil
 }
 
-// decodePart returns the entries of a part. Nothing larger than is allowed is decompressed.
+// decodePart returns the entries of a part. It checks the size before it decompresses: a wrong part
+// must not exhaust memory. An error wraps ErrUndecodable, ErrOversized or ErrTruncated.
 func decodePart(reply *peer.FollowReply) ([]*Entry, error) {
 	size, err := s2.DecodedLen(reply.Body)
 	switch {
--- a/internal/standby/positions.go
+++ b/internal/standby/positions.go
@@ -1,14 +1,14 @@
 package standby
 
-// positionTracker derives the position of a term: the revision of the state store up to which all
-// commits of the term are known to the leader that made them.
+// positionTracker derives the position of a term: the revision of the state store up to which the
+// leader knows the outcome of all its commits of the term. The Source's mu guards it.
 //
 // A commit is open from before it is sent until its outcome is settled. It can only get a
 // revision above its floor, the newest one that was known before it was sent, since
 // revisions grow. So every commit at or below the least floor of the open ones is closed:
 // what it changed is known, or it changed nothing.
 type positionTracker struct {
-	newestRevision uint64 // of all answers
+	newestRevision uint64 // of all commits that are known to be carried out; at first the term
 	lastID         uint64 // of commits, and of the source's transfers
 	open           map[uint64]*openCommit
 }
@@ -19,7 +19,7 @@
 	unsettled map[string]bool // after an unknown outcome: keys that it may still change
 }
 
-// begin opens a commit and returns its number.
+// begin opens a commit and returns its id. It must be called before the commit is sent.
 func (p *positionTracker) begin() uint64 {
 	p.lastID++
 	p.open[p.lastID] = &openCommit{floor: p.newestRevision}
@@ -30,8 +30,8 @@
 func (p *positionTracker) close(id uint64) { delete(p.open, id) }
 
 // markUnknown records that a commit's outcome is unknown: it may have been carried out, or may be
-// later. It is settled once each of its keys has been changed by a later commit: its
-// compares of these keys fail from then on.
+// later. It is settled once a later commit has changed each of its keys: its compares of these keys
+// fail from then on. keys must be keys that it compares; without any it is settled at once.
 func (p *positionTracker) markUnknown(id uint64, keys []string) {
 	commit := p.open[id]
 	if commit == nil {
@@ -48,7 +48,7 @@
 }
 
 // markCommitted records that a commit has changed keys at a revision, and settles the commits of unknown
-// outcome that began before it and can change nothing any more.
+// outcome that began before it and can no longer change anything.
 func (p *positionTracker) markCommitted(id uint64, keys []string, revision uint64) {
 	p.close(id)
 	p.newestRevision = max(p.newestRevision, revision)
@@ -65,7 +65,7 @@
 	}
 }
 
-// position returns the revision up to which every commit of the term is known.
+// position returns the revision up to which the outcome of every commit of the term is known.
 func (p *positionTracker) position() uint64 {
 	least := p.newestRevision
 	for _, commit := range p.open {
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -32,12 +32,12 @@
 }
 
 // Prove checks the copy for a term that this node has been elected for. The election
-// itself shows that the previous leader can change nothing any more: the state store has ended its
+// itself shows that the previous leader can no longer change anything: the state store has ended its
 // lease, and compares refuse its commits. The changes after the followed position are read after that,
 // so all commits of earlier terms are among them or part of the copy.
 //
 // An error that wraps ErrNoCopy, ErrDigest, ErrTooFarBehind or ErrUndecodable is final:
-// all records have to be listed. After any other the check can be tried again.
+// all records have to be listed. After any other error the caller can call Prove again.
 func (f *Follower) Prove(ctx context.Context, r watchcache.Reader, term uint64) (*Proven, error) {
 	followed, err := f.beginVerification(term)
 	if err != nil {
@@ -64,7 +64,8 @@
 	return proven, nil
 }
 
-// beginVerification begins the check, or goes on with it, and returns the copy.
+// beginVerification begins the check, or repeats it, and returns the copy. ErrNoCopy means that there
+// is none of an earlier term.
 func (f *Follower) beginVerification(term uint64) (*stateCopy, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,7 +78,7 @@
 	return f.copy, nil
 }
 
-// failVerification discards the copy and returns the error.
+// failVerification discards the copy, counts the cause and returns the error.
 func (f *Follower) failVerification(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +86,8 @@
 	return err
 }
 
-// MarkPromoted is called when the controller of this node's term has loaded the copy.
+// MarkPromoted must be called when the controller of this node's term has loaded the copy, which is
+// dropped then. cause is shown to operators.
 func (f *Follower) MarkPromoted(cause string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,7 +95,8 @@
 	f.setState(Promoted, cause)
 }
 
-// changesSince reads the changes of the followed records after a position, all prefixes at once.
+// changesSince reads the changes of the followed records after a position, with one request for each
+// prefix at the same time.
 func changesSince(ctx context.Context, r watchcache.Reader, position uint64) ([]wire.WatchEvent, error) {
 	var wg sync.WaitGroup
 	changes := make([]wire.WatchResponse, len(recordPrefixes))
@@ -113,7 +116,7 @@
 	return events, errors.Join(errs...)
 }
 
-// applyEvents applies changes to a copy and lists the result.
+// applyEvents applies changes to a copy and lists the result. An error wraps ErrUndecodable.
 func applyEvents(followed *stateCopy, events []wire.WatchEvent) (*Proven, error) {
 	edit := followed.edit()
 	for _, event := range events {
--- a/internal/standby/pull.go
+++ b/internal/standby/pull.go
@@ -6,7 +6,8 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// transfer receives all parts of one transfer and returns the copy that it leads to.
+// transfer receives all parts of one transfer and returns the copy that results. It holds no lock
+// while it waits for the leader.
 func (f *Follower) transfer(leader string, term uint64, base *stateCopy) (*stateCopy, error) {
 	args := peer.FollowArgs{From: f.Label, Term: term}
 	if base != nil {
@@ -36,7 +37,7 @@
 	}
 }
 
-// fetchPart requests one part and checks that it is the one that was requested.
+// fetchPart requests one part and checks that the reply is that part.
 func (f *Follower) fetchPart(leader string, args peer.FollowArgs, base *stateCopy) (peer.FollowReply, error) {
 	reply, err := f.Fetch(leader, args)
 	switch {
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// editorFor returns an editor of what a transfer builds on. A follower that has to pull everything
-// again has fallen behind.
+// editorFor returns an editor of the contents that a transfer builds on. A follower that has to pull
+// everything again is marked as behind.
 func (f *Follower) editorFor(reply *peer.FollowReply, base *stateCopy) *editor {
 	if !reply.Full {
 		return base.edit()
@@ -77,7 +78,8 @@
 	return emptyContents().edit()
 }
 
-// finishTransfer returns the copy that a complete transfer leads to, if its digest agrees.
+// finishTransfer returns the copy that results from a complete transfer, or ErrDigest if its digest is
+// not the leader's.
 func finishTransfer(edit *editor, reply *peer.FollowReply, leader string) (*stateCopy, error) {
 	next := &stateCopy{
 		contents: edit.contents(),
--- a/internal/standby/recordingstore.go
+++ b/internal/standby/recordingstore.go
@@ -16,7 +16,8 @@
 	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 }
 
-// RecordingStore is a Store that passes the outcome of every commit on to a Source.
+// RecordingStore is a Store that reports the outcome of every commit to a Source. It is safe for
+// concurrent use.
 type RecordingStore struct {
 	Store
 	source *Source
@@ -25,7 +26,8 @@
 // NewRecordingStore returns the store of a controller whose commits the source offers to its standby.
 func NewRecordingStore(s Store, source *Source) *RecordingStore { return &RecordingStore{s, source} }
 
-// Get reads a key. What it shows is at least as new as what the source holds.
+// Get reads a key, and applies the record to the source: the record is at least as new as the one that
+// the source has.
 func (r *RecordingStore) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
 	item, found, err := r.Store.Get(ctx, key)
 	if err == nil && isRecord(key) {
@@ -65,17 +67,18 @@
 }
 
 // comparedKeys returns those of the keys whose mod revision the transaction compares. The others are
-// of hints, which nothing rests on: a machine's images are written without a compare of their own.
+// keys of hints, on which no decision depends: a machine's images are written without a compare of
+// their own.
 func comparedKeys(tx wire.Transaction, keys []string) []string {
 	compared := map[string]bool{}
 	for _, compare := range tx.Compares {
 		compared[compare.Key] = true
 	}
-	var out []string
+	var found []string
 	for _, key := range keys {
 		if compared[key] {
-			out = append(out, key)
+			found = append(found, key)
 		}
 	}
-	return out
+	return found
 }
--- a/internal/standby/source.go
+++ b/internal/standby/source.go
@@ -10,18 +10,18 @@
 
 // Views gives access to what a leader knows beyond its records.
 type Views interface {
-	// DrainChangedViews returns views that have changed since the last call, at most so many, and
-	// whether there are more. The first call of a term returns all.
+	// DrainChangedViews returns at most so many of the views that no call has returned since they
+	// changed, and whether there are more. The first calls of a term return all views.
 	DrainChangedViews(most int) (changed []*Entry, more bool)
 }
 
 // Limits of a source.
 const (
-	// minLoggedChanges is the least number of changes that a follower may lag behind before it has
-	// to pull everything again. It is more in a large fleet: see maxLoggedChanges.
+	// minLoggedChanges is the number of changes that a follower may lag behind before it has to pull
+	// everything again. It is larger in a large fleet: see maxLoggedChanges.
 	minLoggedChanges = 1 << 10
-	// viewBatchSize is the number of views that are drained at a time: the leader's scheduling cycles
-	// wait for no more than these.
+	// viewBatchSize is the most views that are drained at a time, so that the leader's scheduling
+	// cycles do not wait for longer than that takes.
 	viewBatchSize = 256
 )
 
@@ -77,12 +77,13 @@
 		}
 	}
 	s.contents = edit.contents()
-	// Records of earlier terms are older than the term, and this term's own pass here.
+	// The term is the revision of its election: records of earlier terms are older, and those of
+	// this term are recorded here.
 	s.positions.newestRevision = max(s.positions.newestRevision, s.term)
 	s.seeded, s.views = true, views
 }
 
-// Status is how much a source holds and has sent.
+// Status is how much a source offers and has sent.
 type Status struct {
 	Sequence  uint64
 	Position  uint64 // revision up to which all commits of the term are part of the contents
@@ -91,7 +92,7 @@
 	Bytes     int // of all keys and values
 }
 
-// Status returns how much the source holds and has sent.
+// Status returns how much the source offers and has sent.
 func (s *Source) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,12 +126,11 @@
 }
 
 // maxLoggedChanges returns how many changes a follower may lag behind: as many as there are entries.
-// One that lags further pulls everything at less cost than the changes one by one. s.mu is
-// held.
+// For one that lags further, pulling everything costs less than pulling the changes. s.mu is held.
 func (s *Source) maxLoggedChanges() int { return max(minLoggedChanges, s.contents.tree.Len()) }
 
-// applyChangedViews drains the views that have changed, a few at a time. It must not hold s.mu for
-// long: commits wait for it.
+// applyChangedViews drains the views that have changed, viewBatchSize at a time. It holds s.mu only
+// for each batch, because commits wait for it.
 func (s *Source) applyChangedViews() {
 	s.mu.Lock()
 	views := s.views
@@ -144,7 +144,8 @@
 	}
 }
 
-// beginCommit is called before a commit is sent, and returns the number by which its outcome is told.
+// beginCommit must be called before a commit is sent. It returns the id with which the caller reports
+// the outcome, by one of the three methods below.
 func (s *Source) beginCommit() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,21 +166,21 @@
 	s.positions.markCommitted(id, keys, revision)
 }
 
-// commitUnknown is called for a commit whose outcome is unknown: it may be carried out late.
+// commitUnknown records that a commit's outcome is unknown: it may be carried out late.
 func (s *Source) commitUnknown(id uint64, keys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.positions.markUnknown(id, keys)
 }
 
-// commitFailed is called for a commit that was not carried out, and will not be.
+// commitFailed records that a commit was not carried out and will not be.
 func (s *Source) commitFailed(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.positions.close(id)
 }
 
-// applyRead applies a record as it was read.
+// applyRead applies a record as a read returned it, or drops it if the read did not find it.
 func (s *Source) applyRead(key string, item wire.KeyValue, found bool) {
 	entry := absentEntry(key)
 	if found {
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -1,15 +1,15 @@
-// Package standby replicates the leader's state to a warm standby, so that this node can decide
-// soon after the leader's end without reading all records again.
+// Package standby replicates the leader's state to a warm standby, so that this node can make
+// decisions soon after the leader has failed, without reading all records again.
 //
-// At the leader a Source holds the records that its term has written and views of what it
-// knows beyond them, in a persistent tree. The standby's Follower pulls that in
+// At the leader a Source contains the followed records and views of what the leader
+// knows beyond them, in an immutable radix tree. The standby's Follower pulls that in
 // transfers: a whole one first, then what has changed since. Every transfer ends with a
 // sequence number, a position in the state store's history and a digest. A transfer
 // that is not complete, or whose digest disagrees, is discarded whole.
 //
-// The position is the heart of the proof: all that the leader's term has committed up to it
+// The proof rests on the position: everything that the leader's term has committed up to it
 // is part of the copy. A standby that has been elected reads the changes after
-// it from the state store, and then holds what a full listing would show (see docs/standby.md).
+// it from the state store, and then has what a full listing would show (see docs/standby.md).
 // Views are hints: no attempt is ever concluded to be off its machine, launched or cancelled
 // because of one.
 package standby
@@ -29,7 +29,7 @@
 	Empty     State = iota // has no copy that can be used
 	Syncing                // pulls its first whole transfer
 	Following              // has a complete copy and keeps up with the leader
-	Behind                 // has an older copy: the leader is unreachable, or keeps no changes that old
+	Behind                 // has an older copy: the leader is unreachable, or no longer has changes that old
 	Verifying              // this node is elected: its copy is checked against the state store
 	Ready                  // the copy is proven: the controller loads it
 	Promoted               // the controller of this node's term has loaded the copy
@@ -50,7 +50,7 @@
 	Following: {Behind, Verifying, Empty},
 	Behind:    {Following, Verifying, Empty},
 	Verifying: {Ready, Empty},
-	Ready:     {Promoted, Verifying, Empty}, // checked again if the controller could not load the rest
+	Ready:     {Promoted, Verifying, Empty}, // Verifying again if the controller could not load everything else
 	Promoted:  {Empty},
 }
 
@@ -92,7 +92,7 @@
 	ErrTooFarBehind = errors.New("the state service no longer keeps the changes since the followed position")
 )
 
-// Errors of a transfer that did not come to its end. The follower keeps its copy after them.
+// Errors of a transfer that was not completed. The follower keeps its copy after them.
 var (
 	errLeaderUnreachable = errors.New("no leader is reached")
 	errNotOffered        = errors.New("the leader offers nothing now")
--- a/internal/standby/transfer.go
+++ b/internal/standby/transfer.go
@@ -6,18 +6,20 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// transfer is one that is under way: it reads the contents as they were when it began.
+// transfer is a transfer that is under way at the source. It sends the contents as they were when it
+// began. The Source's mu guards it.
 type transfer struct {
 	id            uint64
 	nextPart      int
 	contents      contents
-	remainingKeys []string
-	header        peer.FollowReply // what all its parts have in common
+	remainingKeys []string         // of entries that no part has contained yet
+	header        peer.FollowReply // the fields that are the same in all parts
 	lastRequested time.Time
 }
 
-// Follow returns the part of a transfer that a standby requests. The reply offers nothing if the request
-// is of another term or not of a member.
+// Follow returns the part of a transfer that a standby requests. The reply has Leading false and no part
+// if the request is for another term, not from a member, or comes before the source is seeded; it has no
+// part if the transfer is no longer known.
 func (s *Source) Follow(args peer.FollowArgs) (peer.FollowReply, error) {
 	if args.Term != s.term || !s.isMember(args.From) {
 		return peer.FollowReply{Term: s.term}, nil
@@ -80,7 +82,7 @@
 }
 
 // changedSince returns the keys that have changed since a sequence number, each once. ok is
-// false if that is no longer known. s.mu is held.
+// false if the log does not reach back that far. s.mu is held.
 func (s *Source) changedSince(have uint64) (keys []string, ok bool) {
 	if have == 0 || have > s.sequence || have < s.sequence && (len(s.log) == 0 || s.log[0].sequence > have+1) {
 		return nil, false
@@ -95,8 +97,8 @@
 	return keys, true
 }
 
-// sendPart returns the next part of a transfer. A request for any other part ends the transfer. s.mu
-// is held.
+// sendPart returns the next part of a transfer. A request for any other part ends the transfer: the
+// standby has to begin another one. s.mu is held.
 func (s *Source) sendPart(t *transfer, args peer.FollowArgs) (peer.FollowReply, error) {
 	if args.Part != t.nextPart {
 		delete(s.transfers, args.From)
--- a/internal/standby/views.go
+++ b/internal/standby/views.go
@@ -33,13 +33,14 @@
 	Images       []string `cbor:"12,keyasint,omitempty"`
 }
 
-// JobView is what a leader knows of a job from heartbeats. Times are of the Unix time, 0 for none.
+// JobView is what a leader knows of a job from heartbeats. Times are of the Unix time, 0 for none: in
+// milliseconds or, with a name in S, in seconds.
 type JobView struct {
 	UID          string `cbor:"1,keyasint"`
 	HasRun       bool   `cbor:"2,keyasint,omitempty"` // a task of it has run
-	BackoffCount int    `cbor:"3,keyasint,omitempty"` // how often in a row it was delayed because it failed
-	NotBeforeMs  int64  `cbor:"4,keyasint,omitempty"` // it is not placed before
-	WaitMs       int64  `cbor:"5,keyasint,omitempty"` // since when none of its tasks runs
+	BackoffCount int    `cbor:"3,keyasint,omitempty"` // how many times in a row it was delayed because it failed
+	NotBeforeMs  int64  `cbor:"4,keyasint,omitempty"` // it is not placed before then
+	WaitMs       int64  `cbor:"5,keyasint,omitempty"` // since when none of its tasks has run
 	Running      []byte `cbor:"6,keyasint,omitempty"` // bitmap of its running tasks, see RunningTasks
 	// Attempts and AfterS have an element a running task, in order: the number of the attempt, and since
 	// when it runs, in seconds after SinceS.
@@ -55,7 +56,7 @@
 	SinceS  int64 // since when it runs, in seconds of the Unix time
 }
 
-// SetRunning sets the running tasks, which must be in order.
+// SetRunning sets the running tasks, which must be in ascending order. It must be called once at most.
 func (v *JobView) SetRunning(tasks []RunningTask) error {
 	if len(tasks) == 0 {
 		return nil
@@ -109,7 +110,8 @@
 	Arrivals []Arrival `cbor:"3,keyasint,omitempty"`
 }
 
-// Refusal is a machine type in a zone of which the cloud had no more. Times are milliseconds.
+// Refusal is a machine type in a zone of which the cloud had no more. UntilMs is in milliseconds of
+// the Unix time, PauseMs a duration in milliseconds.
 type Refusal struct {
 	Type, Zone string
 	Spot       bool
@@ -117,7 +119,7 @@
 	PauseMs    int64
 }
 
-// Arrival is how often jobs of a class are submitted.
+// Arrival counts the submissions of jobs of a class, of which older ones count less.
 type Arrival struct {
 	Class       string
 	Job         wire.JobSpec // one of them
@@ -149,8 +151,9 @@
 	return &Entry{Key: key, Value: value}, nil
 }
 
-// decodeViews decodes all views into p.
-func (c contents) decodeViews(p *Proven) error {
+// decodeViews decodes all views into proven, up to the first that cannot be decoded. The error wraps
+// ErrUndecodable.
+func (c contents) decodeViews(proven *Proven) error {
 	var failed error
 	decode := func(entry *Entry, into any) {
 		if err := cbor.Unmarshal(entry.Value, into); err != nil && failed == nil {
@@ -160,13 +163,13 @@
 	c.tree.Root().WalkPrefix([]byte("view/"), func(_ []byte, entry *Entry) bool {
 		switch {
 		case strings.HasPrefix(entry.Key, machineViews):
-			p.Machines = append(p.Machines, MachineView{})
-			decode(entry, &p.Machines[len(p.Machines)-1])
+			proven.Machines = append(proven.Machines, MachineView{})
+			decode(entry, &proven.Machines[len(proven.Machines)-1])
 		case strings.HasPrefix(entry.Key, jobViews):
-			p.Jobs = append(p.Jobs, JobView{})
-			decode(entry, &p.Jobs[len(p.Jobs)-1])
+			proven.Jobs = append(proven.Jobs, JobView{})
+			decode(entry, &proven.Jobs[len(proven.Jobs)-1])
 		case entry.Key == leaderViewKey:
-			decode(entry, &p.Leader)
+			decode(entry, &proven.Leader)
 		}
 		return failed != nil
 	})
