--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -21,12 +21,12 @@
 var (
 	// ErrNoCapacity means that the cloud has none of the requested machines now.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrPageOutOfOrder means that a page of the machine list does not follow on the one before: a list
-	// that is put together with it could lack machines.
+	// ErrPageOutOfOrder means that a page of the machine list does not continue the one before: a list
+	// that contains it could lack machines.
 	ErrPageOutOfOrder = errors.New("page of the machine list is not in order")
 )
 
-// StatusError means that the cloud answered with another status than 200.
+// StatusError means that the cloud answered with a status other than 200.
 type StatusError struct{ Status int }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
@@ -37,15 +37,15 @@
 	http    *http.Client
 	timeout time.Duration // of a call
 	calls   *rate.Limiter // of all calls
-	lists   *rate.Limiter // of pages of the machine list: they leave calls for provisioning and returns
+	lists   *rate.Limiter // of pages of the machine list, so that calls remain to provision and return machines
 	refused atomic.Uint64 // pages that were not in order
 }
 
-// callShare is the share of the cloud's call rate limit that one node uses.
+// callShare is the share of the cloud's rate limit that one node uses.
 const callShare = 0.7
 
-// New returns a client of the cloud at addr, which allows callsPerSecond. Each call takes up to timeout,
-// the wait for the rate limit included.
+// New returns a client of the cloud at addr (host:port), which allows callsPerSecond. A call takes up to
+// timeout, including the wait for the rate limit.
 func New(addr string, callsPerSecond float64, timeout time.Duration, transport http.RoundTripper) *Client {
 	callsPerSecond *= callShare
 	return &Client{
@@ -57,7 +57,7 @@
 	}
 }
 
-// newLimiter returns a limiter whose burst is what it allows in a second, but at least one.
+// newLimiter returns a limiter whose burst is the calls of one second, at least one.
 func newLimiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
@@ -71,8 +71,9 @@
 	return catalog, nil
 }
 
-// Provision requests machines and returns their names. A request may be sent again with the same
-// RequestID: its machines are provisioned once. An error wraps ErrNoCapacity if there are none now.
+// Provision requests machines and returns their names. A request whose outcome is unknown can be sent
+// again with the same RequestID: its machines are provisioned once. The error wraps ErrNoCapacity if the
+// cloud has none now.
 func (c *Client) Provision(ctx context.Context, request wire.ProvisionRequest) ([]string, error) {
 	var names wire.HostNames
 	if err := c.call(ctx, http.MethodPost, "/machines", request, &names); err != nil {
@@ -81,8 +82,8 @@
 	return names.Hosts, nil
 }
 
-// Return returns machines to the cloud. A nil error proves that they and all that ran on them are
-// gone.
+// Return returns machines to the cloud. A nil error proves that they are gone, and with them everything
+// that ran on them.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
 	if err := c.call(ctx, http.MethodPost, "/machines/return", wire.HostNames{Hosts: hosts}, nil); err != nil {
 		return fmt.Errorf("return %d machines: %w", len(hosts), err)
@@ -91,7 +92,7 @@
 }
 
 // call sends a request once the rate limit allows it, and decodes the answer into out if that is not
-// nil. An error wraps ErrNoCapacity, or a StatusError for any other status than 200.
+// nil. If the cloud refuses the request, the error wraps ErrNoCapacity or a *StatusError.
 func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -106,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it was read to its end, or reading has failed
+	defer func() { _ = response.Body.Close() }() // the body has been read, or the error of the read is returned
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return fmt.Errorf("read answer: %w", err)
@@ -114,7 +115,7 @@
 	return decodeAnswer(response.StatusCode, data, out)
 }
 
-// newRequest returns a request with the body in JSON, if that is not nil.
+// newRequest returns a request, with the body encoded as JSON if body is not nil.
 func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
 	var reader io.Reader
 	if body != nil {
@@ -134,7 +135,8 @@
 	return request, nil
 }
 
-// decodeAnswer decodes an answer with status 200 into out, and returns an error for any other.
+// decodeAnswer decodes an answer with status 200 into out if that is not nil, and returns an error for
+// any other status.
 func decodeAnswer(status int, data []byte, out any) error {
 	switch {
 	case status == http.StatusServiceUnavailable && bytes.Contains(data, []byte("no capacity")):
--- a/internal/cloud/list.go
+++ b/internal/cloud/list.go
@@ -14,15 +14,15 @@
 const (
 	// pageSize is the most machines that a page of the list has.
 	pageSize = 500
-	// listShare is the share of the calls that pages of the list may take: at 6,000 machines a
-	// list has twelve, and without a limit they took every call that there is.
+	// listShare is the share of this node's calls that pages of the list may take: at 6,000 machines a
+	// list has twelve pages, which without a limit took every call.
 	listShare = 0.5
-	// pageAttempts is how often a page is requested before the list is given up.
+	// pageAttempts is how many times a page is requested before the list fails.
 	pageAttempts = 3
 )
 
-// List reads the whole machine list, page by page. A page that fails is requested again
-// before the list is given up; an error then wraps that of the page.
+// List reads the whole machine list, page by page. If a page fails pageAttempts times the list fails,
+// with an error that wraps that of the page and names the machine after which it begins.
 func (c *Client) List(ctx context.Context) ([]wire.ListedHost, error) {
 	var all []wire.ListedHost
 	after := ""
@@ -42,15 +42,15 @@
 	}
 }
 
-// MinListDuration returns the least time that a list of so many machines takes within the calls that
-// lists may use.
+// MinListDuration returns the time that a list of so many machines takes at the rate at which pages may
+// be requested.
 func (c *Client) MinListDuration(machines int) time.Duration {
 	pages := machines/pageSize + 1
 	return time.Duration(float64(pages) / float64(c.lists.Limit()) * float64(time.Second))
 }
 
-// MaxListable returns of how many machines a list can be read within a time, with the calls that lists
-// may use of a cloud that allows callsPerSecond.
+// MaxListable returns the number of machines that can be listed within a time, at the rate at which one
+// node may request pages of a cloud that allows callsPerSecond.
 func MaxListable(callsPerSecond float64, within time.Duration) int {
 	return int(callsPerSecond*callShare*listShare*within.Seconds()) * pageSize
 }
@@ -78,8 +78,7 @@
 // RefusedPages returns how many pages of the machine list were not in order.
 func (c *Client) RefusedPages() uint64 { return c.refused.Load() }
 
-// checkPage refuses a page that repeats or leaves out machines, as far as that can be seen. An error
-// wraps ErrPageOutOfOrder.
+// checkPage refuses a page that visibly repeats or omits machines. The error wraps ErrPageOutOfOrder.
 func checkPage(page *wire.HostList, after string) error {
 	if len(page.Hosts) > pageSize {
 		return fmt.Errorf("%w: %d machines", ErrPageOutOfOrder, len(page.Hosts))
@@ -98,7 +97,7 @@
 }
 
 // isCreatedAfter reports whether the later machine was created after the earlier one, by their names:
-// a longer name is newer, since numbers grow.
+// they end in a number that grows, so a longer name is newer too.
 func isCreatedAfter(earlier, later string) bool {
 	return earlier < later || len(earlier) < len(later)
 }
--- a/internal/cloud/list_test.go
+++ b/internal/cloud/list_test.go
@@ -20,8 +20,8 @@
 // lister is a fake cloud that lists machines.
 type lister struct {
 	names  []string
-	before func(call int)                      // what happens before a page is listed
-	change func(call int, page *wire.HostList) // what becomes of it on the way
+	before func(call int)                      // called before a page is listed, if not nil
+	change func(call int, page *wire.HostList) // changes the page before it is sent, if not nil
 	calls  int
 }
 
@@ -64,8 +64,8 @@
 	return names
 }
 
-// Every machine of a large fleet that is there all the time is listed, while others come and go
-// between the pages, and lists leave calls for provisioning.
+// Every machine of a large fleet that exists throughout is listed, while others are created and
+// removed between the pages, and lists leave calls for provisioning.
 func TestLargeFleetIsListedWhileMachinesComeAndGo(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
 		synctest.Test(t, func(t *testing.T) {
@@ -95,9 +95,9 @@
 	}
 }
 
-// A page that does not follow on the one before is requested again; a list that such a page
-// would be part of is refused. A list that ends where a page is empty although there are more
-// would say that all machines behind it are gone.
+// A page that does not continue the one before is requested again, and a list is never made with such
+// a page. A list that ended at an empty page although there are more would show all machines after it
+// as gone.
 func TestPageOutOfOrderIsRequestedAgainAndNeverUsed(t *testing.T) {
 	faults := map[string]func(page *wire.HostList){
 		"repeated":  func(page *wire.HostList) { page.Hosts[1] = page.Hosts[0] },
@@ -124,7 +124,7 @@
 					t.Errorf("%s, lasting %v: %d machines, %v", name, lasting, len(hosts), err)
 				}
 				if lasting && !strings.Contains(err.Error(), "m-000499") {
-					t.Errorf("%s: the error does not tell where: %v", name, err)
+					t.Errorf("%s: the error does not name the machine before the page: %v", name, err)
 				}
 			})
 		}
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// errTimeout means that a call got no answer within its time-out.
 var errTimeout = errors.New("peer did not answer in time")
 
 // call calls a method of the peer. After an error, a time-out included, the connection is closed,
@@ -31,7 +32,8 @@
 	return fmt.Errorf("%s.%s at %s: %w", serviceName, method, p.Label, err)
 }
 
-// connect returns the client of the open connection, or of a new one.
+// connect returns the client of the open connection, or of a new one. It dials without p.mu, so that
+// LastPing and others do not wait for a peer that is not reached.
 func (p *Peer) connect() (*rpc.Client, error) {
 	p.mu.Lock()
 	client := p.client
--- a/internal/peer/liveness.go
+++ b/internal/peer/liveness.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Ping asks the peer for its state and records the answer.
+// Ping asks the peer for its state and records the answer, with the time before the call: the state is
+// at least that recent.
 func (p *Peer) Ping(args PingArgs) (PingResult, error) {
 	begun := time.Now()
 	var message PingReply
@@ -22,7 +23,8 @@
 	return result, err
 }
 
-// ServingFor returns how long every ping has found the peer serving; zero if the last one has not.
+// ServingFor returns for how long every ping has found the peer serving; zero if the last one failed or
+// found it not serving.
 func (p *Peer) ServingFor() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,8 +34,8 @@
 	return time.Since(p.servingSince)
 }
 
-// LastPing returns the answer to the last ping that was answered. ok is false if that ping is older
-// than maxAge.
+// LastPing returns the answer to the last ping that was answered. ok is false if there is none, or if
+// that ping was sent more than maxAge ago; the result is then not to be used.
 func (p *Peer) LastPing(maxAge time.Duration) (result PingResult, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -6,16 +6,16 @@
 )
 
 // This file and messages_relay.go are the edge to the other controllers: every message of the net/rpc
-// service, and the conversions to and from the types that the rest of the program uses. encoding/gob goes by the Go
-// names of fields, and nodes of two releases serve side by side, so the fields here keep the names
-// that they were first sent with. The fixtures in testdata/release1 pin them. Fields may be added:
-// a receiver ignores those that it does not know.
+// service, and the conversions to and from the types that the rest of the program uses. encoding/gob
+// matches fields by their Go names, and nodes of two releases serve side by side, so the fields here
+// retain the names with which they were first sent. The fixtures in testdata/release1 pin them. Fields
+// may be added: a receiver ignores those that it does not know.
 
-// PingArgs tells a peer about the caller.
+// PingArgs is the state of the caller of a ping.
 type PingArgs struct {
-	From string
-	Term uint64
-	// The counts of jobs' tasks that the caller has from the callee already.
+	From string // label of the caller
+	Term uint64 // newest term that the caller knows
+	// The term and revision up to which the caller already has the callee's counts of jobs' tasks.
 	CountsTerm, CountsRevision uint64
 	Version                    int // cluster version that the caller understands; 0: an older release
 }
@@ -73,7 +73,7 @@
 // CountsArgs asks the leader for the number of finished and running tasks of a job.
 type CountsArgs struct{ UID string }
 
-// CountsReply answers CountsArgs. Known is false if the callee does not lead.
+// CountsReply answers CountsArgs. Known is false if the callee does not lead or has no such job.
 type CountsReply struct {
 	Known         bool
 	Done, Running int
@@ -101,7 +101,7 @@
 	Body       []byte
 }
 
-// LeadReply is the leader's status, or nothing from a node that does not lead.
+// LeadReply is the leader's status; Lead is nil from a node that does not lead.
 type LeadReply struct{ Lead *LeadStatusMessage }
 
 // LeadStatusMessage is the message form of wire.LeadStatus.
@@ -304,18 +304,18 @@
 	Have     uint64 // sequence number up to which the standby has all changes of this term
 }
 
-// FollowReply is one part.
+// FollowReply is one part of a transfer of the leader's state.
 type FollowReply struct {
 	Term    uint64
 	Leading bool // leads the term that was requested, and has something to follow
-	// Transfer is 0 if the transfer that was requested is no longer kept.
+	// Transfer is 0 if the transfer that was requested is no longer known: the standby begins another.
 	Transfer uint64
 	Part     int
 	Last     bool   // the transfer ends with this part
-	Full     bool   // the transfer holds everything, not changes since Base
-	Base     uint64 // sequence number that the changes follow on
-	// What holds once the last part is applied: sequence number, position in the state
-	// store's history up to which all records are part of it, and digest.
+	Full     bool   // the transfer contains everything, not only changes since Base
+	Base     uint64 // sequence number of the copy to which the changes apply
+	// The state once the last part is applied: its sequence number, the position in the state
+	// store's history up to which it has all records, and its digest.
 	Sequence, Position, Digest uint64
 	Entries                    int // in Body
 	Size                       int // of Body, decompressed
--- a/internal/peer/messages_relay.go
+++ b/internal/peer/messages_relay.go
@@ -2,7 +2,7 @@
 
 import "lotusstile.dev/lotusstile/wire"
 
-// The messages of relayed heartbeats. What messages.go says of the names of fields holds here too.
+// The messages of relayed heartbeats. The rule of messages.go about the names of fields applies here too.
 
 // RelayArgs is the message form of HeartbeatBatch.
 type RelayArgs struct {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer is the peer RPC: what controllers ask each other, over net/rpc.
+// Package peer is the RPC between controllers, over net/rpc: the client, the server and the messages.
 package peer
 
 import (
@@ -12,8 +12,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Peer is another controller. It is safe for concurrent use. Its methods that ask the peer return an
-// error if the peer does not answer in time; what it was asked for may have been done all the same.
+// Peer is another controller. It is safe for concurrent use. Its methods that call the peer return an
+// error if the peer does not answer in time; it may have acted on the call all the same.
 type Peer struct {
 	Label    string
 	Location string
@@ -25,7 +25,7 @@
 	client       *rpc.Client // nil: not connected
 	lastPing     PingResult
 	lastPingAt   time.Time // start of the last ping that was answered
-	servingSince time.Time // since when every ping found the peer serving; zero if it is not
+	servingSince time.Time // since when every ping has found the peer serving; zero if the last has not
 }
 
 // Dialer opens a connection to a peer's address.
@@ -68,7 +68,7 @@
 	return message.reply(), err
 }
 
-// NotifyCancelled tells the peer of a committed cancellation.
+// NotifyCancelled announces a committed cancellation to the peer.
 func (p *Peer) NotifyCancelled(c Cancellation) error {
 	return p.call("Withdrawn", c.message(), &WithdrawnReply{}, p.timeout)
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,12 +13,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// serviceName is the name of the net/rpc service. It changes when the messages of its methods
-// change in a way that an older release would misread: nodes of different
-// releases then cannot reach each other, and work as if they were cut off.
+// serviceName is the name of the net/rpc service. It must be changed together with any change of the
+// messages that an older release would misread: nodes of different releases then cannot reach each
+// other, and operate as if they were cut off.
 const serviceName = "Controller"
 
-// Handler answers the calls of other controllers.
+// Handler answers the calls of other controllers. Its methods are called concurrently.
 type Handler interface {
 	// ApplyCancellation is called with a cancellation that a peer has committed.
 	ApplyCancellation(c Cancellation)
@@ -38,8 +38,8 @@
 	FollowState(a FollowArgs) (FollowReply, error)
 }
 
-// service is registered with net/rpc. The names of its methods travel, so they stay as they were first
-// called; Handler has the current ones.
+// service is registered with net/rpc. The names of its methods are sent with each call, so they must not
+// change between releases; Handler has the terms of today.
 type service struct{ handler Handler }
 
 // Ping answers a ping.
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// Withdrawn passes on a committed cancellation.
+// Withdrawn applies a committed cancellation that a peer announces.
 func (s *service) Withdrawn(a WithdrawnArgs, _ *WithdrawnReply) error {
 	s.handler.ApplyCancellation(a.cancellation())
 	return nil
@@ -101,7 +101,8 @@
 	return srv, nil
 }
 
-// acceptPause is how long Serve waits after a failed accept, as when no file descriptor is free.
+// acceptPause is how long Serve waits after a failed accept: without a free file descriptor, accept
+// fails at once, and Serve would spin.
 const acceptPause = 50 * time.Millisecond
 
 // Serve answers peers on l until l is closed, or ctx ends while no connection can be accepted. Each
--- a/internal/peer/types.go
+++ b/internal/peer/types.go
@@ -11,13 +11,13 @@
 	Leading bool   // it leads that term
 	Serving bool   // it has read the state store lately
 	// RenewedHosts are the machines whose worker leases it has renewed on the leader's behalf
-	// during the last worker lease.
+	// within the last leader lease.
 	RenewedHosts []string
 	// Counts are the counts of jobs' tasks that have changed at the leader since the caller's
 	// revision, and CountsRevision is the revision that they lead to.
 	Counts         []wire.JobView
 	CountsRevision uint64
-	CountsMore     bool   // more have changed than fit one answer: the next ping brings them
+	CountsMore     bool   // more have changed than fit into one answer: the next ping brings them
 	Version        int    // cluster version that it understands; 0: an older release
 	CanRelay       bool   // it can relay batches of heartbeats
 	WantsRelays    bool   // it leads, and wants its followers to relay heartbeats
@@ -32,13 +32,13 @@
 	ModRevision uint64 // of the record
 }
 
-// HeartbeatBatch holds workers' heartbeats that a follower relays to the leader.
+// HeartbeatBatch is a batch of workers' heartbeats that a follower relays to the leader.
 type HeartbeatBatch struct {
 	From       string // label of the follower
-	Term       uint64 // term of the leader that the follower means
+	Term       uint64 // term of the leader that it is for
 	Heartbeats []RelayedHeartbeat
-	// Bodies holds the JSON bodies of the heartbeats that are sent in full, one after the other in
-	// the order of Heartbeats, as one S2 block.
+	// Bodies is the concatenation of the JSON bodies of the heartbeats that are sent in full, in the
+	// order of Heartbeats, as one S2 block.
 	Bodies []byte
 }
 
@@ -62,13 +62,13 @@
 	Resend  []string // hosts whose heartbeats repeat one that the leader does not have
 }
 
-// HeartbeatAnswer is the leader's answer to one relayed heartbeat: what the follower has to answer
-// the worker that waits for it.
+// HeartbeatAnswer is the leader's answer to one relayed heartbeat, which the follower passes on to the
+// worker that waits for it.
 type HeartbeatAnswer struct {
 	Host        string
-	Incarnation uint64 // of the heartbeat
-	Sequence    uint64 // of the heartbeat
-	Status      int
-	Response    wire.Commands // with 200
-	Redirect    wire.Redirect // with 421
+	Incarnation uint64        // of the heartbeat
+	Sequence    uint64        // of the heartbeat
+	Status      int           // HTTP status
+	Response    wire.Commands // with status 200
+	Redirect    wire.Redirect // with status 421
 }
