--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -14,8 +14,10 @@
 // RecordWriteShare is the share of the store's write limit that the leader has for records.
 const RecordWriteShare = 0.6
 
-// Shares of any single node: over half of the store's limits. When many users come at once, what
-// leaves room for records is that the store refuses the rest.
+// Shares of any single node. They are not divided by the number of nodes, so that one node can use
+// over half of the store's limits. Several nodes may therefore ask for more than the store allows
+// when many users come at once. No budget reserves room for records then: the store refuses what
+// is above its limits (ErrThrottled), whoever sent it.
 const (
 	// RequestShare is the share of the store's request limit.
 	RequestShare = 0.6
@@ -32,8 +34,8 @@
 	lookupShare     = 0.2
 )
 
-// maxRetryAfterTimeouts bounds the times promised to refused users: no later than so many request
-// time-outs from now.
+// maxRetryAfterTimeouts, in request time-outs from now, bounds how far the queue of retry times
+// given to refused users may reach.
 const maxRetryAfterTimeouts = 5
 
 // Limits are the rate limits of the state store, which all nodes share.
@@ -73,7 +75,7 @@
 func (c *Client) LookupLimiter() *aimd.Limiter { return c.budget.lookups }
 
 // waitForRequestBudget waits for room for one request in the budget of the context's lane. Its
-// error wraps ErrRefused.
+// error wraps ErrRefused, and for lookupLane *aimd.BusyError or ctx's error.
 func (c *Client) waitForRequestBudget(ctx context.Context) error {
 	switch laneOf(ctx) {
 	case sharedReadLane:
@@ -93,12 +95,11 @@
 	return nil
 }
 
-// onThrottled records that the store refused a request because it gets too many. The budgets of
-// users' reads give way first, whatever was refused: a leader whose lease is not renewed helps
-// nobody. A commit that changes something cuts no budget, since it may have been refused for
-// exceeding the write limit, on which reads do not count.
-func (c *Client) onThrottled(body any) {
-	c.throttledRequests.Add(1)
+// cutReadBudgets cuts the budgets of users' reads after the store has refused a request with body
+// because it gets too many. They give way first, whatever was refused: a leader whose lease is not
+// renewed helps nobody. A commit that changes something cuts no budget, since it may have been
+// refused for exceeding the write limit, on which reads do not count.
+func (c *Client) cutReadBudgets(body any) {
 	if tx, ok := body.(wire.Transaction); ok && len(tx.Changes) > 0 {
 		return
 	}
@@ -107,8 +108,9 @@
 	c.budget.lookups.OnThrottled(now)
 }
 
-// onExecuted records that the store executed a request.
-func (c *Client) onExecuted(ctx context.Context) {
+// growReadBudget lets the budget of ctx's lane grow back after the store has executed a request,
+// if that is a budget of users' reads.
+func (c *Client) growReadBudget(ctx context.Context) {
 	switch laneOf(ctx) {
 	case sharedReadLane:
 		c.budget.sharedReads.OnAnswered(time.Now())
@@ -117,8 +119,9 @@
 	}
 }
 
-// reserveWrites finds room for a number of changes in the write budget of the context's lane.
-// Its error is a *BusyError (userLane) or wraps ErrRefused.
+// reserveWrites takes room for a number of changes from the write budget of the context's lane.
+// recordsLane waits for it, up to the client's timeout; the other lanes never wait. Its error is
+// a *BusyError (userLane) or wraps ErrRefused.
 func (c *Client) reserveWrites(ctx context.Context, changes int) error {
 	switch laneOf(ctx) {
 	case urgentLane:
@@ -130,15 +133,16 @@
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	// One wait for all: to take a part and fail on the rest would spend the
-	// budget on nothing, again and again.
+	// One wait for all changes: a commit that took its room in parts and failed on a later part
+	// would spend the budget on nothing, again and again.
 	if err := c.budget.recordWrites.WaitN(waitCtx, min(changes, c.budget.recordWrites.Burst())); err != nil {
 		return fmt.Errorf("%w: over this node's write budget: %w", ErrRefused, err)
 	}
 	return nil
 }
 
-// reserveUserWrites takes room for a user's changes, or returns a *BusyError at once.
+// reserveUserWrites takes room for a user's changes, or returns a *BusyError at once. Part of the
+// burst is left to users of higher priority; see WithUserLane.
 func (c *Client) reserveUserWrites(ctx context.Context, changes int) error {
 	now := time.Now()
 	limiter := c.budget.userWrites
@@ -151,7 +155,8 @@
 	return &BusyError{RetryAfter: c.nextRetryAfter(now, wait)}
 }
 
-// reserveBackgroundWrites takes room for changes while it leaves half of the burst to records.
+// reserveBackgroundWrites takes room for changes if half of the burst is left to records after it.
+// Its error wraps ErrRefused.
 func (c *Client) reserveBackgroundWrites(changes int) error {
 	now := time.Now()
 	limiter := c.budget.recordWrites
@@ -163,8 +168,9 @@
 	return nil
 }
 
-// nextRetryAfter returns when a refused user should come back. Each user gets a later time, so
-// that they do not all come back at once.
+// nextRetryAfter returns how long after now a refused user should come back: after wait at the
+// earliest. Each user gets a later time than the one before, at the pace of the user write budget,
+// so that they do not all come back at once; see maxRetryAfterTimeouts for the bound.
 func (c *Client) nextRetryAfter(now time.Time, wait time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -23,27 +23,32 @@
 
 // Client is a client of the state store. It is safe for concurrent use.
 type Client struct {
-	base    string // URL without a path
+	base    string // scheme and address: "http://host:port"
 	http    *http.Client
-	timeout time.Duration // of one request, without what a watch waits for
+	timeout time.Duration // see New
 	budget  budget
 
-	// created is what lastExecuted counts from.
+	// created is the origin of lastExecuted.
 	created time.Time
-	// lastExecuted is the start of the latest request that the store executed, in nanoseconds
-	// since created; 0 if there is none.
+	// lastExecuted is the start of the latest-begun request that the store has executed, in
+	// nanoseconds since created; 0 before the first one.
 	lastExecuted atomic.Int64
 
-	rejectedCommits   atomic.Uint64 // commits that were answered 400
-	throttledRequests atomic.Uint64 // requests that were answered 429
-	outOfOrderPages   atomic.Uint64 // pages of listings that did not continue the page before
+	rejectedCommits   atomic.Uint64 // see RejectedCommits
+	throttledRequests atomic.Uint64 // see ThrottledRequests
+	outOfOrderPages   atomic.Uint64 // see OutOfOrderPages
 
-	mu          sync.Mutex
-	nextRetryAt time.Time // the earliest time that the next refused user is told to come back at
+	mu sync.Mutex
+	// nextRetryAt is the earliest retry time to give to the next refused user; see
+	// nextRetryAfter. mu guards it.
+	nextRetryAt time.Time
 }
 
-// New makes a client of the store at addr (host:port) that sends its requests over rt. timeout is
-// for one request, the wait for its budget included.
+// New makes a client of the store at addr (host:port) that sends its requests over rt.
+//
+// timeout bounds one request, with the wait for this node's request budget. Two calls may take
+// longer: a watch, by the time that it waits for a change, and a commit, which may wait for the
+// write budget for up to another timeout first.
 func New(addr string, limits Limits, timeout time.Duration, rt http.RoundTripper) *Client {
 	return &Client{
 		base:    "http://" + addr,
@@ -54,9 +59,10 @@
 	}
 }
 
-// SinceLastExecuted returns the time since the start of the latest request that the store
-// executed for this node: the proof that the store is reached. Before the first one it is longer
-// than any time limit.
+// SinceLastExecuted returns the time since the start of the latest-begun request that the store
+// has executed for this node, which is the proof that this node reaches the store. Before the
+// first one it is longer than any time limit. Every answer but 429 and 503 counts as executed;
+// answers to watches do not count.
 func (c *Client) SinceLastExecuted() time.Duration {
 	last := c.lastExecuted.Load()
 	if last == 0 {
@@ -65,9 +71,9 @@
 	return time.Since(c.created) - time.Duration(last)
 }
 
-// recordExecuted records that the store executed a request begun at start. Requests may end in
-// another order than they began: the latest start stays.
-func (c *Client) recordExecuted(start time.Time) {
+// advanceLastExecuted moves lastExecuted up to start, the start of a request that the store has
+// executed. It never moves back: requests may end in another order than they began.
+func (c *Client) advanceLastExecuted(start time.Time) {
 	at := int64(start.Sub(c.created))
 	for {
 		old := c.lastExecuted.Load()
@@ -77,18 +83,21 @@
 	}
 }
 
-// RejectedCommits counts the commits that the store has rejected as malformed or too large.
+// RejectedCommits counts the commits that ended with a *RejectedError: the store takes them for
+// malformed or too large.
 func (c *Client) RejectedCommits() uint64 { return c.rejectedCommits.Load() }
 
-// ThrottledRequests counts the requests that the store refused because it gets too many.
+// ThrottledRequests counts the requests that ended with ErrThrottled: the store gets too many.
 func (c *Client) ThrottledRequests() uint64 { return c.throttledRequests.Load() }
 
-// OutOfOrderPages counts the pages of listings that did not continue the page before.
+// OutOfOrderPages counts the listings that ended with ErrPageOutOfOrder.
 func (c *Client) OutOfOrderPages() uint64 { return c.outOfOrderPages.Load() }
 
-// call sends one request and returns the status and the body of its answer. Its error wraps
-// ErrRefused or ErrOutcomeUnknown. watchFor is how long the store may wait for a change before it
-// answers; 0 for all requests but watches.
+// call waits for the request budget, sends one request, and returns the status and the body of
+// its answer. Its error wraps ErrRefused or ErrOutcomeUnknown; if the request cannot even be
+// encoded it wraps neither. The error is nil for every other status: the caller tells them apart.
+// watchFor is how long the store may wait for a change before it answers; 0 for all requests but
+// watches.
 func (c *Client) call(
 	ctx context.Context, method, path string, body any, watchFor time.Duration,
 ) (status int, answer []byte, err error) {
@@ -111,20 +120,30 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	switch status {
-	case http.StatusServiceUnavailable:
-		return status, nil, fmt.Errorf("%w: status %d", ErrRefused, status)
-	case http.StatusTooManyRequests:
-		c.onThrottled(body)
-		return status, nil, ErrThrottled
+	if err := c.refusalOf(status, body); err != nil {
+		return status, nil, err
 	}
-	c.onExecuted(ctx)
+	c.growReadBudget(ctx)
 	if watchFor == 0 { // a watch may have waited through an outage: its answer proves nothing about its start
-		c.recordExecuted(start)
+		c.advanceLastExecuted(start)
 	}
 	return status, answer, nil
 }
 
+// refusalOf returns the error for a status by which the store refuses a request with body, and
+// cuts the read budgets if that is for too many requests; nil for every other status.
+func (c *Client) refusalOf(status int, body any) error {
+	switch status {
+	case http.StatusServiceUnavailable:
+		return fmt.Errorf("%w: status %d", ErrRefused, status)
+	case http.StatusTooManyRequests:
+		c.throttledRequests.Add(1)
+		c.cutReadBudgets(body)
+		return ErrThrottled
+	}
+	return nil
+}
+
 // newRequest makes a request with body as JSON; nil is no body.
 func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
 	var content io.Reader
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -8,7 +8,8 @@
 
 // Errors that callers tell apart. What a caller may conclude about a commit:
 //
-//	ErrRefused         not executed and never will be; it may be sent again
+//	ErrRefused         not executed and never will be; it may be sent again. Statuses that the
+//	                   protocol does not name are taken for this too; see Commit
 //	ErrThrottled       the same (it wraps ErrRefused): the store gets too many requests
 //	*BusyError         not sent: this node's budget has no room for it now
 //	*ConflictError     not executed: a compare failed, and reading the keys again tells why
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -14,8 +14,8 @@
 // protocol calls them holds.
 const leasesPath = "/holds"
 
-// GrantLease opens a lease that expires unless it is renewed within ttl. The keys that are
-// attached to it are dropped when it ends.
+// GrantLease opens a lease that expires unless it is renewed within ttl, and returns its id. The
+// store drops the keys that are attached to it when it ends.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (leaseID uint64, err error) {
 	status, answer, err := c.call(ctx, http.MethodPost, leasesPath, wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, 0)
 	if err != nil {
@@ -32,7 +32,7 @@
 }
 
 // RenewLease renews a lease for its time to live. Its error wraps ErrLeaseNotFound if the lease has
-// ended.
+// ended; after any other error the lease may still last.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
 	status, _, err := c.call(ctx, http.MethodPost, leasePath(leaseID)+"/touch", nil, 0)
 	if err != nil {
@@ -47,7 +47,9 @@
 	return fmt.Errorf("renew lease: status %d", status)
 }
 
-// RevokeLease ends a lease at once. To revoke one that has ended is no error.
+// RevokeLease ends a lease at once. Its error wraps ErrRefused or ErrOutcomeUnknown; any other
+// answer is success, whatever its status. A lease that has ended already (404) is what the caller
+// wants, and a lease that could not be revoked expires by itself.
 func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
 	_, _, err := c.call(ctx, http.MethodDelete, leasePath(leaseID), nil, 0)
 	if err != nil {
--- a/internal/store/transactions.go
+++ b/internal/store/transactions.go
@@ -2,11 +2,10 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"fmt"
 	"net/http"
-	"sync"
-	"time"
 
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -14,13 +13,9 @@
 // commitPath is where transactions are sent.
 const commitPath = "/commit"
 
-// overtakenDivisor: a commit waits at least this fraction (one over it) of the request time-out
-// before it counts as overtaken.
-const overtakenDivisor = 5
-
 // Commit executes a compare-and-swap transaction and returns its revision. Its error wraps a
-// *ConflictError, *BusyError, *RejectedError, ErrLeaseNotFound, ErrRefused (nothing happened) or
-// ErrOutcomeUnknown.
+// *ConflictError, *BusyError, *RejectedError, ErrLeaseNotFound, ErrRefused or ErrOutcomeUnknown;
+// errors.go lists what a caller may conclude from each.
 func (c *Client) Commit(ctx context.Context, tx wire.Transaction) (revision uint64, err error) {
 	if len(tx.Changes) > 0 {
 		if err := c.reserveWrites(ctx, len(tx.Changes)); err != nil {
@@ -49,52 +44,31 @@
 		}
 		return response.Revision, nil
 	case http.StatusBadRequest:
-		if bytes.Contains(answer, []byte("lease")) || bytes.Contains(answer, []byte("hold")) {
+		if namesLease(answer) {
 			return 0, fmt.Errorf("commit: %w", ErrLeaseNotFound)
 		}
 		c.rejectedCommits.Add(1)
 		return 0, fmt.Errorf("commit: %w", &RejectedError{Keys: changedKeys(tx), Detail: string(answer)})
 	}
+	// The protocol names no other status for a commit (call has dealt with 429 and 503), so it
+	// promises nothing about the outcome: it calls that unknown only if there is no answer. That a
+	// commit answered otherwise (500, 502, 504...) was not executed is this client's assumption.
 	return 0, fmt.Errorf("commit: %w: status %d: %.200s", ErrRefused, status, answer)
 }
 
+// namesLease reports whether the answer to a commit with status 400 complains of a lease that has
+// ended. The protocol has one status for that and for malformed or too large commits, so only the
+// text of the error tells them apart ("no such lease"). The protocol's paths call a lease a hold,
+// so either word is taken for it.
+func namesLease(answer []byte) bool {
+	return bytes.Contains(answer, []byte("lease")) || bytes.Contains(answer, []byte("hold"))
+}
+
 // changedKeys lists the keys that a transaction changes.
 func changedKeys(tx wire.Transaction) []string {
 	keys := make([]string, 0, len(tx.Changes))
 	for _, change := range tx.Changes {
-		keys = append(keys, change.Set+change.Drop)
+		keys = append(keys, cmp.Or(change.Set, change.Drop)) // a change has one of them
 	}
 	return keys
 }
-
-// withOvertakenCancel makes a context that ends when the request is overtaken: requests that
-// were begun well after it have been executed, and it has no answer. Its answer is then
-// lost or the store delays it, and to wait on would only delay what waits
-// for the outcome. While nothing else is answered either, as on a slow node or
-// link, that proves nothing: to give up would only add requests.
-func (c *Client) withOvertakenCancel(ctx context.Context) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithCancel(ctx)
-	begun := time.Since(c.created)
-	patience := c.timeout / overtakenDivisor
-	var check func()
-	var mu sync.Mutex
-	var timer *time.Timer
-	check = func() {
-		mu.Lock()
-		defer mu.Unlock()
-		if time.Duration(c.lastExecuted.Load()) > begun+patience/2 {
-			cancel()
-		} else if ctx.Err() == nil {
-			timer = time.AfterFunc(patience/4, check)
-		}
-	}
-	mu.Lock()
-	defer mu.Unlock()
-	timer = time.AfterFunc(patience, check)
-	return ctx, func() {
-		cancel()
-		mu.Lock()
-		defer mu.Unlock()
-		timer.Stop()
-	}
-}
