--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -18,20 +18,20 @@
 // Waits as parts of the lease's time to live: LeaseTTL divided by the constant.
 const (
 	// campaignJitterDivisor bounds the random wait before a campaign, which keeps nodes from
-	// colliding at every try.
+	// colliding at every attempt.
 	campaignJitterDivisor = 40
 	// delayStepDivisor gives the wait for each step of CampaignDelaySteps.
 	delayStepDivisor = 8
 	// deferDivisor gives the time by which a node lets one go first that is better prepared to
 	// lead: longer than the random wait of either.
 	deferDivisor = 16
-	// retryJitterDivisor bounds the random wait after a campaign that was lost.
+	// retryJitterDivisor bounds the random wait after a campaign that this node did not win.
 	retryJitterDivisor = 8
 	// watchPauseDivisor gives the pause of the watch after a failed read.
 	watchPauseDivisor = 8
 )
 
-// watchTTLs is how long one watch of the election's keys waits for a change, in lease times.
+// watchTTLs is how long one watch of the election's keys waits for a change, in units of LeaseTTL.
 const watchTTLs = 2
 
 // Run takes part in elections until ctx ends. It returns once the watch of the election's keys
@@ -72,7 +72,8 @@
 // jitter returns a random duration below limit.
 func jitter(limit time.Duration) time.Duration { return time.Duration(rand.Int64N(int64(limit))) }
 
-// campaignDelay returns how long to wait before a campaign.
+// campaignDelay returns how long to wait before a campaign, so that better placed and better
+// prepared nodes go first and equal ones do not collide.
 func (e *Elector) campaignDelay() time.Duration {
 	delay := jitter(e.LeaseTTL/campaignJitterDivisor) + time.Duration(e.CampaignDelaySteps())*e.LeaseTTL/delayStepDivisor
 	if e.DeferToStandby() {
@@ -81,7 +82,9 @@
 	return delay
 }
 
-// campaign tries once to become leader: it creates the leader's key on a new lease.
+// campaign makes one attempt to become leader: it creates the leader's key on a new lease. If
+// elected is true the term and the lease are this node's. Otherwise a lease that was granted is
+// revoked, and the view shows who leads as far as the state store answers.
 func (e *Elector) campaign(ctx context.Context) (term, leaseID uint64, elected bool) {
 	ctx = store.WithUrgentLane(ctx)
 	leaseID, err := e.Store.GrantLease(ctx, e.LeaseTTL)
@@ -102,23 +105,23 @@
 	}
 	slog.Debug("campaign was not won", "err", err)
 	if errors.Is(err, store.ErrOutcomeUnknown) {
-		// The commit may have been applied: the key is then attached to our lease.
+		// The commit may have been executed: the key is then attached to this campaign's lease.
 		if item, found, err := e.Store.Get(ctx, records.LeaderKey); err == nil && found && item.LeaseID == leaseID {
 			return item.ModRevision, leaseID, true
 		}
 	}
 	if err := e.Store.RevokeLease(ctx, leaseID); err != nil {
-		slog.Debug("lease of a lost campaign was not revoked", "err", err) // it expires by itself
+		slog.Debug("lease of a campaign that was not won could not be revoked", "err", err) // it expires by itself
 	}
 	e.readLeader(ctx)
 	return 0, 0, false
 }
 
-// readLeader reads who won a campaign that this node lost.
+// readLeader reads who leads after a campaign that this node did not win.
 func (e *Elector) readLeader(ctx context.Context) {
 	item, found, err := e.Store.Get(ctx, records.LeaderKey)
 	if err != nil || !found {
-		return // the watch tells
+		return // the watch will show it
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -23,7 +23,7 @@
 const (
 	// Following: another node leads, or no leader is known.
 	Following State = iota
-	// Campaigning: the node tries to become leader.
+	// Campaigning: the node attempts to become leader.
 	Campaigning
 	// Leading: the node leads, and its lease was renewed in time.
 	Leading
@@ -50,12 +50,15 @@
 
 // View is what a node knows of the leadership.
 type View struct {
-	Leader string // label of the leader; empty if none is known
-	Term   uint64 // the latest term seen, of Leader if there is one
-	// ConfirmedTerm is the latest term that the state store or its own leader has announced;
-	// Term may be known from a worker's fencing token alone.
+	// Leader is the label of the leader; empty if none is known.
+	Leader string
+	// Term is the latest term that this node has observed; it is Leader's if there is one.
+	Term uint64
+	// ConfirmedTerm is the latest term that the state store or the leader of that term has
+	// announced; Term may be known from a worker's fencing token alone.
 	ConfirmedTerm uint64
-	Synced        bool // the keys of the election were listed once
+	// Synced is true once the keys of the election have been listed.
+	Synced bool
 }
 
 // Options say how a node takes part in elections. Store, Node, LeaseTTL and Lead are required.
@@ -81,20 +84,21 @@
 	TransferWanted func() bool
 }
 
-// Elector runs the election at one node.
+// Elector runs the election at one node. It is safe for concurrent use; Run is called once.
 type Elector struct {
 	Options
 
+	// mu guards the fields below, except that changed is set once, in New.
 	mu              sync.Mutex
 	state           State
 	view            View
 	ownTerm         uint64             // the term that this node leads, or led last
 	endTerm         context.CancelFunc // ends that term; nil if this node does not lead
-	leaderlessSince time.Time          // when this node last saw that nobody leads
-	changed         chan struct{}      // the view may have changed
+	leaderlessSince time.Time          // see LeaderlessSince
+	changed         chan struct{}      // wakes Run: the view may have changed
 }
 
-// New makes an elector.
+// New makes an elector that follows until Run is called.
 func New(options Options) *Elector {
 	if options.CampaignDelaySteps == nil {
 		options.CampaignDelaySteps = func() int { return 0 }
@@ -117,7 +121,7 @@
 	e.state = to
 }
 
-// transition changes the state.
+// transition is setState for callers that do not hold e.mu.
 func (e *Elector) transition(to State, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,7 +142,8 @@
 	return e.state
 }
 
-// LeaderlessSince returns when this node last saw, in the state store, that nobody leads.
+// LeaderlessSince returns when this node first observed in the state store that the latest leader
+// was gone; the zero time if it has observed none.
 func (e *Elector) LeaderlessSince() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -13,10 +13,10 @@
 const (
 	// renewalsPerTTL is how often the leader's lease is renewed in its time to live.
 	renewalsPerTTL = 4
-	// throttledRenewalsPerTTL is how many tries there are in that time while the state store
-	// answers that it gets too many requests.
+	// throttledRenewalsPerTTL is how many attempts there are in that time while the state store
+	// refuses them because it gets too many requests.
 	throttledRenewalsPerTTL = 20
-	// renewalTimeoutDivisor of the time to live is the time-out of one renewal.
+	// renewalTimeoutDivisor of the time to live gives the time-out of one renewal.
 	renewalTimeoutDivisor = 2
 )
 
@@ -66,9 +66,10 @@
 }
 
 // keepLease renews the lease of a term until the term ends, or until the leadership should be
-// transferred: then it returns true.
+// transferred: then it returns true, and the caller ends the term. It calls endTerm once the state
+// store says that the lease has ended.
 func (e *Elector) keepLease(termCtx context.Context, term, leaseID uint64, endTerm context.CancelFunc) (transfer bool) {
-	renewed := time.Now() // when the renewal began that succeeded last
+	renewed := time.Now() // the start of the latest renewal that succeeded
 	wait := e.Timers.UntilNext(renewed, e.LeaseTTL/renewalsPerTTL)
 	for termCtx.Err() == nil && timeralign.Sleep(termCtx, wait) {
 		begun := time.Now()
@@ -76,7 +77,7 @@
 		wait = e.Timers.UntilNext(time.Now(), e.LeaseTTL/renewalsPerTTL)
 		switch {
 		case errors.Is(err, store.ErrThrottled):
-			// Nothing is wrong with the store: another try may find room.
+			// The store is well: another attempt may find room in its limits.
 			wait = e.LeaseTTL / throttledRenewalsPerTTL
 		case err == nil:
 			renewed = begun
@@ -95,7 +96,7 @@
 	return false
 }
 
-// renewLease renews the lease of this node's term.
+// renewLease makes one attempt to renew the lease of this node's term.
 func (e *Elector) renewLease(ctx context.Context, leaseID uint64) error {
 	ctx, cancel := context.WithTimeout(store.WithUrgentLane(ctx), e.LeaseTTL/renewalTimeoutDivisor)
 	defer cancel()
--- a/internal/election/terms.go
+++ b/internal/election/terms.go
@@ -9,8 +9,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// ObserveTerm records a term that was seen elsewhere: in a worker's heartbeat, with no leader's
-// name, or at another node. A leader of an older term steps down.
+// ObserveTerm records a term that this node has learned of other than from the state store: from a
+// worker's heartbeat (leader is then empty) or from another node. A leader of an older term steps
+// down.
 func (e *Elector) ObserveTerm(term uint64, leader string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -18,9 +19,9 @@
 		e.view.ConfirmedTerm = max(e.view.ConfirmedTerm, term)
 	}
 	if term == e.view.Term && e.view.Leader == "" && e.endTerm == nil {
-		// A worker's fencing token showed the term before the leader itself did. A node
-		// that cannot read the state store would otherwise never learn the
-		// name, and keep workers that it should redirect to the leader.
+		// A worker's fencing token showed the term before the leader itself did. A node that
+		// cannot read the state store would otherwise never learn the name, and keep workers
+		// that it should redirect to the leader.
 		e.view.Leader = leader
 	}
 	if term <= e.view.Term {
@@ -63,7 +64,8 @@
 	e.notifyChanged()
 }
 
-// recordNoLeader records that nobody leads. e.mu is held.
+// recordNoLeader records that nobody leads. A listing may show it again: the time of the first
+// observation stays. e.mu is held.
 func (e *Elector) recordNoLeader() {
 	if e.view.Leader != "" || e.leaderlessSince.IsZero() {
 		e.leaderlessSince = time.Now()
@@ -71,8 +73,8 @@
 	e.view.Leader = ""
 }
 
-// applyRecord updates the view from a key of the election, unless it is older than the view. A
-// leader of an older term steps down. e.mu is held.
+// applyRecord updates the view from the value of LeaderKey or TermKey, unless it is older than the
+// view. A leader of an older term steps down. e.mu is held.
 func (e *Elector) applyRecord(key string, value json.RawMessage, modRevision uint64) {
 	if modRevision < e.view.Term {
 		return
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -24,19 +24,17 @@
 }
 
 // Listener is called for every change of a job's record; entry.Job is nil when the
-// record was dropped (the job is archived).
+// record was dropped (the job is archived). See SetListener for what it may call.
 type Listener func(uid string, entry Entry)
 
-// Cache is a node's copy of the jobs that are not archived. Every node keeps
-// one, so that a follower knows which jobs are cancelled and a new leader
-// starts warm. It is safe for concurrent use.
+// Cache is a node's copy of the jobs that are not archived. Every node has one, so that a follower
+// knows which jobs are cancelled and a new leader starts warm. It is safe for concurrent use.
 //
-// It knows how old its copy is. That is not when a request was last
-// answered: a watch may wait through a refusal, hang on a dead connection or
-// sleep after an error while other requests of the node succeed. It is when the
-// read began that it was last brought up to date by.
+// It knows how fresh its copy is: as of the start of the latest read that brought it up to date.
+// The time of the latest answered request would prove less: a watch may wait through a refusal,
+// hang on a dead connection or sleep after an error while other requests of the node succeed.
 type Cache struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards all but freshAsOf; held while the listener is called
 	jobs      map[string]Entry
 	revision  uint64                    // all changes up to here are applied
 	freshAsOf atomic.Pointer[time.Time] // every commit before it is applied; nil before the first listing
@@ -54,9 +52,9 @@
 // ErrNotSynced means that the cache has to be listed before it can be refreshed.
 var ErrNotSynced = errors.New("jobs are not listed yet")
 
-// Refresh brings the cache up to date with now, past the watch: it asks for
-// the changes since its revision, without waiting for one. Before the first listing it
-// sends nothing and returns ErrNotSynced.
+// Refresh brings the cache up to date with every commit before the call, independently of the
+// watch: it asks for the changes since its revision, without waiting for one. Before the first
+// listing it sends nothing and returns ErrNotSynced.
 func (c *Cache) Refresh(ctx context.Context, reader Reader) error {
 	c.mu.Lock()
 	after := c.revision
@@ -76,9 +74,9 @@
 	return nil
 }
 
-// Reset applies a listing. It was made over a while: only what was committed
-// before it began is sure to be in it, and later changes are applied once more
-// from its revision on. It implements Handler.
+// Reset applies a listing that began at begun. A listing is read page by page: only what was
+// committed before it began is sure to be in it, and later changes are applied once more from its
+// revision on. It implements Handler.
 func (c *Cache) Reset(items []wire.KeyValue, revision uint64, begun time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,21 +91,20 @@
 			c.deleteEntry(uid, revision)
 		}
 	}
-	// A listing may be older than what is known: the changes between are then
-	// applied again, or a job that was listed and has been archived since
-	// would stay for ever.
+	// A listing may be older than what is known. The changes between are then applied again:
+	// otherwise a job that was listed and has been archived since would stay for ever.
 	c.revision = revision
 	c.advanceFreshness(begun)
 }
 
-// Apply applies the changes after a revision. Two reads may overlap, a watch and a
-// Refresh: changes that are known already are skipped, and changes that do not
-// follow on what is known are not applied at all. It implements Handler.
+// Apply applies the changes after a revision. A watch and a Refresh may overlap: changes that are
+// known already are skipped, and changes that leave a gap after the cache's revision are not
+// applied at all. It implements Handler.
 func (c *Cache) Apply(changes wire.WatchResponse, after uint64, begun time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if after > c.revision {
-		return // a listing went back behind it
+		return // a listing has set the revision back since the read began
 	}
 	for _, event := range changes.Events {
 		if event.ModRevision <= c.revision {
@@ -130,9 +127,8 @@
 	}
 }
 
-// ApplyFromPeer applies a job's record that another node sends ahead of the state
-// store's watch. It does not change FreshAsOf. A job
-// that is not known may be archived already and is left alone.
+// ApplyFromPeer applies a job's record that another node sends ahead of the state store's watch. It
+// does not change FreshAsOf. A job that is not known may be archived already and is ignored.
 func (c *Cache) ApplyFromPeer(uid string, job records.Job, modRevision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +137,8 @@
 	}
 }
 
-// decodeAndSet sets a job from the value of its record, unless a newer one is known. c.mu is held.
+// decodeAndSet sets a job from the value of its record, unless the same or a newer one is known.
+// c.mu is held.
 func (c *Cache) decodeAndSet(uid string, value json.RawMessage, modRevision uint64) {
 	if old, ok := c.jobs[uid]; ok && old.ModRevision >= modRevision {
 		return
@@ -182,7 +179,7 @@
 	return time.Time{}
 }
 
-// HasSynced reports whether the jobs were listed once.
+// HasSynced reports whether the jobs have been listed. Like FreshAsOf it takes no lock.
 func (c *Cache) HasSynced() bool { return !c.FreshAsOf().IsZero() }
 
 // Len returns the number of jobs.
@@ -192,7 +189,7 @@
 	return len(c.jobs)
 }
 
-// Job finds a job that is not archived, as far as the cache knows.
+// Job returns a job that is not archived, as far as the cache knows. The caller must not change it.
 func (c *Cache) Job(uid string) (Entry, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/watchcache/follow.go
+++ b/internal/watchcache/follow.go
@@ -19,8 +19,8 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.WatchResponse, error)
 }
 
-// Handler is kept up to date by Follow. begun is when the read began that an update comes
-// from: every commit before it is part of the update or of an earlier one.
+// Handler receives the state of the keys that Follow watches. begun is when the read began that an
+// update comes from: every commit before it is part of the update or of an earlier one.
 type Handler interface {
 	// Reset applies a whole listing, made at revision.
 	Reset(items []wire.KeyValue, revision uint64, begun time.Time)
@@ -28,10 +28,10 @@
 	Apply(changes wire.WatchResponse, after uint64, begun time.Time)
 }
 
-// Follow keeps a handler up to date with the keys under a prefix: it lists them, then
-// watches, and lists them again when the store no longer keeps the changes that it needs. A watch
-// waits up to wait for a change; pause is the time between tries after an error. Follow returns
-// when ctx ends.
+// Follow brings a handler up to date with the keys under a prefix until ctx ends: it lists them,
+// then watches, and lists them again when the store no longer has all changes since. A watch
+// waits up to wait for a change; pause is the time between attempts after an error. Errors are
+// logged and retried without end. All calls of the handler are made by the caller's goroutine.
 func Follow(ctx context.Context, reader Reader, prefix string, wait, pause time.Duration, handler Handler) {
 	for ctx.Err() == nil {
 		begun := time.Now()
@@ -46,8 +46,8 @@
 	}
 }
 
-// watchUntilCompacted hands the changes after a revision to a handler until the store no longer
-// keeps all of them, or ctx ends.
+// watchUntilCompacted passes the changes after a revision to a handler until the store no longer
+// has all of them, or ctx ends.
 func watchUntilCompacted(
 	ctx context.Context, reader Reader, prefix string, revision uint64, wait, pause time.Duration, handler Handler,
 ) {
@@ -67,21 +67,21 @@
 	}
 }
 
-// KeysListableWithin returns how many keys one node can list in a time, of a state store that
-// allows requestsPerSecond.
+// KeysListableWithin returns how many keys one node can list within a time, from a state store that
+// allows requestsPerSecond of all nodes.
 func KeysListableWithin(requestsPerSecond float64, within time.Duration) int {
 	return int(requestsPerSecond*store.RequestShare*within.Seconds()) * store.ListPageSize
 }
 
-// HandlerFuncs is a Handler of functions that get one key's event each: OnListed those
-// of a listing, OnChanged those of a later change. Either may be nil.
+// HandlerFuncs is a Handler of two functions, each called for one key at a time: OnListed for the
+// keys of a listing, OnChanged for later changes. Either may be nil.
 type HandlerFuncs struct {
 	OnListed  func(event wire.WatchEvent)
 	OnChanged func(event wire.WatchEvent)
 }
 
-// Reset calls OnListed for the keys of a listing. A key that is gone since the listing before has no
-// event.
+// Reset calls OnListed for the keys of a listing. For a key that has been dropped since the listing
+// before it calls nothing.
 func (f HandlerFuncs) Reset(items []wire.KeyValue, _ uint64, _ time.Time) {
 	if f.OnListed == nil {
 		return
--- a/internal/watchcache/linearizable.go
+++ b/internal/watchcache/linearizable.go
@@ -14,11 +14,11 @@
 	Wait(ctx context.Context) error
 }
 
-// LinearizableReader brings a cache up to date for many callers at once. Every caller gets
-// a read that began after its call; callers that arrive while one read is under way, or
-// waits for its turn, share the next. This is the one place that decides which read
-// answers which question. So however many callers there are, the state store gets no more reads
-// than the pacer allows. It is safe for concurrent use.
+// LinearizableReader brings a cache up to date for many callers at once. Every caller gets a read
+// that began after its call; callers that arrive while one read is under way, or waits for its
+// turn, share the next. So however many callers there are, the state store gets no more reads than
+// the pacer allows. This is the one place that decides which read answers which caller. It is safe
+// for concurrent use.
 //
 // A read belongs to all who wait for it, so it does not end with the context of any of them; it
 // ends after the reader's time-out.
@@ -27,24 +27,25 @@
 	reader   Reader
 	pacer    Pacer
 	timeout  time.Duration // of one read
-	patience time.Duration // after it, a read that is not answered delays no other
+	patience time.Duration // for how long a read without an answer delays the next one
 
 	mu      sync.Mutex
-	running *sharedRead // the read that began last; nil if it has ended
+	running *sharedRead // the read that began latest; nil if it has ended
 	waiting *sharedRead // the read that begins next; nil if nobody waits for one
 }
 
 // sharedRead is one read that several callers wait for.
 type sharedRead struct {
-	begun time.Time
-	done  chan struct{} // closed when it has ended
+	begun time.Time     // set under LinearizableReader.mu when the read starts
+	done  chan struct{} // closed when the read has ended
 	err   error         // set before done is closed
 }
 
 // patienceDivisor of the time-out of a read is how long it may delay the next one.
 const patienceDivisor = 20
 
-// NewLinearizableReader makes a LinearizableReader. timeout is for one read.
+// NewLinearizableReader makes a LinearizableReader. timeout bounds one read from its start; the wait
+// for the pacer comes before that.
 func NewLinearizableReader(cache *Cache, reader Reader, pacer Pacer, timeout time.Duration) *LinearizableReader {
 	return &LinearizableReader{
 		cache:    cache,
@@ -67,7 +68,7 @@
 	}
 }
 
-// joinNextRead returns the read that has not begun yet, or makes one.
+// joinNextRead returns the read that has not begun yet; if there is none it queues one.
 func (r *LinearizableReader) joinNextRead() *sharedRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +81,7 @@
 	return read
 }
 
-// startRead starts a read. r.mu is held.
+// startRead starts a read in a goroutine of its own. r.mu is held.
 func (r *LinearizableReader) startRead(read *sharedRead) {
 	read.begun = time.Now()
 	r.running = read
