--- a/cmd/lotusstile/main.go
+++ b/cmd/lotusstile/main.go
@@ -19,7 +19,7 @@
 	"lotusstile.dev/lotusstile/internal/node"
 )
 
-// version is the release that this program is.
+// version is the release number of this program.
 var version = "0.1.0"
 
 type cli struct {
@@ -51,7 +51,7 @@
 type versionCmd struct{}
 
 func main() {
-	// The program has a share of one core: more threads only cost switches.
+	// The program has a share of one core: more threads would only cost context switches.
 	runtime.GOMAXPROCS(1)
 	command := kong.Parse(
 		&cli{},
@@ -81,15 +81,25 @@
 	}
 	cfg.RelayHeartbeats, cfg.WarmStandby = c.RelayHeartbeats, c.WarmStandby
 	checkDescriptors(cfg.Cluster.Limits.MaxConnections)
-	// The limit counts all that the process holds; half is left for what the
-	// runtime does not count and for bursts. Below that, memory is cheaper than
-	// the processor time of collections.
-	debug.SetMemoryLimit(int64(cfg.Cluster.Limits.MemMb * (1 << 20) / 2))
-	debug.SetGCPercent(400)
+	debug.SetMemoryLimit(memoryLimit(cfg.Cluster.Limits.MemMb))
+	debug.SetGCPercent(gcPercent)
 	return node.New(cfg, node.TCP(cfg)).Run(context.Background())
 }
 
-// otherDescriptors is how many descriptors the process has beside its connections.
+// gcPercent lets the heap grow to five times what is live before it is collected: below the memory
+// limit, memory is cheaper than the processor time of collections. Near the limit the runtime
+// collects more often, whatever this says.
+const gcPercent = 400
+
+// memoryLimit returns the runtime's soft memory limit in bytes for a machine limit in MiB. The
+// platform's limit counts all memory of the process; half is left for what the runtime does not
+// count and for bursts. Package capacity computes with the same half.
+func memoryLimit(machineMiB float64) int64 {
+	const bytesPerMiB = 1 << 20
+	return int64(machineMiB * bytesPerMiB / 2)
+}
+
+// otherDescriptors is how many file descriptors the process is allowed beside its connections.
 const otherDescriptors = 32
 
 // checkDescriptors warns at the start if the process may not have as many file descriptors as the
@@ -109,7 +119,8 @@
 	}
 }
 
-// Run checks the settings file.
+// Run checks the settings file and prints warnings for a fleet of the given size. Its error joins one
+// error per fault.
 func (c *checkCmd) Run() error {
 	cfg, err := config.Load(c.Config)
 	if err != nil {
@@ -132,6 +143,7 @@
 	return err
 }
 
+// logLevel returns the level that LOG_LEVEL names; info if it is empty.
 func logLevel(name string) (slog.Level, error) {
 	switch name {
 	case "", "info":
--- a/internal/aimd/aimd.go
+++ b/internal/aimd/aimd.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// cutFactor is the part of the rate that is left after a cut.
+	// cutFactor is the part of the current rate that is left after a cut.
 	cutFactor = 0.5
-	// minRateShare is the part of the highest rate below which no cut goes.
+	// minRateShare is the part of the highest rate that is left whatever is cut.
 	minRateShare = 1. / 4
 	// growthPerSecond is the part of the highest rate that the rate grows by in a second.
 	growthPerSecond = 1. / 16
-	// adjustInterval is the least time between two cuts, and between two steps of growth. A cut
-	// counts for all refusals in that time: those of requests that were under
-	// way when it was made say nothing new.
+	// adjustInterval is the least time between two cuts, and between two steps of growth. One cut
+	// is the reaction to all refusals in that time: requests that were sent before the cut were
+	// sent at the old rate, so their refusals say nothing about the new one.
 	adjustInterval = time.Second
-	// burstSeconds is for how many seconds of the highest rate a client that was idle may send
-	// requests at once.
+	// burstSeconds, in seconds of the highest rate, is how many requests a client that was idle may
+	// send at once.
 	burstSeconds = 0.5
 )
 
@@ -66,7 +66,7 @@
 }
 
 // Wait waits for room for one request. If there will be none before ctx's deadline it returns a
-// *BusyError at once and takes nothing; if ctx ends while it waits it returns ctx's error.
+// *BusyError at once and takes no token; if ctx ends while it waits it returns ctx's error.
 func (l *Limiter) Wait(ctx context.Context) error {
 	now := time.Now()
 	reservation := l.tokens.ReserveN(now, 1)
@@ -121,7 +121,8 @@
 	return l.currentRate
 }
 
-// Cuts returns how often the rate was cut.
+// Cuts returns how often the rate has been cut since the limiter was made. A cut at the lowest rate
+// counts too.
 func (l *Limiter) Cuts() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity computes which size of fleet a deployment's settings carry, what bounds it, and
-// what happens beyond. It measures nothing.
+// Package capacity computes how large a fleet a deployment's settings carry, which setting bounds it,
+// and what happens to a larger one. It measures nothing.
 package capacity
 
 import (
@@ -26,8 +26,8 @@
 const Unbounded = math.MaxInt
 
 const (
-	// maxListAgeLags is how old the cloud's machine list may be to tell that machines are gone, in
-	// times its usual lag; a worker lease is added.
+	// maxListAgeLags, in times its usual lag, and a worker lease on top are how old the cloud's
+	// machine list may be to show that machines are gone.
 	maxListAgeLags = 4
 	// recordsPerMachine is how many records a new leader lists for a machine: one of its images, and
 	// some placement record that it is in.
@@ -37,7 +37,8 @@
 	listingLeaseShare = 0.5
 )
 
-// The memory of a leader. The program holds itself to half of its limit.
+// The memory of a leader. The program sets its memory limit to half of the machine's: see memoryLimit
+// in cmd/lotusstile.
 const (
 	programMemoryShare = 0.5
 	bytesPerMiB        = 1 << 20
@@ -46,14 +47,15 @@
 	machineBytes       = 10 << 10 // with eight attempts, its node in scheduling cycles and its entry for the standby
 )
 
-// Limits lists what bounds the size of the fleet, the tightest first.
+// Limits returns the bounds on the size of the fleet, the tightest first.
 func Limits(cfg *config.Config) []Limit {
 	limits := []Limit{workerConnections(cfg), machineList(cfg), failoverListing(cfg), leaderMemory(cfg)}
 	slices.SortStableFunc(limits, func(a, b Limit) int { return cmp.Compare(a.Machines, b.Machines) })
 	return limits
 }
 
-// Warnings returns, a line each, which settings do not carry a fleet of so many machines.
+// Warnings returns a line for each setting that does not carry a fleet of so many machines, the
+// tightest first.
 func Warnings(cfg *config.Config, machines int) []string {
 	var warnings []string
 	for _, limit := range Limits(cfg) {
@@ -80,8 +82,8 @@
 	return limit
 }
 
-// machineList bounds the fleet by how many machines the cloud's list can be read of before what it
-// says of the first is too old to tell that machines are gone.
+// machineList bounds the fleet by how many machines of the cloud's list can be read before what was
+// read first is too old to show that machines are gone.
 func machineList(cfg *config.Config) Limit {
 	age := maxListAgeLags*cfg.CloudListLag() + cfg.WorkerLease()
 	return Limit{
--- a/internal/clusterversion/announcement.go
+++ b/internal/clusterversion/announcement.go
@@ -28,9 +28,10 @@
 // renewalsPerTTL is how often an announcement's lease is renewed in its time to live.
 const renewalsPerTTL = 4
 
-// Announce says in the state store that a node understands the latest version, until
-// that is in force or ctx ends. A leader that cannot reach the node learns it from there. The record
-// is attached to a lease: it goes with the process, which may come back as an older release.
+// Announce announces in the state store that a node understands the latest version, until that
+// version is in force or ctx ends. A leader that cannot reach the node learns it from there. The
+// record is attached to a lease of ttl, so that it ends with the process, which may come back as an
+// older release. Errors are logged, and it is announced again.
 func (t *Tracker) Announce(ctx context.Context, leases LeaseStore, node string, ttl time.Duration) {
 	ctx = store.WithUrgentLane(ctx)
 	// As a rule the leader learns the version from pings before anything has to be written.
@@ -45,8 +46,8 @@
 	}
 }
 
-// announceOnLease keeps an announcement on a lease until the version is in force, ctx ends or the
-// lease is lost.
+// announceOnLease writes an announcement on a lease and renews it until the version is in force, ctx
+// ends or a renewal fails.
 func (t *Tracker) announceOnLease(ctx context.Context, leases LeaseStore, node string, leaseID uint64, ttl time.Duration) error {
 	record := records.Encode(records.ClusterVersion{Version: int(Latest)})
 	_, err := leases.Commit(ctx, wire.Transaction{
@@ -61,8 +62,8 @@
 	return leases.RevokeLease(ctx, leaseID)
 }
 
-// waitWhileNotInForce waits for d. It reports whether the latest version is not in
-// force then; false if ctx has ended.
+// waitWhileNotInForce waits for d and reports whether the latest version is still not in force then.
+// It returns false at once if ctx ends.
 func (t *Tracker) waitWhileNotInForce(ctx context.Context, d time.Duration) bool {
 	return timeralign.Sleep(ctx, d) && t.InForce() < Latest
 }
--- a/internal/clusterversion/clusterversion.go
+++ b/internal/clusterversion/clusterversion.go
@@ -1,12 +1,11 @@
-// Package clusterversion decides which formats of records and requests are in use
-// while two releases serve side by side.
+// Package clusterversion decides which formats of records and requests are in use while two releases
+// serve side by side.
 //
-// Every node says in its pings which version it understands; one that says nothing is
-// at First. A node that the leader cannot reach announces its version by a record on a lease. The
-// version in force is a record in the state store. The leader raises
-// it, and never lowers it, once every member has said that it understands the newer
-// one. Until then nothing is stored or sent that a node of the older release would
-// misread, lose or refuse.
+// Every node announces in its pings which version it understands; one that announces none is at
+// First. A node that the leader cannot reach announces its version by a record on a lease. The
+// version in force is a record in the state store. The leader raises it, and never lowers it, once
+// every member has announced that it understands the newer one. Until then nothing is stored or
+// sent that a node of the older release would misread, lose or refuse.
 package clusterversion
 
 import (
@@ -29,7 +28,8 @@
 	Latest          = JobDAGs
 )
 
-// Normalize returns the version that a node understands which has announced a number; 0 is none.
+// Normalize returns the version that a node understands from the number that it has announced; 0
+// means that it has announced none.
 func Normalize(announced int) Version { return max(First, Version(announced)) }
 
 // Store is what raising the version needs of the state store.
@@ -55,7 +55,8 @@
 	return t.inForce
 }
 
-// Apply learns from a change of a record; records other than the version's are ignored.
+// Apply updates the version in force from a change of a record, and ignores every record but
+// VersionKey's.
 func (t *Tracker) Apply(event wire.WatchEvent) {
 	if event.Set != records.VersionKey {
 		return
@@ -80,10 +81,10 @@
 	t.inForce = version
 }
 
-// Raise brings the version that all members understand into force, in a commit that
-// only the leader of the term can make. understood are the versions of the other members; the
-// commit also compares compares, which show that what was read about members still holds. If
-// there is nothing to raise it sends nothing and returns nil.
+// Raise brings the latest version that all members understand into force, in a commit that only the
+// leader of the term can make. understood are the versions of the other members. The commit also
+// checks compares, which show that what was read about members still holds. If there is nothing to
+// raise it sends nothing and returns nil. Its error wraps that of the commit.
 func (t *Tracker) Raise(ctx context.Context, store Store, term uint64, understood []Version, compares ...wire.Compare) error {
 	to := Latest
 	for _, version := range understood {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,5 @@
-// Package config reads and checks the settings file that the platform hands
-// over. Operators' own settings are in package records and are changed through
-// the administration API.
+// Package config reads and checks the settings file that the platform provides. Operators' own
+// settings are in package records and are changed through the administration API.
 //
 // Fields of the settings file keep its units, which their names say (S: seconds, Kb: KiB, Rps: a
 // second); the methods of Config return durations and bytes.
@@ -48,7 +47,7 @@
 		Cloud string `toml:"cloud"` // host:port
 		State string `toml:"state"` // host:port of the state store
 	} `toml:"services"`
-	// RelayHeartbeats lets followers keep workers and relay their heartbeats in batches once
+	// RelayHeartbeats lets followers serve workers and relay their heartbeats in batches once
 	// the fleet is large. It is set on the command line.
 	RelayHeartbeats bool `toml:"-"`
 	// WarmStandby lets the likely successor follow the leader's state. It is set on the
@@ -78,7 +77,7 @@
 	} `toml:"cluster"`
 }
 
-// Load reads and checks the file at path. Its error joins one error per fault.
+// Load reads and checks the file at path. Its error is that of reading it, or that of Parse.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -87,7 +86,8 @@
 	return Parse(data)
 }
 
-// Parse decodes and checks settings. Its error joins one error per fault.
+// Parse decodes and checks settings. Its error says why they are not valid TOML, or joins one error
+// per fault.
 func Parse(data []byte) (*Config, error) {
 	var c Config
 	if err := toml.Unmarshal(data, &c); err != nil {
--- a/internal/config/durations.go
+++ b/internal/config/durations.go
@@ -7,8 +7,7 @@
 )
 
 const (
-	// leaderLeaseDivisor of the workers' lease is the leader's: a successor has most of a worker
-	// lease left to gather the workers.
+	// leaderLeaseDivisor of the workers' lease gives the leader's: see LeaderLeaseTTL.
 	leaderLeaseDivisor = 5
 	// gridUnitsPerHeartbeat is how many units of the timer grid a heartbeat interval has: halves,
 	// thirds and quarters of the interval are multiples of the unit.
@@ -37,10 +36,10 @@
 	return timeralign.Grid{Unit: c.HeartbeatInterval() / gridUnitsPerHeartbeat}
 }
 
-// MaxCancellationAge returns how old a node's knowledge of cancellations may be for it to
-// go on renewing worker leases. A task that was cancelled right after the read that the
-// knowledge comes from ends by its lease, which counts from when the worker sent
-// its heartbeat: no later than cancel_s after that read, less a tenth of a lease.
+// MaxCancellationAge returns how old a node's knowledge of cancellations may be while it renews
+// worker leases. Suppose that a task is cancelled right after the read that the knowledge comes
+// from. The task ends with its worker's lease, which counts from when the worker sent its
+// heartbeat: no later than cancel_s after that read, less a margin of a tenth of a lease.
 // docs/safety.md says what that margin is for.
 func (c *Config) MaxCancellationAge() time.Duration {
 	return seconds(c.Cluster.Workers.CancelS) - c.WorkerLease() - c.WorkerLease()/cancelMarginDivisor
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,27 +2,27 @@
 
 const bytesPerKiB = 1024
 
-// StateLimits is what the state store allows.
+// StateLimits are the limits of the state store, which all nodes share.
 type StateLimits struct {
 	Rps      float64 `toml:"rps"`       // requests a second
 	WriteRps float64 `toml:"write_rps"` // changes a second
 	ValueKb  float64 `toml:"value_kb"`  // size of a value, KiB
 	TxnOps   int     `toml:"txn_ops"`   // changes of a transaction; it may have four times as many compares
-	// Next holds the limits that the store will have from some moment on, without
-	// notice; nil if no change is expected.
+	// Next holds the limits that the store will have from a moment on that is not announced; nil
+	// if no change is expected.
 	Next *NextStateLimits `toml:"next"`
 }
 
-// NextStateLimits is what the state store will allow. What is absent does not change.
+// NextStateLimits are announced limits of the state store; a limit that is nil does not change.
 type NextStateLimits struct {
 	WriteRps *float64 `toml:"write_rps"`
 	ValueKb  *float64 `toml:"value_kb"`
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// StateLimits returns what may be asked of the state store: the smaller of each limit and
-// the one that is announced. The lower ones come into force without notice, so nothing
-// is ever written that they would not allow.
+// StateLimits returns the limits that the project observes: for each the lower of the one in force
+// and the announced one. The announced ones come into force without notice, so nothing is ever
+// written that they would not allow. Next is as in the settings file.
 func (c *Config) StateLimits() StateLimits {
 	limits := c.Cluster.State
 	next := limits.Next
@@ -41,9 +41,10 @@
 	return limits
 }
 
-// MaxValueBytes returns the size in bytes of the largest value that the project writes.
+// MaxValueBytes returns the size in bytes of the largest value that the state store takes under the
+// limits in force and the announced ones.
 func (c *Config) MaxValueBytes() int { return int(c.StateLimits().ValueKb * bytesPerKiB) }
 
 // CurrentMaxValueBytes returns the size in bytes of the largest value that the state store takes
-// until the announced limits are in force.
+// until the announced limits come into force.
 func (c *Config) CurrentMaxValueBytes() int { return int(c.Cluster.State.ValueKb * bytesPerKiB) }
--- a/internal/config/succession.go
+++ b/internal/config/succession.go
@@ -14,16 +14,17 @@
 }
 
 // CampaignDelaySteps returns how badly the node with a label is placed to lead: 0 for the best. A
-// worker that loses its leader tries the nodes after it in order, and each that a network partition
-// between zones hides costs it half of its lease. So a leader is well placed if
-// few nodes of its own zone follow it before the first one of any other zone.
+// worker that loses its leader tries the nodes after it in order, and each one that it cannot reach
+// for a network partition between zones costs it half of its lease. So a leader is well placed if
+// every other zone has a node soon after it in that order.
 func (c *Config) CampaignDelaySteps(label string) int {
 	zones := map[string]string{c.Label: c.Location}
 	for _, member := range c.Members {
 		zones[member.Label] = member.Location
 	}
 	labels := c.sortedLabels()
-	// hopsToAllZones is how many nodes after one a worker tries until it has tried all zones.
+	// hopsToAllZones returns how many nodes after the one with a label a worker tries until it has
+	// tried a node of every zone.
 	hopsToAllZones := func(label string) int {
 		at, hops, seen := slices.Index(labels, label), 0, map[string]bool{zones[label]: true}
 		for i := 1; i < len(labels); i++ {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -20,10 +20,9 @@
 	minConnections = 8
 	// minHeartbeatsPerLease is how many heartbeat intervals a worker's lease has at least.
 	minHeartbeatsPerLease = 2
-	// minCancellationAgeDivisor of a lease is the lowest MaxCancellationAge. A node's knowledge of
-	// cancellations is up to a tenth of a lease old when all
-	// is well; below twice that, leases would end at the first late answer of the
-	// state store.
+	// minCancellationAgeDivisor of a lease gives the lowest MaxCancellationAge. A node's knowledge of
+	// cancellations is up to a tenth of a lease old when all is well; below twice that, leases would
+	// end at the first late answer of the state store.
 	minCancellationAgeDivisor = 5
 )
 
--- a/internal/records/failover.go
+++ b/internal/records/failover.go
@@ -1,7 +1,7 @@
 package records
 
-// Failover is how a change of leader went: what the new leader has proven, and when.
-// Times are milliseconds since the new leader saw that nobody leads.
+// Failover is how the latest change of leader went: what the new leader has achieved, and when.
+// Times are milliseconds since the new leader observed that nobody leads.
 type Failover struct {
 	Term uint64 `json:"Term"`
 	Node string `json:"Node"` // label of the new leader
@@ -9,14 +9,12 @@
 	// has listed all records.
 	Warm  bool   `json:"Warm"`
 	Cause string `json:"Cause,omitempty"`
-	// The warm standby's copy: the followed leader's term, the revision of the state store up to
-	// which all records were part of it, its digest and its age, and how many changes the
-	// store had made since.
-	FollowedTerm uint64 `json:"FollowedTerm,omitempty"`
-	Position     uint64 `json:"Position,omitempty"`
+	// The warm standby's copy at the time of the failover.
+	FollowedTerm uint64 `json:"FollowedTerm,omitempty"` // the term of the leader that it was copied from
+	Position     uint64 `json:"Position,omitempty"`     // revision of the state store up to which it had all records
 	Digest       string `json:"Digest,omitempty"`
 	AgeMs        int64  `json:"AgeMs,omitempty"`
-	Changes      int    `json:"Changes,omitempty"`
+	Changes      int    `json:"Changes,omitempty"` // of records in the store after Position
 	// The new leader's snapshot: machines that may run tasks, and attempts that may be on them.
 	Machines int `json:"Machines"`
 	Attempts int `json:"Attempts"`
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -12,9 +12,9 @@
 	TasksPerPlacement int `json:"Per"`
 }
 
-// SetFinal gives the job its final status. If the record is larger than valueBytes,
-// it loses the fields that nothing reads once the job is over: a record that was written
-// under higher limits can then be written all the same.
+// SetFinal gives the job its final status. If the record is then larger than valueBytes, it loses
+// the fields that nothing reads once the job is over, so that a record that was written under
+// higher limits can be written again under lower ones.
 func (j *Job) SetFinal(status wire.JobStatus, valueBytes int) {
 	j.Status = status
 	if len(Encode(j)) <= valueBytes {
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -30,7 +30,7 @@
 // FinalKey returns the key of a job's final status.
 func FinalKey(uid string) string { return FinalPrefix + uid }
 
-// ReleaseKey returns the key of the version that a node understands.
+// ReleaseKey returns the key by which a node announces the cluster version that it understands.
 func ReleaseKey(node string) string { return ReleasePrefix + node }
 
 // ImagesKey returns the key of a machine's images.
--- a/internal/records/placement.go
+++ b/internal/records/placement.go
@@ -7,15 +7,15 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Placement is a placement record: the placement of Job.TasksPerPlacement tasks in a row. It has
-// two forms. The plain one lists the attempts one by one (Live); the dense one lists them in
-// columns (Dense) and takes about a quarter of the room. EncodePlacement chooses the form, and
-// DecodePlacement reads both into Live.
+// Placement is a placement record: the placement of Job.TasksPerPlacement consecutive tasks of a
+// job. It has two forms. The plain one lists the attempts one by one (Live); the dense one lists
+// them in columns (Dense) and takes about a quarter of the bytes. EncodePlacement chooses the form,
+// and DecodePlacement reads both into Live.
 type Placement struct {
 	// NextAttempt is above every attempt number that was ever used in the record, so that no
 	// number is used twice.
 	NextAttempt uint64          `json:"N"`
-	DoneBits    []byte          `json:"D,omitempty"` // a bit per task, the lowest of the first byte for the first
+	DoneBits    []byte          `json:"D,omitempty"` // a bit per task from the lowest of the first byte; bytes left out are 0
 	Live        []PlacedAttempt `json:"A,omitempty"`
 	// Dense is the dense form of Live, in its place; nil in memory.
 	Dense *DenseAttempts `json:"B,omitempty"`
@@ -29,7 +29,7 @@
 	Incarnation uint64 `json:"S"` // of the worker that the attempt was decided for
 }
 
-// IsDone reports whether task i of the record is done.
+// IsDone reports whether task i of the record, counted from 0 in the record, is done.
 func (p *Placement) IsDone(i int) bool {
 	return i/8 < len(p.DoneBits) && p.DoneBits[i/8]&(1<<(i%8)) != 0
 }
@@ -79,7 +79,8 @@
 	return dense
 }
 
-// list converts the dense form to a list of attempts. It fails if the columns do not fit together.
+// list converts the dense form to a list of attempts. Its error says how the columns contradict
+// each other.
 func (d *DenseAttempts) list() ([]PlacedAttempt, error) {
 	if len(d.Attempts) != len(d.Tasks) || len(d.Machines) != len(d.Tasks) || len(d.Incarnations) != len(d.Hosts) {
 		return nil, fmt.Errorf("columns of different lengths: %d tasks, %d attempts, %d machines",
@@ -101,8 +102,8 @@
 }
 
 // EncodePlacement returns the value of a placement record. It has the plain form if that fits into
-// valueBytes or allowDense is false, and the dense form otherwise. Releases before cluster
-// version 2 cannot read the dense form.
+// valueBytes or allowDense is false, and the dense form otherwise; either may be over valueBytes.
+// Releases before cluster version 2 cannot read the dense form.
 func EncodePlacement(placement Placement, valueBytes int, allowDense bool) json.RawMessage {
 	value := Encode(placement)
 	if len(value) <= valueBytes || !allowDense {
--- a/internal/records/placementsize.go
+++ b/internal/records/placementsize.go
@@ -14,8 +14,9 @@
 	denseFrameBytes = 72
 )
 
-// TasksPerPlacement returns how many tasks a placement record covers so that it fits a value: in the
-// plain form under the current limit, and in the dense form under the lowest that is announced.
+// TasksPerPlacement returns how many tasks a placement record may cover so that it fits a value: in
+// the plain form under the current limit of the state store, and in the dense form under the
+// lowest limit that is announced. It is at least 1.
 func TasksPerPlacement(currentBytes, lowestBytes int) int {
 	return max(1, min(currentBytes/placedAttemptBytes, lowestBytes/denseAttemptBytes))
 }
@@ -31,8 +32,9 @@
 		len(strconv.FormatUint(attempt.Incarnation, 10)) + len(strconv.Itoa(tasks)) + separators
 }
 
-// DenseAttemptsRoom returns how many bytes a placement record of so many tasks has for attempts in
-// the dense form; DoneBits, in base 64, and the frame are counted off.
+// DenseAttemptsRoom returns how many bytes of a value are left for the attempts of a placement record
+// of so many tasks in the dense form, without its frame and DoneBits (a bit a task, in base 64). It
+// may be negative.
 func DenseAttemptsRoom(valueBytes, tasks int) int {
 	return valueBytes - denseFrameBytes - (tasks+7)/8*4/3
 }
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -5,14 +5,14 @@
 //
 //	e/leader            the leader's label, attached to its lease; the key's modification revision
 //	                    is the term
-//	e/term              written together with e/leader but never dropped: its modification revision
-//	                    is the latest term
+//	e/term              written in one commit with e/leader but never dropped: its modification
+//	                    revision is the latest term
 //	j/<uid>             an accepted job that is not archived yet
 //	p/<uid>/<number>    one of the job's placement records: attempts that may run, tasks that are done
-//	f/<uid>             the final status of an archived job, kept for ever
+//	f/<uid>             the final status of an archived job, never dropped
 //	r/<term>-<number>   machines whose scale-in was requested: they may be gone at any time
 //	i/<host>            the images that were seen on a machine
-//	k/<node>/<number>   machines whose worker leases a node renews, cut off from the leader
+//	k/<node>/<number>   machines whose worker leases a node renews while it cannot reach the leader
 //	t/last              how the last failover went
 //	o/settings          the operators' own settings
 //	o/version           the cluster version: which formats of records are in use
@@ -45,14 +45,14 @@
 	Names []string `json:"Names"`
 }
 
-// RenewedLeases lists machines whose worker leases a node renews in the place of a leader that it
-// cannot reach. The state store carries the list where peer RPC does not.
+// RenewedLeases lists machines whose worker leases a node renews on behalf of a leader that it
+// cannot reach. The leader reads the list from the state store where peer RPC does not arrive.
 type RenewedLeases struct {
 	Hosts []string `json:"Hosts"`
 }
 
-// FitNames returns as many of the names, from the first, as a record with one list of names holds in
-// a value of valueBytes, but at least one.
+// FitNames returns the longest prefix of names that a record with one list of names holds in a value
+// of valueBytes, but at least one name.
 func FitNames(names []string, valueBytes int) []string {
 	size := len(`{"Hosts":[]}`)
 	for i, name := range names {
@@ -63,8 +63,8 @@
 	return names
 }
 
-// Encode returns the value of a record. The records are plain structs, so it
-// cannot fail; it panics for what is not one.
+// Encode returns the value of a record. The records are plain structs, which can always be encoded;
+// it panics for anything that cannot.
 func Encode(record any) json.RawMessage {
 	value, err := json.Marshal(record)
 	if err != nil {
--- a/internal/records/settings.go
+++ b/internal/records/settings.go
@@ -11,7 +11,7 @@
 const (
 	// cyclesPerHeartbeat is how many scheduling cycles there are in a heartbeat interval. The
 	// paper's default interval between cycles is 3 s; the fetch of an image takes most of the time
-	// that users wait, so a cycle takes a third of a heartbeat interval here.
+	// that users wait, so the interval is a third of a heartbeat interval here.
 	cyclesPerHeartbeat = 3
 	defaultWindow      = 200 // jobs
 	defaultHeadroom    = 2   // times the usual headroom
@@ -26,7 +26,8 @@
 	maxHeadroom  = 100
 )
 
-// DefaultSettings returns the defaults for a heartbeat interval in seconds.
+// DefaultSettings returns the defaults of the operators' own settings for a heartbeat interval in
+// seconds.
 func DefaultSettings(heartbeatIntervalS float64) wire.Settings {
 	return wire.Settings{
 		IntervalS: heartbeatIntervalS / cyclesPerHeartbeat,
--- a/internal/timeralign/grid.go
+++ b/internal/timeralign/grid.go
@@ -1,18 +1,20 @@
-// Package timeralign aligns the timers of a process, and waits with a context. Every
-// wake-up of an idle process costs processor time of its own, whatever is done
-// then: timers that fire together cost one wake-up.
+// Package timeralign aligns the timers of a process, and waits with a context. Every wake-up of an
+// idle process costs processor time, however little is done then; timers that fire at the same
+// moment cost one wake-up.
 package timeralign
 
 import "time"
 
-// Grid is a sequence of moments, Unit apart, that timers are aligned to. The zero Grid aligns nothing.
+// Grid is a sequence of moments, Unit apart, that timers are aligned to. The moments are multiples of
+// Unit since the Unix epoch by the wall clock. The zero Grid aligns nothing.
 type Grid struct{ Unit time.Duration }
 
-// tolerance is the part of a period by which alignment may change it.
+// tolerance is the part of a period by which alignment may change it at most.
 const tolerance = 0.01
 
-// UntilNext returns how long to wait from now so that work of a period falls on multiples of the
-// period. A period that is no multiple of the unit is returned as it is.
+// UntilNext returns how long to wait from now so that periodic work falls on multiples of its period.
+// For a period within 1% of a multiple of the unit, that multiple counts as the period, and the wait
+// is above 0 and at most as long. Any other period is returned as it is.
 func (g Grid) UntilNext(now time.Time, period time.Duration) time.Duration {
 	if g.Unit <= 0 {
 		return period
