--- a/internal/failuredetector/evidence.go
+++ b/internal/failuredetector/evidence.go
@@ -6,33 +6,35 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// evidence is what one look at all machines tells of who sends heartbeats.
+// evidence is the counts of silent machines that a judgement rests on, from one pass over all
+// machines.
 type evidence struct {
-	// zones counts by zone who sends heartbeats here: machines that a follower answers are
-	// behind the same cut as those that still look for a controller. Under the empty name it
-	// counts all: that is how machines are judged of which a new leader knows no zone. They are
-	// no zone of their own: 62 spot machines that the cloud had taken back, and would never be
-	// listed again, were held for a zone that was cut off.
+	// zones counts machines by zone. Only heartbeats that this leader answered count here, and
+	// not those that a cut-off follower answered on its behalf: such machines are behind the
+	// same cut as those that still look for a controller. The empty name counts the machines of
+	// all zones: machines whose zone a new leader does not know are compared with all others.
+	// They are no zone of their own: 62 spot machines that the cloud had reclaimed, and would
+	// never list again, were taken for a zone that was cut off.
 	zones map[string]*group
-	// relays counts, by the controller that answers them, "" for this one, machines that have
-	// sent a heartbeat in this term. While followers relay heartbeats, the machines of one
-	// controller are a few of a zone or of the fleet, and most of them silent at once means
-	// that it has lost its links.
+	// relays counts by relay the machines that have sent a heartbeat in this term. While
+	// followers relay heartbeats, the machines of one relay are a small part of a zone or of
+	// the fleet; if most of them are silent at once, the relay cannot reach them.
 	relays          map[string]*group
 	newestHeartbeat map[string]time.Time // by relay
-	// relayed is how many machines sent heartbeats by way of other nodes in the last lease.
+	// relayed is how many machines have sent a heartbeat through another node within the last
+	// worker lease.
 	relayed int
 	total   int // machines that are not gone
 }
 
-// group is how many machines of a zone, or of a relay, are silent.
+// group counts the silent machines of a zone, or of a relay.
 type group struct {
 	total      int
 	silent     int // no heartbeat for over two intervals
 	longSilent int // no heartbeat for over three intervals
 }
 
-// gather looks at all machines once.
+// gather counts all machines.
 func (d *Detector) gather(machines Machines, now time.Time) *evidence {
 	e := &evidence{
 		zones:           map[string]*group{},
@@ -65,8 +67,8 @@
 	return e
 }
 
-// sendsHeartbeats reports whether heartbeats are expected of a machine: not of one that has
-// nothing to run yet and may still boot.
+// sendsHeartbeats reports whether heartbeats are expected of a machine. None is expected of one
+// that is Booting and has no attempts: it may not have come up yet.
 func sendsHeartbeats(m *fleet.Machine) bool {
 	switch m.State {
 	case fleet.Returning, fleet.Gone:
@@ -77,6 +79,7 @@
 	return true
 }
 
+// groupOf returns the group of a name, which it adds if there is none.
 func groupOf(groups map[string]*group, name string) *group {
 	g := groups[name]
 	if g == nil {
@@ -86,7 +89,7 @@
 	return g
 }
 
-// add counts a machine whose last heartbeat is this old.
+// add counts a machine whose last heartbeat was silence ago.
 func (g *group) add(silence, heartbeatInterval time.Duration) {
 	g.total++
 	if silence > 3*heartbeatInterval {
@@ -97,18 +100,22 @@
 	}
 }
 
-// hasMoreSilentThan reports whether more than one in so many machines are silent, and more than
-// one.
+// hasMoreSilentThan reports whether more than one in oneIn machines are silent, and more than one
+// machine. It is false for a nil group.
 func (g *group) hasMoreSilentThan(oneIn int) bool {
 	return g != nil && g.silent > max(1, g.total/oneIn)
 }
 
-// manyRelayed reports whether so many machines send heartbeats by way of other nodes that this
-// node's own links to the workers may have failed. Those that have not found another node yet are
-// then not dead: each that they try in vain costs them several intervals.
-func (e *evidence) manyRelayed() bool { return e.relayed > max(1, e.total/16) }
+// manyRelayedOneIn is the share of the fleet, as one in so many, that sends heartbeats through
+// other nodes if this node's own links to the workers may have failed.
+const manyRelayedOneIn = 16
 
-// onlyHere reports whether this node is the only one that answers machines.
+// manyRelayed reports whether so many machines send heartbeats through other nodes that this
+// node's own links to the workers may have failed. A machine that has not found another node yet
+// is then not dead: each node that does not answer costs it several intervals.
+func (e *evidence) manyRelayed() bool { return e.relayed > max(1, e.total/manyRelayedOneIn) }
+
+// onlyHere reports whether no follower relays heartbeats: all machines are under the empty name.
 func onlyHere[T any](byRelay map[string]T) bool {
 	_, here := byRelay[""]
 	return here && len(byRelay) == 1
--- a/internal/failuredetector/judgement.go
+++ b/internal/failuredetector/judgement.go
@@ -6,7 +6,8 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// Cause says why a machine is declared dead, as log lines give it.
+// Cause is why a machine is declared dead. Log lines show it as the reason of the machine's
+// change of state.
 type Cause string
 
 // Causes of death.
@@ -19,44 +20,47 @@
 	SpotReclaimed Cause = "the cloud reclaims it and no task is left on it"
 )
 
-// workerAttempt is what a node that does not answer costs a worker, as the protocol has it: it
-// waits 4 s for the answer and tries the next node 1 s later.
-const workerAttempt = 5 * time.Second
+// unansweredHeartbeat is the time that a node which does not answer costs a worker, by the
+// protocol: the worker waits 4 s for the answer and sends the heartbeat to the next node 1 s later.
+const unansweredHeartbeat = 5 * time.Second
 
-// Judgement says at one moment which machines are dead.
+// Judgement decides which machines are dead, at one moment.
 type Judgement struct {
 	detector *Detector
 	evidence *evidence
 	now      time.Time
-	// groupOneIn says when a group is in doubt: if more than one in so many are silent.
+	// groupOneIn is the share of silent machines, as one in so many, above which the zone or the
+	// relay is taken to have failed rather than each machine.
 	groupOneIn int
-	// patience is how long a machine may be silent.
+	// patience is how long a machine may be silent before it is declared dead.
 	patience time.Duration
-	// search is how long a worker may look for a node that answers.
+	// search is how long a worker may need to find a node that answers.
 	search time.Duration
 }
 
+// judgement derives the limits of this moment from the evidence.
 func (d *Detector) judgement(e *evidence, reachedZones int, now time.Time) *Judgement {
 	interval := d.options.HeartbeatInterval
-	// The first machines behind a cut are silent for three intervals while the last ones have
-	// just missed a heartbeat: counting only the former, a leader released 17 of 90 before it
-	// saw that there was a cut. Up to half of a zone counts as dead: if it is their network
-	// that failed, their leases end anyway, and what they ran is down for as long later instead.
+	// groupOneIn is compared with the machines that are silent for two intervals, not three: the
+	// first machines behind a cut are silent for three intervals while the last ones have just
+	// missed a heartbeat, and a leader that counted only the former released 17 of 90 before it
+	// detected the cut. Up to half of a zone counts as dead: if it is their network that failed,
+	// their leases end anyway, and waiting would only delay the restart of their tasks.
 	j := &Judgement{detector: d, evidence: e, now: now, groupOneIn: 2, patience: 3 * interval}
-	// A worker learns with its next heartbeat that a controller is gone, and each that does not
-	// answer costs it one attempt.
+	// A worker learns with its next heartbeat that a controller is gone, and each node that does
+	// not answer costs it one unanswered heartbeat.
 	unreachable := d.options.Controllers - reachedZones
-	j.search = interval*5/4 + time.Duration(max(1, unreachable))*workerAttempt
+	j.search = interval*5/4 + time.Duration(max(1, unreachable))*unansweredHeartbeat
 	if e.manyRelayed() {
-		// It may be this node's own links: a leader that had lost the workers released 150 of
-		// 330 on their way to its peers, and 80 still when it declared no more than an eighth
-		// dead, but after three intervals.
+		// This node's own links may have failed: a leader that could not reach the workers any
+		// more released 150 of 330 while they were looking for its peers. It still released 80
+		// when it declared no more than an eighth dead, but after three intervals.
 		j.groupOneIn, j.patience = 8, max(j.patience, j.search+interval/2)
 	}
 	return j
 }
 
-// CauseOfDeath is why a machine is declared dead; NotDead if it is not.
+// CauseOfDeath returns why a machine is declared dead; NotDead if it is not.
 func (j *Judgement) CauseOfDeath(m *fleet.Machine) Cause {
 	silence := j.now.Sub(m.LastHeartbeat)
 	switch {
@@ -76,27 +80,28 @@
 	return NotDead
 }
 
-// isCutOff reports whether a machine is behind a cut. When a cut ends, machines come back one
-// after the other: the last ones must not be taken for dead because the others are back.
+// isCutOff reports whether a machine's zone was cut off within the last worker lease. When a cut
+// ends, machines come back one after the other: the last ones must not be declared dead because
+// the others are back.
 func (j *Judgement) isCutOff(m *fleet.Machine) bool {
 	at, found := j.detector.cutOffAt[m.Zone]
 	return found && j.now.Sub(at) < j.detector.options.WorkerLease
 }
 
-// patienceWith is how long a machine may be silent.
+// patienceWith returns how long this machine may be silent before it is declared dead.
 func (j *Judgement) patienceWith(m *fleet.Machine) time.Duration {
 	options := &j.detector.options
 	at, found := j.detector.relayUnreachableAt[m.RelayedBy]
 	if found && j.now.Sub(at) < options.WorkerLease {
-		// It looks for another node; its last answer may have waited for commands, and for
-		// the next batch.
+		// The worker looks for another node. The answer to its last heartbeat may have waited
+		// half of an interval for commands, and for the follower's next batch.
 		return max(j.patience, j.search+3*options.HeartbeatInterval/2)
 	}
 	return j.patience
 }
 
-// isOneOfFew reports whether a silent machine is one of few: if not, it is rather its relay or its
-// zone that is not reached.
+// isOneOfFew reports whether only a few machines of this machine's zone and relay are silent. If
+// many are, the zone or the relay is unreachable, and the machine itself is probably alive.
 func (j *Judgement) isOneOfFew(m *fleet.Machine) bool {
 	relays := j.evidence.relays
 	if !onlyHere(relays) && relays[m.RelayedBy].hasMoreSilentThan(j.groupOneIn) {
@@ -105,10 +110,10 @@
 	return !j.isCutOff(m) && !j.evidence.zones[m.Zone].hasMoreSilentThan(j.groupOneIn)
 }
 
-// isSilentAlone reports whether a machine has fallen silent while the others go on: it has
-// stopped, hangs or is cut off, and by the time it comes back its lease has ended. Waiting would
-// only cost time. Those that have not sent a heartbeat to a new leader yet may still be looking
-// for it, and get a little longer.
+// isSilentAlone reports whether a machine sends no heartbeats while the others send theirs: it has
+// stopped, hangs or is cut off, and by the time it comes back its lease has ended, so waiting
+// would only delay its tasks. A machine that has not sent a heartbeat to a new leader yet may
+// still be looking for it: it gets the time of a search instead.
 func (j *Judgement) isSilentAlone(m *fleet.Machine, silence time.Duration) bool {
 	switch {
 	case m.State == fleet.Ready:
@@ -119,17 +124,24 @@
 	return false
 }
 
-// neverBooted reports whether a machine should have come up long ago.
+// A machine that has sent no heartbeat for overdueBoots times the usual boot time of its type is
+// given up. unknownTypeBootS stands for that time if the catalog does not have the type.
+const (
+	overdueBoots     = 3.5
+	unknownTypeBootS = 60
+)
+
+// neverBooted reports whether a machine that runs nothing should have come up long ago. To a new
+// leader every machine is Booting until its first heartbeat, which may take two worker leases.
 func (j *Judgement) neverBooted(m *fleet.Machine) bool {
 	if m.State != fleet.Booting || m.LiveCount() > 0 {
 		return false
 	}
-	const usualBootS, boots = 60, 3.5
 	options := &j.detector.options
 	bootS, known := options.BootS(m.Type)
 	if !known {
-		bootS = usualBootS
+		bootS = unknownTypeBootS
 	}
 	settled := j.now.Sub(j.detector.judgingSince) > 2*options.WorkerLease
-	return settled && j.now.Sub(m.FirstSeen).Seconds() > boots*bootS
+	return settled && j.now.Sub(m.FirstSeen).Seconds() > overdueBoots*bootS
 }
