--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// MachineChanged follows the changes of machines' states. It is called by the fleet for every
-// one of them, with c.mu held.
+// MachineChanged logs a change of a machine's state and passes it on to what depends on it. The
+// fleet calls it for every change, with c.mu held.
 func (c *Controller) MachineChanged(m *fleet.Machine, from fleet.MachineState, reason string) {
 	slog.Info("machine state changed", "host", m.ID, "from", from.String(), "to", m.State.String(),
 		"incarnation", m.Incarnation, "reason", reason)
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -9,10 +9,12 @@
 // AttemptState is a stage in the life of an attempt.
 type AttemptState int
 
-// The states of an attempt, in the order in which they are passed. Those before Ended are live.
+// The states of an attempt, in the order in which it goes through them. Those before Ended are
+// live. An attempt may skip some, and goes back from LaunchSent to Committed if the worker did not
+// act on the launch.
 const (
 	Planned     AttemptState = iota // decided, its record not yet committed
-	Committed                       // its record is committed: it may be launched
+	Committed                       // its record is committed: it may be launched, unless it is Inherited
 	LaunchSent                      // its launch was in an answer to a heartbeat
 	Fetching                        // its worker reports that it fetches the image
 	Running                         // its worker reports that it runs
@@ -84,8 +86,9 @@
 	f.observer.AttemptChanged(a, from, reason)
 }
 
-// AddAttempt adds an attempt to a machine: as Planned by this term, or as Committed if it is inherited
-// from a record of an earlier one.
+// AddAttempt adds an attempt to a machine: as Planned if this term decided it, or as Committed if it
+// is inherited from the record of an earlier term. The caller has set JobUID, TaskIndex, Number,
+// Resources, Image and Inherited, and for an inherited attempt Incarnation; the rest is set here.
 func (f *Fleet) AddAttempt(m *Machine, a *Attempt, now time.Time) {
 	f.lastSerial++
 	a.Machine, a.Since, a.Serial = m, now, f.lastSerial
@@ -109,8 +112,9 @@
 	}
 }
 
-// MarkEndRecorded is called when the record of an attempt's end is committed: the worker may be told
-// to forget the attempt.
+// MarkEndRecorded is called when the record of an attempt's end is committed, or need not be
+// written: from then on the answers to heartbeats acknowledge the end, and the worker forgets the
+// attempt.
 func (f *Fleet) MarkEndRecorded(a *Attempt, now time.Time) {
 	if a.State == Ended {
 		f.setAttemptState(a, EndRecorded, now, "its end is recorded")
@@ -118,8 +122,9 @@
 }
 
 // StopAttempt requests the end of an attempt within a grace period in seconds; of several requests
-// the shortest grace period counts. An attempt that this term has not launched, and that no other
-// term can have launched, is Off at once.
+// the shortest grace period counts. The next answers to heartbeats carry the command. An attempt
+// that this term has not launched, and that no other term can have launched, is Off at once. It
+// does nothing to an attempt that is not live.
 func (f *Fleet) StopAttempt(a *Attempt, gracePeriodS float64, now time.Time, reason string) {
 	if !a.Live() {
 		return
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -6,9 +6,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Commands returns the commands that answer a fresh heartbeat; never nil, since an empty list is what
-// travels. Launches are among them if launches is true, the machine is Ready and the record of the
-// attempt is committed.
+// Commands returns the commands that answer a fresh heartbeat; never nil, since the answer carries an
+// empty list and not none. Launches are among them if launches is true, the machine is Ready and the
+// record of the attempt is committed. These count as sent: the caller must put the commands into the
+// answer to the machine's newest heartbeat and no other.
 func (f *Fleet) Commands(m *Machine, now time.Time, launches bool) []wire.Command {
 	commands := []wire.Command{}
 	for _, task := range m.unknownTasks {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -6,7 +6,10 @@
 
 import "time"
 
-// Observer is called with every change of state, after it was made.
+// Observer is called with every change of state, after it was made. For a machine or an attempt
+// that was just added, from is the state that it was added in. The reason is a text for log lines.
+// The methods are called in the middle of a change of the fleet: they may change attempts, but must
+// not add or forget machines.
 type Observer interface {
 	MachineChanged(m *Machine, from MachineState, reason string)
 	AttemptChanged(a *Attempt, from AttemptState, reason string)
@@ -49,7 +52,8 @@
 // Get returns a machine, or nil if it is unknown.
 func (f *Fleet) Get(id string) *Machine { return f.machines[id] }
 
-// GetOrAdd returns a machine. An unknown one is added as Booting, and counts as heard from now.
+// GetOrAdd returns a machine. An unknown one is added as Booting, and gets the time to send a
+// heartbeat from now on: its last heartbeat is set to now.
 func (f *Fleet) GetOrAdd(id string, now time.Time) *Machine {
 	if m := f.machines[id]; m != nil {
 		return m
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -6,11 +6,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// missedLaunchLimit is the number of launches in a row that a machine may miss before it is
+// missedLaunchLimit is the number of launches in a row after which a machine that misses them is
 // avoided: its heartbeats arrive, but the answers do not reach it.
 const missedLaunchLimit = 3
 
-// avoidLeases is the number of worker leases for which a machine is avoided that answers do not reach.
+// avoidLeases is the number of worker leases for which a machine that answers do not reach gets no
+// new attempts.
 const avoidLeases = 2
 
 // unknownTask is a task that a machine reports and no record knows.
@@ -20,9 +21,9 @@
 	ended   bool
 }
 
-// ApplyHeartbeat applies a heartbeat to its machine and to the attempts on it. fresh is false for a
-// copy of a heartbeat that is no newer than the last one applied: it changes nothing, and must get no
-// commands.
+// ApplyHeartbeat applies a heartbeat to its machine, which is added if it is unknown, and to the
+// attempts on it. fresh is false for a heartbeat that is no newer than the last one applied, and for
+// any of a machine that is Gone: it changes nothing, and must get no commands.
 func (f *Fleet) ApplyHeartbeat(h *wire.Heartbeat, now time.Time) (m *Machine, fresh bool) {
 	m = f.GetOrAdd(h.Host, now)
 	if m.State == Gone || h.Incarnation < m.Incarnation || (h.Incarnation == m.Incarnation && h.Sequence <= m.Sequence) {
@@ -52,7 +53,7 @@
 }
 
 // hasCurrentToken reports whether the worker had this term's fencing token when it sent the heartbeat.
-// From then on it drops every answer of an earlier leader.
+// A worker that has it drops every answer of an earlier leader.
 func (f *Fleet) hasCurrentToken(h *wire.Heartbeat) bool { return h.FencingToken == f.term }
 
 // applyMachineFields applies what a fresh heartbeat says of its machine, and reports whether the machine
@@ -67,19 +68,19 @@
 		m.SpotNotice = true
 	}
 	if newIncarnation && sinceAnswered < f.lease && m.State == Ready {
-		// It sent heartbeats all the time and yet its lease ended: answers do not
-		// reach it. Launches would be lost, so it gets none for a while. That it
-		// sent them is only known if it had this term's token: copies of heartbeats of
-		// an earlier incarnation may meet a leader that has just begun. And what counts
-		// is when a heartbeat was last applied here, not the time that machines were
-		// given again after an outage: their leases ended for want of an answer.
+		// It sent heartbeats all the time and yet its lease ended: answers do not reach
+		// it. Launches would be lost, so it gets none for a while. The machine must be
+		// Ready, that is, have sent this term's token: a new leader may receive copies of
+		// heartbeats of an earlier incarnation. And lastAnswered counts, not LastHeartbeat,
+		// which failure detection sets to the end of an outage: during the outage leases
+		// end because no heartbeat is answered.
 		m.AvoidUntil = now.Add(avoidLeases * f.lease)
 	}
 	return newIncarnation
 }
 
-// reportedAttempts indexes the attempts of a heartbeat, and keeps those that no record knows as
-// the machine's unknown tasks.
+// reportedAttempts returns the attempts of a heartbeat by task and number, and replaces the machine's
+// unknown tasks by those that no record lists.
 func reportedAttempts(m *Machine, h *wire.Heartbeat) map[attemptKey]*wire.TaskReport {
 	reported := make(map[attemptKey]*wire.TaskReport, len(h.Tasks))
 	m.unknownTasks = m.unknownTasks[:0]
@@ -94,33 +95,34 @@
 	return reported
 }
 
-// applyAbsence draws the conclusion from a fresh heartbeat of an attempt's incarnation that lacks the
-// attempt.
+// applyAbsence applies that a fresh heartbeat of the incarnation which an attempt was decided for
+// does not list the attempt. Whether that proves it off depends on its state and on the token.
 func (f *Fleet) applyAbsence(a *Attempt, h *wire.Heartbeat, now time.Time) {
 	switch a.State {
 	case Committed:
 		// An earlier term's launch can only have travelled in an answer
 		// to a heartbeat that the worker sent before it saw this term's token.
 		if a.Inherited && f.hasCurrentToken(h) {
-			f.setAttemptState(a, Off, now, "not on its machine")
+			f.setAttemptState(a, Off, now, "its machine's heartbeat does not list it")
 		}
 	case LaunchSent:
-		// The worker has one heartbeat in flight: since it sent this one, it
+		// The worker has one heartbeat in flight: once it has sent a newer one, it
 		// drops the answer that carried the launch.
 		if h.Sequence > a.SentSequence {
 			f.recordMissedLaunch(a, now)
 		}
 	case Fetching, Running, Saving, Ended:
 		if f.hasCurrentToken(h) {
-			f.setAttemptState(a, Off, now, "no longer in the heartbeat")
+			f.setAttemptState(a, Off, now, "its machine's heartbeat no longer lists it")
 		}
 	case EndRecorded:
 		f.setAttemptState(a, Off, now, "the worker has forgotten it")
 	}
 }
 
-// recordMissedLaunch is called when the worker did not act on a launch. The launch is sent again, unless
-// the attempt is to be stopped or the machine has missed too many.
+// recordMissedLaunch is called when it is proven that the worker did not act on a launch and never
+// will. The launch is sent again, unless the attempt is to be stopped or the machine has missed
+// missedLaunchLimit launches: then the attempt is off.
 func (f *Fleet) recordMissedLaunch(a *Attempt, now time.Time) {
 	const reason = "the worker did not act on the launch"
 	m := a.Machine
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -14,8 +14,8 @@
 	Confirming                     // sends heartbeats, but not yet with this term's fencing token
 	Ready                          // may be given launches
 	Suspected                      // no heartbeat for longer than a worker lease
-	Returning                      // its return to the cloud was attempted: never used again
-	Gone                           // the cloud confirmed the return, or reclaimed it
+	Returning                      // its release to the cloud was attempted: never used again
+	Gone                           // the cloud confirmed the release
 )
 
 var machineStateNames = [...]string{"booting", "confirming", "ready", "silent", "returning", "gone"}
@@ -36,8 +36,8 @@
 	Incarnation          uint64               // of its worker, by the newest heartbeat
 	Sequence             uint64               // of the newest heartbeat
 	IncarnationHint      uint64               // that an earlier leader knew; only selects whom to announce the term to
-	LastHeartbeat        time.Time            // newest heartbeat, here or at another node
-	LastHeartbeatHere    time.Time            // newest heartbeat that this leader answered
+	LastHeartbeat        time.Time            // newest heartbeat that any node answered
+	LastHeartbeatHere    time.Time            // newest heartbeat that this leader answered, directly or through a relay
 	LastRelayedHeartbeat time.Time            // newest heartbeat that a follower relayed here
 	RelayedBy            string               // label of the follower that relays its heartbeats; "": none
 	Since                time.Time            // when State last changed
@@ -51,8 +51,9 @@
 	Quarantined          bool                 // it is avoided because tasks failed on it
 	Images               map[string]time.Time // images seen on it, by last use
 
-	// lastAnswered is when a heartbeat was last applied here. Unlike LastHeartbeat it is not moved
-	// when all machines are given their time again after an outage.
+	// lastAnswered is when a heartbeat was last applied here. Failure detection sets LastHeartbeat
+	// and LastHeartbeatHere of all machines to now after an outage or a process pause, to restart
+	// their timeouts (failuredetector.Detector.Reset); it does not change lastAnswered.
 	lastAnswered time.Time
 	attempts     map[attemptKey]*Attempt
 	unknownTasks []unknownTask
@@ -70,7 +71,8 @@
 // have ended and are not acknowledged yet.
 func (m *Machine) AttemptCount() int { return len(m.attempts) }
 
-// UnknownTasks returns the number of running tasks that it reports and no record knows.
+// UnknownTasks returns the number of tasks that it reports, that have not ended and that no record
+// lists. It gets no new attempts until they have ended, since they take room.
 func (m *Machine) UnknownTasks() int {
 	count := 0
 	for _, task := range m.unknownTasks {
@@ -112,12 +114,13 @@
 	}
 }
 
-// AcceptsAttempts reports whether new attempts may be placed on the machine.
+// AcceptsAttempts reports whether new attempts may be placed on the machine by its own state; the
+// caller checks UnknownTasks and Free.
 func (m *Machine) AcceptsAttempts(now time.Time) bool {
 	return m.State == Ready && !m.SpotNotice && !m.Failed && m.Capacity.Cores > 0 && !now.Before(m.AvoidUntil)
 }
 
-// setMachineState is the one function that changes the state of a machine. A machine whose return was
+// setMachineState is the one function that changes the state of a machine. A machine whose release was
 // attempted is never used again: Returning only leads to Gone, and Gone to nothing.
 func (f *Fleet) setMachineState(m *Machine, to MachineState, now time.Time, reason string) {
 	if m.State == to || m.State == Gone || (m.State == Returning && to != Gone) {
@@ -129,13 +132,13 @@
 	f.observer.MachineChanged(m, from, reason)
 }
 
-// MarkReturning is called before the return of a machine to the cloud is attempted.
+// MarkReturning is called before the release of a machine to the cloud is attempted.
 func (f *Fleet) MarkReturning(m *Machine, now time.Time, reason string) {
 	f.setMachineState(m, Returning, now, reason)
 }
 
-// MarkGone is called when the cloud has answered 200 to the return of a machine: it and all
-// attempts on it are gone.
+// MarkGone is called when the cloud has answered 200 to the release of a machine, and in no other
+// case: that answer is the proof that the attempts on it are off.
 func (f *Fleet) MarkGone(m *Machine, now time.Time, reason string) {
 	f.setMachineState(m, Gone, now, reason)
 	for _, a := range m.attempts {
--- a/internal/fleet/resources.go
+++ b/internal/fleet/resources.go
@@ -4,8 +4,9 @@
 
 // Resources is an amount of what a machine offers, or of what a task requests.
 type Resources struct {
-	Cores, Gpus float64
-	RAM         float64 // GB
+	Cores float64
+	Gpus  float64
+	RAM   float64 // GB
 }
 
 // roundingSlack is the amount by which a sum of resources may be off by floating-point rounding.
