--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -51,7 +51,7 @@
 	// Jobs and their attempts: jobevents.go, dependencies.go, commits.go, launches.go, failures.go.
 	jobs                  *jobTable
 	fleet                 *fleet.Fleet
-	evidence              *faultattribution.Evidence // which jobs and machines fail
+	faultEvidence         *faultattribution.Evidence // which jobs and machines fail
 	singleJobCommitsUntil time.Time                  // until when jobs are written one by one
 
 	// Scheduling cycles: cycle.go, nodecache.go.
@@ -96,7 +96,7 @@
 		releaseWake:    make(chan struct{}, 1),
 		resolveWake:    make(chan struct{}, 1),
 		jobs:           jobs,
-		evidence:       faultattribution.New(evidenceLeases * lease),
+		faultEvidence:  faultattribution.New(evidenceLeases * lease),
 		window:         options.Settings().Window,
 		nodes:          newNodeCache(jobs),
 		requests:       autoscaler.NewRequests(term),
@@ -220,11 +220,15 @@
 // MachineChanged logs a change of a machine's state and passes it on to what depends on it. The
 // fleet calls it for every change, with c.mu held.
 func (c *Controller) MachineChanged(m *fleet.Machine, from fleet.MachineState, reason string) {
-	slog.Info("machine state changed", "host", m.ID, "from", from.String(), "to", m.State.String(),
-		"incarnation", m.Incarnation, "reason", reason)
+	if from == m.State {
+		slog.Info("machine added", "host", m.ID, "state", m.State.String(), "reason", reason)
+	} else {
+		slog.Info("machine state changed", "host", m.ID, "from", from.String(), "to", m.State.String(),
+			"incarnation", m.Incarnation, "reason", reason)
+	}
 	c.views.markMachine(m.ID)
 	c.recordFirstReady(m)
 	if m.State == fleet.Gone {
-		c.evidence.ForgetMachine(m.ID)
+		c.faultEvidence.ForgetMachine(m.ID)
 	}
 }
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -29,15 +29,15 @@
 // attributeFailure adds the failure of a task to the evidence, and acts on what that says.
 func (c *Controller) attributeFailure(j *job, m *fleet.Machine, now time.Time) {
 	lease := c.Config.WorkerLease()
-	c.evidence.RecordFailure(j.uid, m.ID, j.done > 0, now)
+	c.faultEvidence.RecordFailure(j.uid, m.ID, j.done > 0, now)
 	maps.DeleteFunc(j.failedOn, func(_ string, at time.Time) bool { return now.Sub(at) > evidenceLeases*lease })
 	j.failedOn[m.ID] = now
-	if c.evidence.IsJobFaulty(j.uid) {
+	if c.faultEvidence.IsJobFaulty(j.uid) {
 		c.backOff(j, now)
 		c.endQuarantines(j)
 	}
 	switch {
-	case c.evidence.IsMachineFaulty(m.ID):
+	case c.faultEvidence.IsMachineFaulty(m.ID):
 		c.quarantineMachine(m, faultyMachineLeases*lease, now)
 	case !j.suspect:
 		c.quarantineMachine(m, suspectMachineLeases*lease, now)
@@ -57,7 +57,7 @@
 	j.suspect, j.backoffUntil = true, now.Add(wait)
 	c.views.markJob(j.uid)
 	slog.Info("job held back", "uid", j.uid, "times", j.backoffs, "for", wait.String(),
-		"fault_probability", c.evidence.JobFaultProbability(j.uid))
+		"fault_probability", c.faultEvidence.JobFaultProbability(j.uid))
 }
 
 // clearSuspicion ends the suspicion against a job: a task of it works.
@@ -69,16 +69,16 @@
 		m.AvoidUntil, m.Quarantined = until, true
 		c.fleet.MarkChanged(m)
 		slog.Info("machine quarantined", "host", m.ID, "for", duration.String(),
-			"fault_probability", c.evidence.MachineFaultProbability(m.ID))
+			"fault_probability", c.faultEvidence.MachineFaultProbability(m.ID))
 	}
 }
 
 // endQuarantines ends the quarantine of machines for the failures of a job which is at fault
 // itself, but for machines that are faulty by all that is known.
 func (c *Controller) endQuarantines(j *job) {
-	for _, id := range c.evidence.MachinesFailedOn(j.uid) {
+	for _, id := range c.faultEvidence.MachinesFailedOn(j.uid) {
 		m := c.fleet.Get(id)
-		if m == nil || !m.Quarantined || c.evidence.IsMachineFaulty(id) {
+		if m == nil || !m.Quarantined || c.faultEvidence.IsMachineFaulty(id) {
 			continue
 		}
 		m.AvoidUntil, m.Quarantined = time.Time{}, false
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -91,7 +91,7 @@
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
 			if i > 5 && !m.AcceptsAttempts(b.now) {
-				t.Fatalf("%s is quarantined, faulty with probability %.2f", m.ID, b.c.evidence.MachineFaultProbability(m.ID))
+				t.Fatalf("%s is quarantined, faulty with probability %.2f", m.ID, b.c.faultEvidence.MachineFaultProbability(m.ID))
 			}
 		})
 	}
@@ -122,7 +122,7 @@
 			quarantined++
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
-			if m.ID != b.machine && b.c.evidence.IsMachineFaulty(m.ID) {
+			if m.ID != b.machine && b.c.faultEvidence.IsMachineFaulty(m.ID) {
 				t.Errorf("%s is taken for faulty", m.ID)
 			}
 		})
@@ -154,7 +154,7 @@
 	}
 	m := b.c.fleet.Get("m-000002")
 	isDone := b.c.jobs.get(late.uid) == nil || late.done == 48
-	if !m.AcceptsAttempts(b.now) || b.c.evidence.IsMachineFaulty(m.ID) || !isDone {
+	if !m.AcceptsAttempts(b.now) || b.c.faultEvidence.IsMachineFaulty(m.ID) || !isDone {
 		t.Errorf("a machine that has recovered takes work: %v, %d tasks are done", m.AcceptsAttempts(b.now), late.done)
 	}
 }
--- a/internal/controller/jobevents.go
+++ b/internal/controller/jobevents.go
@@ -90,11 +90,21 @@
 	}
 }
 
-// AttemptChanged keeps the jobs in step with their attempts. It is called by the fleet for
-// every change of an attempt's state, with c.mu held.
-func (c *Controller) AttemptChanged(a *fleet.Attempt, from fleet.AttemptState, reason string) {
+// logAttemptChange logs a change of an attempt's state, or that the attempt was added.
+func logAttemptChange(a *fleet.Attempt, from fleet.AttemptState, reason string) {
+	if from == a.State {
+		slog.Info("attempt added", "task", a.TaskName(), "attempt", a.Number, "host", a.Machine.ID,
+			"state", a.State.String(), "reason", reason)
+		return
+	}
 	slog.Info("attempt state changed", "task", a.TaskName(), "attempt", a.Number, "host", a.Machine.ID,
 		"from", from.String(), "to", a.State.String(), "reason", reason)
+}
+
+// AttemptChanged updates the jobs by a change of an attempt's state. The fleet calls it for every
+// change, with c.mu held.
+func (c *Controller) AttemptChanged(a *fleet.Attempt, from fleet.AttemptState, reason string) {
+	logAttemptChange(a, from, reason)
 	if a.State == fleet.Committed {
 		c.endAnswerWait(a.Machine)
 	}
@@ -139,7 +149,7 @@
 	switch a.Cause {
 	case wire.CauseDone:
 		j.markDone(p, a.TaskIndex)
-		c.evidence.RecordSuccess(j.uid, a.Machine.ID)
+		c.faultEvidence.RecordSuccess(j.uid, a.Machine.ID)
 		j.clearSuspicion()
 	case wire.CauseError:
 		c.attributeFailure(j, a.Machine, now)
