--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -8,32 +8,35 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// fadeWaits is over how many of the users' longest waits for a machine arrivals fade. That is a
-// few boots: headroom is for what arrives while a machine boots.
+// fadeWaits is the time constant of the count of arrivals, in multiples of the longest time that
+// users wait for a machine. That is a few boots: headroom is for what arrives while a machine
+// boots.
 const fadeWaits = 6
 
-// tasksSquaredWeight is the share of a class's mean of squared tasks that each new job makes up.
+// tasksSquaredWeight is the weight of each new job in its class's moving mean of squared task
+// counts.
 const tasksSquaredWeight = 1. / 8
 
 // ClassArrivals is how often jobs of one class arrive.
 type ClassArrivals struct {
 	Spec  *wire.JobSpec // of the newest job
 	Level int           // the priority level of the newest job
-	// Jobs counts the jobs that arrived, each less the longer ago it did, as of At.
+	// Jobs is the number of jobs that arrived, decayed exponentially with their age, as of At.
 	Jobs float64
-	// TasksSquared is the mean of the squared task counts of jobs.
+	// TasksSquared is the moving mean of the squared task counts of jobs.
 	TasksSquared float64
 	At           time.Time
 }
 
-// Arrivals measures how often jobs of each class arrive, and derives the headroom from that.
+// Arrivals measures how often jobs of each class arrive, and derives the headroom from that. It is
+// not safe for concurrent use.
 type Arrivals struct {
-	fadeS   float64 // how many seconds ago a job must have arrived to count as little as 1/e
+	fadeS   float64 // the age in seconds at which a job counts 1/e
 	classes map[string]*ClassArrivals
 }
 
-// NewArrivals makes the measurement for a fleet whose workers hold leases of this length: users
-// wait for a machine for two of them at most.
+// NewArrivals returns an empty measurement. Users are taken to wait for a machine for two worker
+// leases at most.
 func NewArrivals(workerLease time.Duration) *Arrivals {
 	return &Arrivals{fadeS: fadeWaits * 2 * workerLease.Seconds(), classes: map[string]*ClassArrivals{}}
 }
@@ -52,14 +55,14 @@
 	class.Jobs++
 }
 
-// fade brings a class's count of jobs up to now.
+// fade decays a class's count of jobs to its value at now.
 func (a *Arrivals) fade(class *ClassArrivals, now time.Time) {
 	class.Jobs *= math.Exp(-now.Sub(class.At).Seconds() / a.fadeS)
 	class.At = now
 }
 
-// IsLarge reports whether a job has at least as many tasks as jobs of its class usually have. It
-// is false while no job of the class has arrived.
+// IsLarge reports whether a job has at least as many tasks as the root mean square of its class's
+// jobs. It is false while no job of the class has arrived.
 func (a *Arrivals) IsLarge(spec *wire.JobSpec) bool {
 	class := a.classes[spec.JobClass]
 	return class != nil && float64(spec.TaskCount*spec.TaskCount) >= class.TasksSquared
@@ -72,21 +75,23 @@
 	}
 }
 
-// Restore takes over what an earlier leader measured of a class.
+// Restore replaces the measurement of a class by that of an earlier leader.
 func (a *Arrivals) Restore(class string, arrivals ClassArrivals) { a.classes[class] = &arrivals }
 
-// HeadroomOptions is what the headroom depends on beside the arrivals.
+// HeadroomOptions is what the headroom depends on beside the arrivals. All fields are required.
 type HeadroomOptions struct {
-	// Factor scales the headroom; 0 keeps none.
+	// Factor scales the headroom; with 0 there is none.
 	Factor float64
-	// BootS is how many seconds the quickest machine that may run a task of a job boots.
+	// BootS returns how many seconds the quickest machine that may run a task of a job boots.
 	BootS func(*wire.JobSpec) float64
 	// NeedsImage reports whether a task of a job starts in time only where its image is present.
 	NeedsImage func(*wire.JobSpec) bool
 }
 
-// HeadroomJobs makes phantom jobs of one task each, of the classes that must start at once: the
-// room that they need is kept, or provisioned, beyond what waits.
+// HeadroomJobs returns phantom jobs of one task each, of the classes whose jobs must start at once
+// (priority high and above). The scheduler places them after the jobs that wait: the machines that
+// they would use are not released, and what finds no room is provisioned. They have no UID and are
+// never launched.
 func (a *Arrivals) HeadroomJobs(now time.Time, options HeadroomOptions) []*sched.Job {
 	var jobs []*sched.Job
 	for _, class := range a.classes {
@@ -113,9 +118,10 @@
 	return jobs
 }
 
-// headroomTasks is how many tasks of a class to keep room for: a standard deviation of what
-// arrives while a machine boots. Jobs arrive by chance, and tasksSquared is the mean of their
-// squared task counts: a few large jobs vary more than many small ones.
+// headroomTasks returns the number of tasks of a class to keep headroom for: one standard
+// deviation of the tasks that arrive while a machine boots. Jobs are taken to arrive
+// independently, and tasksSquared is the mean of their squared task counts: a few large jobs vary
+// more than many small ones.
 func headroomTasks(jobsPerS, tasksSquared, bootS float64) int {
 	return int(math.Ceil(math.Sqrt(jobsPerS * bootS * tasksSquared)))
 }
--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -12,11 +12,11 @@
 // packing fits tasks that have no room into machines that would be provisioned.
 type packing struct {
 	catalog        *wire.Catalog
-	machinesByZone map[string]int // those of the fleet and those of the packing
+	machinesByZone map[string]int // the fleet's and those of bins
 	refused        func(MachineGroup) bool
-	least          fleet.Resources // no task that is short needs less of anything
+	least          fleet.Resources // a lower bound of each resource for all tasks that are short
 	bins           []bin
-	open           []int // indexes of bins that have room for the least
+	open           []int // indexes of bins that have room for least
 }
 
 // bin is a machine that would be provisioned and the room that is left on it.
@@ -34,7 +34,7 @@
 	}
 }
 
-// leastNeed is the least of each resource that any task that is short needs.
+// leastNeed returns the least amount of each resource that a task that is short requests.
 func leastNeed(shorts []sched.Shortfall) fleet.Resources {
 	least := fleet.Resources{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
 	for _, short := range shorts {
@@ -48,9 +48,10 @@
 	return least
 }
 
-// pack finds room for the tasks that a job is short of, on machines of the packing or new ones.
-// Bins that are full are not looked at again: at thousands of tasks, looking at each bin for
-// each task took longer than a scheduling cycle may.
+// pack finds room for the tasks that a job is short of, in open bins first, then in new ones. Tasks
+// for which no machine may be provisioned are left out. Bins that are full are not looked at
+// again: at thousands of tasks, looking at each bin for each task took longer than a scheduling
+// cycle may.
 func (p *packing) pack(short sched.Shortfall) {
 	job := short.Job
 	need := fleet.TaskResources(job.Spec)
@@ -99,20 +100,21 @@
 	return true
 }
 
-// cheapest is an empty machine of the group with the lowest price for each of the tasks that it
-// would hold; among equals, of the zone with the fewest machines.
+// cheapest returns an empty machine of the group with the lowest price per task, if at most this
+// many tasks run on it; among equals, of the zone with the fewest machines. found is false if no
+// group may be provisioned.
 func (p *packing) cheapest(job *sched.Job, tasksByZone map[string]int, tasks int) (best bin, found bool) {
 	bestCost, bestZoneMachines := math.Inf(1), 0
 	need := fleet.TaskResources(job.Spec)
 	for i := range p.catalog.MachineTypes {
 		t := &p.catalog.MachineTypes[i]
 		capacity := Capacity(t)
-		holds := capacity.CountFitting(need, tasks)
-		if holds == 0 {
+		fitting := capacity.CountFitting(need, tasks)
+		if fitting == 0 {
 			continue
 		}
 		p.eachUsableGroup(job, tasksByZone, t, func(group MachineGroup, price float64) {
-			cost, zoneMachines := price/float64(holds), p.machinesByZone[group.Zone]
+			cost, zoneMachines := price/float64(fitting), p.machinesByZone[group.Zone]
 			if cost < bestCost || (cost == bestCost && zoneMachines < bestZoneMachines) {
 				best, bestCost, bestZoneMachines = bin{group, capacity}, cost, zoneMachines
 			}
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -1,10 +1,11 @@
 // Package autoscaler decides how many machines of which type a fleet needs: which to provision
 // for tasks that have no room (Plan), how much headroom to keep for work that must start at
 // once (Arrivals), which machine groups to ask for again after the cloud had no capacity
-// (Refusals), and in which order machines are released (Releases).
+// (Refusals), which requests are not answered yet (Requests), and through which steps a machine is
+// released (Releases).
 //
 // Nothing here waits, calls the cloud or takes a lock: the controller does, and passes in what
-// the decisions need.
+// the decisions need. No type of the package is safe for concurrent use.
 package autoscaler
 
 import (
@@ -45,12 +46,13 @@
 	Count int
 }
 
-// Capacity is what a machine of a type offers.
+// Capacity returns what a machine of a type offers.
 func Capacity(t *wire.MachineType) fleet.Resources {
 	return fleet.Resources{Cores: t.Cores, Gpus: t.Gpus, RAM: t.RAMGb}
 }
 
-// FitsAnyMachine reports whether a task of the job fits some machine that it may use.
+// FitsAnyMachine reports whether a task of the job fits an empty on-demand machine of some type
+// and zone that it may use.
 func FitsAnyMachine(catalog *wire.Catalog, spec *wire.JobSpec) bool {
 	need := fleet.TaskResources(spec)
 	for i := range catalog.MachineTypes {
@@ -67,21 +69,21 @@
 	return false
 }
 
-// Demand is what machines are provisioned for, and what bounds them.
+// Demand is what machines are provisioned for, and what limits them.
 type Demand struct {
-	// Shorts are the tasks that no machine has room for.
+	// Shorts are the tasks that no machine has room for, in the order in which they are packed.
 	Shorts []sched.Shortfall
-	// MachinesByZone counts the machines that the fleet has.
+	// MachinesByZone counts the machines of the fleet; it may be nil.
 	MachinesByZone map[string]int
 	// Refused reports whether the cloud has lately had no capacity for a group.
 	Refused func(MachineGroup) bool
 	// Calls is how many requests may be made at once, each for at most wire.MaxProvision
-	// machines. Every group gets at least one.
+	// machines. Every group that is needed gets one, also if these are more.
 	Calls int
 }
 
-// Plan decides what to provision for demand that no machine has room for. It takes the group
-// that is cheapest for the room that it brings first.
+// Plan decides what to provision for the demand. Each task gets a machine of the group with the
+// lowest price per task. The requests are in a fixed order, by group.
 func Plan(catalog *wire.Catalog, demand Demand) []Request {
 	p := newPacking(catalog, demand)
 	for _, short := range demand.Shorts {
@@ -99,9 +101,9 @@
 	return splitIntoCalls(requests, demand.Calls)
 }
 
-// splitIntoCalls splits requests into ones that the cloud takes in one call each: one of each
-// group first, then what is left of the calls in turn. What no call is left for waits for the
-// next cycle.
+// splitIntoCalls splits requests into ones that the cloud accepts in one call each: first one for
+// each group, then more for the groups in turn until no calls are left. The rest waits for the
+// next cycle. It changes wanted.
 func splitIntoCalls(wanted []Request, calls int) []Request {
 	var requests []Request
 	left := len(wanted)
@@ -120,7 +122,7 @@
 	return requests
 }
 
-// cloneOrEmpty is a copy of the counts that can be written to.
+// cloneOrEmpty returns a copy of the counts that can be written to, also of nil.
 func cloneOrEmpty(counts map[string]int) map[string]int {
 	if counts == nil {
 		return map[string]int{}
--- a/internal/autoscaler/refusals.go
+++ b/internal/autoscaler/refusals.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Refusal says until when a machine group is not asked for again, and how long that pause is.
+// Refusal is the pause of a machine group after the cloud had no capacity for it: until when it is
+// not asked for, and the length of the pause.
 type Refusal struct {
 	Until time.Time
 	Pause time.Duration
@@ -15,12 +16,12 @@
 	groups      map[MachineGroup]Refusal
 }
 
-// NewRefusals makes an empty set.
+// NewRefusals returns an empty set.
 func NewRefusals(workerLease time.Duration) *Refusals {
 	return &Refusals{workerLease: workerLease, groups: map[MachineGroup]Refusal{}}
 }
 
-// Add pauses requests for a group, for longer each time.
+// Add pauses requests for a group that was refused at now, for longer each time in a row.
 func (r *Refusals) Add(group MachineGroup, now time.Time) {
 	pause := min(max(r.groups[group].Pause*2, r.workerLease/2), 3*r.workerLease)
 	r.groups[group] = Refusal{Until: now.Add(pause), Pause: pause}
@@ -41,5 +42,5 @@
 	}
 }
 
-// Restore takes over a refusal that an earlier leader has seen.
+// Restore adds a refusal that an earlier leader has received.
 func (r *Refusals) Restore(group MachineGroup, refusal Refusal) { r.groups[group] = refusal }
--- a/internal/autoscaler/releases.go
+++ b/internal/autoscaler/releases.go
@@ -8,7 +8,8 @@
 	"lotusstile.dev/lotusstile/internal/records"
 )
 
-// ReleaseRecord is a stored record that lists machines whose release is attempted.
+// ReleaseRecord is a stored record that lists machines whose release may be attempted. Hosts must
+// not be changed.
 type ReleaseRecord struct {
 	Key   string
 	Hosts []string
@@ -21,8 +22,11 @@
 	goneAt time.Time
 }
 
-// Releases are the machines that are being released to the cloud. Each is recorded first, then
-// the cloud is asked to take it back until it confirms, and in the end its record is dropped.
+// Releases are the machines that are being released to the cloud, or are gone. The steps of a
+// release are: Start; a record is committed (NextRecord, Recorded); the cloud is asked until it
+// confirms (Unconfirmed, Confirm); once no machine list can show the machine any more the record
+// is dropped (Expired, Drop). A request is sent only for a machine that is recorded: a later
+// leader must know that it may vanish at any time (docs/safety.md, "No task runs twice").
 type Releases struct {
 	term       uint64
 	lastRecord int // number of the last record of this term
@@ -30,15 +34,15 @@
 	records    []ReleaseRecord // stored, or possibly stored
 }
 
-// NewReleases makes the empty set of a term.
+// NewReleases returns the empty set of a term.
 func NewReleases(term uint64) *Releases {
 	return &Releases{term: term, machines: map[string]*release{}}
 }
 
-// Len is how many machines are being released or remembered as gone.
+// Len returns the number of machines that are being released, or are gone and still on record.
 func (r *Releases) Len() int { return len(r.machines) }
 
-// Start adds a machine. It reports whether it was not being released already.
+// Start adds a machine that is to be released. It returns false if the machine was added before.
 func (r *Releases) Start(host string) bool {
 	if r.machines[host] != nil {
 		return false
@@ -47,7 +51,8 @@
 	return true
 }
 
-// Restore takes over a record of an earlier term, or of an earlier attempt to load it.
+// Restore adds a record that was read from the state store, of an earlier term. It may be called
+// again with the same record, when the state is loaded once more after an error.
 func (r *Releases) Restore(record ReleaseRecord) {
 	for _, host := range record.Hosts {
 		r.machines[host] = &release{recorded: true}
@@ -58,9 +63,10 @@
 	}
 }
 
-// NextRecord makes a record of machines that have none yet, as many as fit a value of so many
-// bytes. found is false if there are none. A key is used once: were it written again, a late
-// transaction could put an older list in the place of a newer one.
+// NextRecord returns a record of machines that have none yet, as many as fit a value of valueBytes;
+// found is false if there are none. The caller commits it, guarded by a compare for the absence of
+// its key, and calls Recorded or, if the outcome is unknown, MayBeStored. A key is used once: if it
+// were written again, a late transaction could replace a newer list by an older one.
 func (r *Releases) NextRecord(valueBytes int) (record ReleaseRecord, found bool) {
 	hosts := r.hosts(func(m *release) bool { return !m.recorded })
 	if len(hosts) == 0 {
@@ -73,11 +79,12 @@
 	}, true
 }
 
-// MayBeStored remembers a record whose commit had an unknown outcome, so that it is dropped in
-// the end. Its machines count as not recorded.
+// MayBeStored adds a record whose commit had an unknown outcome, so that it is dropped in the end.
+// Its machines count as not recorded: another record will list them.
 func (r *Releases) MayBeStored(record ReleaseRecord) { r.records = append(r.records, record) }
 
-// Recorded remembers a record that is stored: its machines may be released.
+// Recorded adds a record that is committed: its machines may be released. All must have been added
+// by Start.
 func (r *Releases) Recorded(record ReleaseRecord) {
 	r.records = append(r.records, record)
 	for _, host := range record.Hosts {
@@ -92,18 +99,20 @@
 	return hosts[:min(len(hosts), limit)]
 }
 
-// Confirm remembers that the cloud has confirmed at now that a machine is gone.
+// Confirm records that the cloud confirmed at now the release of a machine, which must be one that
+// Unconfirmed has listed.
 func (r *Releases) Confirm(host string, now time.Time) { r.machines[host].goneAt = now }
 
-// StillListed remembers that a list at now shows a machine that is gone: its record is kept for
-// longer. It does nothing for a machine that is not being released.
+// StillListed records that a machine list read at now shows a machine that is gone: its record
+// stays for longer. It does nothing for a machine that is not being released.
 func (r *Releases) StillListed(host string, now time.Time) {
 	if m := r.machines[host]; m != nil {
 		m.goneAt = now
 	}
 }
 
-// Expired lists the records all of whose machines have been gone for longer than keep.
+// Expired lists the records all of whose machines have been gone for longer than keep. A record
+// may be dropped only then: until then a machine list may show a machine as if it could be used.
 func (r *Releases) Expired(now time.Time, keep time.Duration) []ReleaseRecord {
 	isKept := func(host string) bool {
 		m := r.machines[host]
@@ -118,7 +127,8 @@
 	return expired
 }
 
-// Drop forgets records that are not stored any more, with their machines. It returns these.
+// Drop removes the records with these keys, which are no longer stored, and their machines. It
+// returns the machines.
 func (r *Releases) Drop(keys []string) []string {
 	var hosts []string
 	r.records = slices.DeleteFunc(r.records, func(record ReleaseRecord) bool {
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -13,13 +13,14 @@
 	pending map[string]wire.ProvisionRequest
 }
 
-// NewRequests makes the empty set of a term.
+// NewRequests returns the empty set of a term.
 func NewRequests(term uint64) *Requests {
 	return &Requests{term: term, pending: map[string]wire.ProvisionRequest{}}
 }
 
-// Add gives a request its ID and remembers it. The term and a counter make IDs that no node uses
-// again.
+// Add adds a request as pending and returns it as it is sent to the cloud, with its ID. The ID
+// consists of the term and a counter, so that no other request of any node has it: the cloud
+// provisions the machines of one ID once.
 func (r *Requests) Add(request Request) wire.ProvisionRequest {
 	r.last++
 	out := wire.ProvisionRequest{
@@ -33,10 +34,10 @@
 	return out
 }
 
-// Finish forgets a request that is answered or abandoned.
+// Finish removes a request that is answered or abandoned.
 func (r *Requests) Finish(id string) { delete(r.pending, id) }
 
-// Len is how many requests are not answered yet.
+// Len returns the number of requests that are not answered yet.
 func (r *Requests) Len() int { return len(r.pending) }
 
 // Each calls fn for every request that is not answered yet.
