--- a/internal/faultattribution/evidence.go
+++ b/internal/faultattribution/evidence.go
@@ -19,7 +19,8 @@
 	"time"
 )
 
-// maxFailures is how many pairs of a job and a machine are kept: the oldest are removed first.
+// maxFailures bounds the pairs of a job and a machine that are retained, and with them the time of a
+// propagation: the oldest are removed first.
 const maxFailures = 512
 
 // pair is a job and a machine that it failed on.
@@ -28,7 +29,7 @@
 // failure is what is known of a pair.
 type failure struct {
 	at                time.Time // of the last one
-	machineExonerated bool      // it has completed a task since: the failure does not count against it
+	machineExonerated bool      // the machine has completed a task since: this does not count against it
 	job, machine      *party
 	messageToJob      float64 // log likelihood ratio that the job is at fault
 	messageToMachine  float64 // the same of the machine
@@ -51,7 +52,8 @@
 	beliefsStale bool // they have to be computed again
 }
 
-// New returns empty evidence. A failure counts for the retention.
+// New returns empty evidence. A failure that is older than retention no longer counts once the next one
+// is recorded.
 func New(retention time.Duration) *Evidence {
 	return &Evidence{
 		retention: retention,
@@ -61,8 +63,8 @@
 	}
 }
 
-// RecordFailure records that a task of a job failed on a machine. succeeds tells whether the job has
-// completed other tasks.
+// RecordFailure records that a task of a job failed on a machine. succeeds says whether the job has
+// completed other tasks: it is then almost certainly not faulty.
 func (e *Evidence) RecordFailure(job, machine string, succeeds bool, now time.Time) {
 	e.expire(now)
 	key := pair{job, machine}
@@ -111,7 +113,7 @@
 	}
 }
 
-// ForgetMachine removes all that is known of a machine that is gone.
+// ForgetMachine removes all failures on a machine that is gone.
 func (e *Evidence) ForgetMachine(machine string) {
 	for job := range failuresOf(e.machines, machine) {
 		e.remove(pair{job, machine})
--- a/internal/faultattribution/propagation.go
+++ b/internal/faultattribution/propagation.go
@@ -15,7 +15,8 @@
 // faultyThreshold is the probability from which a party counts as faulty.
 const faultyThreshold = 0.9
 
-// iterations of the propagation: beliefs that depend on each other settle within a few.
+// iterations is how often messages are passed. Beliefs that depend on each other settle within a
+// few exchanges.
 const iterations = 6
 
 // JobFaultProbability returns the probability that a job was submitted with a mistake.
@@ -47,7 +48,7 @@
 }
 
 // propagate computes the beliefs again if the failures have changed. The message of a failure to a party
-// leaves out what that failure has told the other party: a belief must not confirm itself.
+// leaves out what the same failure contributed to the other party: a belief must not confirm itself.
 func (e *Evidence) propagate() {
 	if !e.beliefsStale {
 		return
@@ -71,7 +72,7 @@
 	updateOdds(e.machines, func(f *failure) float64 { return f.messageToMachine })
 }
 
-// updateOdds adds up what each of their failures tells parties.
+// updateOdds computes the log odds of each party: its prior and the contributions of its failures.
 func updateOdds(parties map[string]*party, contribution func(*failure) float64) {
 	for _, p := range parties {
 		p.logOdds = p.priorLogOdds
--- a/internal/jobdag/graph.go
+++ b/internal/jobdag/graph.go
@@ -14,7 +14,7 @@
 
 // The states of a job. Done and Cancelled are final.
 const (
-	Unresolved State = iota // named by a dependent; its record is not known yet
+	Unresolved State = iota // named by a dependent; its record is not known yet, or gone before it was final
 	Open                    // accepted and neither done nor cancelled
 	Done                    // its end is committed
 	Cancelled               // its cancellation is committed, or that of a job that it depends on
@@ -30,8 +30,8 @@
 // Job is what the graph needs to know of a job. Times are in milliseconds.
 type Job struct {
 	Dependencies  []string // the jobs that have to be done first
-	Level         int      // its own priority
-	DueMs         float64  // its own due time; +Inf if it has none
+	Level         int      // its own priority: higher goes first
+	DueMs         float64  // its own due time, as Unix time; +Inf if it has none
 	ExpectedRunMs float64  // how long it is expected to run once its dependencies are done
 }
 
@@ -108,7 +108,8 @@
 	return n
 }
 
-// Finish records that a job's end or cancellation is committed. A final state never changes.
+// Finish records that a job's end or cancellation is committed, where state is Done or Cancelled. It does
+// nothing if the job is not in the graph, if it is final already, or if state is not final.
 func (g *Graph) Finish(uid string, state State) Effects {
 	var effects Effects
 	if n := g.nodes[uid]; n != nil && state.Final() {
@@ -117,7 +118,8 @@
 	return effects
 }
 
-// set is the one function that changes a job's state.
+// transition is the one function that makes a job final: it moves it to Done or Cancelled, and adds to
+// effects what that means for its dependents. A state that is final already stays.
 func (g *Graph) transition(n *node, to State, effects *Effects) {
 	if n.state == to || n.state.Final() {
 		return
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -17,10 +17,11 @@
 	Team       string
 	Level      int    // priority level: higher goes first
 	AcceptedMs int64  // when it was accepted: earlier goes first
-	Needs      Amount // of all its unfinished tasks together
+	Needs      Amount // sum over all its unfinished tasks
 }
 
-// roundingTolerance is how much more than a quota counts as within it.
+// roundingTolerance is how much more than a quota counts as within it: sums of fractions of cores and GPUs
+// are not exact.
 const roundingTolerance = 1e-6
 
 // fitsIn reports whether an amount fits what is left of a quota.
@@ -36,9 +37,10 @@
 type Set map[string]bool
 
 // JobsWithinQuota returns the jobs that lie within the quotas of their teams: of each team those of the
-// highest priority, and of a priority the oldest, as far as they fit together. If all unfinished jobs of
-// a team fit, all of them are within. A job that does not fit leaves the rest of the quota to later ones.
-// A quota of 0 is none: what needs any of it is beyond.
+// highest priority, and of a priority the oldest, as long as the sum of their needs fits. If all
+// unfinished jobs of a team fit, all of them are within. A job that does not fit is passed over, and the
+// rest of the quota goes to later ones. A team without a quota, or with one of 0 cores and 0 GPUs, has no
+// job within; where only one of the two is 0, jobs that need that resource are beyond the quota.
 func JobsWithinQuota(quotas map[string]Amount, jobs []Job) Set {
 	left := map[string]Amount{}
 	for team, amount := range quotas {
--- a/internal/sched/classindex.go
+++ b/internal/sched/classindex.go
@@ -6,10 +6,10 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// A cycle does not look at every node for every job. Nodes that are alike in all that a cycle
-// compares, except their images, form a class: a job looks at classes, and at single nodes only in
-// the classes that it takes room from. Nodes without room for the smallest need of the window are in
-// no class.
+// A cycle does not visit every node for every job. Nodes that are alike in all that a cycle
+// compares, except their images, form a class: for a job the cycle compares classes, and visits single
+// nodes only in the classes that it places tasks on. Nodes without room for the smallest need of the
+// window are in no class.
 
 // noClass is the class ID of a node that is in no class.
 const noClass = -1
@@ -52,7 +52,8 @@
 	scratch.fillMembers()
 }
 
-// fillMembers lists the members of all classes in one piece of memory.
+// fillMembers lists the members of all classes in one allocation. Each list is full, so that
+// appending to it later does not overwrite the next one.
 func (s *scratchSpace) fillMembers() {
 	s.members = resize(s.members, len(s.class))
 	used := 0
--- a/internal/sched/cycle.go
+++ b/internal/sched/cycle.go
@@ -27,11 +27,11 @@
 	plan              *Plan
 	profiles          []nodeProfile
 	free              [horizons][]fleet.Resources // by horizon and slot
-	openClasses       [horizons][]int32           // classes that had room for smallestNeed when they were made
+	openClasses       [horizons][]int32           // IDs of the classes that have room for smallestNeed
 	smallestNeed      fleet.Resources             // no task of the window needs less of any resource
 	lowestVictimLevel int
-	sortedVictims     map[int32][]Victim  // by slot, in stop order: those that were asked for
-	maxFit            map[demandShape]int // how many tasks at most fit, of shapes that were tried
+	sortedVictims     map[int32][]Victim  // by slot, in stop order: of the nodes whose victims were sorted
+	maxFit            map[demandShape]int // how many tasks at most fit, of shapes that found too little room
 	current           jobContext
 }
 
@@ -45,7 +45,12 @@
 	imageMayBeCached bool           // some node may have that image
 }
 
-// Run does one cycle. It updates the jobs and teams of the input as it places and stops tasks.
+// patienceFactor is how many times Input.ReserveAfterS an array that has missed its deadline lets others
+// of its priority pass.
+const patienceFactor = 4
+
+// Run does one cycle. It updates the jobs and teams of the input as it places and stops tasks. The view
+// must not be used by anyone else meanwhile: Run compacts it and works in its scratch memory.
 func Run(in *Input) *Plan {
 	c := &cycle{input: in, view: in.View, plan: &Plan{}}
 	if c.view == nil {
@@ -56,7 +61,7 @@
 	}
 	c.loadNodes()
 	window := slices.Clone(in.Jobs)
-	SortQueue(window, 4*in.ReserveAfterS)
+	SortQueue(window, patienceFactor*in.ReserveAfterS)
 	if len(window) > in.Window {
 		window = window[:in.Window]
 	}
@@ -116,7 +121,7 @@
 		return
 	}
 	if left -= c.fitTasks(job, left, afterStops, false); left == 0 {
-		return // the room is becoming free
+		return // tasks that are being stopped leave room for it
 	}
 	if left -= c.preempt(job, left); left == 0 {
 		return
@@ -131,7 +136,8 @@
 	c.plan.Shortfalls = append(c.plan.Shortfalls, Shortfall{Job: job, Count: left})
 }
 
-// scheduleOnWarmNodes uses only nodes that have the job's image, and returns how many tasks are left.
+// scheduleOnWarmNodes places up to left tasks on nodes that have the job's image, and returns how many
+// remain.
 func (c *cycle) scheduleOnWarmNodes(job *Job, left int) int {
 	c.current.warmOnly = true
 	left -= c.fitTasks(job, left, atOnce, true)
@@ -160,7 +166,7 @@
 }
 
 // tasksWithin returns how many of the wanted tasks fit under the limit of one resource; a limit of 0
-// is none.
+// means no limit.
 func tasksWithin(want int, limit, used, need float64) int {
 	if limit <= 0 || need <= 0 {
 		return want
@@ -168,5 +174,5 @@
 	return min(want, int((limit-used+roundingTolerance)/need))
 }
 
-// roundingTolerance is for the rounding of sums of cores and GPUs.
+// roundingTolerance allows for the rounding of sums of fractions of cores and GPUs.
 const roundingTolerance = 1e-6
--- a/internal/sched/eligibility.go
+++ b/internal/sched/eligibility.go
@@ -14,8 +14,9 @@
 }
 
 // isProfileEligible reports whether a job may use machines of a profile. A job that may use spot
-// machines uses on-demand machines only if they stay anyway, if the cloud has no spot machines, or if it
-// has no time left to wait for one; scale-in candidates only once it has waited as long as a boot takes.
+// machines uses an on-demand machine only if that stays anyway, if the cloud has no spot machine, or if
+// the job has no time left to wait for one to boot. A scale-in candidate it uses only once it has waited
+// as long as a boot takes: until then its work would only keep an expensive machine from scale-in.
 func isProfileEligible(job *Job, profile *nodeProfile) bool {
 	if !profile.spot && !profile.runsOnDemandWork && job.Spec.AllowSpot && !job.SpotUnavailable {
 		if !job.CannotAwaitBoot || profile.scaleInCandidate && !job.WaitedPastBoot {
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -8,13 +8,14 @@
 )
 
 // startsWhole reports whether a job starts with all its tasks or not at all. A job that runs already
-// only gets back the tasks that it has lost.
+// only has tasks restarted that failed or whose machines died.
 func startsWhole(job *Job) bool {
 	return (job.Spec.Kind != wire.JobArray || job.Spec.SingleZone) && job.LiveAttempts == 0
 }
 
 // fitTasks finds room for up to want tasks of a job at a horizon, books it, and returns the number of
-// tasks. With start set the plan launches the tasks; otherwise the room is only kept for them.
+// tasks. With start set the plan launches the tasks; otherwise it only books the room, so that no later
+// job of the window uses it.
 func (c *cycle) fitTasks(job *Job, want int, at horizon, start bool) int {
 	shape := c.shapeAt(at)
 	if c.isKnownNotToFit(job, shape) {
@@ -77,7 +78,8 @@
 	return names
 }
 
-// zoneAllowance returns how many more tasks of a job a zone may hold.
+// zoneAllowance returns how many more tasks of a job may be placed in a zone. Tasks that the caller has
+// chosen but not committed are not counted.
 func zoneAllowance(job *Job, zone string) int {
 	if !job.Spec.SpreadZones {
 		return job.Spec.TaskCount
--- a/internal/sched/heap.go
+++ b/internal/sched/heap.go
@@ -1,7 +1,7 @@
 package sched
 
-// heap is a binary heap: it yields items in order without sorting those that nobody asks for, since a
-// job needs a few of many. It works in the memory of the list that it is made of.
+// heap is a binary heap. A job needs the first few of many items, so they are not sorted as a whole. It
+// works in the memory of the list that it is made of.
 type heap[T any] struct {
 	items []T
 	less  func(a, b *T) bool
--- a/internal/sched/input.go
+++ b/internal/sched/input.go
@@ -52,7 +52,7 @@
 	Spec             *wire.JobSpec
 	Level            int            // priority level: higher goes first
 	WithinQuota      bool           // fits its team's quota: does not wait for work of other teams
-	QueuedSinceMs    int64          // when it was accepted or, if later, released by its dependencies
+	QueuedSinceMs    int64          // Unix time when it was accepted or, if later, released by its dependencies
 	PendingTasks     int            // tasks without an attempt
 	LiveAttempts     int            // attempts that are not known to have ended
 	LiveByZone       map[string]int // LiveAttempts by zone
@@ -67,7 +67,7 @@
 	AvoidedMachine   string  // ID of a machine that it must not be placed on; "" if none
 }
 
-// Team is what a team uses, and its limit and quota; a limit or a quota of 0 is none.
+// Team is what a team uses, and its limit and quota. A limit of 0 means no limit, a quota of 0 no quota.
 type Team struct {
 	Used, Limit, Quota struct{ Cores, Gpus float64 }
 	// Stopping is the part of Used that is being stopped. It counts against the limit until it is off
@@ -94,7 +94,10 @@
 	Window          int     // most jobs that the cycle considers
 	ReserveAfterS   float64 // the first job of the window gets a reservation once it has waited longer
 	PriorityWeights [5]float64
-	Previous        *Plan // if set, the cycle starts from the room that this plan has left
+	// Previous, if set, is the plan whose remaining room the cycle starts from, with the same view and
+	// nodes. Room that is free once its stops have ended counts as free at once: such a cycle asks what
+	// would fit, and its placements must not be launched.
+	Previous *Plan
 	// WithinQuota is the jobs within the quotas of their teams, by UID, those with nothing pending
 	// included; nil if no team has a quota.
 	WithinQuota map[string]bool
@@ -103,6 +106,6 @@
 	PreemptOnlyBelow int
 }
 
-// DefaultPriorityWeights is p_j by level: each priority outweighs a window full of the next lower one
-// only when the window is small; the pass itself keeps the order.
+// DefaultPriorityWeights is p_j by priority level. They enter Plan.Objective only; that work of a higher
+// priority goes first is up to SortQueue.
 var DefaultPriorityWeights = [5]float64{0, 1, 4, 16, 64}
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -7,11 +7,15 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
+// preemptionCostS is what stopping a task costs beside the work that it loses, in seconds. Free room is
+// therefore better than any victim, and of equal losses the one with fewer victims is better.
+const preemptionCostS = 1
+
 // preemptionOption is room for one task on a node once some of its victims are stopped.
 type preemptionOption struct {
-	node                   int32
-	firstVictim, endVictim int // in stop order: those of them that the job may preempt are stopped
-	lossS                  float64
+	node                   int32   // slot
+	firstVictim, endVictim int     // range in stop order: those of it that the job may preempt are stopped
+	lossS                  float64 // of all its victims, with preemptionCostS for each; 0 for free room
 }
 
 // isBetterThan orders options: the least loss goes first.
@@ -23,7 +27,7 @@
 	) < 0
 }
 
-// preempt stops work of lower priority so that up to want tasks of a job fit, keeps the room for them,
+// preempt stops work of lower priority so that up to want tasks of a job fit, books the room for them,
 // and returns their number. It never stops work for nothing: a job that starts whole gets all its room
 // or none. Replicas are preempted only for a job that has waited as long as a new machine takes.
 func (c *cycle) preempt(job *Job, want int) int {
@@ -55,13 +59,14 @@
 	if !job.Spec.SingleZone && !job.Spec.SpreadZones {
 		maxOptions = want
 	}
-	kept := newHeap(scratch.options[:0], func(a, b *preemptionOption) bool { return b.isBetterThan(a) })
+	// The worst option is the minimum of this heap, so that a better one can replace it.
+	best := newHeap(scratch.options[:0], func(a, b *preemptionOption) bool { return b.isBetterThan(a) })
 	add := func(option preemptionOption) {
 		switch {
-		case kept.Len() < maxOptions:
-			kept.Push(option)
-		case option.isBetterThan(kept.Min()): // the minimum of this heap is the worst option
-			kept.Replace(option)
+		case best.Len() < maxOptions:
+			best.Push(option)
+		case option.isBetterThan(best.Min()):
+			best.Replace(option)
 		}
 	}
 	for slot := range scratch.profile {
@@ -69,16 +74,16 @@
 		if !room.Add(preemptible.releasable[slot]).Fits(need) {
 			continue
 		}
-		if kept.Len() >= maxOptions && preemptible.minLossS[slot] >= kept.Min().lossS && !room.FitsRequested(need) {
-			continue // every option here loses as much, and comes later in order
+		if best.Len() >= maxOptions && preemptible.minLossS[slot] >= best.Min().lossS && !room.FitsRequested(need) {
+			continue // every option on this node loses at least as much as the worst one, and sorts after it
 		}
 		if c.isVacant(slot) || !c.isNodeEligible(job, int32(slot)) {
 			continue
 		}
 		c.addOptionsOnNode(job, int32(slot), need, want, add)
 	}
-	scratch.options = kept.items
-	return kept.items
+	scratch.options = best.items
+	return best.items
 }
 
 // addOptionsOnNode adds the room on a node for tasks of a job, one by one.
@@ -97,7 +102,7 @@
 		}
 		room = room.Add(v.Need)
 		option.endVictim = k + 1
-		option.lossS += v.lossS(c.input.Now) + 1
+		option.lossS += v.lossS(c.input.Now) + preemptionCostS
 		if room.Fits(need) {
 			add(option)
 			option = preemptionOption{node: slot, firstVictim: option.endVictim}
--- a/internal/sched/scratch.go
+++ b/internal/sched/scratch.go
@@ -27,7 +27,7 @@
 	s.profile, s.activeFetches = resize(s.profile, nodes), resize(s.activeFetches, nodes)
 	s.class, s.reserved = resize(s.class, nodes), resize(s.reserved, nodes)
 	s.free[atOnce] = resize(s.free[atOnce], nodes)
-	s.free[afterStops], s.free[afterBoot] = make([]fleet.Resources, nodes), make([]fleet.Resources, nodes) // the plan keeps these
+	s.free[afterStops], s.free[afterBoot] = make([]fleet.Resources, nodes), make([]fleet.Resources, nodes) // the plan retains these
 	s.preemptible, s.victims = s.preemptible[:0], s.victims[:0]
 	if s.sortedVictims == nil {
 		s.sortedVictims, s.maxFit = map[int32][]Victim{}, map[demandShape]int{}
@@ -36,7 +36,8 @@
 	clear(s.maxFit)
 }
 
-// resize returns a list of n zero values, in the old memory if that is large enough.
+// resize returns a list of n zero values, in the old memory if that is large enough. New memory has an
+// eighth to spare, so that a fleet that grows machine by machine does not allocate in every cycle.
 func resize[T any](list []T, n int) []T {
 	if cap(list) < n {
 		return make([]T, n, n+n/8)
--- a/internal/sched/victims.go
+++ b/internal/sched/victims.go
@@ -9,14 +9,15 @@
 )
 
 // preemptible is what jobs with one rule may preempt on each node: how much room that releases, and
-// the least loss of any of it. With that, most nodes need no closer look.
+// the least loss of any of it. Most nodes are ruled out by these alone, without sorting their victims.
 type preemptible struct {
 	by         preemptor
 	releasable []fleet.Resources // by slot
 	minLossS   []float64         // by slot
 }
 
-// preemptibleBy returns what a job may preempt; it is summed up once for each rule.
+// preemptibleBy returns what a job may preempt. It is computed once a cycle for each rule, not for each
+// job. The result is valid until the next call.
 func (c *cycle) preemptibleBy(job *Job) *preemptible {
 	by, scratch := c.preemptorOf(job), c.scratch
 	for i := range scratch.preemptible {
@@ -48,7 +49,7 @@
 		v := &victims[i]
 		if p.by.mayPreempt(v, c.input.WithinQuota) {
 			releasable = releasable.Add(v.Need)
-			minLossS = min(minLossS, v.lossS(c.input.Now)+1)
+			minLossS = min(minLossS, v.lossS(c.input.Now)+preemptionCostS)
 		}
 	}
 	p.releasable[slot], p.minLossS[slot] = releasable, minLossS
@@ -120,7 +121,7 @@
 
 // releaseRoom adds the room of a task that is stopped to what its node has once it has ended.
 func (c *cycle) releaseRoom(slot int32, room fleet.Resources) {
-	clear(c.maxFit) // more may fit than was found before
+	clear(c.maxFit) // more may fit now than these say
 	c.free[afterStops][slot] = c.free[afterStops][slot].Add(room)
 	c.free[afterBoot][slot] = c.free[afterBoot][slot].Add(room)
 	c.reclassify(slot)
--- a/internal/sched/view.go
+++ b/internal/sched/view.go
@@ -86,7 +86,7 @@
 		!slices.Equal(node.images, other.images) || len(node.victims) != len(other.victims) {
 		return false
 	}
-	// Victims come in any order: a difference in order is none. There are few to compare.
+	// Victims come in any order, and their order does not matter to a cycle. There are few to compare.
 	for i := range node.victims {
 		if node.victims[i] != other.victims[i] && !slices.Contains(other.victims, node.victims[i]) {
 			return false
