--- a/internal/faultattribution/evidence_test.go
+++ b/internal/faultattribution/evidence_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// The same inputs every run; -rapid.seed draws others.
+// Every run draws the same inputs; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 const keep = 2 * time.Minute
 
-// One failure makes nobody faulty; a second one tells whose fault it is.
+// After one failure neither the job nor the machine counts as faulty; a second one shows which it is.
 func TestSecondFailureTellsWhoIsFaulty(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := New(keep)
@@ -144,7 +144,8 @@
 	}
 }
 
-// A propagation over as many failures as are kept takes little of a scheduling cycle.
+// BenchmarkPropagate measures a propagation over as many failures as are retained: it must take little of
+// a scheduling cycle.
 func BenchmarkPropagate(b *testing.B) {
 	e, now := New(keep), time.Unix(1000, 0)
 	for i := range maxFailures {
--- a/internal/jobdag/graph_test.go
+++ b/internal/jobdag/graph_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same inputs every run; -rapid.seed draws others.
+// Every run draws the same inputs; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 // model is what the graph is checked against: the jobs and their own committed states, from which all else
@@ -22,7 +22,7 @@
 	order    []string
 }
 
-// state derives where a job stands by walking everything that it needs.
+// state derives the state of a job from all jobs that it depends on.
 func (m *model) state(uid string) State {
 	if state, ok := m.finished[uid]; ok {
 		return state
@@ -235,7 +235,7 @@
 	})
 }
 
-// Long chains, wide fans and diamonds cost a change no more than the jobs concerned.
+// A change in a long chain, a wide fan or a diamond takes time in proportion to the jobs that it affects.
 func TestLargeGraphs(t *testing.T) {
 	const size = 2000
 	g := New()
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same inputs every run; -rapid.seed draws others.
+// Every run draws the same inputs; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func (a Amount) plus(other Amount) Amount {
@@ -54,8 +54,9 @@
 	return sums
 }
 
-// Whatever teams have: what lies within a quota fits it together, all jobs of a team do if all fit, a
-// team without a quota has nothing within, and no job is left out for one of a lower priority.
+// For any jobs and quotas: the needs of a team's jobs within its quota add up to no more than the quota,
+// all jobs of a team are within if all fit, a team without a quota has no job within, and no job is left
+// out for one of a lower priority.
 func TestJobsWithinQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quotas, jobs := genQuotas(t), genJobs(t)
--- a/internal/sched/equivalence_test.go
+++ b/internal/sched/equivalence_test.go
@@ -74,7 +74,7 @@
 }
 
 // Cycles over classes of nodes that are retained from cycle to cycle decide as the reference
-// cycle, which looks at every node: over fleets that change by single machines, with transient
+// cycle, which visits every node: over fleets that change by single machines, with transient
 // nodes beside, and in a second cycle over what the first has left.
 func TestClassIndexDecidesAsReference(t *testing.T) {
 	cycles, placed, stopped := 0, 0, 0
@@ -88,7 +88,7 @@
 }
 
 // The input at which TestClassIndexDecidesAsReference once failed while the class index was built:
-// a machine was left with room that the reference cycle had given away.
+// a machine was left with room that the reference cycle had booked.
 func TestClassIndexDecidesAsReferenceOnInputThatOnceFailed(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("testdata", "class_index_steps.json"))
 	if err != nil {
--- a/internal/sched/input.go
+++ b/internal/sched/input.go
@@ -60,9 +60,9 @@
 	FetchDelaysStart bool    // the fetch of its image may make the start late
 	StartSlackS      float64 // what is left of its time to start after fetch and delivery
 	LaxityS          float64 // how long it can still wait and meet its deadline
-	CannotAwaitBoot  bool    // no time for a new machine to boot: more expensive ones that stay anyway will do
-	WaitedPastBoot   bool    // waited as long as a new machine takes to boot: any machine will do
-	SpotUnavailable  bool    // the cloud has no spot machine for it: waiting for one is in vain
+	CannotAwaitBoot  bool    // has waited as long as a new machine takes to boot, or has no time left for that
+	WaitedPastBoot   bool    // has waited as long as a new machine takes to boot
+	SpotUnavailable  bool    // the cloud has no spot machine for it, so it does not wait for one
 	FirstTaskOverdue bool    // this is the first task of an array that should have begun by now
 	AvoidedMachine   string  // ID of a machine that it must not be placed on; "" if none
 }
--- a/internal/sched/large_test.go
+++ b/internal/sched/large_test.go
@@ -89,7 +89,8 @@
 	return view
 }
 
-// One cycle over classes of retained machines (kept=true), and one reference cycle over all machines.
+// BenchmarkRound measures one cycle over classes of retained machines (kept=true), and one reference cycle
+// over all machines (kept=false). docs/results-fleet.md quotes its name and those of its cases.
 func BenchmarkRound(b *testing.B) {
 	for _, machines := range []int{340, 1350, 4000, 6000} {
 		for _, waiting := range []int{5, 50, 500} {
@@ -97,7 +98,7 @@
 				b.Run(fmt.Sprintf("machines=%d/waiting=%d/kept=%v", machines, waiting, retained), func(b *testing.B) {
 					b.ReportAllocs()
 					view := viewOf(largeInput(machines, 0).Nodes)
-					if retained { // cycles reuse the memory of those before
+					if retained { // cycles reuse the memory of earlier ones
 						in := largeInput(machines, waiting)
 						in.View, in.Nodes = view, nil
 						Run(in)
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -29,7 +29,7 @@
 
 // preempt stops work of lower priority so that up to want tasks of a job fit, books the room for them,
 // and returns their number. It never stops work for nothing: a job that starts whole gets all its room
-// or none. Replicas are preempted only for a job that has waited as long as a new machine takes.
+// or none. By priority, replicas are preempted only for a job that cannot wait for a new machine to boot.
 func (c *cycle) preempt(job *Job, want int) int {
 	if c.lowestVictimLevel >= c.preemptionLevel(job) && !job.WithinQuota {
 		return 0
--- a/internal/sched/quota_test.go
+++ b/internal/sched/quota_test.go
@@ -100,7 +100,7 @@
 	return in
 }
 
-// failer is what checks need of a test.
+// failer is the part of *testing.T and *rapid.T that the checks use.
 type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -247,7 +247,7 @@
 			t.Errorf("within quota %v: %d preemptions", withinQuota, stops)
 		}
 	}
-	// Without quotas in a deployment nothing of this changes what a cycle does.
+	// In a deployment without quotas, priority decides the order of the queue as before.
 	a, b := &wire.JobSpec{UID: "run-000001", Team: "owner"}, &wire.JobSpec{UID: "run-000002", Team: "guest"}
 	jobs := []*Job{{Spec: a, Level: 1}, {Spec: b, Level: 2}}
 	SortQueue(jobs, 1)
--- a/internal/sched/reference_preempt_test.go
+++ b/internal/sched/reference_preempt_test.go
@@ -14,9 +14,9 @@
 	lossS                  float64
 }
 
-// preempt stops work of lower priority so that up to want tasks of a job fit, and keeps the room for them. It
+// preempt stops work of lower priority so that up to want tasks of a job fit, and books the room for them. It
 // never stops work for nothing: a job that starts whole gets all its room or none. Replicas are preempted
-// only for a job that has waited as long as a new machine takes.
+// only for a job that cannot wait for a new machine to boot.
 func (r *referenceCycle) preempt(j *Job, want int) int {
 	if r.lowestVictimLevel >= j.Level {
 		return 0
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -9,8 +9,8 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// referenceCycle is the cycle as it was before nodes were kept in classes: it looks at every node for every
-// job. It is the oracle that cycles are compared with, and what their speed is measured against. It differs
+// referenceCycle is the cycle as it was before nodes were grouped into classes: it visits every node for
+// every job. It is the oracle that cycles are compared with, and what their speed is measured against. It differs
 // from what it was in the form of its input, and in that preemption options of equal loss on one node have
 // an order.
 type referenceCycle struct {
@@ -148,7 +148,7 @@
 }
 
 // fitTasks finds room for up to want tasks of a job at a horizon and books it. With start set the tasks are
-// launched; otherwise the room is only kept for them.
+// launched; otherwise their room is only booked.
 func (r *referenceCycle) fitTasks(j *Job, want int, at horizon, start bool) int {
 	shape, bounded := r.shapeAt(j, at)
 	if most, ok := r.maxFit[shape]; bounded && ok && (most == 0 || startsWhole(j) && most < j.PendingTasks) {
@@ -200,7 +200,7 @@
 	return zones
 }
 
-// referenceZoneAllowance returns how many more tasks of a job a zone may hold.
+// referenceZoneAllowance returns how many more tasks of a job may be placed in a zone.
 func referenceZoneAllowance(j *Job, zone string) int {
 	if !j.Spec.SpreadZones {
 		return j.Spec.TaskCount
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -12,7 +12,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// The same inputs every run; -rapid.seed draws others.
+// Every run draws the same inputs; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 // genInput draws free machines and jobs of one team that wait.
@@ -239,7 +239,7 @@
 	}
 }
 
-// Room is made for a job only by stopping work of lower priority, and only if the job then fits.
+// A job preempts only work of lower priority, and only if it fits afterwards.
 func TestPreemptionStopsOnlyLowerPriorityThatMakesRoom(t *testing.T) {
 	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 4)}}
@@ -257,7 +257,8 @@
 	}
 }
 
-// The first job of the window, once it has waited long, keeps later jobs off the machines that it needs.
+// Once the first job of the window has waited long, machines are reserved for it and later jobs start
+// elsewhere.
 func TestReservationKeepsLaterJobsOffItsNodes(t *testing.T) {
 	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 4), node("m2", 2, 1)}}
@@ -281,7 +282,8 @@
 	}
 }
 
-// A shortfall has no room left: the shapes and lists that save a cycle work must not hide any.
+// No machine has room left for a task of a shortfall: the shapes and lists that spare a cycle repeated
+// searches must not hide any room.
 func TestShortfallsHaveNoRoom(t *testing.T) {
 	shorts := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -294,11 +296,11 @@
 		}
 		plan := Run(in)
 		if plan.ReservedFor != "" {
-			return // nodes are kept from the others
+			return // a reservation keeps nodes from later jobs, which count as shortfalls beside free room
 		}
 		for _, s := range plan.Shortfalls {
 			if s.Job.Spec.Kind == wire.Service && s.Job.LiveAttempts == 0 && s.Job.PendingTasks > 1 {
-				continue // room for one task is not enough for these
+				continue // starts whole: room for one task may not be enough
 			}
 			shorts++
 			for i, room := range plan.FreeAfterBoot {
