--- a/wire/admin.go
+++ b/wire/admin.go
@@ -5,7 +5,7 @@
 	ModRevision uint64  `json:"Stamp"`     // 0 until they are first changed
 	IntervalS   float64 `json:"IntervalS"` // from scheduling cycle to scheduling cycle
 	Window      int     `json:"Window"`    // most jobs that a cycle considers
-	Headroom    float64 `json:"Spare"`     // times the usual headroom; 0 keeps none
+	Headroom    float64 `json:"Spare"`     // factor on the usual headroom; 0: no headroom
 	Profiling   bool    `json:"Profiling"` // profiles are served at /admin/pprof
 }
 
@@ -22,7 +22,7 @@
 	WarmStandby *StandbyStatus `json:"WarmStandby,omitempty"`
 }
 
-// StandbyStatus is a node's part in keeping a warm standby.
+// StandbyStatus says how a node replicates the leader's state as its warm standby, or offers its own.
 type StandbyStatus struct {
 	State    string            `json:"State"`            // of this node's copy
 	Cause    string            `json:"Cause"`            // of its last change of state
@@ -41,31 +41,31 @@
 // LeadStatus is what only the leader knows.
 type LeadStatus struct {
 	Term     uint64                 `json:"Term"`
-	Loaded   bool                   `json:"Loaded"`
-	Window   int                    `json:"Window"`
+	Loaded   bool                   `json:"Loaded"` // it knows all records and may schedule
+	Window   int                    `json:"Window"` // jobs that the next cycle considers at most
 	Round    RoundStatus            `json:"Round"`
 	Machines map[string]int         `json:"Machines"` // by state
 	Classes  map[string]ClassStatus `json:"Classes"`  // by class of jobs
 	// HeartbeatRouting is "direct", or "relayed" by followers; only where relays are switched on.
 	HeartbeatRouting string         `json:"CheckIns,omitempty"`
-	Workers          map[string]int `json:"Workers,omitempty"` // by the controller that they report to
-	// SuspectJobs counts jobs that fail on machine after machine: one task at a time is tried.
+	Workers          map[string]int `json:"Workers,omitempty"` // by the controller that they send heartbeats to
+	// SuspectJobs counts jobs that fail on machine after machine: only one task of each is launched at a time.
 	SuspectJobs int `json:"Suspects"`
-	// QuarantinedMachines counts machines that are skipped for tasks that failed on them.
+	// QuarantinedMachines counts machines that get no launches because tasks failed on them.
 	QuarantinedMachines int `json:"Blamed"`
 }
 
 // RoundStatus describes the last scheduling cycle.
 type RoundStatus struct {
-	AgoS      float64 `json:"AgoS"`
+	AgoS      float64 `json:"AgoS"` // since it began
 	TookMs    float64 `json:"TookMs"`
-	Waiting   int     `json:"Waiting"`
-	Started   int     `json:"Started"`
-	Stopped   int     `json:"Stopped"`
-	Short     int     `json:"Short"` // jobs with tasks that no machine has room for
-	Objective float64 `json:"Objective"`
-	Reserved  string  `json:"Reserved,omitempty"`
-	Overrun   bool    `json:"Overrun"` // it took longer than the interval and started nothing
+	Waiting   int     `json:"Waiting"`            // jobs with tasks that have no machine
+	Started   int     `json:"Started"`            // tasks
+	Stopped   int     `json:"Stopped"`            // tasks that were preempted
+	Short     int     `json:"Short"`              // jobs with tasks that no machine has room for
+	Objective float64 `json:"Objective"`          // see package sched
+	Reserved  string  `json:"Reserved,omitempty"` // UID of the job that machines are reserved for
+	Overrun   bool    `json:"Overrun"`            // it took longer than the interval and started nothing
 }
 
 // ClassStatus counts the unfinished work of a class of jobs.
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -26,8 +26,8 @@
 	MachineTypes []MachineType `json:"Rigs"`
 }
 
-// ProvisionRequest is the body of POST /machines. A repeated request provisions nothing more, so no node
-// may use a RequestID again.
+// ProvisionRequest is the body of POST /machines. A RequestID that was answered with 200
+// gets the same answer again and provisions nothing, so no node may use it for another request.
 type ProvisionRequest struct {
 	RequestID   string `json:"Booking"`
 	MachineType string `json:"Rig"`
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -19,7 +19,7 @@
 	Cores               float64  `json:"Cores"` // of each task, as Gpus and RAMGb
 	Gpus                float64  `json:"Gpus"`
 	RAMGb               float64  `json:"RamGb"`
-	Image               string   `json:"Rollout"` // that a machine must have before a task starts
+	Image               string   `json:"Rollout"` // a machine must have fetched it before a task starts
 	ImageGb             float64  `json:"ImageGb"`
 	MachineTypes        []string `json:"Rigs,omitempty"` // those allowed; any if empty
 	Zone                string   `json:"Yard,omitempty"` // the only one allowed; any if ""
@@ -73,7 +73,7 @@
 // JobStatus is the status of a job that users are shown.
 type JobStatus string
 
-// The statuses of a job.
+// The statuses of a job. JobAborted is that of a cancelled job.
 const (
 	JobQueued  JobStatus = "queued" // no task runs
 	JobRunning JobStatus = "running"
@@ -97,8 +97,7 @@
 	Error string `json:"error"`
 }
 
-// ValidUID reports whether id has the form of a job id: "run-" and six digits
-// or more.
+// ValidUID reports whether id has the form of a job id: "run-" and 6 to 18 digits.
 func ValidUID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "run-")
 	if !ok || len(digits) < 6 || len(digits) > 18 {
--- a/wire/jobs_test.go
+++ b/wire/jobs_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same inputs every run; -rapid.seed draws others.
+// Every run draws the same inputs; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func genJobSpec(t *rapid.T) JobSpec {
--- a/wire/statestore.go
+++ b/wire/statestore.go
@@ -6,7 +6,7 @@
 type KeyValue struct {
 	Key         string          `json:"Key"`
 	Value       json.RawMessage `json:"Value"`
-	ModRevision uint64          `json:"Stamp"`            // revision of its last change
+	ModRevision uint64          `json:"Stamp"`            // the store's revision at its last change
 	LeaseID     uint64          `json:"Permit,omitempty"` // lease that it is attached to; 0: none
 }
 
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -20,7 +20,7 @@
 // Cause says why a task ended.
 type Cause string
 
-// The causes that workers report. The last three refuse a launch.
+// The causes that workers report. The last three mean that the worker refused the launch.
 const (
 	CauseDone    Cause = "done"
 	CauseStopped Cause = "stopped"
@@ -48,12 +48,13 @@
 	Spot         bool         `json:"Standby"`
 	Incarnation  uint64       `json:"Shift"`    // of the worker: grows each time its worker lease expires
 	Sequence     uint64       `json:"Tick"`     // of the report: the larger (Incarnation, Sequence) is newer
-	FencingToken uint64       `json:"Baton"`    // the highest that the worker has seen
+	FencingToken uint64       `json:"Baton"`    // highest one that the worker has seen
 	SpotNoticeS  *float64     `json:"WarningS"` // seconds until the cloud takes the machine away; nil: no notice
 	Tasks        []TaskReport `json:"Legs"`
 }
 
-// ParseHeartbeat decodes and validates a heartbeat.
+// ParseHeartbeat decodes and validates a heartbeat. Every error that it returns means that the body is
+// malformed.
 func ParseHeartbeat(body []byte) (Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := Decode(body, &heartbeat); err != nil {
@@ -88,7 +89,8 @@
 	GracePeriodS float64 `json:"LeewayS,omitempty"` // of a stop: the task saves if it is long enough
 }
 
-// Commands answers a heartbeat with 200. A worker drops it unless the token is the highest it has seen.
+// Commands answers a heartbeat with 200 and renews the worker lease. A worker drops it if it has seen a
+// higher token.
 type Commands struct {
 	FencingToken uint64    `json:"Baton"`
 	Commands     []Command `json:"Orders"`
@@ -101,8 +103,8 @@
 	Commands     []Command `json:"Orders"`
 }
 
-// Redirect answers a heartbeat with 421: the worker reports to the leader, or tries the next node if
-// there is none.
+// Redirect answers a heartbeat with 421: the worker sends its heartbeats to the node that is named, or
+// tries the next node if none is.
 type Redirect struct {
 	Leader string `json:"Dispatcher,omitempty"`
 }
