--- a/internal/node/warmstandby.go
+++ b/internal/node/warmstandby.go
@@ -139,7 +139,7 @@
 	}
 	if !slices.Contains(candidates, w.chosen) || w.campaign.successorDelay(best) < w.campaign.successorDelay(w.chosen) {
 		if w.chosen != best {
-			slog.Info("warm standby chosen", "from", w.chosen, "to", best)
+			slog.Info("chosen warm standby changed", "from", w.chosen, "to", best)
 		}
 		w.chosen = best
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -20,7 +20,7 @@
 
 // Handler answers the calls of other controllers. Its methods are called concurrently.
 type Handler interface {
-	// ApplyCancellation is called with a cancellation that a peer has committed.
+	// ApplyCancellation applies a cancellation that a peer has committed.
 	ApplyCancellation(c Cancellation)
 	// ServeUserRequest answers a user's request that a peer forwards.
 	ServeUserRequest(a UserArgs) UserReply
@@ -116,7 +116,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		default:
-			slog.Warn("connection of a peer not accepted", "err", err)
+			slog.Warn("connection of a peer could not be accepted", "err", err)
 			if !timeralign.Sleep(ctx, acceptPause) {
 				return nil
 			}
--- a/internal/relay/receiver.go
+++ b/internal/relay/receiver.go
@@ -61,7 +61,7 @@
 	}
 	bodies, err := splitBodies(&args)
 	if err != nil {
-		slog.Error("heartbeat batch refused", "relay", args.From, "err", err)
+		slog.Error("heartbeat batch was refused", "relay", args.From, "err", err)
 		return reply, err
 	}
 	reply.Leading = true
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -205,7 +205,7 @@
 		return false // the heartbeats that waited for the other leader have failed already
 	}
 	if err != nil || !reply.Leading {
-		slog.Warn("heartbeats not relayed",
+		slog.Warn("heartbeats could not be relayed",
 			"leader", to.Label, "term", to.Term, "heartbeats", len(b.heartbeats), "waiting", len(s.pending), "err", err)
 		s.failAll(ErrLeaderUnreachable)
 		return false
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -76,7 +76,7 @@
 // setState changes the state, and logs a transition that is not allowed. f.mu is held.
 func (f *Follower) setState(to State, cause string) {
 	if err := f.transition(to, cause); err != nil {
-		slog.Error("standby state not changed", "err", err)
+		slog.Error("standby state could not be changed", "err", err)
 	}
 }
 
