--- a/internal/httpapi/errors.go
+++ b/internal/httpapi/errors.go
@@ -58,7 +58,7 @@
 	return "not the leader, which is " + e.Leader
 }
 
-// errNoRoom makes a worker try another node at once: this one has no connection for it.
+// errNoRoom sends a worker to another node at once: this one has no connection for it.
 var errNoRoom = &RedirectError{}
 
 // MalformedError means that a heartbeat cannot be parsed.
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -7,8 +7,8 @@
 	"lotusstile.dev/lotusstile/internal/timeralign"
 )
 
-// readCatalog reads the machine types, which submissions are checked against. It tries until it
-// succeeds once or ctx ends, with pauses that grow up to a worker lease.
+// readCatalog reads the machine types, which submissions are checked against. It repeats the read
+// until one succeeds or ctx ends, with pauses that grow up to a worker lease.
 func (n *Node) readCatalog(ctx context.Context) {
 	pause := n.cfg.LeaderLeaseTTL() / 4
 	for ctx.Err() == nil {
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -26,12 +26,12 @@
 // to a ping within three quarters of a leader lease, that it leads a term that is not older than the
 // elector's.
 func (l *leadership) leader() *peer.Peer {
-	v := l.elector.View()
+	view := l.elector.View()
 	for _, p := range l.peers {
-		if p.Label != v.Leader {
+		if p.Label != view.Leader {
 			continue
 		}
-		if r, ok := p.LastPing(l.cfg.LeaderLeaseTTL() * 3 / 4); ok && r.Leading && r.Term >= v.Term {
+		if last, ok := p.LastPing(l.cfg.LeaderLeaseTTL() * 3 / 4); ok && last.Leading && last.Term >= view.Term {
 			return p
 		}
 	}
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -12,11 +12,13 @@
 var _ peer.Handler = (*Node)(nil)
 
 // ServeUserRequest answers a user's request that a peer forwards.
-func (n *Node) ServeUserRequest(a peer.UserArgs) peer.UserReply { return n.api.AnswerForwarded(a) }
+func (n *Node) ServeUserRequest(args peer.UserArgs) peer.UserReply {
+	return n.api.AnswerForwarded(args)
+}
 
 // RelayHeartbeat answers a heartbeat that a peer relays outside batches.
-func (n *Node) RelayHeartbeat(a peer.CheckInArgs) peer.CheckInReply {
-	status, answer := n.heartbeats.answerSingle(context.Background(), a.Body)
+func (n *Node) RelayHeartbeat(args peer.CheckInArgs) peer.CheckInReply {
+	status, answer := n.heartbeats.answerSingle(context.Background(), args.Body)
 	return peer.CheckInReply{Status: status, Body: answer}
 }
 
@@ -26,7 +28,9 @@
 }
 
 // FollowState answers a warm standby.
-func (n *Node) FollowState(a peer.FollowArgs) (peer.FollowReply, error) { return n.standby.answer(a) }
+func (n *Node) FollowState(args peer.FollowArgs) (peer.FollowReply, error) {
+	return n.standby.answer(args)
+}
 
 // ApplyCancellation applies a committed cancellation that a peer announces.
 func (n *Node) ApplyCancellation(c peer.Cancellation) {
--- a/internal/node/pinging.go
+++ b/internal/node/pinging.go
@@ -16,18 +16,18 @@
 	for ctx.Err() == nil {
 		args := peer.PingArgs{From: n.cfg.Label, Term: n.elector.View().Term, Version: int(clusterversion.Latest)}
 		args.CountsTerm, args.CountsRevision = n.counts.Known(p.Label)
-		r, err := p.Ping(args)
-		n.relays.recordPing(p.Label, r, err == nil)
+		answer, err := p.Ping(args)
+		n.relays.recordPing(p.Label, answer, err == nil)
 		if err != nil {
 			slog.Debug("peer does not answer pings", "peer", p.Label, "err", err)
-		} else if r.Leading {
-			n.counts.Update(p.Label, args, r, n.jobCache)
-			for _, view := range r.Counts {
+		} else if answer.Leading {
+			n.counts.Update(p.Label, args, answer, n.jobCache)
+			for _, view := range answer.Counts {
 				if view.Status.Final() {
 					n.statuses.RecordFinal(view.UID, view.Status)
 				}
 			}
-			n.elector.ObserveTerm(r.Term, p.Label)
+			n.elector.ObserveTerm(answer.Term, p.Label)
 		}
 		n.raiseVersion(ctx)
 		timeralign.Sleep(ctx, n.cfg.TimerGrid().UntilNext(time.Now(), n.cfg.LeaderLeaseTTL()/4))
@@ -36,8 +36,8 @@
 
 // Ping answers a peer's ping. If this node leads and the caller knows a newer term, the elector
 // observes that term.
-func (n *Node) Ping(a peer.PingArgs) peer.PingResult {
-	r := peer.PingResult{
+func (n *Node) Ping(args peer.PingArgs) peer.PingResult {
+	result := peer.PingResult{
 		Term:         n.elector.View().Term,
 		Serving:      n.isServing(),
 		RenewedHosts: n.renewals.hosts(),
@@ -46,26 +46,27 @@
 		CanFollow:    n.cfg.WarmStandby,
 	}
 	if c := n.controller(); c != nil {
-		r.Leading, r.Term, r.WantsRelays, r.Standby = true, c.Term(), n.relays.isRelaying(), n.standby.choose()
-		if a.Term > c.Term() {
-			n.elector.ObserveTerm(a.Term, "")
+		result.Leading, result.Term = true, c.Term()
+		result.WantsRelays, result.Standby = n.relays.isRelaying(), n.standby.choose()
+		if args.Term > c.Term() {
+			n.elector.ObserveTerm(args.Term, "")
 		}
-		since := a.CountsRevision
-		if a.CountsTerm != c.Term() {
-			since = 0
+		since := args.CountsRevision
+		if args.CountsTerm != c.Term() {
+			since = 0 // of another term: send all counts
 		}
-		r.Counts, r.CountsRevision, r.CountsMore = c.CountsSince(since)
+		result.Counts, result.CountsRevision, result.CountsMore = c.CountsSince(since)
 	}
-	return r
+	return result
 }
 
 // Counts answers a peer that polls a job for a user: how many of its tasks are done and running.
-func (n *Node) Counts(a peer.CountsArgs) peer.CountsReply {
+func (n *Node) Counts(args peer.CountsArgs) peer.CountsReply {
 	c := n.controller()
 	if c == nil {
 		return peer.CountsReply{}
 	}
-	done, running, ok := c.Counts(a.UID)
+	done, running, ok := c.Counts(args.UID)
 	return peer.CountsReply{Known: ok, Done: done, Running: running}
 }
 
@@ -84,11 +85,11 @@
 	if done, running, ok := n.counts.Get(p.Label, n.elector.View().Term, uid); ok {
 		return done, running
 	}
-	r, err := p.Counts(uid)
+	reply, err := p.Counts(uid)
 	if err != nil {
-		slog.Debug("leader does not answer for task counts", "uid", uid, "err", err)
+		slog.Debug("leader does not answer the call for task counts", "uid", uid, "err", err)
 	}
-	return r.Done, r.Running
+	return reply.Done, reply.Running
 }
 
 // raiseVersion raises the cluster version if this node leads and all members understand a newer
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// isRelaying reports whether this node, as the leader, wants its followers to relay heartbeats.
+// isRelaying reports whether this node leads and wants its followers to relay heartbeats.
 func (r *relays) isRelaying() bool {
 	router := r.router.Load()
 	return router != nil && router.Mode() == relay.Relayed
