--- a/internal/controller/batch.go
+++ b/internal/controller/batch.go
@@ -23,10 +23,10 @@
 // placementWrite is a placement in a batch, as it was when the batch was made.
 type placementWrite struct {
 	placement *placement
-	changes   int // its count of changes
-	planned   []*fleet.Attempt
-	ended     []*fleet.Attempt
-	dropped   bool // its record is dropped
+	changes   int              // placement.changes at that time
+	planned   []*fleet.Attempt // attempts whose launch the batch records
+	ended     []*fleet.Attempt // attempts whose end the batch records
+	dropped   bool             // its record is dropped
 }
 
 // jobWrite is a job's final status in a batch.
@@ -58,7 +58,7 @@
 	b.placements = append(b.placements, placementWrite{placement: p, changes: p.changes, dropped: true})
 }
 
-// writtenJobs is the jobs that a batch writes anything of.
+// writtenJobs returns the jobs of which a batch writes a record.
 func (b *batch) writtenJobs() map[*job]bool {
 	jobs := map[*job]bool{}
 	for _, write := range b.placements {
@@ -81,8 +81,9 @@
 	retryAfter time.Duration
 }
 
-// batchBuilder makes a batch of what jobs have to write. Every batch compares the leader's key
-// with the term, so that none is applied once another node leads.
+// batchBuilder makes a batch of the records of jobs that are to be written. Every batch compares
+// the mod revision of the leader's key with the term, so that none is applied once another node
+// leads.
 type batchBuilder struct {
 	batch  *batch
 	limits batchLimits
@@ -96,13 +97,13 @@
 	return b
 }
 
-// sortForWriting sorts jobs by who goes first into a batch: ends that other jobs wait for, since
-// they hold up whole pipelines, then by priority.
+// sortForWriting sorts jobs in the order in which they go into a batch: first jobs that are over
+// and that other jobs depend on, since they block whole pipelines, then by priority.
 func sortForWriting(jobs []*job, hasOpenDependents func(uid string) bool) {
-	holdsUp := func(j *job) bool { return j.isOver() && hasOpenDependents(j.uid) }
+	blocksOthers := func(j *job) bool { return j.isOver() && hasOpenDependents(j.uid) }
 	slices.SortFunc(jobs, func(x, y *job) int {
-		if holds := holdsUp(x); holds != holdsUp(y) {
-			if holds {
+		if blocks := blocksOthers(x); blocks != blocksOthers(y) {
+			if blocks {
 				return -1
 			}
 			return 1
@@ -111,7 +112,7 @@
 	})
 }
 
-// addJobs adds what has room of what jobs have to write, in their order.
+// addJobs adds the records of jobs, in their order, as far as the batch has room.
 func (b *batchBuilder) addJobs(jobs []*job) {
 	for _, j := range jobs {
 		switch {
@@ -125,8 +126,8 @@
 	}
 }
 
-// hasRoomForPlacement reports whether another placement record with its compares, and one of
-// the job, has room.
+// hasRoomForPlacement reports whether the batch has room for another placement record with two
+// compares: that of the record and that of its job.
 func (b *batchBuilder) hasRoomForPlacement() bool {
 	return len(b.batch.tx.Changes) < b.limits.changes && b.bytes <= maxCommitBytes &&
 		len(b.batch.tx.Compares)+2 <= maxCompares(b.limits.changes)
@@ -153,27 +154,28 @@
 	}
 	if compareJob {
 		// A cancellation changes this revision: nothing is launched after it. And a placement
-		// is written for the first time only while its job has a record: a commit that is
-		// carried out late would bring it back after the job and all its placements were
-		// dropped, and then its own absence is no protection.
+		// is written for the first time only while its job has a record. Without this compare
+		// a commit that is carried out late, after the job and all its placements were
+		// dropped, would bring the placement back: the compare for its absence succeeds then.
 		b.batch.compare(records.JobKey(j.uid), j.modRevision)
 	}
 }
 
-// encode makes the value of a placement record, or nil if it fits none: one that was written
-// under a higher limit is written again once enough of its tasks have ended.
+// encode returns the value of a placement record, or nil if it is larger than the limit. That
+// happens to a record that was first written under a higher limit: it is tried again after
+// limits.retryAfter, until enough of its tasks have ended.
 func (b *batchBuilder) encode(p *placement) json.RawMessage {
 	value := records.EncodePlacement(p.record(), b.limits.placementBytes, b.limits.dense)
 	if len(value) > b.limits.placementBytes {
-		slog.Warn("placement record is too large as yet", "uid", p.job.uid, "placement", p.index, "bytes", len(value))
+		slog.Warn("placement record is too large to be written", "uid", p.job.uid, "placement", p.index, "bytes", len(value))
 		p.due = b.now.Add(b.limits.retryAfter)
 		return nil
 	}
 	return value
 }
 
-// archive adds what brings a job nearer to its end: its placement records are dropped and its
-// final status replaces its record, in one commit if a commit holds that, else over several.
+// archive adds changes that archive a job that is over: its placement records are dropped and its
+// final status replaces its record, in one commit if that fits into one, else in several.
 func (b *batchBuilder) archive(j *job) {
 	if j.hasUnknownPlacement() {
 		return
@@ -189,7 +191,7 @@
 	}
 }
 
-// archiveWhole adds all that is left to do for a job that is over.
+// archiveWhole adds all changes that archive a job.
 func (b *batchBuilder) archiveWhole(j *job) {
 	status := j.finalStatus()
 	jobKey, finalKey := records.JobKey(j.uid), records.FinalKey(j.uid)
@@ -205,11 +207,11 @@
 	b.batch.jobs = append(b.batch.jobs, jobWrite{job: j, status: status, archived: true})
 }
 
-// archiveInParts adds a part of what is left to do for a job that has more placement records
-// than one commit may drop. Its record gets the final status first, since users wait for that;
-// its placement records are dropped later, as many at a time as there is room for. Only what a
-// batch really writes counts against its room: an array of 25,000 tasks whose 295 placements
-// were all counted, in a state store that takes 96 compares, was never called done.
+// archiveInParts adds some of the changes that archive a job with more placement records than one
+// commit may drop. Its record gets the final status first, since users wait for that; its
+// placement records are dropped later, as many at a time as there is room for. Only what a batch
+// really writes counts against its room: when all placements of a job counted, an array of 25,000
+// tasks with 295 placements never became done on a state store that accepts 96 compares.
 func (b *batchBuilder) archiveInParts(j *job) {
 	hasRoom := func() bool {
 		return len(b.batch.tx.Changes) < b.limits.changes && len(b.batch.tx.Compares) < maxCompares(b.limits.changes)
--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -14,22 +14,23 @@
 // The controller as the placementState of its placementWriter.
 var _ placementState = (*Controller)(nil)
 
-// wakeWriter lets the placement writer look for something to write.
+// wakeWriter wakes the placement writer, which then asks for the next batch. It may be called with
+// or without c.mu.
 func (c *Controller) wakeWriter() { notify(c.writer.wake) }
 
 // nextBatch makes the next batch: launches, ends and the archiving of jobs that are done, of
-// the highest priorities first; if there is nothing of that, it archives cancelled jobs, whose
-// status is recorded already. It returns nil if there is nothing to write.
+// the highest priorities first; if there are none, it archives jobs whose final status users see
+// already. It returns nil if there is nothing to write.
 func (c *Controller) nextBatch() *batch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	var jobs, cancelled []*job
+	var jobs, finished []*job
 	for _, j := range c.jobs.byUID {
 		switch {
 		case j.outcomeUnknown || now.Before(j.writesDeferredUntil):
 		case j.isOver() && (j.record.Status.Final() || j.cancelled):
-			cancelled = append(cancelled, j)
+			finished = append(finished, j)
 		case j.isOver() || !j.record.Status.Final() && j.hasDuePlacement(now):
 			jobs = append(jobs, j)
 		}
@@ -37,8 +38,9 @@
 	limits := c.batchLimits(now)
 	b := c.buildBatch(jobs, limits, now)
 	if b.isEmpty() {
-		limits.changes = max(4, limits.changes/2)
-		b = c.buildBatch(cancelled, limits, now)
+		// Nothing waits for these: a smaller commit leaves room in the budget of writes.
+		limits.changes = max(minBatchChanges, limits.changes/2)
+		b = c.buildBatch(finished, limits, now)
 		b.background = true
 	}
 	if b.isEmpty() {
@@ -47,7 +49,7 @@
 	return b
 }
 
-// batchLimits are the limits of a batch that is made now.
+// batchLimits returns the limits of a batch that is made now.
 func (c *Controller) batchLimits(now time.Time) batchLimits {
 	return batchLimits{
 		changes:        c.maxBatchChanges(),
@@ -78,8 +80,8 @@
 	}
 }
 
-// applyPlacementCommit applies that a placement record is committed: its launches may be sent,
-// and its ends be acknowledged.
+// applyPlacementCommit updates a placement whose record is committed: its launches may be sent
+// from now on, and its ends may be acknowledged.
 func (c *Controller) applyPlacementCommit(write placementWrite, revision uint64, now time.Time) {
 	p := write.placement
 	if write.dropped {
@@ -93,7 +95,7 @@
 	if p.changes == write.changes {
 		p.setDirty(false)
 	} else if len(p.plannedAttempts()) == 0 {
-		p.due = now.Add(c.endRecordDelay()) // only ends came meanwhile
+		p.due = now.Add(c.endRecordDelay()) // all changes made during the commit are ends
 	}
 	p.ended = slices.DeleteFunc(p.ended, func(a *fleet.Attempt) bool { return slices.Contains(write.ended, a) })
 	for _, a := range write.ended {
@@ -101,7 +103,7 @@
 	}
 }
 
-// applyJobCommit applies that the final status of a job is committed.
+// applyJobCommit updates a job whose final status is committed.
 func (c *Controller) applyJobCommit(write jobWrite, revision uint64, now time.Time) {
 	j := write.job
 	c.markFinished(j.uid, write.status, now)
@@ -115,7 +117,7 @@
 	record := *j.record
 	record.Status = write.status
 	j.record, j.modRevision = &record, revision
-	c.recordEnds(j, now) // the record says that it is over: nothing of it is launched again
+	c.recordEnds(j, now) // the record is final: no task of the job is launched again
 }
 
 func (c *Controller) markOutcomeUnknown(b *batch) {
@@ -141,15 +143,16 @@
 	j.outcomeUnknown = false
 	c.mu.Unlock()
 	if !found {
+		// Newer than any record: the job is archived.
 		c.applyJobEvent(j.uid, watchcache.Entry{ModRevision: ^uint64(0)})
 		return
 	}
 	c.applyJobRecord(j.uid, item)
 }
 
-// deferRejected deals with a batch that the state store rejects: some record of it is malformed
-// or too large to it. Jobs are then written one by one for a worker lease, so that the one
-// concerned holds up no other; it is itself left alone for as long.
+// deferRejected handles a batch that the state store rejects as malformed or too large. If it
+// holds several jobs, jobs are written one by one for a worker lease, so that the faulty one is
+// found and delays no other. If it holds one, nothing of that job is written for a worker lease.
 func (c *Controller) deferRejected(b *batch, rejected *store.RejectedError) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -6,26 +6,31 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// maxCommitBytes bounds the values of a commit. It leaves room for the frame of a commit in the
-// largest body.
+// minBatchChanges is how many changes a commit may have however small the budget of writes is, as
+// far as the state store accepts that many.
+const minBatchChanges = 4
+
+// maxCommitBytes limits the size of the values of a commit. It leaves a quarter of the largest body
+// to keys, compares and encoding.
 const maxCommitBytes = wire.MaxBody * 3 / 4
 
-// maxCompares is how many compares a commit of so many changes may have: the state store takes
-// four times as many as changes.
+// maxCompares returns how many compares a commit with at most this many changes may have: the
+// state store accepts four times as many compares as changes.
 func maxCompares(changes int) int { return 4 * changes }
 
-// maxBatchChanges is how many changes go into one commit: no more than the budget holds at
-// once, or the commit would never find room.
+// maxBatchChanges returns how many changes go into one commit: no more than the budget of writes
+// ever holds, or the commit would never be sent.
 func (c *Controller) maxBatchChanges() int {
 	limits := c.Config.StateLimits()
-	return min(limits.TxnOps, max(4, int(limits.WriteRps*store.RecordWriteShare)))
+	return min(limits.TxnOps, max(minBatchChanges, int(limits.WriteRps*store.RecordWriteShare)))
 }
 
 // mayWriteDense reports whether all nodes can read densely listed placements.
 func (c *Controller) mayWriteDense() bool { return c.Version.InForce() >= clusterversion.JobDAGs }
 
-// maxPlacementBytes is how large a placement record may be. The announced limit holds from when
-// records can be written that fit it; the state store does not lower its own before.
+// maxPlacementBytes returns how large a placement record may be, in bytes. The announced lower
+// limit applies once all nodes can read the dense records that fit it; the state store does not
+// lower its own limit before.
 func (c *Controller) maxPlacementBytes() int {
 	if c.mayWriteDense() {
 		return c.Config.MaxValueBytes()
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -7,18 +7,18 @@
 	"lotusstile.dev/lotusstile/internal/records"
 )
 
-// placement is the leader's state of one placement record: a run of a job's tasks and where
+// placement is the leader's state of one placement record: a range of a job's tasks, and where
 // their attempts are.
 type placement struct {
 	job         *job
 	index       int                    // among the job's placements
 	modRevision uint64                 // of the record; 0 while there is none
 	nextAttempt uint64                 // a number that no attempt of these tasks has used
-	done        records.Placement      // only Done is used
+	done        records.Placement      // only its DoneBits are used
 	live        map[int]*fleet.Attempt // attempts that may be on their machines, by task
 	ended       []*fleet.Attempt       // ended, and not recorded so yet
 
-	changes        int       // counts changes, to tell those that come during a commit
+	changes        int       // counts changes, to detect those that come during a commit
 	dirty          bool      // see setDirty
 	due            time.Time // when a dirty placement is to be written
 	outcomeUnknown bool      // the outcome of a commit is unknown: the record is read before it is written
@@ -31,12 +31,12 @@
 	return p
 }
 
-// placed is an attempt as a placement record lists it.
+// placed returns an attempt as a placement record lists it.
 func placed(a *fleet.Attempt) records.PlacedAttempt {
 	return records.PlacedAttempt{Task: a.TaskIndex, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}
 }
 
-// record makes the placement record as it stands.
+// record returns the placement record that describes the current state.
 func (p *placement) record() records.Placement {
 	record := records.Placement{NextAttempt: p.nextAttempt, DoneBits: p.done.DoneBits}
 	for _, a := range p.live {
@@ -60,7 +60,7 @@
 	return bytes <= records.DenseAttemptsRoom(valueBytes, tasks)
 }
 
-// plannedAttempts lists the attempts whose launch is decided and not recorded yet.
+// plannedAttempts returns the attempts whose launch is decided and not recorded yet.
 func (p *placement) plannedAttempts() []*fleet.Attempt {
 	var planned []*fleet.Attempt
 	for _, a := range p.live {
@@ -71,7 +71,7 @@
 	return planned
 }
 
-// markChanged counts a change that is to be recorded at due or before.
+// markChanged counts a change that is to be written at due or earlier, with an earlier change.
 func (p *placement) markChanged(due time.Time) {
 	p.changes++
 	if !p.dirty || due.Before(p.due) {
@@ -110,7 +110,8 @@
 	return false
 }
 
-// hasUnknownPlacement reports whether some placement record has to be read again first.
+// hasUnknownPlacement reports whether some placement record has to be read again before the job
+// can be archived.
 func (j *job) hasUnknownPlacement() bool {
 	for _, p := range j.placements {
 		if p.outcomeUnknown {
@@ -120,7 +121,7 @@
 	return false
 }
 
-// storedPlacements is how many placements of the job have a record.
+// storedPlacements returns how many placements of the job have a record.
 func (j *job) storedPlacements() int {
 	stored := 0
 	for _, p := range j.placements {
--- a/internal/controller/placementwriter.go
+++ b/internal/controller/placementwriter.go
@@ -14,8 +14,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// placementWriter commits what changes in a term's placements and jobs to the state store, one
-// batch after the other. It keeps no state of its own but the channel that wakes it.
+// placementWriter commits the changes of a term's placements and jobs to the state store, one
+// batch after the other. It has no state of its own but the channel that wakes it.
 type placementWriter struct {
 	config *config.Config
 	store  Store
@@ -29,16 +29,16 @@
 type placementState interface {
 	// nextBatch makes the next batch; nil if there is nothing to write.
 	nextBatch() *batch
-	// applyCommit applies that a batch is committed at a revision.
+	// applyCommit updates the state by a batch that is committed at a revision.
 	applyCommit(b *batch, revision uint64)
-	// markOutcomeUnknown keeps what a batch writes from being written again before it is read.
+	// markOutcomeUnknown excludes the records of a batch from batches until they are read again.
 	markOutcomeUnknown(b *batch)
 	// applyPlacementRevision applies the revision that a placement record was read at; 0 if
 	// there is none.
 	applyPlacementRevision(p *placement, modRevision uint64)
 	// applyReadJob applies a job's record as just read; found is false if there is none.
 	applyReadJob(j *job, item wire.KeyValue, found bool)
-	// deferRejected puts off what the state store rejects.
+	// deferRejected delays further writes of a batch that the state store has rejected.
 	deferRejected(b *batch, rejected *store.RejectedError)
 	// stepDown ends the term.
 	stepDown(reason string)
@@ -94,7 +94,7 @@
 		w.state.applyCommit(b, revision)
 		return true
 	case errors.As(err, &conflict):
-		slog.Info("commit conflicts", "term", w.term, "failed", conflict.Failed)
+		slog.Info("commit failed by a compare", "term", w.term, "failed", conflict.Failed)
 		if slices.Contains(conflict.Failed, records.LeaderKey) {
 			w.state.stepDown("the leader's key has changed")
 			return false
@@ -117,10 +117,10 @@
 	}
 }
 
-// reread learns how the keys of a batch stand after a conflict or an unknown outcome. The
-// placement records are this term's own: only their revisions are taken, and the state, which is
-// newer, is written again. What a late commit of this term may still do, the compares of
-// revisions guard against.
+// reread reads the keys of a batch again after a conflict or an unknown outcome. Only this term
+// writes placement records: only their revisions are used, and the state, which is newer, is
+// written again. If the commit is carried out even later, the compares of revisions let only one
+// of the two through.
 func (w *placementWriter) reread(ctx context.Context, b *batch) {
 	w.state.markOutcomeUnknown(b)
 	for _, write := range b.placements {
@@ -143,7 +143,7 @@
 	}
 }
 
-// get reads a key, again and again until the state store answers. It fails only if ctx ends.
+// get reads a key and retries until the state store answers. It fails only if ctx ends.
 func (w *placementWriter) get(ctx context.Context, key string) (item wire.KeyValue, found bool, err error) {
 	for {
 		if item, found, err = w.store.Get(ctx, key); err == nil {
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -171,7 +171,7 @@
 // planCleanup makes the next commit that drops records of released machines. A record of releases
 // goes only after those of its machines' images. c.mu is held.
 func (c *Controller) planCleanup(now time.Time) cleanup {
-	ops := max(4, c.maxBatchChanges()/3)
+	ops := max(minBatchChanges, c.maxBatchChanges()/3)
 	clean := cleanup{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
 	for _, record := range c.releases.Expired(now, 6*c.Config.CloudListLag()+3*c.Config.WorkerLease()) {
 		if !c.dropImages(&clean, record, ops) || len(clean.tx.Changes) >= ops {
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -95,8 +95,9 @@
 	return reported
 }
 
-// applyAbsence applies that a fresh heartbeat of the incarnation which an attempt was decided for
-// does not list the attempt. Whether that proves it off depends on its state and on the token.
+// applyAbsence handles a fresh heartbeat that does not list an attempt, although it is of the
+// incarnation that the attempt was decided for. Whether that proves the attempt off depends on its
+// state and on the fencing token.
 func (f *Fleet) applyAbsence(a *Attempt, h *wire.Heartbeat, now time.Time) {
 	switch a.State {
 	case Committed:
