--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,8 +1,8 @@
-// Package controller is the leader of a fleet at work, for one term: it runs scheduling cycles,
-// commits what they decide, answers workers' heartbeats, and scales the fleet out and in.
+// Package controller does the work of the leader of a fleet, for one term: it runs scheduling
+// cycles, commits their decisions, answers workers' heartbeats, and scales the fleet out and in.
 //
-// A Controller is the assembly. It owns the lock and the order of steps; what can be decided
-// without either stands in types of its own: jobTable and job, batchBuilder, nodeCache and
+// A Controller is the assembly. It owns the lock and the order of steps; decisions that need
+// neither are made by types of their own: jobTable and job, batchBuilder, nodeCache and
 // nodeBuilder, urgency, failoverReport and changedViews here, and the packages fleet, sched,
 // jobdag, autoscaler, failuredetector and faultattribution. One lock guards the whole state,
 // since a scheduling cycle has to see all of it at one moment. Nothing waits while it is held.
@@ -118,11 +118,11 @@
 // Term returns the term that the controller leads.
 func (c *Controller) Term() uint64 { return c.term }
 
-// StartedAt returns when the term began here.
+// StartedAt returns when New was called.
 func (c *Controller) StartedAt() time.Time { return c.startedAt }
 
-// Run leads until ctx ends or a newer term is known to exist. It returns once all its
-// goroutines have, but for the one that stores the record of a failover.
+// Run leads until ctx ends or a newer term is known to exist. It must be called once. It returns
+// when all its goroutines have ended, but for the one that stores the record of a failover.
 func (c *Controller) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -150,8 +150,8 @@
 	wg.Wait()
 }
 
-// loadUntilDone loads the state, again and again until that succeeds. It reports whether it did;
-// if not, ctx has ended.
+// loadUntilDone loads the state and retries until that succeeds. It returns false if ctx ended
+// first.
 func (c *Controller) loadUntilDone(ctx context.Context) bool {
 	pause := c.Config.LeaderLeaseTTL() / 10
 	for {
@@ -166,8 +166,8 @@
 	}
 }
 
-// untilNext is how long to wait for periodic work, so that works of different periods wake the
-// process together.
+// untilNext returns how long to wait until the next turn of work with this period. The turns lie
+// on a common grid, so that tasks of different periods wake the process at the same moments.
 func (c *Controller) untilNext(period time.Duration) time.Duration {
 	return c.Config.TimerGrid().UntilNext(time.Now(), period)
 }
@@ -201,7 +201,8 @@
 	}
 }
 
-// stopAttempt asks for the end of an attempt.
+// stopAttempt requests the end of an attempt within a grace period in seconds. If the answer to
+// its machine's heartbeat waits for commands, it is sent now. c.mu is held.
 func (c *Controller) stopAttempt(a *fleet.Attempt, gracePeriodS float64, now time.Time, reason string) {
 	c.fleet.StopAttempt(a, gracePeriodS, now, reason)
 	if a.Live() {
@@ -209,7 +210,8 @@
 	}
 }
 
-// setCapacity sets the capacity of a machine to what the catalog says of its type, if it does.
+// setCapacity sets the capacity of a machine from its type in the catalog. It does nothing while
+// the type is unknown. c.mu is held.
 func (c *Controller) setCapacity(m *fleet.Machine) {
 	if machineType := findMachineType(c.catalog, m.Type); machineType != nil {
 		m.Capacity = autoscaler.Capacity(machineType)
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -13,13 +13,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// cycleRequests is what a scheduling cycle asks other systems for, once the lock is given up.
+// cycleRequests is what a scheduling cycle requests of other systems, to be sent after the lock is
+// released.
 type cycleRequests struct {
 	provision []wire.ProvisionRequest
 	failover  *records.Failover // to be stored, after the first cycle that could place tasks
 }
 
-// runCycles runs a scheduling cycle every interval until ctx ends, and sends what it asks for.
+// runCycles runs a scheduling cycle every interval until ctx ends, and sends its requests.
 func (c *Controller) runCycles(ctx context.Context) {
 	var provisioning sync.WaitGroup
 	defer provisioning.Wait()
@@ -30,8 +31,8 @@
 			return
 		case <-time.After(c.untilNext(interval)):
 		case <-c.placementWake:
-			// A job came: it need not wait for the interval to pass, only long
-			// enough for others that come with it.
+			// There is something to place. It does not wait for the rest of the interval,
+			// only an eighth of one, so that one cycle places what arrives at the same time.
 			if !timeralign.Sleep(ctx, interval/8) {
 				return
 			}
@@ -47,7 +48,10 @@
 	}
 }
 
-// runCycle judges who is alive, decides over the window of jobs and applies what it decides.
+// runCycle runs one scheduling cycle: it detects failures, plans placements and preemptions for
+// the jobs of the window, applies the plan, and scales out and in. A cycle that overruns its
+// interval applies nothing and halves the window. Until the catalog is read it only detects
+// failures.
 func (c *Controller) runCycle(interval time.Duration) cycleRequests {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +75,7 @@
 	status.Overrun = took > interval
 	c.adjustWindow(took, interval)
 	if status.Overrun {
-		// As in the paper: an overrun starts nothing and halves the window.
+		// As in the paper that docs/design.md names: an overrun starts nothing and halves the window.
 		c.lastCycle = status
 		slog.Warn("scheduling cycle overran its interval", "term", c.term, "took", took.String(), "window", c.window)
 		return cycleRequests{}
@@ -91,8 +95,10 @@
 	return requests
 }
 
-// detectFailures judges which machines are suspected or dead. A cycle that comes late shows that
-// this process was paused: it then does not know who sent heartbeats meanwhile.
+// detectFailures marks machines as suspected and releases those that are declared dead. A cycle
+// that comes more than two intervals late shows that this process was paused: the leader then does
+// not know which machines sent heartbeats during the pause, and restarts all timeouts. c.mu is
+// held.
 func (c *Controller) detectFailures(interval time.Duration, now time.Time) {
 	sinceLast := now.Sub(c.lastCycleAt)
 	if !c.lastCycleAt.IsZero() && sinceLast > max(interval, c.Config.HeartbeatInterval())*2 {
@@ -105,8 +111,9 @@
 	c.releaseDead(now)
 }
 
-// adjustWindow sets how many jobs the next cycle looks at: half as many after an overrun, twice
-// as many after a cycle that took less than half of its interval.
+// adjustWindow sets how many jobs the next cycle plans: half as many after an overrun, twice as
+// many after a cycle that took less than half of its interval, up to the operators' setting. c.mu
+// is held.
 func (c *Controller) adjustWindow(took, interval time.Duration) {
 	largest := c.Settings().Window
 	switch {
@@ -119,8 +126,8 @@
 	c.window = min(c.window, largest)
 }
 
-// preempt stops the victims of a plan. Those that save checkpoints may do so if what preempts
-// them can wait for that.
+// preempt stops the victims of a plan. Those that write checkpoints get the time for one if the
+// job that preempts them can wait for that and still start in time. c.mu is held.
 func (c *Controller) preempt(preemptions []sched.Preemption, s *snapshot, now time.Time) {
 	for _, p := range preemptions {
 		a := s.victim(p)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -12,14 +12,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// runAllowance is by how much a task is assumed to run longer than its owner expects where a
-// deadline is worked back from.
+// runAllowance is the factor by which a task is assumed to run longer than its owner expects, in
+// the time that is left until a deadline.
 const runAllowance = 1.5
 
-// addToGraph adds a job that is new here to the graph of dependencies. A job is released only
-// on positive evidence that the end of each job that it depends on is committed: the leader has
-// seen the record that says so, has committed it itself, or has read the final status. That a
-// job is not among those that are known proves nothing.
+// addToGraph adds a job that this leader did not know to the graph of dependencies. A job is
+// released only on positive evidence that the end of each job that it depends on is committed: the
+// leader has read the record that says so, has committed it itself, or has read the final status.
+// That a job is unknown here proves nothing: it may have been cancelled. c.mu is held.
 func (c *Controller) addToGraph(j *job, now time.Time) {
 	spec := &j.record.Spec
 	vertex := jobdag.Job{
@@ -42,13 +42,14 @@
 	}
 }
 
-// stageDurationMs is how long a job is expected to hold up those that depend on it, in
-// milliseconds.
+// stageDurationMs returns how long a job is expected to delay the jobs that depend on it, in
+// milliseconds: its run, and a heartbeat interval each for its start and its end.
 func (c *Controller) stageDurationMs(spec *wire.JobSpec) float64 {
 	return 1000 * (runAllowance*spec.ExpectedRunS + 2*c.Config.Cluster.Workers.ReportS)
 }
 
-// markFinished applies that a job's final status is committed.
+// markFinished records that the final status of a job is committed, and applies what follows for
+// the jobs that depend on it. c.mu is held.
 func (c *Controller) markFinished(uid string, status wire.JobStatus, now time.Time) {
 	c.jobs.addFinalStatus(uid, status)
 	c.Observer.JobFinished(uid, status)
@@ -59,20 +60,20 @@
 	c.applyEffects(c.jobs.graph.Finish(uid, state), now)
 }
 
-// markArchived applies that a job's record is gone.
+// markArchived records that a job's record no longer exists. c.mu is held.
 func (c *Controller) markArchived(uid string) {
 	c.jobs.graph.Archive(uid)
 	c.wakeResolver()
 }
 
-// wakeResolver lets final statuses be read if there are any to read.
+// wakeResolver wakes runResolver if the graph needs the final status of a job. c.mu is held.
 func (c *Controller) wakeResolver() {
 	if c.jobs.graph.HasUnresolved() {
 		notify(c.resolveWake)
 	}
 }
 
-// applyEffects applies to the jobs what a change of the graph means for them.
+// applyEffects updates the jobs that a change of the graph affects. c.mu is held.
 func (c *Controller) applyEffects(effects jobdag.Effects, now time.Time) {
 	for _, uid := range effects.Urgency {
 		if j := c.jobs.get(uid); j != nil {
@@ -95,14 +96,15 @@
 	c.wakeResolver()
 }
 
-// release lets a job be placed.
+// release makes a job a candidate of scheduling cycles: all that it depends on is done. c.mu is
+// held.
 func (c *Controller) release(j *job, now time.Time) {
 	if j.released || j.record.Status.Final() {
 		return
 	}
 	j.released = true
 	if len(j.record.Spec.Dependencies) > 0 {
-		// What its users expect of it counts from now, but for its deadline.
+		// Its waiting time and its class's objectives count from now; its deadline does not.
 		j.eligibleSinceMs = now.UnixMilli()
 		j.waitingSince = now
 		slog.Info("job released", "uid", j.uid)
@@ -127,8 +129,8 @@
 	}
 }
 
-// resolveFinalStatuses reads the final statuses that the graph asks for. It reports whether all
-// were found.
+// resolveFinalStatuses reads the final statuses that the graph needs. It returns false if one could
+// not be read or does not exist yet, so that it has to be called again.
 func (c *Controller) resolveFinalStatuses(ctx context.Context) bool {
 	c.mu.Lock()
 	uids := c.jobs.graph.Unresolved()
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -10,23 +10,27 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// What follows from tasks that fail. Whether the job or the machine is at fault is a matter of
-// evidence: see package faultattribution. A faulty job is held back ever longer, and then tried
-// with one task; a faulty machine is quarantined for a while.
+// This file reacts to tasks that fail. Package faultattribution estimates whether the job or the
+// machine is at fault. A faulty job is backed off for longer each time, and then starts with one
+// task; a faulty machine is quarantined for a while.
 
 const (
 	// evidenceLeases is for how many worker leases a failure counts.
 	evidenceLeases = 12
 	// suspectMachineLeases and faultyMachineLeases are for how many worker leases a machine is
-	// quarantined that a task has failed on, and one that is faulty by all that is known.
+	// quarantined on which a task has failed, and one that is estimated to be faulty.
 	suspectMachineLeases, faultyMachineLeases = 1, 6
-	// firstBackoffShare of a worker lease is the longest that a job is held back for the first
-	// time. It doubles each time, up to maxBackoffLeases.
+	// firstBackoffShare is the longest first backoff of a job, as a share of a worker lease. The
+	// longest backoff doubles each time, up to maxBackoffLeases.
 	firstBackoffShare = 1. / 8
 	maxBackoffLeases  = 3
+	// maxBackoffDoublings keeps the doubling from overflowing.
+	maxBackoffDoublings = 16
 )
 
-// attributeFailure adds the failure of a task to the evidence, and acts on what that says.
+// attributeFailure adds the failure of a task to the evidence. It backs the job off or quarantines
+// the machine, whichever the evidence calls faulty; a machine is quarantined for a short time even
+// without that, unless the job is suspected already. c.mu is held.
 func (c *Controller) attributeFailure(j *job, m *fleet.Machine, now time.Time) {
 	lease := c.Config.WorkerLease()
 	c.faultEvidence.RecordFailure(j.uid, m.ID, j.done > 0, now)
@@ -44,14 +48,16 @@
 	}
 }
 
-// backOff holds a faulty job back, longer each time and by chance, so that many do not come back
-// together. Tasks of it that fail meanwhile were started before and say nothing new.
+// backOff keeps a faulty job from being placed for a random time, longer each time, so that many
+// jobs are not retried at once. It does nothing during a backoff: tasks that fail then were started
+// before and are no new evidence. c.mu is held.
 func (c *Controller) backOff(j *job, now time.Time) {
 	if now.Before(j.backoffUntil) {
 		return
 	}
 	lease := c.Config.WorkerLease()
-	longest := min(maxBackoffLeases*lease, time.Duration(firstBackoffShare*float64(lease))<<min(j.backoffs, 16))
+	doublings := min(j.backoffs, maxBackoffDoublings)
+	longest := min(maxBackoffLeases*lease, time.Duration(firstBackoffShare*float64(lease))<<doublings)
 	wait := longest/2 + rand.N(longest/2)
 	j.backoffs++
 	j.suspect, j.backoffUntil = true, now.Add(wait)
@@ -60,10 +66,11 @@
 		"fault_probability", c.faultEvidence.JobFaultProbability(j.uid))
 }
 
-// clearSuspicion ends the suspicion against a job: a task of it works.
+// clearSuspicion ends the suspicion against a job, of which a task is done or has run long enough.
 func (j *job) clearSuspicion() { j.suspect, j.backoffs = false, 0 }
 
-// quarantineMachine keeps launches from a machine for a while.
+// quarantineMachine keeps new attempts from a machine for a while. A quarantine that ends later
+// stays as it is. c.mu is held.
 func (c *Controller) quarantineMachine(m *fleet.Machine, duration time.Duration, now time.Time) {
 	if until := now.Add(duration); until.After(m.AvoidUntil) {
 		m.AvoidUntil, m.Quarantined = until, true
@@ -73,8 +80,8 @@
 	}
 }
 
-// endQuarantines ends the quarantine of machines for the failures of a job which is at fault
-// itself, but for machines that are faulty by all that is known.
+// endQuarantines ends the quarantine of the machines on which a faulty job has failed, but not of
+// machines that are estimated to be faulty themselves. c.mu is held.
 func (c *Controller) endQuarantines(j *job) {
 	for _, id := range c.faultEvidence.MachinesFailedOn(j.uid) {
 		m := c.fleet.Get(id)
@@ -87,8 +94,8 @@
 }
 
 // startsWithOneTask reports whether a job starts with one task only: it is suspected, and its
-// tasks need not start together. Whole arrays that were tried again took room, images and changes
-// of the state store from others, only to fail.
+// tasks need not start at the same time. When whole arrays were retried, they took room, image
+// fetches and changes of the state store from other jobs, only to fail.
 func (j *job) startsWithOneTask() bool {
 	return j.suspect && j.record.Spec.Kind == wire.JobArray && !j.record.Spec.SingleZone
 }
@@ -103,7 +110,8 @@
 	return proven
 }
 
-// placeableTasks is how many of the waiting tasks of a job may be placed now.
+// placeableTasks returns how many of the waiting tasks of a job may be placed now. It ends the
+// suspicion against a job of which a task has run for long enough. c.mu is held.
 func (c *Controller) placeableTasks(j *job, now time.Time) int {
 	waiting := j.waitingCount()
 	if waiting == 0 || now.Before(j.backoffUntil) {
@@ -119,9 +127,10 @@
 	return max(0, min(waiting, 1-j.live))
 }
 
-// suspectFromRecords suspects a job by what a new leader can tell from its records alone: if
-// nothing of it is done, and yet it has been tried as often as it has tasks, and twice at least,
-// it may be faulty. It is tried with one task then; if machines were at fault, that costs little.
+// suspectFromRecords marks a job as suspect from its records alone, for a new leader, which has no
+// evidence of failures: none of its tasks is done, although it has had as many attempts as tasks,
+// and two at least, that are over. It starts with one task then; if machines were at fault, that
+// costs little.
 func (j *job) suspectFromRecords() {
 	if j.record.Spec.Kind != wire.JobArray || j.done > 0 {
 		return
--- a/internal/controller/jobevents.go
+++ b/internal/controller/jobevents.go
@@ -10,7 +10,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// applyJobEvent applies a change of a job's record.
+// applyJobEvent applies a change of a job's record: as the listener of the job cache, and for
+// records that the controller has read itself. Events may come late, repeatedly or out of order:
+// only one with a newer mod revision changes a job. An entry without a job means that there is no
+// record any more.
 func (c *Controller) applyJobEvent(uid string, e watchcache.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,7 +46,7 @@
 	}
 }
 
-// addJob adds a job that is new here.
+// addJob adds a job that this leader did not know. c.mu is held.
 func (c *Controller) addJob(j *job, now time.Time) {
 	c.jobs.add(j)
 	spec := &j.record.Spec
@@ -52,7 +55,7 @@
 	c.addToGraph(j, now)
 }
 
-// updateJob applies a newer record of a job.
+// updateJob applies a newer record of a job. c.mu is held.
 func (c *Controller) updateJob(j *job, e watchcache.Entry, now time.Time) {
 	wasFinal := j.record.Status.Final()
 	j.record, j.modRevision = e.Job, e.ModRevision
@@ -69,7 +72,7 @@
 	}
 }
 
-// dropJob forgets a job that is archived.
+// dropJob removes a job that is archived. c.mu is held.
 func (c *Controller) dropJob(j *job, now time.Time) {
 	c.markMachinesChanged(j)
 	c.jobs.remove(j)
@@ -79,8 +82,8 @@
 	c.recordEnds(j, now)
 }
 
-// recordEnds lets workers forget the attempts of a job that have ended: the job is over by its own
-// record, so their ends need none.
+// recordEnds lets the ends of a job's attempts be acknowledged without a record: the job's own
+// record says that it is over, so none of its tasks is started again. c.mu is held.
 func (c *Controller) recordEnds(j *job, now time.Time) {
 	for _, p := range j.placements {
 		for _, a := range p.ended {
@@ -137,13 +140,13 @@
 	}
 }
 
-// endRecordDelay is how long the record of an end may wait for more ends of its placement.
-// Until then the worker reports the task as ended, and a new leader would learn of it from
-// there. Each end written at once took more of the state store's budget of changes than all
-// launches.
+// endRecordDelay returns how long the record of an end may wait for more ends of its placement.
+// Until then the worker reports the task as ended, and a new leader would learn of it from that
+// report. When each end was written at once, ends took more of the state store's budget of
+// changes than all launches.
 func (c *Controller) endRecordDelay() time.Duration { return 2 * c.Config.HeartbeatInterval() }
 
-// applyAttemptEnd applies the end of an attempt to its job.
+// applyAttemptEnd applies the end of an attempt to its job. c.mu is held.
 func (c *Controller) applyAttemptEnd(j *job, p *placement, a *fleet.Attempt) {
 	now := c.now()
 	switch a.Cause {
--- a/internal/controller/jobtable.go
+++ b/internal/controller/jobtable.go
@@ -53,10 +53,10 @@
 	j.countsRevision = t.revision
 }
 
-// addFinalStatus keeps a final status that is committed, so that followers learn of it with the
+// addFinalStatus stores a final status that is committed, so that followers receive it with the
 // counts of tasks. Without that every node read every job's final status by itself when its
-// user asked, at the very time at which many ended. What is committed as final never changes,
-// so no rule rests on who says it, or when.
+// user asked, at the very time at which many ended. A committed final status never changes, so
+// no safety rule rests on which node sends it, or when.
 func (t *jobTable) addFinalStatus(uid string, status wire.JobStatus) {
 	t.revision++
 	if len(t.finalStatuses) >= maxFinalStatuses {
@@ -65,9 +65,9 @@
 	t.finalStatuses = append(t.finalStatuses, finalStatus{uid: uid, status: status, revision: t.revision})
 }
 
-// changesSince returns the counts of the jobs that have changed since a revision with the final
-// statuses that were added since, and the revision that they lead to. Of more changes than fit
-// one reply it returns the oldest, and more is true.
+// changesSince returns the counts of the jobs that have changed after a revision with the final
+// statuses that were added after it, and the revision to ask from next. If there are more changes
+// than maxCountsPerReply it returns the oldest, and more is true.
 func (t *jobTable) changesSince(revision uint64) (views []wire.JobView, upTo uint64, more bool) {
 	var changed []*job
 	for _, j := range t.byUID {
