--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -8,25 +8,30 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// HeartbeatOptions says how a heartbeat has come and how it may be answered.
+// HeartbeatOptions says how a heartbeat has arrived and how it may be answered.
 type HeartbeatOptions struct {
-	// Relayed: another controller passes the heartbeat on by itself.
+	// Relayed is true if another controller has forwarded this single heartbeat.
 	Relayed bool
 	// Via is the label of the follower that keeps the worker and relays its heartbeats in
 	// batches; "" if there is none.
 	Via string
-	// MayWait: an answer without commands may wait for some to come up. The worker lease runs
-	// from when the heartbeat was sent, so the wait costs it nothing.
+	// MayWait lets an answer without commands wait for commands. The worker lease runs from when
+	// the heartbeat was sent, so the wait does not lengthen it.
 	MayWait bool
 }
 
-// Heartbeat applies a worker's heartbeat and returns the commands that answer it. ok is false if
-// the heartbeat shows that this term is over. An answer to a ready machine that has no commands
-// waits for some a part of a heartbeat's interval: launches and stops then travel at once instead
-// of with the next heartbeat. While the state store is not read no launch can come up, and an
-// answer that waits only makes the next heartbeat come later: when a leader that was cut off with
-// its zone had to stop answering, its workers' leases were half of an interval older than a
-// follower's, and of some 700 machines 170 to 220 lost them just before the cut ended.
+// Heartbeat applies a worker's heartbeat and returns the commands that answer it. It locks the
+// controller itself and may wait up to half of a heartbeat interval; ctx ends the wait, after which
+// the answer has no commands. ok is false if the heartbeat shows that this term is over. Until the
+// state is loaded, and to a heartbeat that is no newer than the last one, the answer has no
+// commands.
+//
+// With MayWait, an answer to a ready machine that has no commands waits for some: launches and
+// stops then travel at once instead of with the next heartbeat. While the cancellation data is too
+// old for launches the answer does not wait: no launch can come up, and the wait only delays the
+// next heartbeat. When a leader that was cut off with its zone had to stop answering, its workers'
+// leases were half of an interval older than a follower's, and of some 700 machines 170 to 220
+// lost them just before the cut ended.
 func (c *Controller) Heartbeat(ctx context.Context, h *wire.Heartbeat, opts HeartbeatOptions) (answer wire.Commands, ok bool) {
 	if h.FencingToken > c.term {
 		c.Observer.TermObserved(h.FencingToken)
@@ -49,8 +54,8 @@
 		return answer, true
 	}
 	c.waitForCommands(ctx, m)
-	// Commands answer the newest heartbeat only: the worker drops this answer if it has sent
-	// another one.
+	// Only the answer to the newest heartbeat may carry commands: the worker drops this answer if
+	// it has sent another heartbeat meanwhile.
 	if m.Incarnation == h.Incarnation && m.Sequence == h.Sequence && ctx.Err() == nil {
 		answer.Commands = c.fleet.Commands(m, c.now(), c.mayLaunch())
 	}
@@ -69,15 +74,17 @@
 	c.setCapacity(m)
 	m.RelayedBy = opts.Via
 	if opts.Relayed || wasDirect && opts.Via != "" {
-		m.LastRelayedHeartbeat = now // it came here by itself before, and may not reach this node any more
+		// It may not reach this node any more: its heartbeat was forwarded singly, or a follower
+		// keeps it although it came here directly before.
+		m.LastRelayedHeartbeat = now
 	}
 	return m, true
 }
 
-// waitForCommands waits until a command comes up for a machine, half of a heartbeat's interval
-// passes or ctx ends. It gives c.mu up meanwhile. The waits of many machines end together, on
-// the grid of periodic work: each with a wake-up of its own, they took an eighth of a leader's
-// processor time.
+// waitForCommands waits until there is a command for a machine, half of a heartbeat interval passes
+// or ctx ends. c.mu is held by the caller and released during the wait. The waits of many machines
+// end at the same moments, on the grid of periodic work: when each had a wake-up of its own, they
+// took an eighth of a leader's processor time.
 func (c *Controller) waitForCommands(ctx context.Context, m *fleet.Machine) {
 	wake := make(chan struct{})
 	c.waitingAnswers[m.ID] = wake
@@ -95,14 +102,15 @@
 	}
 }
 
-// mayLaunch reports whether launches may be sent. In an outage that begins between the commit of
-// a launch and its answer, another node may have confirmed that the job is cancelled: the launch
-// waits until that would be known.
+// mayLaunch reports whether launches may be sent: the cancellation data is younger than the TTL of
+// the leader lease. If an outage begins between the commit of a launch and its answer, another
+// node may have confirmed a cancellation of the job meanwhile: the launch waits until this node
+// would know of that.
 func (c *Controller) mayLaunch() bool {
 	return c.now().Sub(c.JobCache.FreshAsOf()) < c.Config.LeaderLeaseTTL()
 }
 
-// endAnswerWait lets the answer to a machine go that waits for commands, if there is one.
+// endAnswerWait ends the wait of the answer to a machine's heartbeat, if there is one. c.mu is held.
 func (c *Controller) endAnswerWait(m *fleet.Machine) {
 	if wake := c.waitingAnswers[m.ID]; wake != nil {
 		delete(c.waitingAnswers, m.ID)
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -13,7 +13,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// newDetector makes the failure detector of a deployment.
+// newDetector returns the failure detector of a deployment.
 func newDetector(cfg *config.Config, bootS func(machineType string) (float64, bool)) *failuredetector.Detector {
 	return failuredetector.New(failuredetector.Options{
 		HeartbeatInterval: cfg.HeartbeatInterval(),
@@ -24,14 +24,15 @@
 	})
 }
 
-// renewFromPeers gives the machines that other nodes answer the time of a heartbeat now. c.mu is
-// held.
+// renewFromPeers records a heartbeat of every machine whose worker lease another node has renewed
+// lately, as that node says in its answers to pings. c.mu is held.
 func (c *Controller) renewFromPeers(now time.Time) {
-	c.heartbeatsElsewhere(c.Peers.RenewedHosts(), now)
+	c.recordHeartbeatsElsewhere(c.Peers.RenewedHosts(), now)
 }
 
-// heartbeatsElsewhere records that other nodes have answered heartbeats of machines. c.mu is held.
-func (c *Controller) heartbeatsElsewhere(hosts []string, now time.Time) {
+// recordHeartbeatsElsewhere records that other nodes have answered heartbeats of machines: they are
+// alive, but this node has not received these heartbeats, so LastHeartbeatHere stays. c.mu is held.
+func (c *Controller) recordHeartbeatsElsewhere(hosts []string, now time.Time) {
 	for _, host := range hosts {
 		if m := c.fleet.Get(host); m != nil {
 			m.LastHeartbeat = now
@@ -39,15 +40,15 @@
 	}
 }
 
-// followRenewedLeases follows which machines are answered by followers that are cut off from this
-// node, but not from the state store: these machines are alive. Without this, every machine
-// behind a cut between zones was released with all its tasks.
+// followRenewedLeases watches the records in which followers that are cut off from this node, but
+// not from the state store, list the machines whose worker leases they renew: these machines are
+// alive. Without this, every machine behind a cut between zones was released with all its tasks.
 func (c *Controller) followRenewedLeases(ctx context.Context) {
 	wait, pause := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
 	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, pause, watchcache.HandlerFuncs{OnChanged: c.applyRenewedLeases})
 }
 
-// applyRenewedLeases records that a follower has answered heartbeats of machines.
+// applyRenewedLeases applies such a record. A record that is dropped says nothing.
 func (c *Controller) applyRenewedLeases(event wire.WatchEvent) {
 	if event.Set == "" {
 		return
@@ -59,7 +60,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heartbeatsElsewhere(renewed.Hosts, c.now())
+	c.recordHeartbeatsElsewhere(renewed.Hosts, c.now())
 }
 
 // pauseDetectionWhileStale pauses failure detection while this node cannot answer heartbeats: its
@@ -80,7 +81,7 @@
 }
 
 // releaseDead releases the machines that the failure detector declares dead, and stops the tasks
-// of those that the cloud reclaims. c.mu is held.
+// of those that the cloud is about to reclaim. c.mu is held.
 func (c *Controller) releaseDead(now time.Time) {
 	judgement := c.detector.Judge(failuredetector.Observation{Now: now, Machines: c.fleet, Peers: c.Peers})
 	c.fleet.Each(func(m *fleet.Machine) {
@@ -93,8 +94,8 @@
 	})
 }
 
-// usualBootS is how many seconds a machine of a type usually boots; known is false if the catalog
-// does not have the type.
+// usualBootS returns how many seconds a machine of a type usually boots; known is false if the
+// catalog does not have the type. c.mu is held.
 func (c *Controller) usualBootS(machineType string) (seconds float64, known bool) {
 	t := findMachineType(c.catalog, machineType)
 	if t == nil {
@@ -103,8 +104,8 @@
 	return t.BootS, true
 }
 
-// checkpointTasks stops the tasks of a machine that the cloud reclaims, with the time that they
-// need to write a checkpoint. c.mu is held.
+// checkpointTasks stops the tasks of a machine that the cloud is about to reclaim, with a grace
+// period for a checkpoint. c.mu is held.
 func (c *Controller) checkpointTasks(m *fleet.Machine, now time.Time) {
 	m.Each(func(a *fleet.Attempt) {
 		if j := c.jobs.get(a.JobUID); j != nil && a.Live() && !a.Stopping {
--- a/internal/controller/tokenannounce.go
+++ b/internal/controller/tokenannounce.go
@@ -12,22 +12,25 @@
 	"lotusstile.dev/lotusstile/internal/timeralign"
 )
 
-// How many announcements are sent at a time: each to a machine that is gone or cut off holds a
-// connection until it times out, and those to machines that would answer wait behind them.
+// Limits of the announcements that are sent at a time. An announcement to a machine that is gone
+// or cut off occupies a connection until it times out, and those to machines that would answer
+// wait behind it; so there must be enough of them, but they must not use up the connections.
 const (
 	minConcurrentAnnouncements = 16
 	announcedShare             = 0.125   // of the machines that the token is announced to
 	announcementConnections    = 1 / 32. // of the connections, at most
+	minAnnouncementsPerTurn    = 2 * minConcurrentAnnouncements
 )
 
-// concurrentAnnouncements is how many announcements to so many machines are sent at a time.
+// concurrentAnnouncements returns how many announcements are sent at a time, of those to this many
+// machines.
 func (c *Controller) concurrentAnnouncements(machines int) int {
 	most := int(announcementConnections * float64(c.Config.Cluster.Limits.MaxConnections))
 	return max(minConcurrentAnnouncements, min(most, int(announcedShare*float64(machines))))
 }
 
-// announceToken announces the fencing token to workers that send no heartbeats: they may be
-// connected to a deposed leader that still answers them.
+// announceToken announces the fencing token to workers that send no heartbeats, until ctx ends:
+// they may be connected to a deposed leader that still answers them.
 func (c *Controller) announceToken(ctx context.Context) {
 	interval := c.Config.HeartbeatInterval()
 	for timeralign.Sleep(ctx, c.untilNext(interval/2)) {
@@ -53,7 +56,8 @@
 	incarnation uint64 // the newest that is known
 }
 
-// nextAnnouncements chooses the workers that the token is announced to next.
+// nextAnnouncements chooses the workers that the token is announced to next, and records that it
+// is. There are none in the first two heartbeat intervals of a term.
 func (c *Controller) nextAnnouncements() []announcement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +78,7 @@
 	})
 	// A quarter of them at a time: those that answer take milliseconds, and a whole fleet may
 	// be connected to a deposed leader.
-	most := max(2*minConcurrentAnnouncements, len(announcements)/4)
+	most := max(minAnnouncementsPerTurn, len(announcements)/4)
 	announcements = announcements[:min(len(announcements), most)]
 	for _, a := range announcements {
 		c.announcedAt[a.host] = now
@@ -82,8 +86,9 @@
 	return announcements
 }
 
-// needsAnnouncement reports whether a machine can be reached, has sent no heartbeat for two
-// intervals, and has not been sent the token within three.
+// needsAnnouncement reports whether the token is to be announced to a machine: its address is known,
+// it has sent no heartbeat with the token for two intervals, and there was no announcement to it
+// within three. A machine that is Booting must have been listed by the cloud. c.mu is held.
 func (c *Controller) needsAnnouncement(m *fleet.Machine, now time.Time) bool {
 	interval := c.Config.HeartbeatInterval()
 	switch {
@@ -119,6 +124,8 @@
 	if r.FencingToken == c.term && r.Incarnation == a.incarnation {
 		c.extendBoot(a.host)
 	}
+	// The worker is at another incarnation than is known here and has not accepted the token: it is
+	// announced again for that one.
 	if r.FencingToken < c.term && r.Incarnation != a.incarnation && strings.EqualFold(r.Host, a.host) {
 		if _, err := c.Worker.Announce(ctx, a.address, c.term, r.Incarnation); err != nil {
 			slog.Debug("fencing token cannot be announced", "host", a.host, "err", err)
@@ -126,9 +133,9 @@
 	}
 }
 
-// extendBoot gives a machine that has sent no heartbeat in this term the time again to send one.
-// It has taken the token in the incarnation that its tasks are known from: another node has
-// renewed its lease, and it is on its way here.
+// extendBoot restarts the timeout of a machine that has sent no heartbeat in this term. It has
+// accepted the token in the incarnation that its tasks are known from, so its worker lease has not
+// ended: another node has renewed it, and the worker is about to send its heartbeats here.
 func (c *Controller) extendBoot(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
