--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -9,8 +9,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// planHeadroom plans for the work that must start at once when it arrives, with the room that a
-// scheduling cycle has left, and keeps the machines that it would use. c.mu is held.
+// planHeadroom places the phantom jobs of work that must start at once when it arrives, into the
+// room that a scheduling cycle's plan leaves. The machines that they would use are not released
+// until the next cycle; the shortfalls of the plan are provisioned. Nothing is launched for it.
+// c.mu is held.
 func (c *Controller) planHeadroom(s *snapshot, plan *sched.Plan, now time.Time) *sched.Plan {
 	in := &sched.Input{
 		Now:              now,
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -10,13 +10,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// callsPerList is how many of the calls that the cloud allows go by from list to list at least.
+// callsPerList is the least time between two machine lists, as the number of calls that the cloud
+// allows in that time: the lists leave the other calls to provisioning and releases.
 const callsPerList = 8
 
-// followCloud reads the machine list and the catalog from time to time: the list no more often
-// than its pages can be read without a pause.
+// followCloud reads the machine list and the catalog periodically until ctx ends: the list no more
+// often than the cloud's rate of calls allows all its pages to be read.
 func (c *Controller) followCloud(ctx context.Context) {
-	least := max(c.Config.CloudListLag()*2/3, time.Duration(callsPerList*float64(time.Second)/c.Config.Cluster.Cloud.Rps))
+	minPeriod := max(c.Config.CloudListLag()*2/3, time.Duration(callsPerList*float64(time.Second)/c.Config.Cluster.Cloud.Rps))
 	var catalogRead time.Time
 	for ctx.Err() == nil {
 		if now := c.now(); catalogRead.IsZero() || now.Sub(catalogRead) > 3*c.Config.WorkerLease() {
@@ -24,20 +25,21 @@
 				catalogRead = now
 			}
 		}
-		asked := c.now()
+		requestedAt := c.now()
 		hosts, err := c.Cloud.List(ctx)
 		if err != nil {
 			slog.Warn("machine list cannot be read", "err", err)
 		} else {
-			c.applyMachineList(hosts, asked)
+			c.applyMachineList(hosts, requestedAt)
 		}
-		if !timeralign.Sleep(ctx, c.untilNext(max(least, c.Cloud.MinListDuration(len(hosts))))) {
+		if !timeralign.Sleep(ctx, c.untilNext(max(minPeriod, c.Cloud.MinListDuration(len(hosts))))) {
 			return
 		}
 	}
 }
 
-// readCatalog reads the machine types and their prices. It reports whether there are any.
+// readCatalog reads the machine types and their prices. It returns false if that failed or there
+// are none; the last catalog then stays in use.
 func (c *Controller) readCatalog(ctx context.Context) bool {
 	catalog, err := c.Cloud.Catalog(ctx)
 	if err != nil {
@@ -55,16 +57,16 @@
 	return true
 }
 
-// applyMachineList brings the fleet up to date by a machine list that was asked for at asked. The
-// list may be older than the last one.
-func (c *Controller) applyMachineList(hosts []wire.ListedHost, asked time.Time) {
+// applyMachineList updates the fleet by a machine list that was requested at requestedAt. The list
+// may show an older state than the one before.
+func (c *Controller) applyMachineList(hosts []wire.ListedHost, requestedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	listed := make(map[string]bool, len(hosts))
 	for i := range hosts {
 		listed[hosts[i].UID] = true
-		c.applyListedHost(&hosts[i], asked, now)
+		c.applyListedHost(&hosts[i], requestedAt, now)
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
 		if !listed[m.ID] && c.shouldBeListed(m, now) {
@@ -76,8 +78,8 @@
 	})
 }
 
-// applyListedHost brings a machine up to date by its line of a machine list. c.mu is held.
-func (c *Controller) applyListedHost(host *wire.ListedHost, asked, now time.Time) {
+// applyListedHost updates a machine by its entry in a machine list. c.mu is held.
+func (c *Controller) applyListedHost(host *wire.ListedHost, requestedAt, now time.Time) {
 	m := c.fleet.GetOrAdd(host.UID, now)
 	if m.State == fleet.Gone {
 		return
@@ -85,8 +87,9 @@
 	if !m.Listed {
 		m.Listed = true
 		m.Type, m.Zone, m.Spot, m.Address = host.MachineType, host.Zone, host.Spot, host.Address
-		if born := asked.Add(-time.Duration(host.AgeS * float64(time.Second))); born.Before(m.FirstSeen) {
-			m.FirstSeen = born
+		created := requestedAt.Add(-time.Duration(host.AgeS * float64(time.Second)))
+		if created.Before(m.FirstSeen) {
+			m.FirstSeen = created
 		}
 		c.fleet.MarkChanged(m)
 		c.setCapacity(m)
@@ -96,15 +99,16 @@
 	}
 }
 
-// shouldBeListed reports whether every list shows a machine unless it is gone. Once listed, a
-// machine stays listed until it is gone. A list may be old, but not older than a machine that was
-// listed long ago. The same goes for one that has been known for that long and never was.
+// shouldBeListed reports whether a machine that a list does not show has failed. A list may be
+// older than a new machine: one that has been known for much longer than lists lag, whether it was
+// ever listed or not, is in every list until it is gone. One that sends heartbeats has not failed.
 func (c *Controller) shouldBeListed(m *fleet.Machine, now time.Time) bool {
 	return now.Sub(m.FirstSeen) > 4*c.Config.CloudListLag()+c.Config.WorkerLease() &&
 		now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval()
 }
 
-// markFailed records that a machine has stopped on its own. c.mu is held.
+// markFailed records that a machine has stopped without having been released. The next scheduling
+// cycle releases it. c.mu is held.
 func (c *Controller) markFailed(m *fleet.Machine) {
 	if !m.Failed {
 		m.Failed = true
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -16,7 +16,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// startRelease starts to release a machine to the cloud. c.mu is held.
+// startRelease starts to release a machine to the cloud: it gets no more launches from now on, and
+// releaseMachines does the rest. c.mu is held.
 func (c *Controller) startRelease(m *fleet.Machine, now time.Time, reason string) {
 	c.fleet.MarkReturning(m, now, reason)
 	if c.releases.Start(m.ID) {
@@ -24,10 +25,10 @@
 	}
 }
 
-// releaseIdle releases machines that have had nothing to do for a while and that are not kept as
-// headroom, the most expensive first. A part of them at a time: the next cycle sees what is left.
-// It is a part and not a number, or what a large fleet no longer needs stays for minutes: one
-// machine a cycle left 250 of 450 idle. c.mu is held.
+// releaseIdle releases machines that have been idle for a while and that are not headroom, the
+// most expensive first. It releases a quarter of them in each cycle, since the next cycle may need
+// some of the rest. It is a share and not a number: when one machine was released in each cycle, a
+// large fleet kept machines that it did not need for minutes, 250 of 450 idle. c.mu is held.
 func (c *Controller) releaseIdle(shorts []sched.Shortfall, now time.Time) {
 	var idle []*fleet.Machine
 	c.fleet.Each(func(m *fleet.Machine) {
@@ -43,8 +44,9 @@
 	}
 }
 
-// isIdle reports whether a machine has had nothing to do for long enough to be released. A
-// machine costs at least a minute; what is needed again within a fraction of a boot saves a boot.
+// isIdle reports whether a machine has been idle for long enough to be released: half of a boot,
+// since a machine that is needed again by then saves a boot. It must also be older than a boot and
+// a margin, since the cloud charges a minute at least. c.mu is held.
 func (c *Controller) isIdle(m *fleet.Machine, now time.Time) bool {
 	const bootMarginS = 10
 	machineType := findMachineType(c.catalog, m.Type)
@@ -55,17 +57,18 @@
 	return idleS >= machineType.BootS/2 && ageS >= machineType.BootS+bootMarginS
 }
 
-// mayServe reports whether a task that has no room may run on a machine once it is empty.
-// Machines that no waiting task can use are released even while tasks wait: else they could hold
-// the last capacity that the cloud has, for ever.
+// mayServe reports whether a task that has no room could run on the machine if it were empty.
+// Machines that no waiting task can use are released even while tasks wait: otherwise they could
+// occupy the last capacity that the cloud has, for ever.
 func mayServe(m *fleet.Machine, shorts []sched.Shortfall) bool {
 	return slices.ContainsFunc(shorts, func(short sched.Shortfall) bool {
 		return sched.IsEligible(short.Job.Spec, m.Type, m.Zone, m.Spot) && m.Capacity.Fits(fleet.TaskResources(short.Job.Spec))
 	})
 }
 
-// releaseMachines releases machines: first the record, then the request, until the cloud
-// confirms. The record is dropped once no list shows its machines any more.
+// releaseMachines carries out releases until ctx ends. For each machine it commits a record first,
+// then sends the request until the cloud confirms it, and drops the record once no machine list
+// can show the machine any more. autoscaler.Releases keeps which step comes next.
 func (c *Controller) releaseMachines(ctx context.Context) {
 	pause := c.Config.HeartbeatInterval() / 3
 	for ctx.Err() == nil {
@@ -83,9 +86,9 @@
 	}
 }
 
-// recordReleases records what is to be released, as many machines to a record as a value holds:
-// when a fleet loses a hundred machines at once, a commit for each held up the launches that
-// replace what they ran. It reports whether it recorded any.
+// recordReleases commits a record of machines that are to be released, as many as fit one value:
+// when a fleet lost a hundred machines at once, a commit for each delayed the launches that
+// replaced their tasks. It returns false if there are none, or the commit failed.
 func (c *Controller) recordReleases(ctx context.Context) bool {
 	c.mu.Lock()
 	record, found := c.releases.NextRecord(c.Config.MaxValueBytes())
@@ -113,8 +116,8 @@
 	return false
 }
 
-// sendReleases asks the cloud to take back machines whose release is recorded. It reports
-// whether the cloud did.
+// sendReleases requests the release of machines whose release is recorded. It returns false if there
+// are none, or the cloud did not confirm it.
 func (c *Controller) sendReleases(ctx context.Context) bool {
 	c.mu.Lock()
 	hosts := c.releases.Unconfirmed(wire.MaxReturn)
@@ -133,12 +136,12 @@
 		c.releases.Confirm(host, now)
 		c.fleet.MarkGone(c.fleet.Get(host), now, "released")
 	}
-	notify(c.placementWake) // what they ran can be placed
+	notify(c.placementWake) // their tasks can be placed again
 	return true
 }
 
-// forgetReleased drops the records of machines that are gone for long enough that no list shows
-// them, those of their images first.
+// forgetReleased drops the records of machines that have been gone for so long that no machine list
+// can show them, and then forgets the machines.
 func (c *Controller) forgetReleased(ctx context.Context) {
 	c.mu.Lock()
 	clean := c.planCleanup(c.now())
@@ -164,17 +167,19 @@
 // cleanup is a commit that drops records of released machines.
 type cleanup struct {
 	tx       wire.Transaction
-	images   []string // machines whose images' record it drops
-	releases []string // keys of the records of releases that it drops
+	images   []string // machines whose image records it drops
+	releases []string // keys of the release records that it drops
 }
 
-// planCleanup makes the next commit that drops records of released machines. A record of releases
-// goes only after those of its machines' images. c.mu is held.
+// planCleanup makes the next commit that drops records of released machines. A release record is
+// dropped only after, or together with, the image records of all its machines: with it the leader
+// forgets them. c.mu is held.
 func (c *Controller) planCleanup(now time.Time) cleanup {
-	ops := max(minBatchChanges, c.maxBatchChanges()/3)
+	maxChanges := max(minBatchChanges, c.maxBatchChanges()/3)
+	keep := 6*c.Config.CloudListLag() + 3*c.Config.WorkerLease() // longer than any machine list can lag
 	clean := cleanup{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
-	for _, record := range c.releases.Expired(now, 6*c.Config.CloudListLag()+3*c.Config.WorkerLease()) {
-		if !c.dropImages(&clean, record, ops) || len(clean.tx.Changes) >= ops {
+	for _, record := range c.releases.Expired(now, keep) {
+		if !c.dropImages(&clean, record, maxChanges) || len(clean.tx.Changes) >= maxChanges {
 			break
 		}
 		clean.tx.Changes = append(clean.tx.Changes, wire.Change{Drop: record.Key})
@@ -183,14 +188,14 @@
 	return clean
 }
 
-// dropImages adds to a commit of at most ops changes what drops the images' records of a
-// record's machines. It reports whether there was room for all of them.
-func (c *Controller) dropImages(clean *cleanup, record autoscaler.ReleaseRecord, ops int) bool {
+// dropImages adds to a commit of at most maxChanges changes those that drop the image records of a
+// release record's machines. It returns false if there was no room for all of them. c.mu is held.
+func (c *Controller) dropImages(clean *cleanup, record autoscaler.ReleaseRecord, maxChanges int) bool {
 	for _, host := range record.Hosts {
 		if c.recordedImages[host].images == 0 {
 			continue
 		}
-		if len(clean.tx.Changes) >= ops {
+		if len(clean.tx.Changes) >= maxChanges {
 			return false
 		}
 		clean.tx.Changes = append(clean.tx.Changes, wire.Change{Drop: records.ImagesKey(host)})
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -14,8 +14,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// provisionShare is the share of the cloud's calls of a scheduling cycle's interval that requests
-// for machines may take.
+// provisionShare is the share of the cloud's calls that provisioning may use. The rest is left to
+// machine lists and releases.
 const provisionShare = 0.25
 
 // provisionAttempts is how often a request is sent before it is abandoned.
@@ -26,8 +26,8 @@
 func (c *Controller) scale(s *snapshot, plan *sched.Plan, now time.Time) []wire.ProvisionRequest {
 	settled := c.detector.IsSettled(now)
 	headroom := c.planHeadroom(s, plan, now)
-	// A new leader waits until the machines have sent heartbeats before it decides
-	// that there are too few or too many.
+	// A new leader does not know yet which machines are alive: it provisions none until they
+	// have sent heartbeats or failure detection is settled.
 	if !settled && c.requests.Len() == 0 && c.fleet.Len() > 0 && c.awaitsFirstHeartbeats() {
 		return nil
 	}
@@ -56,13 +56,13 @@
 	return requests
 }
 
-// provisionCalls is how many requests for machines a scheduling cycle may make.
+// provisionCalls returns how many requests for machines a scheduling cycle may make.
 func (c *Controller) provisionCalls() int {
 	return int(provisionShare * c.Config.Cluster.Cloud.Rps * c.Settings().IntervalS)
 }
 
 // awaitsFirstHeartbeats reports whether machines that may run tasks have not sent a heartbeat
-// with this term's token yet.
+// with this term's token yet. c.mu is held.
 func (c *Controller) awaitsFirstHeartbeats() bool {
 	found := false
 	c.fleet.Each(func(m *fleet.Machine) {
@@ -71,7 +71,8 @@
 	return found
 }
 
-// provisionMachines sends a request for machines until the cloud answers it, a few times.
+// provisionMachines sends a request for machines, again after an error, until the cloud provisions
+// some, has no capacity, or provisionAttempts are used up. The request then is no longer pending.
 func (c *Controller) provisionMachines(ctx context.Context, request wire.ProvisionRequest) {
 	pause := c.Config.CloudListLag() / 4
 	for attempt := 0; attempt < provisionAttempts && ctx.Err() == nil; attempt++ {
@@ -96,7 +97,8 @@
 	c.requests.Finish(request.RequestID)
 }
 
-// addProvisioned adds the machines that the cloud has provisioned to the fleet.
+// addProvisioned adds the machines that the cloud has provisioned to the fleet. Fewer than were
+// requested count as a refusal.
 func (c *Controller) addProvisioned(request wire.ProvisionRequest, hosts []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +120,7 @@
 	return autoscaler.MachineGroup{Type: request.MachineType, Zone: request.Zone, Spot: request.Spot}
 }
 
-// requestAttributes are the attributes by which log lines name a request for machines.
+// requestAttributes returns the attributes by which log lines name a request for machines.
 func requestAttributes(request wire.ProvisionRequest) []any {
 	return []any{
 		"request", request.RequestID,
