--- a/internal/controller/nodebuilder.go
+++ b/internal/controller/nodebuilder.go
@@ -11,7 +11,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// nodeBuilder makes the node that a scheduling cycle sees of a machine.
+// nodeBuilder makes the scheduler's view of a machine, its node.
 type nodeBuilder struct {
 	jobs       *jobTable
 	catalog    *wire.Catalog
@@ -40,7 +40,8 @@
 	return node, false
 }
 
-// addContents adds to a node what its machine, which takes launches, has and runs.
+// addContents adds to the node of a machine that accepts attempts its free resources, images and
+// attempts.
 func (b *nodeBuilder) addContents(node *sched.Node, m *fleet.Machine) {
 	node.Free, node.FreeAfterStops, node.Registered, node.ActiveFetches = m.Free(), m.Free(), true, m.FetchingImages()
 	node.Images = slices.AppendSeq(make([]string, 0, len(m.Images)), maps.Keys(m.Images))
@@ -66,8 +67,9 @@
 	node.FreeAfterBoot = node.FreeAfterStops
 }
 
-// victim is an attempt as one that work of a higher level may preempt. A replica that has not
-// run yet serves nobody: it can be preempted like batch, and loses what it has fetched.
+// victim returns an attempt as one that work of a higher level may preempt, with what would be
+// lost by that. A replica that has not run yet serves nobody: it can be preempted like batch work,
+// and only its fetch is lost.
 func victim(j *job, a *fleet.Attempt) sched.Victim {
 	v := sched.Victim{Serial: a.Serial, JobUID: j.uid, Team: j.record.Spec.Team, Level: j.level, Need: a.Resources}
 	switch isReplica := j.record.Spec.Kind == wire.Service; {
@@ -82,7 +84,8 @@
 	return v
 }
 
-// nextTimedChange is when time alone will change a machine's node next; zero if it will not.
+// nextTimedChange returns when a machine's node will change next by the passing of time alone; zero
+// if it will not.
 func (b *nodeBuilder) nextTimedChange(m *fleet.Machine, now time.Time) time.Time {
 	var next time.Time
 	for _, at := range [...]time.Time{m.AvoidUntil, b.expectedUntil(m)} {
@@ -93,8 +96,8 @@
 	return next
 }
 
-// isExpectedSoon reports whether a machine is expected to take launches soon. One that boots for
-// much longer than usual is no longer counted on.
+// isExpectedSoon reports whether a machine is expected to accept launches soon. One that boots for
+// much longer than usual is not.
 func (b *nodeBuilder) isExpectedSoon(m *fleet.Machine, now time.Time) bool {
 	if m.SpotNotice || m.Failed || m.Capacity.Cores == 0 {
 		return false
@@ -108,7 +111,7 @@
 	return false
 }
 
-// expectedUntil is until when a machine that boots is expected to come up; zero for others.
+// expectedUntil returns until when a machine that boots is expected to come up; zero for others.
 func (b *nodeBuilder) expectedUntil(m *fleet.Machine) time.Time {
 	machineType := findMachineType(b.catalog, m.Type)
 	if m.State != fleet.Booting || machineType == nil {
@@ -132,7 +135,7 @@
 	return nil
 }
 
-// hourlyPrice is what a machine costs per hour; 0 for a type that is not in the catalog.
+// hourlyPrice returns the hourly price of a machine; 0 for a type that is not in the catalog.
 func hourlyPrice(catalog *wire.Catalog, machineType string, spot bool) float64 {
 	found := findMachineType(catalog, machineType)
 	switch {
--- a/internal/controller/nodecache.go
+++ b/internal/controller/nodecache.go
@@ -8,15 +8,15 @@
 	"lotusstile.dev/lotusstile/internal/sched"
 )
 
-// nodeCache keeps the machines as scheduling cycles see them from cycle to cycle. A machine's
-// node is rebuilt when the fleet says that the machine may have changed, when time alone changes
-// it, and now and then with all others, so that a change that nobody marked is found.
+// nodeCache holds the nodes of the machines from one scheduling cycle to the next. A machine's node
+// is rebuilt when the fleet marks the machine as changed, when it changes by the passing of time,
+// and periodically with all others, to detect a change that was not marked.
 type nodeCache struct {
 	builder    nodeBuilder
 	view       *sched.View
-	changesAt  map[string]time.Time // machines whose nodes time alone changes, and when
+	changesAt  map[string]time.Time // when nodes change by the passing of time, by machine
 	verifiedAt time.Time            // when all nodes were last rebuilt
-	staleNodes uint64               // nodes that were out of date although nobody had marked their machines
+	staleNodes uint64               // nodes that were out of date although their machines were not marked
 }
 
 func newNodeCache(jobs *jobTable) nodeCache {
@@ -37,7 +37,8 @@
 	}
 }
 
-// verify rebuilds all nodes. None should have changed.
+// verify rebuilds all nodes. If one changes, a change of its machine was not marked, which is an
+// error in the program.
 func (n *nodeCache) verify(machines *fleet.Fleet, now time.Time) {
 	first := n.verifiedAt.IsZero()
 	n.verifiedAt = now
@@ -74,27 +75,28 @@
 	c.nodes.refresh(c.fleet, c.Config.WorkerLease(), now)
 }
 
-// StaleNodes is how many nodes were found to be out of date although nobody had marked their
-// machines as changed.
+// StaleNodes returns how many nodes were found to be out of date although their machines were not
+// marked as changed: each is an error in the program.
 func (c *Controller) StaleNodes() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes.staleNodes
 }
 
-// markMachinesChanged marks that the nodes of a job's machines may have changed.
+// markMachinesChanged marks the machines of a job's attempts as changed. c.mu is held.
 func (c *Controller) markMachinesChanged(j *job) {
 	j.eachAttempt(func(a *fleet.Attempt) { c.fleet.MarkChanged(a.Machine) })
 }
 
-// setHeadroomMachines sets which machines are kept as headroom.
-func (c *Controller) setHeadroomMachines(kept map[string]bool) {
-	for _, lists := range [...][2]map[string]bool{{kept, c.headroomMachines}, {c.headroomMachines, kept}} {
+// setHeadroomMachines sets which machines are headroom, and marks those for which that changes.
+// c.mu is held.
+func (c *Controller) setHeadroomMachines(headroom map[string]bool) {
+	for _, lists := range [...][2]map[string]bool{{headroom, c.headroomMachines}, {c.headroomMachines, headroom}} {
 		for id := range lists[0] {
 			if m := c.fleet.Get(id); m != nil && !lists[1][id] {
 				c.fleet.MarkChanged(m)
 			}
 		}
 	}
-	c.headroomMachines = kept
+	c.headroomMachines = headroom
 }
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -9,15 +9,15 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// snapshot is what a scheduling cycle decides on.
+// snapshot is the input of a scheduling cycle. It is valid while c.mu is held.
 type snapshot struct {
 	in      *sched.Input
 	fleet   *fleet.Fleet
 	urgency urgency
 }
 
-// machine is the machine that a node of the cycle stands for; nil for one that is requested and
-// not provisioned yet.
+// machine returns the machine of a node of the cycle; nil if the node is a machine that is
+// requested and not provisioned yet.
 func (s *snapshot) machine(node int) *fleet.Machine {
 	if node >= s.in.View.SlotCount() {
 		return nil
@@ -25,7 +25,7 @@
 	return s.fleet.Get(s.in.View.MachineID(node))
 }
 
-// victim is the attempt that a preemption stops; nil if there is none.
+// victim returns the attempt that a preemption stops; nil if there is none.
 func (s *snapshot) victim(p sched.Preemption) (victim *fleet.Attempt) {
 	if m := s.machine(p.Node); m != nil {
 		m.Each(func(a *fleet.Attempt) {
@@ -37,7 +37,8 @@
 	return victim
 }
 
-// newSnapshot makes the snapshot of a cycle.
+// newSnapshot makes the snapshot of a cycle. It also stops the tasks of gangs that are not whole.
+// c.mu is held, and the catalog has been read.
 func (c *Controller) newSnapshot(now time.Time, interval time.Duration) snapshot {
 	c.refreshNodes(now)
 	in := &sched.Input{
@@ -76,7 +77,8 @@
 	return teams
 }
 
-// addUsage adds to a team what a job of it uses; with quotas also what of that is being stopped.
+// addUsage adds to a team the resources that a job of it uses; if there are quotas, also how much
+// of that belongs to attempts that are being stopped.
 func addUsage(team *sched.Team, j *job, hasQuotas bool) {
 	team.Used.Cores += float64(j.live) * j.need.Cores
 	team.Used.Gpus += float64(j.live) * j.need.Gpus
@@ -87,8 +89,8 @@
 	}
 }
 
-// appendWaiting appends a job that waits: in two parts if its first task is overdue. That one
-// begins; the rest of its tasks wait their turn.
+// appendWaiting appends a job that waits. If its first task is overdue, it appends two entries: one
+// for that task, which goes before others, and one for the rest.
 func (c *Controller) appendWaiting(jobs []*sched.Job, j *job, sj *sched.Job, now time.Time) []*sched.Job {
 	if c.isOverdueToStart(j, now) {
 		first := *sj
@@ -101,7 +103,7 @@
 	return append(jobs, sj)
 }
 
-// requestedNodes is the machines that are requested and not provisioned yet, as nodes.
+// requestedNodes returns the machines that are requested and not provisioned yet, as nodes.
 func (c *Controller) requestedNodes() []sched.Node {
 	var nodes []sched.Node
 	c.requests.Each(func(r wire.ProvisionRequest) {
@@ -122,8 +124,8 @@
 	return nodes
 }
 
-// schedulerJob is a job as a cycle sees it, or nil if nothing of it can be placed now.
-// withinQuota says whether it lies within its team's quota.
+// schedulerJob returns the scheduler's view of a job, or nil if none of its tasks can be placed
+// now. withinQuota says whether the job lies within its team's quota. c.mu is held.
 func (c *Controller) schedulerJob(j *job, withinQuota bool, u *urgency, now time.Time) *sched.Job {
 	spec := &j.record.Spec
 	pending := c.placeableTasks(j, now)
@@ -131,7 +133,8 @@
 		return nil
 	}
 	if spec.Kind == wire.Gang && j.live > 0 {
-		// A gang runs whole or not at all: the rest ends, and it starts again.
+		// A gang runs whole or not at all: if some of its tasks have ended, the others are
+		// stopped, and it starts again.
 		j.eachAttempt(func(a *fleet.Attempt) {
 			c.stopAttempt(a, spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "its gang is not whole")
 		})
@@ -160,7 +163,7 @@
 		LaxityS:        u.laxity(j, now),
 		AvoidedMachine: c.avoidedMachine(j, now),
 	}
-	// What a service has lost is down until it has its image again.
+	// A replica that is started again serves nobody until its image is fetched.
 	sj.FetchDelaysStart = sj.StartSlackS < 0 || j.failedAttempts > 0 && spec.Kind == wire.Service
 	sj.SpotUnavailable = spec.AllowSpot && c.isSpotExhausted(spec, now)
 	boot := u.boot(spec)
@@ -169,14 +172,15 @@
 	return sj
 }
 
-// overdueStartLeases is after how many worker leases the first task of a large array goes before
-// the tasks of others of its priority.
+// overdueStartLeases is the number of worker leases after which the first task of a large array
+// goes before the tasks of other jobs of its priority.
 const overdueStartLeases = 10
 
-// isOverdueToStart reports whether nothing of an array has run yet although it came long ago,
-// and it is larger than its class usually is. Users look for a beginning of these, too, after
-// four minutes, and they have the most left to do once they have begun; in a queue of minutes at
-// their team's limit, one of nine began in time. An array that starts whole has no first task.
+// isOverdueToStart reports whether no task of a job has run although it has been eligible for
+// long, and the job is a large array of its class. Users expect these, too, to begin within four
+// minutes, and these have the most left to do once they have begun; in a queue of minutes at their
+// team's limit, one of nine began in time. An array in a single zone starts whole and has no first
+// task.
 func (c *Controller) isOverdueToStart(j *job, now time.Time) bool {
 	spec := &j.record.Spec
 	return spec.Kind == wire.JobArray && !spec.SingleZone && !j.hasRun && j.done == 0 && j.live == 0 &&
@@ -184,9 +188,9 @@
 		c.arrivals.IsLarge(spec)
 }
 
-// avoidedMachine names the machine that a job failed on lately. A job that failed on several
-// machines is at fault itself. If it went on avoiding machines, new ones would be provisioned
-// for it.
+// avoidedMachine returns the ID of the only machine that a job failed on lately, or "". A job that
+// failed on several machines is at fault itself: if it avoided all of them, new ones would be
+// provisioned for it.
 func (c *Controller) avoidedMachine(j *job, now time.Time) string {
 	if len(j.failedOn) == 1 {
 		for id, at := range j.failedOn {
@@ -198,9 +202,9 @@
 	return ""
 }
 
-// isSpotExhausted reports whether the cloud had no spot machine left that may run the job when
-// it was last asked: work that waited for one was only late. From time to time the refusals run
-// out, and it is asked again.
+// isSpotExhausted reports whether the cloud has lately refused every group of spot machines that
+// may run the job: when work waited for spot machines in that state, it was only late. Refusals
+// expire, and the groups are requested again.
 func (c *Controller) isSpotExhausted(spec *wire.JobSpec, now time.Time) bool {
 	for i := range c.catalog.MachineTypes {
 		machineType := &c.catalog.MachineTypes[i]
--- a/internal/controller/urgency.go
+++ b/internal/controller/urgency.go
@@ -11,19 +11,21 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// urgency tells how long jobs can wait, by their deadlines, the users' objectives and what the
-// catalog says of machines. All its times are in seconds.
+// urgency computes how long jobs can wait, from their deadlines, the service-level objectives of
+// their classes and the boot times and fetch rates of the catalog. All its times are in seconds.
 type urgency struct {
 	catalog *wire.Catalog
 	config  *config.Config
 }
 
-// urgency returns the urgency of jobs by the newest catalog, of which there must be one.
+// urgency returns the urgency of jobs by the newest catalog, which must have been read. c.mu is
+// held.
 func (c *Controller) urgency() urgency {
 	return urgency{catalog: c.catalog, config: c.Config}
 }
 
-// boot is how long the quickest machine that may run a task of the job boots.
+// boot returns how long the quickest machine boots that may run a task of the job; +Inf if there is
+// none.
 func (u *urgency) boot(spec *wire.JobSpec) float64 {
 	boot := math.Inf(1)
 	for i := range u.catalog.MachineTypes {
@@ -36,9 +38,10 @@
 	return boot
 }
 
-// startSlack is how long after a launch is decided a start is still within the time that the
-// users set for the job's class, if the machine must fetch the image first. The rate that the
-// catalog gives is met give or take a third.
+// startSlack returns the time within which a job must start by the "wait" objective of its class,
+// less the time to fetch its image on the slowest machine that has room for a task, and one
+// heartbeat interval. It is negative if a task starts in time only where its image is present, and
+// +Inf without an objective. A fetch may take a third longer than by the rate in the catalog: 4/3.
 func (u *urgency) startSlack(spec *wire.JobSpec) float64 {
 	slack := math.Inf(1)
 	for _, o := range u.config.Cluster.Objectives {
@@ -55,11 +58,13 @@
 	return slack
 }
 
-// laxity is how long a job can still wait and be done by its deadline, or by the next time that
-// the users set for its class, if it runs half as long again as its owner expects. Work without
-// either counts as due a few boots after nothing of it ran any more, so that age decides among
-// its like. An array past the last of its times gives way to those in time when it loses its
-// last task: counted by its whole age, it went before them, and at a team's limit fewer were in
+// laxity returns how long a job can still wait and be done by its deadline, or by the next
+// "finished" objective of its class, if it runs half as long again as its owner expects.
+//
+// A job without either, or that is not an array, counts as due four boots after its last task
+// stopped running, so that the job that has waited longest goes first. An array that has missed
+// all its objectives and has no deadline counts like that too: when it counted by its whole age,
+// it went before arrays that could still be in time, and at a team's limit fewer of them were in
 // time.
 func (u *urgency) laxity(j *job, now time.Time) float64 {
 	spec := &j.record.Spec
@@ -82,10 +87,10 @@
 	return left - fetch - runAllowance*spec.ExpectedRunS
 }
 
-// effectiveLevel is the level at which a job competes for room. The level that it inherits from
-// a job that depends on it counts once what is left of the time that the users give either is no
-// longer than a new machine takes: until then its stages can wait for room like others of their
-// own priority, and preempt nobody.
+// effectiveLevel returns the priority level at which a job competes for room: its own, or the
+// level that it inherits from a job that depends on it, once its laxity or the rest of its start
+// slack is no longer than a boot. Until then it waits for room like others of its own priority,
+// and preempts nobody.
 func (u *urgency) effectiveLevel(j *job, now time.Time) int {
 	spec := &j.record.Spec
 	own := spec.Priority.Level()
