--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -13,8 +13,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// failoverReport collects how a term began, for one line of the log and one record. Its times
-// are in milliseconds from when it was seen that nobody leads.
+// failoverReport collects how a term began, for one log line and one record. Its times are in
+// milliseconds since leaderlessSince, when this node detected that there was no leader.
 type failoverReport struct {
 	record          records.Failover
 	leaderlessSince time.Time
@@ -22,8 +22,8 @@
 	done            bool // the first cycle that could place tasks has ended
 }
 
-// newFailoverReport begins the report of a term that this node was elected for. A node that did
-// not see that nobody leads counts from its election.
+// newFailoverReport begins the report of a term that this node was elected for. If the node did not
+// detect that there was no leader, the times count from its election.
 func newFailoverReport(term uint64, node string, leaderlessSince, elected time.Time) *failoverReport {
 	if leaderlessSince.IsZero() || leaderlessSince.After(elected) {
 		leaderlessSince = elected
@@ -93,8 +93,8 @@
 	return &record
 }
 
-// storeFailoverRecord stores the record of the failover, within a leader lease. It is not tried
-// twice: the log has it.
+// storeFailoverRecord stores the record of the failover, within a leader lease. It does not retry:
+// the log has the same data.
 func (c *Controller) storeFailoverRecord(ctx context.Context, record records.Failover) {
 	ctx, cancel := context.WithTimeout(ctx, c.Config.LeaderLeaseTTL())
 	defer cancel()
@@ -107,7 +107,7 @@
 	}
 }
 
-// recordFirstReady records the first machine that is ready.
+// recordFirstReady records when the first machine of the term became ready. c.mu is held.
 func (c *Controller) recordFirstReady(m *fleet.Machine) {
 	if m.State == fleet.Ready {
 		c.failover.recordMachineReady(c.now())
--- a/internal/controller/imagerecords.go
+++ b/internal/controller/imagerecords.go
@@ -13,7 +13,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// recordedImages is how many images of a machine are recorded, and since when.
+// recordedImages is how many images of a machine are recorded, and when they were recorded.
 type recordedImages struct {
 	images int
 	at     time.Time
@@ -22,15 +22,19 @@
 // maxRecordedImages is how many images of a machine are recorded at most.
 const maxRecordedImages = 16
 
-// recordImages records which images machines have, so that a new leader knows where tasks start
-// quickly. Nothing but time is lost if it is late or fails.
+// imageWriteFraction limits a commit of images to this fraction, as one in so many, of the writes
+// that the state store accepts in a second: launches need the others.
+const imageWriteFraction = 8
+
+// recordImages records periodically which images machines have, until ctx ends, so that a new
+// leader knows where tasks start quickly. If a record is late or missing, only time is lost.
 func (c *Controller) recordImages(ctx context.Context) {
 	for timeralign.Sleep(ctx, c.untilNext(c.Config.HeartbeatInterval())) {
 		c.recordSomeImages(ctx)
 	}
 }
 
-// recordSomeImages records the images of as many machines as one commit holds.
+// recordSomeImages records the images of as many machines as fit one commit.
 func (c *Controller) recordSomeImages(ctx context.Context) {
 	tx, recorded := c.imagesToRecord()
 	if len(tx.Changes) == 0 {
@@ -54,10 +58,10 @@
 	recorded = map[string]recordedImages{}
 	// A commit that is larger than the state store takes would be rejected, and no image
 	// would ever be recorded.
-	most := min(max(1, int(c.Config.StateLimits().WriteRps/8)), c.maxBatchChanges())
+	maxChanges := min(max(1, int(c.Config.StateLimits().WriteRps/imageWriteFraction)), c.maxBatchChanges())
 	size := 0
 	c.fleet.Each(func(m *fleet.Machine) {
-		if len(tx.Changes) >= most || size > maxCommitBytes || !c.hasUnrecordedImages(m, now) {
+		if len(tx.Changes) >= maxChanges || size > maxCommitBytes || !c.hasUnrecordedImages(m, now) {
 			return
 		}
 		recorded[m.ID] = recordedImages{len(m.Images), now}
@@ -71,7 +75,7 @@
 }
 
 // hasUnrecordedImages reports whether the images of a machine are to be recorded again: it has
-// more than are recorded, and has not been recorded within a worker lease.
+// more than are recorded, and its last record is older than a worker lease. c.mu is held.
 func (c *Controller) hasUnrecordedImages(m *fleet.Machine, now time.Time) bool {
 	known := c.recordedImages[m.ID]
 	return m.State == fleet.Ready && len(m.Images) > known.images && now.Sub(known.at) > c.Config.WorkerLease()
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -30,22 +30,22 @@
 	dirtyPlacements int                // placements that are to be written
 	done            int                // tasks that are done
 	live            int                // attempts that may be on their machines
-	freedTasks      []int              // tasks that wait again
-	nextUnplaced    int                // tasks from here on were never placed
-	hasRun          bool               // a task of it has run in this term
-	waitingSince    time.Time          // when nothing of it was on a machine any more
+	freedTasks      []int              // tasks that may wait again after an attempt
+	nextUnplaced    int                // tasks from here on were not placed in this term
+	hasRun          bool               // a task of it has run, as far as this leader knows
+	waitingSince    time.Time          // since when no attempt of it may be on a machine
 	countsRevision  uint64             // of the last change of its counts of tasks
 
 	// Its failures: failures.go.
 	failedOn       map[string]time.Time // machines that it failed on, and when
-	failedAttempts int                  // tasks that ended against the job's will
+	failedAttempts int                  // attempts that are over without their task being done
 	suspect        bool                 // it may be faulty
-	backoffs       int                  // how often in a row it was held back
-	backoffUntil   time.Time            // nothing of it is placed before
+	backoffs       int                  // how often in a row it was backed off
+	backoffUntil   time.Time            // no task of it is placed before
 
 	// Its writes: placementwriter.go.
 	outcomeUnknown      bool      // the outcome of its archiving is unknown
-	writesDeferredUntil time.Time // nothing of it is written before: the state store rejected it
+	writesDeferredUntil time.Time // no record of it is written before: the state store rejected one
 }
 
 func newJob(uid string, e watchcache.Entry, now time.Time) *job {
@@ -81,7 +81,7 @@
 	return record.Live
 }
 
-// finalStatus is the final status of a job that is over.
+// finalStatus returns the final status of a job that is over.
 func (j *job) finalStatus() wire.JobStatus {
 	switch {
 	case j.record.Status.Final():
@@ -92,8 +92,8 @@
 	return wire.JobDone
 }
 
-// isOver reports whether a job can be archived: all its tasks are done, or it is final and
-// nothing of it may be on a machine.
+// isOver reports whether a job can be archived: no attempt of it may be on a machine, and it is
+// final, cancelled with one that it depends on, or done with all its tasks.
 func (j *job) isOver() bool {
 	if j.record.Status.Final() || j.cancelled {
 		return j.live == 0
@@ -150,7 +150,7 @@
 	}
 }
 
-// waitingCount is how many tasks wait to be placed.
+// waitingCount returns how many tasks wait to be placed.
 func (j *job) waitingCount() int {
 	if j.record.Status.Final() || !j.released {
 		return 0
@@ -158,8 +158,8 @@
 	return max(0, j.record.Spec.TaskCount-j.done-j.live)
 }
 
-// nextWaitingTasks removes up to n tasks from those that wait. A task may be known twice as
-// waiting, by having been freed and by not having been reached yet: it is returned once.
+// nextWaitingTasks removes up to n tasks from those that wait and returns them. A task may be both
+// in freedTasks and not before nextUnplaced: it is returned once.
 func (j *job) nextWaitingTasks(n int) []int {
 	tasks := make([]int, 0, min(n, j.waitingCount()))
 	picked := map[int]bool{}
@@ -180,8 +180,8 @@
 	return tasks
 }
 
-// gangAttempt is the attempt number that all tasks of a gang share in one start: that of those
-// which are placed already, else one that none of them has used.
+// gangAttempt returns the attempt number that all tasks of a gang share in one start: that of the
+// tasks which are placed already, else one that none of them has used.
 func (j *job) gangAttempt() uint64 {
 	next := uint64(1)
 	for _, p := range j.placements {
@@ -202,7 +202,7 @@
 	}
 }
 
-// runningCount is how many attempts run or write their last checkpoint.
+// runningCount returns how many attempts run or write their last checkpoint.
 func (j *job) runningCount() int {
 	n := 0
 	j.eachAttempt(func(a *fleet.Attempt) {
@@ -213,7 +213,7 @@
 	return n
 }
 
-// stoppingCount is how many attempts are being stopped and may still be on their machines.
+// stoppingCount returns how many attempts are being stopped and may still be on their machines.
 func (j *job) stoppingCount() int {
 	n := 0
 	j.eachAttempt(func(a *fleet.Attempt) {
--- a/internal/controller/launches.go
+++ b/internal/controller/launches.go
@@ -8,14 +8,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// maxTasksPerMachine is how many tasks a machine may have: a hundred bytes each is what a
-// heartbeat takes for one.
+// maxTasksPerMachine is how many tasks a machine may have: a task takes up to a hundred bytes of a
+// heartbeat, which must fit a request body.
 const maxTasksPerMachine = wire.MaxBody / 100
 
-// reportableTasks is how many tasks of a place its machine can report beside those that it has,
-// ended ones that it has not been told to forget included: a worker whose heartbeat does not fit
-// a body is answered by nobody, and its lease ends with all its tasks. Of an array as many start
-// as fit; a gang starts whole or not at all.
+// reportableTasks returns how many tasks of a place its machine can list in a heartbeat in addition
+// to those that it has, including those whose end is not acknowledged. A heartbeat that does not
+// fit a request body is answered by no node, and the worker's lease ends with all its tasks. Of an
+// array as many tasks start as fit; a gang starts whole or not at all.
 func reportableTasks(m *fleet.Machine, place sched.Placement) int {
 	room := max(0, maxTasksPerMachine-m.AttemptCount())
 	if place.Job.Spec.Kind == wire.Gang && place.Count > room {
@@ -24,8 +24,8 @@
 	return min(place.Count, room)
 }
 
-// launch turns the places of a plan into planned attempts, within the budget of placement
-// records; what overflows waits for a later cycle. It returns how many attempts it planned.
+// launch turns the places of a plan into planned attempts, within the budget of placement records;
+// the rest waits for a later cycle. It returns how many attempts it planned. c.mu is held.
 func (c *Controller) launch(places []sched.Placement, s *snapshot, now time.Time) (started int) {
 	budget := c.launchBudget(now)
 	for _, place := range places {
@@ -38,7 +38,7 @@
 			p := j.placement(task)
 			if !p.hasRoom(task, m, c.maxPlacementBytes()) {
 				j.freedTasks = append(j.freedTasks, task)
-				continue // until others of its placement have ended
+				continue // it waits until other attempts of its placement have ended
 			}
 			if !p.dirty || p.due.After(now) {
 				budget--
@@ -53,10 +53,10 @@
 	return started
 }
 
-// launchBudget is how many placement records a cycle may add to those that are to be written.
-// Only what is going to be written counts: placements of cancelled jobs are not written again,
-// and those cancelled at the end of an outage kept 400 other jobs waiting, with nothing placed
-// for 12 s. What a placement that is to be written anyway takes on costs nothing.
+// launchBudget returns how many placement records a cycle may add to those that are due to be
+// written. Placements of cancelled jobs do not count, since they are not written again: when they
+// did, jobs cancelled at the end of an outage kept 400 other jobs waiting, with nothing placed for
+// 12 s. An attempt in a placement that is due anyway costs nothing. c.mu is held.
 func (c *Controller) launchBudget(now time.Time) int {
 	budget := max(1, int(c.Config.StateLimits().WriteRps))
 	for _, j := range c.jobs.byUID {
@@ -72,8 +72,8 @@
 	return budget
 }
 
-// planAttempt decides an attempt of a task on a machine. It is launched once its placement
-// record is committed.
+// planAttempt adds a planned attempt of a task on a machine. It is launched once its placement
+// record is committed. c.mu is held.
 func (c *Controller) planAttempt(j *job, p *placement, task int, m *fleet.Machine, now time.Time) {
 	a := &fleet.Attempt{
 		JobUID:    j.uid,
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -14,8 +14,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// loadState rebuilds the state from the records. Until it is loaded, heartbeats renew leases and
-// are answered without commands. If it fails it can be called again.
+// loadState rebuilds the state from the records. Until it is loaded, heartbeats renew worker leases
+// and are answered without commands. If it fails it can be called again: what it has applied by
+// then is applied once.
 func (c *Controller) loadState(ctx context.Context) error {
 	if c.loader == nil {
 		c.loader = newRecordLoader(&c.Options, c.term, c.failover)
@@ -35,7 +36,9 @@
 	return c.applyTermRecords(stored)
 }
 
-// applyTermRecords applies what a term begins with, but for the jobs, which are applied already.
+// applyTermRecords applies the records that a term begins with, after those of the jobs. Releases
+// come before the hints on machines, which are not applied to machines that are being released, and
+// attempts before the hints on jobs, which refer to attempts.
 func (c *Controller) applyTermRecords(stored *termRecords) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,23 +69,24 @@
 	return nil
 }
 
-// applyReturnRecords applies the records of returns that earlier terms have attempted. c.mu is
-// held.
+// applyReturnRecords applies the records of releases that earlier terms have attempted: these
+// machines may vanish at any time, and are never used again. c.mu is held.
 func (c *Controller) applyReturnRecords(rows []wire.KeyValue, now time.Time) error {
 	for _, row := range rows {
 		var record records.ScaleIns
 		if err := wire.Decode(row.Value, &record); err != nil {
-			return fmt.Errorf("return record %s: %w", row.Key, err)
+			return fmt.Errorf("release record %s: %w", row.Key, err)
 		}
 		for _, id := range record.Hosts {
-			c.fleet.MarkReturning(c.fleet.GetOrAdd(id, now), now, "its return was attempted in an earlier term")
+			c.fleet.MarkReturning(c.fleet.GetOrAdd(id, now), now, "its release was attempted in an earlier term")
 		}
 		c.releases.Restore(autoscaler.ReleaseRecord{Key: row.Key, Hosts: record.Hosts})
 	}
 	return nil
 }
 
-// applyImageRecords applies the records of machines' images. c.mu is held.
+// applyImageRecords applies the records of machines' images. One that cannot be decoded is left
+// out: the machine then fetches an image that it may have. c.mu is held.
 func (c *Controller) applyImageRecords(rows []wire.KeyValue, now time.Time) {
 	for _, row := range rows {
 		id := strings.TrimPrefix(row.Key, records.ImagesPrefix)
@@ -107,7 +111,7 @@
 		uid, index, ok := records.SplitPlacementKey(row.Key)
 		j := c.jobs.get(uid)
 		if !ok || j == nil {
-			slog.Warn("placement record without a job", "key", row.Key)
+			slog.Warn("placement record belongs to no job", "key", row.Key)
 			continue
 		}
 		if j.placements[index] != nil {
--- a/internal/controller/recordloader.go
+++ b/internal/controller/recordloader.go
@@ -10,20 +10,20 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// maxProofAttempts is how often a proof of the warm standby is tried before all records are
-// listed instead, if the state store does not answer.
+// maxProofAttempts is how often the proof of the warm standby is attempted while the state store
+// does not answer; after that all records are listed.
 const maxProofAttempts = 3
 
-// termRecords is the records that a term begins with. Job records that come from the job cache
-// are not among them.
+// termRecords are the records that a term begins with. With a warm standby the job records are
+// missing: the controller has them from the job cache.
 type termRecords struct {
 	jobs, placements, returns, images []wire.KeyValue
 	hints                             *standby.Proven // nil if all records were listed
 }
 
-// recordLoader reads the records that a term begins with: from what this node has followed as a
-// warm standby, if that can be proven, else by listing them. It keeps what it has read so far
-// from attempt to attempt.
+// recordLoader reads the records that a term begins with: from the copy that this node has
+// followed as a warm standby, if its proof succeeds, else by listing them. It keeps the listings
+// that have succeeded from one call of read to the next.
 type recordLoader struct {
 	options       *Options
 	term          uint64
@@ -54,10 +54,10 @@
 	return l.list(ctx)
 }
 
-// list lists all records. A listing of this term stays valid while others are tried again: only
-// this term changes what it lists, but for jobs, whose changes come by the job cache. When a
-// state store that got too many requests refused one of four listings in turn, all four were
-// read again for 12 s.
+// list lists all records. A listing of this term stays valid while others are retried: only this
+// term changes such records, but for jobs, whose changes come through the job cache. When an
+// overloaded state store refused one of the four listings in each attempt, all four were read
+// again and again for 12 s.
 func (l *recordLoader) list(ctx context.Context) (*termRecords, error) {
 	for _, prefix := range []string{records.JobPrefix, records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix} {
 		if _, known := l.listings[prefix]; known {
@@ -77,8 +77,8 @@
 	}, nil
 }
 
-// readProven returns what this node has followed, once it is proven, and brings the job cache,
-// whose every entry the controller has, up to date by a read of this term.
+// readProven returns the copy that this node has followed, once its proof succeeds. It brings the
+// job cache up to date by a read of this term; every change of it reaches the controller.
 func (l *recordLoader) readProven(ctx context.Context) (*termRecords, error) {
 	proven, err := l.options.Prove(ctx, l.term)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return &termRecords{placements: proven.Placements, returns: proven.Returns, images: proven.Images, hints: proven}, nil
 }
 
-// isFinalProofError reports whether trying the proof again is of no use.
+// isFinalProofError reports whether the proof would fail again if it were retried.
 func isFinalProofError(err error) bool {
 	for _, final := range []error{standby.ErrNoCopy, standby.ErrDigest, standby.ErrTooFarBehind, standby.ErrUndecodable} {
 		if errors.Is(err, final) {
--- a/internal/controller/standbyhints.go
+++ b/internal/controller/standbyhints.go
@@ -9,9 +9,9 @@
 	"lotusstile.dev/lotusstile/internal/standby"
 )
 
-// applyMachineHints applies what the leader before knew of machines and of the cloud. Nothing of
-// it says that a machine is there, sends heartbeats, or may be launched on: only its heartbeats
-// in this term do. c.mu is held.
+// applyMachineHints applies what the earlier leader knew of machines and of the cloud beyond its
+// records. It proves nothing: that a machine exists and may get launches is only known by its
+// heartbeats in this term. c.mu is held.
 func (c *Controller) applyMachineHints(p *standby.Proven, now time.Time) {
 	if p == nil {
 		return
@@ -38,7 +38,8 @@
 	}
 }
 
-// applyMachineHint applies the view of a machine that has not sent a heartbeat in this term.
+// applyMachineHint applies the earlier leader's view of a machine. It does nothing to one that has
+// sent a heartbeat in this term. c.mu is held.
 func (c *Controller) applyMachineHint(v *standby.MachineView, now time.Time) {
 	m := c.fleet.GetOrAdd(v.Host, now)
 	if m.State != fleet.Booting {
@@ -56,7 +57,7 @@
 	c.setCapacity(m)
 }
 
-// applyJobHints applies what the leader before knew of jobs. c.mu is held.
+// applyJobHints applies what the earlier leader knew of jobs beyond its records. c.mu is held.
 func (c *Controller) applyJobHints(p *standby.Proven, now time.Time) {
 	if p == nil {
 		return
@@ -66,7 +67,8 @@
 	}
 }
 
-// applyJobHint applies the view of a job that is on record.
+// applyJobHint applies the earlier leader's view of a job. It does nothing for a job that has no
+// record. c.mu is held.
 func (c *Controller) applyJobHint(v *standby.JobView, now time.Time) {
 	j := c.jobs.get(v.UID)
 	if j == nil {
--- a/internal/controller/standbyviews.go
+++ b/internal/controller/standbyviews.go
@@ -12,8 +12,8 @@
 	"lotusstile.dev/lotusstile/internal/standby"
 )
 
-// changedViews keeps of which machines and jobs the warm standby's views are out of date. While
-// no standby asks, nothing is kept.
+// changedViews tracks the machines and jobs whose views at the warm standby are out of date. While
+// no standby asks for views, nothing is tracked.
 type changedViews struct {
 	enabled   bool
 	drainedAt time.Time // when a standby last asked
@@ -21,7 +21,8 @@
 	jobs      map[string]bool
 }
 
-// viewTrackingLeases is for how many leader leases changes are kept after a standby has asked.
+// viewTrackingLeases is the number of leader leases for which changes are tracked after a standby
+// has last asked.
 const viewTrackingLeases = 4
 
 func (v *changedViews) markMachine(host string) {
@@ -41,8 +42,9 @@
 	return now.Sub(v.drainedAt) > limit
 }
 
-// DrainChangedViews returns views that have changed since they were last drained: see
-// standby.Views.
+// DrainChangedViews returns the views of at most this many machines and jobs that have changed
+// since they were last returned, and whether there are more; if there are none, the leader's own
+// view comes last. See standby.Views. It locks the controller itself.
 func (c *Controller) DrainChangedViews(most int) (entries []*standby.Entry, more bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,12 +78,12 @@
 	return entries, false
 }
 
-// viewTrackingTime is for how long changes are kept after a standby has asked.
+// viewTrackingTime returns for how long changes are tracked after a standby has last asked.
 func (c *Controller) viewTrackingTime() time.Duration {
 	return viewTrackingLeases * c.Config.LeaderLeaseTTL()
 }
 
-// trackAllViews begins to keep changes, with everything. c.mu is held.
+// trackAllViews begins to track changes, with all machines and jobs as changed. c.mu is held.
 func (c *Controller) trackAllViews() {
 	c.views = changedViews{enabled: true, machines: map[string]bool{}, jobs: map[string]bool{}}
 	c.fleet.Each(func(m *fleet.Machine) { c.views.machines[m.ID] = true })
@@ -90,8 +92,8 @@
 	}
 }
 
-// stopIdleViewTracking keeps no changes any more once no standby has asked for a while. c.mu is
-// held.
+// stopIdleViewTracking ends the tracking of changes if no standby has asked for viewTrackingTime.
+// c.mu is held.
 func (c *Controller) stopIdleViewTracking(now time.Time) {
 	if c.views.enabled && c.views.isIdle(now, c.viewTrackingTime()) {
 		c.views = changedViews{}
@@ -138,7 +140,7 @@
 	return v.Entry()
 }
 
-// jobEntry encodes the view of a job, or that there is none.
+// jobEntry encodes the view of a job, or that the job is gone. c.mu is held.
 func (c *Controller) jobEntry(uid string) (*standby.Entry, error) {
 	j := c.jobs.get(uid)
 	if j == nil {
@@ -164,7 +166,7 @@
 	return v.Entry()
 }
 
-// leaderView is the view of what the leader knows beyond machines and jobs.
+// leaderView returns what the leader knows beyond machines and jobs. c.mu is held.
 func (c *Controller) leaderView() *standby.LeaderView {
 	v := &standby.LeaderView{Window: c.window}
 	c.refusals.Each(func(g autoscaler.MachineGroup, r autoscaler.Refusal) {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -5,10 +5,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// CountsSince returns the jobs whose counts of tasks have changed since a revision, and the
-// revision that these lead to: 0 until the state is loaded. Of more changes than one reply
-// carries it returns the oldest, and more is true. Views with a final status are of jobs that
-// are over by a committed record.
+// CountsSince returns the jobs whose counts of tasks have changed after a revision, and the
+// revision to ask from next: 0 until the state is loaded. If there are more changes than one reply
+// carries it returns the oldest, and more is true. A view with a final status is of a job whose
+// final status is committed.
 func (c *Controller) CountsSince(revision uint64) (views []wire.JobView, upTo uint64, more bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,7 +30,7 @@
 	return j.done, j.runningCount(), true
 }
 
-// Machines is the number of machines that are not gone; known is false until the state is
+// Machines returns the number of machines that are not gone; known is false until the state is
 // loaded.
 func (c *Controller) Machines() (n int, known bool) {
 	c.mu.Lock()
