--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -49,7 +49,7 @@
 	return b
 }
 
-// batchLimits returns the limits of a batch that is made now.
+// batchLimits returns the limits of a batch that is made now. c.mu is held.
 func (c *Controller) batchLimits(now time.Time) batchLimits {
 	return batchLimits{
 		changes:        c.maxBatchChanges(),
@@ -61,6 +61,7 @@
 	}
 }
 
+// buildBatch makes a batch of jobs under the given limits, which may be empty. c.mu is held.
 func (c *Controller) buildBatch(jobs []*job, limits batchLimits, now time.Time) *batch {
 	sortForWriting(jobs, c.jobs.graph.HasOpenDependents)
 	builder := newBatchBuilder(c.term, limits, now)
@@ -80,8 +81,8 @@
 	}
 }
 
-// applyPlacementCommit updates a placement whose record is committed: its launches may be sent
-// from now on, and its ends may be acknowledged.
+// applyPlacementCommit updates a placement whose record is committed: its launches may be sent from
+// now on, and its ends may be acknowledged. c.mu is held.
 func (c *Controller) applyPlacementCommit(write placementWrite, revision uint64, now time.Time) {
 	p := write.placement
 	if write.dropped {
@@ -103,7 +104,7 @@
 	}
 }
 
-// applyJobCommit updates a job whose final status is committed.
+// applyJobCommit updates a job whose final status is committed. c.mu is held.
 func (c *Controller) applyJobCommit(write jobWrite, revision uint64, now time.Time) {
 	j := write.job
 	c.markFinished(j.uid, write.status, now)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -28,8 +28,9 @@
 
 // Controller leads one term.
 //
-// The fields below mu are guarded by it. Each group of them is changed by the files that its
-// comment names only.
+// The fields below mu are guarded by it. Each group of them is changed only in the files that its
+// comment names. A method that must be called with mu held says "c.mu is held"; all others lock it
+// themselves or use nothing that it guards.
 type Controller struct {
 	Options
 	term          uint64
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -100,8 +100,8 @@
 	return j.suspect && j.record.Spec.Kind == wire.JobArray && !j.record.Spec.SingleZone
 }
 
-// hasProvenTask reports whether a task of the job has run for longer than a worker lease: one of
-// a faulty job fails as it starts.
+// hasProvenTask reports whether a task of the job has run for longer than a worker lease: one of a
+// faulty job fails as it starts. c.mu is held.
 func (c *Controller) hasProvenTask(j *job, now time.Time) bool {
 	lease, proven := c.Config.WorkerLease(), false
 	j.eachAttempt(func(a *fleet.Attempt) {
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -102,6 +102,7 @@
 // shouldBeListed reports whether a machine that a list does not show has failed. A list may be
 // older than a new machine: one that has been known for much longer than lists lag, whether it was
 // ever listed or not, is in every list until it is gone. One that sends heartbeats has not failed.
+// c.mu is held.
 func (c *Controller) shouldBeListed(m *fleet.Machine, now time.Time) bool {
 	return now.Sub(m.FirstSeen) > 4*c.Config.CloudListLag()+c.Config.WorkerLease() &&
 		now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval()
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -3,7 +3,7 @@
 import "lotusstile.dev/lotusstile/internal/quota"
 
 // withinQuotas returns the jobs that lie within the quotas of their teams; nil if no team has a
-// quota.
+// quota. c.mu is held.
 func (c *Controller) withinQuotas() quota.Set {
 	quotas := map[string]quota.Amount{}
 	for _, team := range c.Config.Cluster.Teams {
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -90,7 +90,7 @@
 }
 
 // appendWaiting appends a job that waits. If its first task is overdue, it appends two entries: one
-// for that task, which goes before others, and one for the rest.
+// for that task, which goes before others, and one for the rest. c.mu is held.
 func (c *Controller) appendWaiting(jobs []*sched.Job, j *job, sj *sched.Job, now time.Time) []*sched.Job {
 	if c.isOverdueToStart(j, now) {
 		first := *sj
@@ -103,7 +103,8 @@
 	return append(jobs, sj)
 }
 
-// requestedNodes returns the machines that are requested and not provisioned yet, as nodes.
+// requestedNodes returns the machines that are requested and not provisioned yet, as nodes. c.mu is
+// held.
 func (c *Controller) requestedNodes() []sched.Node {
 	var nodes []sched.Node
 	c.requests.Each(func(r wire.ProvisionRequest) {
@@ -176,11 +177,11 @@
 // goes before the tasks of other jobs of its priority.
 const overdueStartLeases = 10
 
-// isOverdueToStart reports whether no task of a job has run although it has been eligible for
-// long, and the job is a large array of its class. Users expect these, too, to begin within four
-// minutes, and these have the most left to do once they have begun; in a queue of minutes at their
-// team's limit, one of nine began in time. An array in a single zone starts whole and has no first
-// task.
+// isOverdueToStart reports whether no task of a job has run although it has been eligible for long,
+// and the job is a large array of its class. Users expect these, too, to begin within four minutes,
+// and these have the most left to do once they have begun; in a queue of minutes at their team's
+// limit, one of nine began in time. An array in a single zone starts whole and has no first task.
+// c.mu is held.
 func (c *Controller) isOverdueToStart(j *job, now time.Time) bool {
 	spec := &j.record.Spec
 	return spec.Kind == wire.JobArray && !spec.SingleZone && !j.hasRun && j.done == 0 && j.live == 0 &&
@@ -190,7 +191,7 @@
 
 // avoidedMachine returns the ID of the only machine that a job failed on lately, or "". A job that
 // failed on several machines is at fault itself: if it avoided all of them, new ones would be
-// provisioned for it.
+// provisioned for it. c.mu is held.
 func (c *Controller) avoidedMachine(j *job, now time.Time) string {
 	if len(j.failedOn) == 1 {
 		for id, at := range j.failedOn {
@@ -204,7 +205,7 @@
 
 // isSpotExhausted reports whether the cloud has lately refused every group of spot machines that
 // may run the job: when work waited for spot machines in that state, it was only late. Refusals
-// expire, and the groups are requested again.
+// expire, and the groups are requested again. c.mu is held.
 func (c *Controller) isSpotExhausted(spec *wire.JobSpec, now time.Time) bool {
 	for i := range c.catalog.MachineTypes {
 		machineType := &c.catalog.MachineTypes[i]
--- a/internal/controller/standbyviews.go
+++ b/internal/controller/standbyviews.go
@@ -116,7 +116,7 @@
 	return time.UnixMilli(ms)
 }
 
-// machineEntry encodes the view of a machine, or that there is none.
+// machineEntry encodes the view of a machine, or that there is none. c.mu is held.
 func (c *Controller) machineEntry(host string) (*standby.Entry, error) {
 	m := c.fleet.Get(host)
 	if m == nil || m.State == fleet.Gone {
