--- a/internal/simcluster/checker.go
+++ b/internal/simcluster/checker.go
@@ -12,11 +12,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Checker checks the invariants of the service: it sees what the fakes see, notes what users were
-// told and what machines run, and lists what breaks a rule. It is safe for concurrent use.
+// Checker checks the invariants of the service. The fakes report to it what they receive; it records
+// what users were answered and what machines run, and lists the violations. It is safe for concurrent
+// use.
 //
-// It may be called while a worker or the store is locked, so it never calls workers, and reads
-// the store only while it holds no lock of its own.
+// It may be called while a worker or the store is locked. To avoid deadlocks it never calls workers, and
+// reads the store only while it holds no lock of its own.
 type Checker struct {
 	config *config.Config
 	store  *fakestore.Store
@@ -32,21 +33,21 @@
 	firstPlacements map[uint64]time.Time // by term: when its first placement was committed
 }
 
-// jobHistory is what the checker knows of a job. Times are zero for what has not happened.
+// jobHistory is what has happened to a job. Times are zero for what has not happened.
 type jobHistory struct {
 	spec            wire.JobSpec
-	uploaded        bool         // a user submits it, or has
+	uploaded        bool         // its user has begun to submit it, so spec is set
 	completedTasks  map[int]bool // tasks that ran to their end
 	firstStart      time.Time
-	acceptedAt      time.Time // when a user was told
+	acceptedAt      time.Time // when its user was first answered that it is accepted
 	cancelRequested bool      // its user has asked to cancel it
-	cancelledAt     time.Time // when a user was told
+	cancelledAt     time.Time // when its user was first answered that it is cancelled
 	finalStatus     wire.JobStatus
-	finalAt         time.Time // when a user was first told the final status
-	waitingSince    time.Time // since when it waits although there is room
+	finalAt         time.Time // when its user was first answered a final status
+	waitingSince    time.Time // from when on it has waited although there was room
 }
 
-// The rules that the checker knows, as violations name them.
+// The rules that the checker checks, by the names that violations begin with.
 const (
 	ruleForgotten    = "forgotten"
 	ruleInvented     = "invented"
@@ -79,14 +80,14 @@
 	}
 }
 
-// Violations lists the rules that were broken, each with the case.
+// Violations returns the violations so far: the rule, the time since the beginning and the case.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// ViolationsByRule counts the violations of each rule, and lists the first case of each.
+// ViolationsByRule returns the number of violations of each rule, and the first violation of each.
 func (c *Checker) ViolationsByRule() (counts map[string]int, firstCases []string) {
 	counts = map[string]int{}
 	for _, violation := range c.Violations() {
@@ -98,34 +99,34 @@
 	return counts, firstCases
 }
 
-// StartCount counts the tasks that have started on machines.
+// StartCount returns how many tasks have started on machines.
 func (c *Checker) StartCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.startCount
 }
 
-// TasksOnMachines counts the tasks of a job that are on machines.
+// TasksOnMachines returns how many tasks of a job are on machines.
 func (c *Checker) TasksOnMachines(uid string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.onMachines.countOf(uid)
 }
 
-// report notes a violation of a rule.
+// report records a violation of a rule. c.mu is not held.
 func (c *Checker) report(rule, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violated(rule, format, args...)
 }
 
-// violated notes a violation of a rule. c.mu is held.
+// violated records a violation of a rule. c.mu is held.
 func (c *Checker) violated(rule, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	c.violations = append(c.violations, fmt.Sprintf("%s at %.1f s: %s", rule, time.Since(c.began).Seconds(), text))
 }
 
-// job finds or makes the history of a job. c.mu is held.
+// job returns the history of a job, which it adds if there is none. c.mu is held.
 func (c *Checker) job(uid string) *jobHistory {
 	if c.jobs[uid] == nil {
 		c.jobs[uid] = &jobHistory{completedTasks: map[int]bool{}}
@@ -133,7 +134,7 @@
 	return c.jobs[uid]
 }
 
-// addSpec makes a job's description known.
+// addSpec makes a job's specification known.
 func (c *Checker) addSpec(spec wire.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,14 +142,14 @@
 	job.spec, job.uploaded = spec, true
 }
 
-// spec is a job's description, empty if nobody has uploaded it.
+// spec returns a job's specification, empty if nobody has uploaded it.
 func (c *Checker) spec(uid string) wire.JobSpec {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.job(uid).spec
 }
 
-// TaskStarted checks a task that has its image and begins to run on a machine.
+// TaskStarted checks that a task may run on the machine where it starts.
 func (c *Checker) TaskStarted(task string, machine Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,8 +175,8 @@
 	c.checkQuota(job.spec.Team)
 }
 
-// TaskEnded notes that a task has left a machine; completed if it ran to its end. It returns the
-// task's job and whether all tasks of it have completed by that.
+// TaskEnded records that a task has left a machine; completed means that it ran to its end. It returns
+// the task's job, and whether this completed the job's last task.
 func (c *Checker) TaskEnded(task, host string, completed bool) (uid string, jobCompleted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -225,13 +226,13 @@
 	}
 }
 
-// isOverCancelTime reports whether a job's user was told longer than cancel_s before that it is
-// cancelled. c.mu is held.
+// isOverCancelTime reports whether more than cancel_s lies between the first answer that a job is
+// cancelled and the given time: its tasks must have ended by then. c.mu is held.
 func (c *Checker) isOverCancelTime(job *jobHistory, at time.Time) bool {
 	return !job.cancelledAt.IsZero() && at.Sub(job.cancelledAt).Seconds() > c.config.Cluster.Workers.CancelS
 }
 
-// checkCancelledTasks looks for tasks that outlive their cancellation.
+// checkCancelledTasks checks that no task is on a machine longer than cancel_s after its cancellation.
 func (c *Checker) checkCancelledTasks() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,7 +240,7 @@
 		uid, _, _ := wire.SplitTaskName(task)
 		if job := c.job(uid); c.isOverCancelTime(job, time.Now()) {
 			c.violated(ruleRanCancelled, "%s is on %v, %.1f s after its user was told", task, hosts, time.Since(job.cancelledAt).Seconds())
-			job.cancelledAt = time.Time{} // one violation a job is enough
+			job.cancelledAt = time.Time{} // one violation for each job is enough
 		}
 	}
 }
--- a/internal/simcluster/checker_answers.go
+++ b/internal/simcluster/checker_answers.go
@@ -7,36 +7,38 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// FinalStatus is the final status that a user was told of a job, "" if none was.
+// FinalStatus returns the final status that a job's user was answered, "" if there was none yet.
 func (c *Checker) FinalStatus(uid string) wire.JobStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.job(uid).finalStatus
 }
 
-// isAccepted reports whether a user was told that a job is accepted.
+// isAccepted reports whether a job's user was answered that it is accepted.
 func (c *Checker) isAccepted(uid string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.job(uid).acceptedAt.IsZero()
 }
 
-// cancelRequested notes that a job's user asks to cancel it.
+// cancelRequested records that a job's user asks to cancel it. It must be called before the request is
+// sent: the cancellation may be visible before it is answered.
 func (c *Checker) cancelRequested(uid string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.job(uid).cancelRequested = true
 }
 
-// checkSubmissionStatus checks that a well-formed submission is not refused for good.
+// checkSubmissionStatus checks that a well-formed submission is not refused as malformed or impossible,
+// which a user does not repeat.
 func (c *Checker) checkSubmissionStatus(uid, node string, status int) {
 	if status == http.StatusBadRequest || status == http.StatusUnprocessableEntity {
 		c.report(ruleForgotten, "%s is answered %d at %s", uid, status, node)
 	}
 }
 
-// checkAnswer checks an answer against all that any node had told before the question was asked,
-// and notes what is new in it. It reports whether anything is.
+// checkAnswer checks an answer against all answers of any node that came before its request was sent at
+// asked, and records what is new in it. It reports whether anything is.
 func (c *Checker) checkAnswer(uid string, asked time.Time, status int, view wire.JobView) (isNew bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,8 +70,8 @@
 	return !isAccepted
 }
 
-// checkStatus checks the status that a user is told of a job against what the machines ran, what
-// users cancelled and what was told before. c.mu is held.
+// checkStatus checks the status in an answer against what the machines ran, what users cancelled and
+// earlier answers. c.mu is held.
 func (c *Checker) checkStatus(uid string, asked time.Time, status wire.JobStatus) {
 	job := c.job(uid)
 	isOver := job.finalStatus != ""
@@ -85,8 +87,8 @@
 	}
 }
 
-// checkDependenciesDone checks, at the start of a task, that all that its job needs is done. c.mu
-// is held.
+// checkDependenciesDone checks, at the start of a task, that all jobs that its job depends on are done.
+// c.mu is held.
 func (c *Checker) checkDependenciesDone(task string, spec *wire.JobSpec) {
 	for _, uid := range spec.Dependencies {
 		if needed := c.job(uid); len(needed.completedTasks) < needed.spec.TaskCount {
@@ -95,7 +97,7 @@
 	}
 }
 
-// eachDependency calls visit for every job that a job needs, directly or through others, until
+// eachDependency calls visit for every job that a job depends on, directly or through others, until
 // visit returns false. It reports whether visit never did. c.mu is held.
 func (c *Checker) eachDependency(uid string, visit func(uid string) bool) bool {
 	for _, needed := range c.job(uid).spec.Dependencies {
@@ -106,15 +108,15 @@
 	return true
 }
 
-// isCancelRequested reports whether a user has asked to cancel a job or one that it needs. c.mu is
+// isCancelRequested reports whether a user has asked to cancel a job or one that it depends on. c.mu is
 // held.
 func (c *Checker) isCancelRequested(uid string) bool {
 	return c.job(uid).cancelRequested ||
 		!c.eachDependency(uid, func(needed string) bool { return !c.job(needed).cancelRequested })
 }
 
-// checkNotOrphaned checks that a job that is called queued or running needs no job whose user was
-// told, longer than cancel_s before the question, that it is cancelled. c.mu is held.
+// checkNotOrphaned checks that a job whose status is not final depends on no job that was answered to be
+// cancelled longer than cancel_s before the request was sent. c.mu is held.
 func (c *Checker) checkNotOrphaned(uid string, asked time.Time, status wire.JobStatus) {
 	if status.Final() {
 		return
--- a/internal/simcluster/checker_records.go
+++ b/internal/simcluster/checker_records.go
@@ -12,14 +12,16 @@
 // comparesPerChange is how many compares a transaction may have for each change that it may.
 const comparesPerChange = 4
 
-// checkCommit checks what every commit of a leader must be guarded by, and its size.
+// checkCommit checks the size of a commit, and that its writes are guarded: placements and scale-ins by
+// the leader key, placements and job records by a compare of the key itself, launches by a compare of
+// the record of their job.
 func (c *Checker) checkCommit(tx wire.Transaction) {
 	stateLimits := c.config.StateLimits()
 	if len(tx.Changes) > stateLimits.TxnOps || len(tx.Compares) > comparesPerChange*stateLimits.TxnOps {
 		c.report(ruleLimits, "%d changes and %d compares in a commit", len(tx.Changes), len(tx.Compares))
 	}
 	compared := map[string]uint64{}
-	comparedJobs := map[string]bool{} // whose records are compared, as existing
+	comparedJobs := map[string]bool{} // jobs whose records are compared and must exist
 	for _, compare := range tx.Compares {
 		compared[compare.Key] = compare.ModRevision
 		if compare.ModRevision != 0 {
@@ -49,7 +51,7 @@
 	}
 }
 
-// notePlacement notes that a term has committed a placement.
+// notePlacement records when a term committed its first placement.
 func (c *Checker) notePlacement(term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +60,7 @@
 	}
 }
 
-// FirstPlacement is when the first placement of a term newer than the given one was committed; ok
+// FirstPlacement returns when the first placement of any term newer than the given one was committed; ok
 // is false if there was none yet.
 func (c *Checker) FirstPlacement(after uint64) (at time.Time, ok bool) {
 	c.mu.Lock()
@@ -74,11 +76,11 @@
 // checkLaunch checks that a launch was recorded before it was sent.
 func (c *Checker) checkLaunch(task string, attempt uint64, host string) {
 	if !c.isRecorded(task, attempt, host) {
-		c.report(ruleUnrecorded, "%s try %d is launched on %s without a record", task, attempt, host)
+		c.report(ruleUnrecorded, "%s attempt %d is launched on %s without a record", task, attempt, host)
 	}
 }
 
-// checkReturn checks that a machine's return was recorded before the machine is returned.
+// checkReturn checks that the scale-in of a machine was recorded before the cloud is asked for it.
 func (c *Checker) checkReturn(host string) {
 	for _, item := range c.store.Items(records.ScaleInPrefix) {
 		if bytes.Contains(item.Value, []byte(`"`+host+`"`)) {
@@ -88,13 +90,13 @@
 	c.report(ruleUnrecorded, "%s is returned without a record", host)
 }
 
-// checkAcknowledge checks that an end was recorded before the task is forgotten. What is cancelled
-// is never launched again and needs no such record.
+// checkAcknowledge checks that the end of an attempt was recorded before its worker is told to remove it.
+// A cancelled job is never launched again and needs no such record.
 func (c *Checker) checkAcknowledge(task string, attempt uint64, host string) {
 	uid, _, _ := wire.SplitTaskName(task)
 	item, ok := c.store.Get(records.JobKey(uid))
 	if ok && !bytes.Contains(item.Value, []byte(wire.JobAborted)) && c.isRecorded(task, attempt, host) {
-		c.report(ruleReaped, "%s try %d is acknowledged on %s, but its record says it may run", task, attempt, host)
+		c.report(ruleReaped, "%s attempt %d is acknowledged on %s, but its record says it may run", task, attempt, host)
 	}
 }
 
--- a/internal/simcluster/checker_service.go
+++ b/internal/simcluster/checker_service.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxBegin is how long the largest jobs of a class may take to begin.
+	// maxBegin is how long after its acceptance the first task of one of a class's largest jobs may start.
 	maxBegin = 4 * time.Minute
 	// maxWait is how long a job may wait, once the faults are over, while a machine that fits has
 	// room and its team is under its limit.
 	maxWait = 90 * time.Second
 )
 
-// FaultsOver says that all faults are over: from now on no job may wait for long while there is
-// room for it.
+// FaultsOver records that all faults are over: from now on no job may wait for longer than maxWait while
+// there is room for it.
 func (c *Checker) FaultsOver() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,9 +32,9 @@
 	return !c.faultsOverAt.IsZero()
 }
 
-// CheckJobsServed checks, at the end of a scenario, who was served of those that were accepted and
-// not cancelled by their users before they could be: at least half of each class, of each team and
-// of the largest jobs of each class, and these within four minutes.
+// CheckJobsServed checks, at the end of a scenario, that at least half of the jobs of each class, of each
+// team and of the largest of each class were served, and that the largest began within maxBegin. Jobs
+// that their users cancelled before they could be served do not count.
 func (c *Checker) CheckJobsServed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +53,7 @@
 			}
 		}
 		isService := job.spec.Kind == wire.Service
-		if isService || !job.cancelRequested { // else it was half done when it was cancelled
+		if isService || !job.cancelRequested { // an array that is cancelled in the middle cannot be done
 			countAll(accepted, groups)
 		}
 		if isService && hasBegun || job.finalStatus == wire.JobDone {
@@ -72,7 +72,7 @@
 	}
 }
 
-// largestJobs is, by class, how many tasks the largest jobs have. c.mu is held.
+// largestJobs returns, by class, how many tasks the largest jobs have. c.mu is held.
 func (c *Checker) largestJobs() map[string]int {
 	largest := map[string]int{}
 	for _, job := range c.jobs {
@@ -87,22 +87,23 @@
 	}
 }
 
-// machineLoad is a machine's room and the tasks that it has, as its worker knows.
+// machineLoad is a machine with its tasks. Its free amounts are its capacity until subtractTasks has
+// subtracted what the tasks use.
 type machineLoad struct {
 	Machine
 	freeCores, freeGpus float64
 	tasks               []string
 }
 
-// hasRoomFor reports whether a task of a job may and can run on a machine.
+// hasRoomFor reports whether the specification of a job allows the machine and one of its tasks fits.
 func (l *machineLoad) hasRoomFor(spec *wire.JobSpec) bool {
 	return l.freeCores >= spec.Cores && l.freeGpus >= spec.Gpus &&
 		(len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, l.MachineType)) &&
 		(spec.Zone == "" || spec.Zone == l.Zone) && (spec.AllowSpot || !l.Spot)
 }
 
-// checkWaitingJobs looks for jobs that wait although there is room for them on the machines with
-// the given loads. Jobs of the faulty class may wait.
+// checkWaitingJobs checks that no job waits for longer than maxWait although there is room for it on the
+// machines with the given loads. Jobs of the faulty class may wait.
 func (c *Checker) checkWaitingJobs(loads []machineLoad, faultyClass string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,8 +129,8 @@
 	}
 }
 
-// subtractTasks takes what their tasks use off the machines' room. It returns how many tasks of
-// each job are placed and how many GPUs each team uses. c.mu is held.
+// subtractTasks subtracts what tasks use from the free amounts of their machines. It returns how many
+// tasks of each job are placed and how many GPUs each team uses. c.mu is held.
 func (c *Checker) subtractTasks(loads []machineLoad) (placed map[string]int, teamGpus map[string]float64) {
 	placed, teamGpus = map[string]int{}, map[string]float64{}
 	for i := range loads {
--- a/internal/simcluster/cloud.go
+++ b/internal/simcluster/cloud.go
@@ -14,8 +14,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Cloud is a fake of the cloud, and owns the machines that it has provisioned. It is an
-// http.Handler.
+// Cloud is a fake of the cloud, and owns the machines that it has provisioned. It is an http.Handler and
+// safe for concurrent use.
 type Cloud struct {
 	// ListenWorker, if set, lets a worker listen for direct commands and returns its address.
 	// Without it, workers are reached over the simulated network by their names.
@@ -26,17 +26,17 @@
 
 	mu         sync.Mutex
 	capacity   int
-	bootTime   time.Duration       // 0: by chance
+	bootTime   time.Duration       // 0: drawn for each machine
 	workers    map[string]*Worker  // by host name, also those that are gone
-	bookings   map[string][]string // by request: the hosts that were provisioned for it
+	bookings   map[string][]string // by request ID: the hosts that were provisioned for it
 	nextSerial int
 }
 
 const (
 	defaultCapacity = 12
-	// maxListed is how many machines a page of the list has at most.
+	// maxListed is the largest number of machines in a page of the list.
 	maxListed = 500
-	// minBootS and bootSpreadS bound the boot times that are drawn, in seconds.
+	// A drawn boot time is minBootS seconds and up to bootSpreadS more.
 	minBootS, bootSpreadS = 5, 15
 )
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// ServeHTTP answers the protocol of the cloud.
+// ServeHTTP serves the protocol of the cloud.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/catalog":
@@ -98,7 +98,7 @@
 	jsonhttp.Reply(w, http.StatusOK, wire.HostNames{Hosts: hosts})
 }
 
-// serveReturn ends machines. Unknown names are ignored.
+// serveReturn ends the machines that a controller scales in. Unknown names are ignored.
 func (c *Cloud) serveReturn(w http.ResponseWriter, r *http.Request) {
 	var request wire.HostNames
 	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Hosts) > wire.MaxReturn {
@@ -107,7 +107,7 @@
 	}
 	for _, host := range request.Hosts {
 		if worker := c.worker(host); worker != nil {
-			if !worker.isDead() { // else it is a repeat
+			if !worker.isDead() { // a repeated request needs no record
 				c.cluster.Checker.checkReturn(host)
 			}
 			worker.Die()
@@ -116,7 +116,7 @@
 	jsonhttp.Reply(w, http.StatusOK, struct{}{})
 }
 
-// serveList answers a page of the machine list, as old as the settings say.
+// serveList answers a page of the machine list. The list lags by as much as the settings say.
 func (c *Cloud) serveList(w http.ResponseWriter, r *http.Request) {
 	most, err := strconv.Atoi(r.URL.Query().Get("Most"))
 	if err != nil || most < 1 || most > maxListed {
@@ -142,28 +142,28 @@
 	jsonhttp.Reply(w, http.StatusOK, out)
 }
 
-// SetCapacity sets how many machines there may be at once; a request for more is filled in part.
+// SetCapacity sets how many machines there may be at once. A request for more gets as many as are left.
 func (c *Cloud) SetCapacity(machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.capacity = machines
 }
 
-// Capacity is how many machines there may be at once.
+// Capacity returns how many machines there may be at once.
 func (c *Cloud) Capacity() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.capacity
 }
 
-// SetBootTime sets how long provisioned machines take to boot; 0: by chance.
+// SetBootTime sets how long machines that are provisioned from now on take to boot; 0: drawn for each.
 func (c *Cloud) SetBootTime(boot time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bootTime = boot
 }
 
-// AddMachines makes machines that are up at once.
+// AddMachines adds on-demand machines that are up at once.
 func (c *Cloud) AddMachines(machineType, zone string, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,7 +187,7 @@
 	return host
 }
 
-// MachinesProvisioned counts the machines that controllers have provisioned.
+// MachinesProvisioned returns how many machines controllers have provisioned so far.
 func (c *Cloud) MachinesProvisioned() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,7 +198,7 @@
 	return count
 }
 
-// ZoneOf is the zone of a machine, "" if there is none of that name.
+// ZoneOf returns the zone of a machine, "" if there is none of that name.
 func (c *Cloud) ZoneOf(host string) string {
 	if worker := c.worker(host); worker != nil {
 		return worker.Zone
@@ -206,7 +206,7 @@
 	return ""
 }
 
-// RandomWorker picks a machine that is up or booting, by chance; nil if there is none.
+// RandomWorker draws a machine that is up or booting; nil if there is none.
 func (c *Cloud) RandomWorker() *Worker {
 	c.mu.Lock()
 	live := c.liveWorkers()
@@ -246,7 +246,7 @@
 	return live
 }
 
-// loads is what the machines that are up and well have to do.
+// loads returns the loads of the machines that are up and not faulty.
 func (c *Cloud) loads() []machineLoad {
 	var loads []machineLoad
 	for _, worker := range c.allWorkers() {
@@ -257,7 +257,7 @@
 	return loads
 }
 
-// machineTypeOf looks a machine type up in the catalog.
+// machineTypeOf returns a machine type of the catalog by its name.
 func (c *Cloud) machineTypeOf(name string) (machineType wire.MachineType, ok bool) {
 	for _, machineType := range c.catalog.MachineTypes {
 		if machineType.Name == name {
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -1,8 +1,8 @@
 // Package simcluster simulates what a fleet of controllers works with: a fake state store
 // (fakestore), a fake cloud with machines and their workers, users, and a network with faults
 // between all of them (faultnet). All fakes are written from the published protocol. A checker
-// watches that no rule of the service is broken, whatever fails. Tests play whole scenarios in the
-// time of a synctest bubble; fleetsim plays them against real processes.
+// verifies the invariants of the service under all faults. Tests run whole scenarios in the simulated
+// time of a synctest bubble; fleetsim runs them against real processes.
 package simcluster
 
 import (
@@ -28,14 +28,14 @@
 	// FaultyJobClass is a class of jobs that fail on every machine.
 	FaultyJobClass string
 
-	ctx     context.Context // of what users and workers send
+	ctx     context.Context // of the requests of users and workers
 	copies  heartbeatCopies
 	stopped atomic.Bool
 }
 
 // NewCluster makes a cluster for a deployment, without machines. The state store and the cloud
-// answer on the network under their names in the settings. What users and workers send later ends
-// with ctx: it does not belong to whatever made them send it.
+// answer on the network under their addresses in the settings. ctx bounds all requests that users and
+// workers send later, because these do not belong to the call that causes them.
 func NewCluster(
 	ctx context.Context, cfg *config.Config, network *faultnet.Network, nodes []string, catalog wire.Catalog,
 ) *Cluster {
@@ -49,11 +49,11 @@
 	return c
 }
 
-// checkInterval is how often WatchInvariants looks.
+// checkInterval is the time between two checks of WatchInvariants.
 const checkInterval = 500 * time.Millisecond
 
-// WatchInvariants looks for tasks that outlive their cancellation, and for jobs that wait although
-// there is room, until the deadline or until StopMachines.
+// WatchInvariants checks periodically that no task outlives its cancellation and, once faults are over,
+// that no job waits although there is room. It returns at the deadline or after StopMachines.
 func (c *Cluster) WatchInvariants(deadline time.Time) {
 	for time.Now().Before(deadline) && !c.stopped.Load() {
 		time.Sleep(checkInterval)
--- a/internal/simcluster/fakestore/handlers.go
+++ b/internal/simcluster/fakestore/handlers.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// maxListed is how many items a page of a listing has at most.
+	// maxListed is the largest number of items in a page of a listing.
 	maxListed = 1000
 	// minLeaseTTLMs is the shortest lease that is given, in milliseconds.
 	minLeaseTTLMs = 100
-	// leaseCheckInterval is how often a watch looks for leases that have ended.
+	// leaseCheckInterval is how often an open watch checks for leases that have expired.
 	leaseCheckInterval = 100 * time.Millisecond
 )
 
@@ -26,7 +26,7 @@
 	Revision uint64 `json:"Epoch"`
 }
 
-// ServeHTTP answers the protocol of the state store.
+// ServeHTTP serves the protocol of the state store.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	limited := s.limits.isOverRequestRate()
@@ -89,7 +89,7 @@
 	jsonhttp.Reply(w, http.StatusOK, out)
 }
 
-// serveGrant gives a new lease. s.mu is held.
+// serveGrant grants a new lease. s.mu is held.
 func (s *Store) serveGrant(w http.ResponseWriter, r *http.Request) {
 	var request wire.LeaseRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.TTLMs < minLeaseTTLMs {
@@ -105,7 +105,7 @@
 // serveLease renews or ends a lease. s.mu is held.
 func (s *Store) serveLease(w http.ResponseWriter, r *http.Request) {
 	number := strings.TrimSuffix(strings.TrimPrefix(r.URL.Path, "/holds/"), "/touch")
-	id, _ := strconv.ParseUint(number, 10, 64) // 0, if it is none: there is no such lease
+	id, _ := strconv.ParseUint(number, 10, 64) // 0 if it is not a number: no lease has that ID
 	l := s.leases[id]
 	switch {
 	case l == nil:
@@ -151,8 +151,8 @@
 	jsonhttp.Reply(w, http.StatusOK, wire.TransactionResponse{Revision: s.revision})
 }
 
-// serveWatch waits until a key under a prefix changes after a revision, or until the time of
-// the request is over. In an outage it stays open and answers nothing.
+// serveWatch waits until a key under a prefix changes after a revision, or until the request's HoldMs is
+// over. In an outage it stays open until then, and answers 503.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("After"), 10, 64)
@@ -166,7 +166,7 @@
 		down := s.down
 		changed := make(chan struct{})
 		s.waiters[changed] = true
-		// A lease may end while nobody calls: look again when the next one may.
+		// A lease may expire while no request comes that would notice: check again soon.
 		leaseCheck := time.NewTimer(leaseCheckInterval)
 		s.mu.Unlock()
 		if len(out.Events) > 0 && !down {
--- a/internal/simcluster/fakestore/limits.go
+++ b/internal/simcluster/fakestore/limits.go
@@ -12,7 +12,7 @@
 // comparesPerChange is how many compares a transaction may have for each change that it may.
 const comparesPerChange = 4
 
-// Limits is what the state store takes. Zero fields are no limit.
+// Limits are the limits of the state store on requests. A field that is 0 sets no limit.
 type Limits struct {
 	ValueBytes int
 	TxnOps     int
@@ -20,15 +20,15 @@
 	Rps        float64 // requests a second
 }
 
-// limiter is the limits in force and what came of them. The store's lock guards it.
+// limiter enforces the limits in force and records rejections. The store's lock guards it.
 type limiter struct {
 	Limits
 	writes   *rate.Limiter
 	requests *rate.Limiter
-	rejected []string // keys of transactions that were answered 400
+	rejected []string // keys of transactions that were over the limits of size
 }
 
-// SetLimits brings limits into force, without notice.
+// SetLimits sets the limits at once, without announcing them.
 func (s *Store) SetLimits(limits Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,14 +37,14 @@
 	s.limits.requests = newRateLimiter(limits.Rps)
 }
 
-// RejectedKeys lists the keys of transactions that were over the limits.
+// RejectedKeys lists the keys of the transactions that were rejected with 400 for their size.
 func (s *Store) RejectedKeys() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.limits.rejected)
 }
 
-// newRateLimiter allows bursts of one second's worth; without a limit there is none.
+// newRateLimiter returns a limiter that allows bursts of one second's worth, nil without a limit.
 func newRateLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -60,8 +60,7 @@
 	return l.writes != nil && len(tx.Changes) > 0 && !l.writes.AllowN(time.Now(), len(tx.Changes))
 }
 
-// rejectOversized reports whether a transaction is over a limit of size, and notes its keys
-// if so.
+// rejectOversized reports whether a transaction is over a limit of size, and records its keys if it is.
 func (l *limiter) rejectOversized(tx wire.Transaction) bool {
 	over := l.TxnOps > 0 && (len(tx.Changes) > l.TxnOps || len(tx.Compares) > comparesPerChange*l.TxnOps)
 	for _, change := range tx.Changes {
--- a/internal/simcluster/fakestore/store.go
+++ b/internal/simcluster/fakestore/store.go
@@ -1,6 +1,6 @@
-// Package fakestore is a fake of the state store, written from its published protocol: a
-// consistent key-value store with transactions, leases and watches. It can be down, and it can
-// have limits on the size and the rate of requests. Checks read it past all faults.
+// Package fakestore is a fake of the state store, written from its published protocol: a consistent
+// key-value store with transactions, leases and watches. It can simulate outages, and limits on the size
+// and the rate of requests. Its methods for checks read it whatever fault is simulated.
 package fakestore
 
 import (
@@ -14,8 +14,8 @@
 
 // Store is the state store. It is an http.Handler and safe for concurrent use.
 type Store struct {
-	// OnCommit, if set, sees every transaction just before it is applied. The store is locked
-	// meanwhile, so it must not call the store. Set it before the store serves.
+	// OnCommit, if set, is called for every transaction just before it is applied. The store is locked
+	// meanwhile, so it must not call the store. Set it before the store serves requests.
 	OnCommit func(tx wire.Transaction)
 
 	mu          sync.Mutex
@@ -29,18 +29,19 @@
 	limits      limiter
 }
 
-// lease is a lease and when it ends unless it is renewed.
+// lease is a lease that expires at ends unless it is renewed.
 type lease struct {
 	ttl  time.Duration
 	ends time.Time
 }
 
-// New makes an empty store without limits.
+// New returns an empty store without limits.
 func New() *Store {
 	return &Store{items: map[string]wire.KeyValue{}, leases: map[uint64]*lease{}, waiters: map[chan struct{}]bool{}}
 }
 
-// SetDown begins or ends an outage. Its end gives all leases their full time again.
+// SetDown begins or ends an outage. Leases do not expire during one, and have their full time to live
+// again when it ends.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// Get reads a key past all faults, for checks.
+// Get reads a key whatever fault is simulated, for checks.
 func (s *Store) Get(key string) (wire.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,8 +60,8 @@
 	return item, ok
 }
 
-// Items lists all items under a prefix as they are at one moment, past all faults, for
-// checks. They come in no order.
+// Items lists all items under a prefix at one revision whatever fault is simulated, for checks. They come
+// in no order.
 func (s *Store) Items(prefix string) []wire.KeyValue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +74,7 @@
 	return items
 }
 
-// Keys lists all keys under a prefix in order, past all faults, for checks.
+// Keys lists all keys under a prefix in order whatever fault is simulated, for checks.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +93,7 @@
 	return keys
 }
 
-// expireLeases ends the leases that were not renewed in time. s.mu is held.
+// expireLeases ends the leases that were not renewed in time, except in an outage. s.mu is held.
 func (s *Store) expireLeases() {
 	if s.down {
 		return
@@ -117,7 +118,7 @@
 	}
 }
 
-// publish adds a change to the log and wakes the watches. s.mu is held.
+// publish appends a change to the events and wakes all open watches. s.mu is held.
 func (s *Store) publish(event wire.WatchEvent) {
 	s.events = append(s.events, event)
 	for waiter := range s.waiters {
@@ -136,7 +137,7 @@
 	return failed
 }
 
-// apply carries out the changes of a transaction under one revision. s.mu is held.
+// apply applies the changes of a transaction under one revision. s.mu is held.
 func (s *Store) apply(changes []wire.Change) {
 	if len(changes) > 0 {
 		s.revision++
--- a/internal/simcluster/faultnet/faults.go
+++ b/internal/simcluster/faultnet/faults.go
@@ -11,8 +11,9 @@
 	}
 }
 
-// Partition cuts two parties off from each other in both directions, or joins them again. What
-// one sends to the other hangs, and their connections close.
+// Partition cuts two parties off from each other in both directions, or joins them again. Requests
+// between them hang until they time out. The connections to other controllers close at both parties, also
+// those to third ones.
 func (n *Network) Partition(a, b string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -24,29 +25,29 @@
 	}
 }
 
-// DropResponses loses the responses to what one party asks another: the requests are carried out.
+// DropResponses drops the responses to requests from one party to another. The requests are carried out.
 func (n *Network) DropResponses(from, to string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	setLink(n.faults.dropResponses, from, to, on)
 }
 
-// RefuseRequests answers 503 to what one party asks another; it is not carried out.
+// RefuseRequests answers requests from one party to another with 503 without carrying them out.
 func (n *Network) RefuseRequests(from, to string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	setLink(n.faults.refuse, from, to, on)
 }
 
-// DropRequests loses what one party asks another, for good.
+// DropRequests drops requests from one party to another. They are never carried out.
 func (n *Network) DropRequests(from, to string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	setLink(n.faults.dropRequests, from, to, on)
 }
 
-// SetLateDeliveryShare sets the share, from 0 to 1, of the requests lost to a partition that are
-// delivered later.
+// SetLateDeliveryShare sets the share, from 0 to 1, of the requests caught in a partition that are
+// delivered up to maxLateness later.
 func (n *Network) SetLateDeliveryShare(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -60,24 +61,24 @@
 	n.faults.extraLatency = extra
 }
 
-// DelayCommits lets a share of the commits get no response: they are carried out 2 to 12 s later,
-// after newer ones, or at once.
+// DelayCommits makes a share of the commits, from 0 to 1, get no response. They are carried out 2 to 12 s
+// later, which is after newer ones, or at once if atOnce is set.
 func (n *Network) DelayCommits(share float64, atOnce bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults.delayedCommits, n.faults.commitsAtOnce = share, atOnce
 }
 
-// DelayDirectCommands holds up a share of the direct commands: they get no response and are
-// carried out 2 to 16 s later, after those of newer leaders.
+// DelayDirectCommands makes a share of the direct commands, from 0 to 1, get no response. They are carried
+// out 2 to 16 s later, which may be after those of newer leaders.
 func (n *Network) DelayDirectCommands(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults.delayedCommands = share
 }
 
-// Heal ends all faults, lets paused processes go on and takes the observer off. The share of late
-// deliveries stays: it is no fault without a partition.
+// Heal ends all faults, resumes paused processes and removes the observer. The share of late deliveries
+// stays: it has no effect without a partition.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simcluster/faultnet/network.go
+++ b/internal/simcluster/faultnet/network.go
@@ -1,7 +1,7 @@
 // Package faultnet is a simulated network that carries requests and connections between named
-// parties, and plays its faults: partitions, lost requests and responses, refusals, latency, late
-// delivery and paused processes. What happens by chance is drawn from one source, so that a seed
-// gives the same faults.
+// parties, and simulates faults: partitions, dropped requests and responses, refusals, latency, late
+// delivery and paused processes. All random choices are drawn from one source, so that a seed gives the
+// same faults.
 package faultnet
 
 import (
@@ -21,7 +21,7 @@
 	peerServers map[string]*rpc.Server
 	conns       map[string][]net.Conn // by party: its ends of the connections between controllers
 	faults      faults
-	paused      map[string]chan struct{} // by party; closed when it goes on
+	paused      map[string]chan struct{} // by party; closed when it is resumed
 	observer    func(from, to, path string, carriedOut bool)
 }
 
@@ -31,7 +31,7 @@
 	dropResponses   map[link]bool
 	refuse          map[link]bool // answered 503
 	dropRequests    map[link]bool
-	lateDelivery    float64       // share of the requests lost to a partition that are delivered later
+	lateDelivery    float64       // share of the requests caught in a partition that are delivered later
 	extraLatency    time.Duration // at most, each way
 	delayedCommits  float64       // share of commits that get no response
 	commitsAtOnce   bool          // delayed commits are carried out at once, else after newer ones
@@ -41,10 +41,10 @@
 // link is the way from one party to another.
 type link struct{ from, to string }
 
-// defaultLateDelivery is the share of the requests lost to a partition that are delivered later.
+// defaultLateDelivery is the share of the requests caught in a partition that are delivered later.
 const defaultLateDelivery = 0.5
 
-// New makes a network without faults, whose chances are drawn from rng.
+// New returns a network without faults that draws its random choices from rng.
 func New(rng *rand.Rand) *Network {
 	return &Network{
 		rng:         rng,
@@ -62,16 +62,15 @@
 	}
 }
 
-// RandIntN draws a number from 0 to limit-1 from the network's source of chance.
+// RandIntN draws a number from 0 to limit-1 from the network's random source.
 func (n *Network) RandIntN(limit int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.IntN(limit)
 }
 
-// Attach lets a party answer under a name: requests go to handler, connections between
-// controllers to peerServer. A nil handler takes the party off the network and closes its
-// connections.
+// Attach makes a party reachable under a name: requests go to handler, connections between controllers to
+// peerServer. A nil handler removes the party from the network and closes its connections.
 func (n *Network) Attach(name string, handler http.Handler, peerServer *rpc.Server) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,7 +80,7 @@
 	}
 }
 
-// handler is what answers under a name now, nil if nothing does.
+// handler returns the handler that is attached under a name, nil if there is none.
 func (n *Network) handler(name string) http.Handler {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simcluster/faultnet/pause.go
+++ b/internal/simcluster/faultnet/pause.go
@@ -2,19 +2,19 @@
 
 import "strings"
 
-// PauseProcess pauses a party's process, or lets it go on. To others it is a process that gets no
-// processor while its clocks run on: what it has asked for is carried out, and it learns so when
-// it goes on, late or as a time-out; what it was about to send goes out then, and what others
-// asked of it is answered then, though they have given up. Its own timers are not stopped, as they
-// would be: what it decides meanwhile, without those responses, goes out as well, which is the
-// harder trial.
+// PauseProcess pauses a party's process, or resumes it. To others it is a process that gets no processor
+// time while the clock runs on. Its requests in flight are carried out, and it receives the responses, or
+// time-outs, when it is resumed. What it was about to send is sent then, and requests to it are carried
+// out then, though their senders have given up. Unlike those of a process that is really paused, its
+// timers run on: what it decides meanwhile, without those responses, is sent as well, which is the harder
+// test.
 func (n *Network) PauseProcess(name string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.setPaused(name, on)
 }
 
-// setPaused pauses a party or lets it go on. n.mu is held.
+// setPaused pauses a party or resumes it. n.mu is held.
 func (n *Network) setPaused(name string, on bool) {
 	switch resumed := n.paused[name]; {
 	case on && resumed == nil:
@@ -37,9 +37,9 @@
 	}
 }
 
-// ObserveRequests calls observer for every request that reaches a party: just before it is
-// carried out, and just after, when its response is not yet on its way. A process can be paused at
-// a moment of the protocol that way. nil ends it.
+// ObserveRequests calls observer for every request that reaches a party: just before it is carried out,
+// and just after, before its response is sent. Tests use it to pause a process at a given step of the
+// protocol. A nil observer ends it.
 func (n *Network) ObserveRequests(observer func(from, to, path string, carriedOut bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simcluster/faultnet/peerconn.go
+++ b/internal/simcluster/faultnet/peerconn.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// relayQueue is how many reads of a connection may wait for a paused party.
+	// relayQueue is how many chunks of a connection may wait for a paused party before its peer's writes
+	// block.
 	relayQueue = 1 << 12
-	// relayBuffer is how many bytes are read at once.
+	// relayBuffer is the largest size of a chunk in bytes.
 	relayBuffer = 1 << 12
 )
 
-// DialPeer is how a party dials the servers that are attached for connections between controllers.
+// DialPeer returns the function with which a party dials the peer servers of other controllers.
 func (n *Network) DialPeer(from string) func(address string, timeout time.Duration) (net.Conn, error) {
 	return func(address string, _ time.Duration) (net.Conn, error) {
 		n.mu.Lock()
@@ -32,8 +33,8 @@
 	}
 }
 
-// relay carries what is sent on a connection: it leaves when the one party goes on and arrives
-// when the other does. Nobody's write waits for that.
+// relay carries data from src to dst while neither party is paused. Writes to src do not wait for that,
+// up to relayQueue chunks.
 func (n *Network) relay(src, dst net.Conn, from, to string) {
 	sent := make(chan []byte, relayQueue)
 	go func() {
--- a/internal/simcluster/faultnet/transport.go
+++ b/internal/simcluster/faultnet/transport.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// maxLateness is how much later than they were sent lost requests are delivered at most.
+	// maxLateness bounds how long after they were sent requests caught in a partition are delivered.
 	maxLateness = 40 * time.Second
-	// minDelayOfDelayed is by how much delayed commits and commands are late at least, and
-	// maxExtraOfCommit and maxExtraOfCommand by how much more at most.
+	// Delayed commits and commands are carried out minDelayOfDelayed later, and up to maxExtraOfCommit or
+	// maxExtraOfCommand after that.
 	minDelayOfDelayed = 2 * time.Second
 	maxExtraOfCommit  = 10 * time.Second
 	maxExtraOfCommand = 14 * time.Second
-	// minLatency and maxLatency bound what a request or a response takes.
+	// minLatency and maxLatency bound the latency of a request or a response without extra latency.
 	minLatency = 500 * time.Microsecond
 	maxLatency = 3000 * time.Microsecond
-	// lateDeliveryTimeout is how long a request that is delivered late may take.
+	// lateDeliveryTimeout bounds the time that its receiver has for a request that is delivered late.
 	lateDeliveryTimeout = time.Second
-	// refusedWatchPoll is how often the open watch of a refused node looks whether it still is.
+	// refusedWatchPoll is how often an open watch checks whether its node is still refused.
 	refusedWatchPoll = 50 * time.Millisecond
 )
 
 var errNoResponse = errors.New("no response")
 
-// Transport is the network as one party sees it.
+// Transport returns a round tripper that sends requests over the network as the given party.
 func (n *Network) Transport(from string) http.RoundTripper { return transport{n, from} }
 
 type transport struct {
@@ -64,7 +64,7 @@
 	commitDelayed bool
 	commitAtOnce  bool // a delayed commit is carried out at once
 	commandHeldUp bool
-	deliverLate   bool          // if it is lost to a partition
+	deliverLate   bool          // deliver it later if it is caught in a partition
 	lateness      time.Duration // up to maxLateness
 	latency       time.Duration // each way
 }
@@ -97,8 +97,8 @@
 	return f.lateness * (most / time.Second) / (maxLateness / time.Second)
 }
 
-// loss tells whether the sender gets no response because of a fault before the request arrives,
-// and whether and how much later it is carried out all the same.
+// loss says whether the sender gets no response because of a fault before the request arrives, and
+// whether, and how much later, the request is carried out nevertheless.
 func (f fate) loss() (lost, delivered bool, after time.Duration) {
 	switch {
 	case f.commitDelayed && !f.partitioned && !f.refused && f.reachable:
@@ -128,7 +128,7 @@
 	ctx := e.req.Context()
 	if lost, delivered, after := e.fate.loss(); lost {
 		if delivered {
-			go e.deliverLate(after) // the packets are held back and delivered after all
+			go e.deliverLate(after) // the packets are delayed, not lost
 		}
 		return e.waitForTimeout()
 	}
@@ -153,7 +153,7 @@
 	}
 }
 
-// wait waits for a time. It returns false if the sender gives up meanwhile.
+// wait waits for d. It returns false if the sender gives up meanwhile.
 func (e *exchange) wait(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -165,7 +165,7 @@
 	}
 }
 
-// waitForTimeout lets the sender wait until it gives up.
+// waitForTimeout blocks the sender until it gives up.
 func (e *exchange) waitForTimeout() (*http.Response, error) {
 	<-e.req.Context().Done()
 	return nil, e.req.Context().Err()
@@ -178,7 +178,7 @@
 	return rec
 }
 
-// deliverLate carries the request out after a time, whether its sender still waits or not.
+// deliverLate carries the request out after a delay, whether its sender still waits or not.
 func (e *exchange) deliverLate(after time.Duration) {
 	time.Sleep(after)
 	if handler := e.network.handler(e.link.to); handler != nil {
@@ -205,8 +205,8 @@
 	responses <- rec
 }
 
-// timedOut ends the exchange when its sender has given up. A paused sender sees its time-out only
-// when it goes on: it may then see the response first.
+// timedOut ends the exchange when its sender has given up. A paused sender sees its time-out only when it
+// is resumed. If the response has come meanwhile, either may be seen first.
 func (e *exchange) timedOut(responses <-chan *httptest.ResponseRecorder) (*http.Response, error) {
 	e.network.waitWhilePaused(e.link.from)
 	select {
@@ -222,14 +222,14 @@
 // returnResponse carries a response back to the sender.
 func (e *exchange) returnResponse(rec *httptest.ResponseRecorder) (*http.Response, error) {
 	e.network.waitWhilePaused(e.link.from)
-	// The open watches of a node that is refused wait as in an outage.
+	// The open watches of a node that is refused stay open without events, as in an outage.
 	for e.req.URL.Path == "/changes" && e.network.isRefused(e.link) {
 		if !e.wait(refusedWatchPoll) {
 			return nil, e.req.Context().Err()
 		}
 	}
 	receiverEnded, partitioned := e.network.linkState(e.link)
-	// A response that meets a partition is lost: the connection is dead, and nobody says so.
+	// A response that meets a partition does not arrive, and the sender sees no closed connection either.
 	if e.fate.dropResponse || partitioned {
 		return e.waitForTimeout()
 	}
@@ -239,7 +239,7 @@
 	return rec.Result(), nil
 }
 
-// linkState tells whether the receiver of a link has ended, and whether the link is cut.
+// linkState reports whether the receiver of a link has ended, and whether the link is partitioned.
 func (n *Network) linkState(l link) (receiverEnded, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simcluster/heartbeat_copies.go
+++ b/internal/simcluster/heartbeat_copies.go
@@ -5,14 +5,14 @@
 // maxCopies is how many heartbeats are captured at most.
 const maxCopies = 2000
 
-// heartbeatCopies is copies of heartbeats that are captured for the next leader.
+// heartbeatCopies holds copies of heartbeats that the next leader is to receive late.
 type heartbeatCopies struct {
 	mu        sync.Mutex
 	capturing bool
 	copies    [][]byte
 }
 
-// add keeps a copy of a heartbeat if heartbeats are captured.
+// add retains a copy of a heartbeat if heartbeats are captured.
 func (h *heartbeatCopies) add(data []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -21,7 +21,7 @@
 	}
 }
 
-// setCapturing begins or ends capturing. Its end returns what was captured.
+// setCapturing begins or ends capturing. When it ends, it returns the captured heartbeats.
 func (h *heartbeatCopies) setCapturing(on bool) (captured [][]byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -33,8 +33,8 @@
 	return captured
 }
 
-// CaptureHeartbeats begins or ends keeping a copy of every heartbeat for the next leader. Its end
-// delivers all of them to every controller.
+// CaptureHeartbeats begins or ends capturing copies of all heartbeats. When it ends, the copies are sent
+// to every controller: a new leader receives heartbeats that are older than its term.
 func (c *Cluster) CaptureHeartbeats(on bool) {
 	captured := c.copies.setCapturing(on)
 	if on {
--- a/internal/simcluster/jsonhttp/jsonhttp.go
+++ b/internal/simcluster/jsonhttp/jsonhttp.go
@@ -1,5 +1,5 @@
-// Package jsonhttp writes the JSON responses of the fakes. They do not use the product's own
-// writer, so that a fault in it cannot hide on both sides.
+// Package jsonhttp writes the JSON responses of the fakes. The fakes do not use the product's own writer,
+// so that a fault in it cannot cancel itself out.
 package jsonhttp
 
 import (
@@ -8,8 +8,8 @@
 	"net/http"
 )
 
-// Reply answers a request with a status and a body in JSON. It panics if the body cannot be
-// encoded: the fakes send nothing of that kind.
+// Reply answers a request with a status and a body in JSON. It panics if the body cannot be encoded, which
+// would be a fault of a fake.
 func Reply(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/internal/simcluster/occupancy.go
+++ b/internal/simcluster/occupancy.go
@@ -2,11 +2,11 @@
 
 import "lotusstile.dev/lotusstile/wire"
 
-// occupancy is which tasks are on which machines.
+// occupancy records which tasks are on which machines.
 type occupancy struct {
 	hostsOf map[string]map[string]bool // by task: the machines that it is on
 	tasksOf map[string]map[string]bool // by job: its tasks that are on a machine
-	jobsOf  map[string]map[string]bool // by team: the jobs of it that were ever on one
+	jobsOf  map[string]map[string]bool // by team: its jobs that were ever on one
 }
 
 func newOccupancy() occupancy {
@@ -17,14 +17,14 @@
 	}
 }
 
-// add notes that a task of a job is on a machine.
+// add records that a task of a job is on a machine.
 func (o *occupancy) add(task, host string, spec *wire.JobSpec) {
 	setUnder(o.hostsOf, task)[host] = true
 	setUnder(o.tasksOf, spec.UID)[task] = true
 	setUnder(o.jobsOf, spec.Team)[spec.UID] = true
 }
 
-// remove notes that a task has left a machine.
+// remove records that a task has left a machine.
 func (o *occupancy) remove(task, host string) {
 	delete(o.hostsOf[task], host)
 	if len(o.hostsOf[task]) > 0 {
@@ -42,14 +42,14 @@
 	}
 }
 
-// countOf is on how many machines the tasks of a job are, each counted for each machine.
+// countOf returns how many tasks of a job are on machines. A task that is on two machines counts twice.
 func (o *occupancy) countOf(uid string) int {
 	count := 0
 	o.eachHostsOf(uid, func(hosts map[string]bool) { count += len(hosts) })
 	return count
 }
 
-// setUnder finds or makes the set under a key.
+// setUnder returns the set under a key, which it adds if there is none.
 func setUnder(sets map[string]map[string]bool, key string) map[string]bool {
 	if sets[key] == nil {
 		sets[key] = map[string]bool{}
--- a/internal/simcluster/process_pause_test.go
+++ b/internal/simcluster/process_pause_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// pausePhase is a moment of the protocol at which a controller's process is paused.
+// pausePhase is a step of the protocol at which a controller's process is paused.
 type pausePhase struct {
 	name string
-	// whoPauses tells, of a request that is observed, which controller is to pause now; "": none.
+	// whoPauses returns the controller that is to pause at an observed request, "" if none is.
 	whoPauses  func(sc *scenario, from, to, path string, carriedOut bool) string
-	leaderEnds bool // the leader ends first
+	leaderEnds bool // the leader crashes first, so that another is elected
 }
 
 // leaderSends pauses the leader when a request of it is carried out and not yet answered.
@@ -26,8 +26,8 @@
 	}
 }
 
-// leaderReceivesHeartbeat pauses the leader when it gets a heartbeat, or has taken it and not yet
-// answered it.
+// leaderReceivesHeartbeat pauses the leader when it is about to receive a heartbeat, or afterwards: when it
+// has applied it and not yet answered.
 func leaderReceivesHeartbeat(afterwards bool) func(sc *scenario, from, to, path string, carriedOut bool) string {
 	return func(sc *scenario, _, to, path string, carriedOut bool) string {
 		if carriedOut == afterwards && path == "/checkin" && sc.isLeader(to) {
@@ -59,9 +59,9 @@
 
 func isRenewal(path string) bool { return strings.HasSuffix(path, "/touch") }
 
-// A controller's process is paused while its clocks run on, in every phase of a term, for
-// less than its lease of leadership, a worker lease or cancel_s and for more. On waking it has an
-// old snapshot, old heartbeats to answer and answers to what it asked long ago.
+// A controller's process is paused while its clocks run on, in every phase of a term, for less than its
+// leader lease, a worker lease or cancel_s, and for longer. When it is resumed it has an old snapshot, old
+// heartbeats to answer and old responses to its own requests.
 func TestProcessPause(t *testing.T) {
 	t.Parallel()
 	for _, phase := range []pausePhase{
@@ -84,18 +84,17 @@
 				makeJob:        mixedJob,
 				jobCount:       36,
 				submitInterval: time.Second,
-				seeds:          seedCount(t, 1),
 				injectFaults:   func(sc *scenario, r *rand.Rand) { pauses += pauseInPhase(sc, r, phase) },
-			}.run(t)
-			if pauses < 2*seedCount(t, 1) { // of four: there may be no cancellation in time
+			}.run(t, seedCount(t, 1))
+			if pauses < 2*seedCount(t, 1) { // of four: a phase with a cancellation may not come each time
 				t.Errorf("a controller was paused %d times", pauses)
 			}
 		})
 	}
 }
 
-// pauseInPhase pauses a controller four times in a phase, each time for longer, while jobs are
-// cancelled. It returns how often the phase came.
+// pauseInPhase pauses a controller in a phase four times, each time for longer, while jobs are cancelled.
+// It returns how often the phase came.
 func pauseInPhase(sc *scenario, r *rand.Rand, phase pausePhase) (pauses int) {
 	for i, span := range []int{2000, 4500, 13000, 50000} {
 		pause := milliseconds(span + r.IntN(span/2))
--- a/internal/simcluster/refused_leader_test.go
+++ b/internal/simcluster/refused_leader_test.go
@@ -10,24 +10,27 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// outageAfterRefusal is a gap in which the leader alone loses the state store, and then all do.
+// outageAfterRefusal is a fault in which first the leader alone, and then every node, loses the state store.
 type outageAfterRefusal struct {
-	fault       string        // what keeps the leader from the state store
-	faultFor    time.Duration // for how long
-	outageAfter time.Duration // from the beginning of that; 0: from the election of another
+	fault       string        // between the leader and the state store: "cut" or "refuse"
+	faultFor    time.Duration // how long the fault lasts
+	outageAfter time.Duration // from the beginning of the fault; 0: from the election of another leader
 	outageFor   time.Duration
 	withoutPeer bool // the leader is cut off from its peers as well
 }
 
-// gapJobs is how many jobs there are in the gap.
-const gapJobs = 8
+const (
+	// gapJobs is how many jobs run, and are cancelled, in each case.
+	gapJobs = 8
+	// seedsOfGap is how many timings each case is played at.
+	seedsOfGap = 3
+)
 
-// The gap: the state store refuses the leader alone while another controller
-// confirms cancellations, and is then down for all for longer than cancel_s
-// while workers keep reporting to the old leader. Its last answered request may
-// be younger than what it knows of cancellations, and a leader that was elected
-// in the gap may not have read the records at all: the tasks must be gone within
-// cancel_s of the confirmation all the same.
+// The state store refuses the leader alone while another controller confirms cancellations, and is then
+// down for all for longer than cancel_s while workers keep sending heartbeats to the old leader. Its last
+// answered request may be younger than its cancellation data, and a leader that was elected in between may
+// not have read the records at all: the tasks must nevertheless be gone within cancel_s of the
+// confirmation.
 func TestCancelledTasksEndInTimeWhenAnOutageFollowsARefusedLeader(t *testing.T) {
 	t.Parallel()
 	s := time.Second
@@ -53,14 +56,13 @@
 				makeJob:        replicaJob(0),
 				jobCount:       gapJobs,
 				submitInterval: s,
-				seeds:          3,
 				injectFaults:   gap.inject,
-			}.run(t)
+			}.run(t, seedsOfGap)
 		})
 	}
 }
 
-// inject plays the gap while users cancel all jobs at one node or another.
+// inject plays the faults while users cancel all jobs at one node or another.
 func (g outageAfterRefusal) inject(sc *scenario, r *rand.Rand) {
 	leader := sc.leaderIndex()
 	began := time.Now()
@@ -84,7 +86,7 @@
 	sc.cancelJobs(nodeNames[0], gapJobs, 20*time.Second)
 }
 
-// setFault keeps the leader from the state store, or no longer.
+// setFault begins or ends the fault between the leader and the state store.
 func (g outageAfterRefusal) setFault(sc *scenario, leader int, on bool) {
 	if g.fault == "refuse" {
 		sc.net.RefuseRequests(nodeNames[leader], storeAddress, on)
@@ -96,8 +98,8 @@
 	}
 }
 
-// A leader that the state store refuses, alone, learns of a cancellation from the
-// node that confirmed it: the tasks are gone in seconds, not with their leases.
+// A leader that alone is refused by the state store learns of a cancellation from the node that confirmed
+// it: the tasks end within seconds, not only with their leases.
 func TestRefusedLeaderStopsTasksOnAnnouncedCancellation(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
@@ -132,10 +134,9 @@
 	}
 }
 
-// A leader that has lost the state store and its peers keeps the leases of the
-// workers that still reach it. The next leader neither declares their machines dead
-// nor waits until the old one's knowledge is too old: it tells them its token, and
-// they come to it with all that they run.
+// A leader that can reach neither the state store nor its peers renews the leases of the workers that
+// still reach it. The next leader neither declares their machines dead nor waits until the old one's
+// cancellation data is stale: it announces its token to them, and they move to it with all their tasks.
 func TestWorkersOfADeposedLeaderMoveWithTheirTasks(t *testing.T) {
 	t.Parallel()
 	const machines, replicas = 48, 300
@@ -160,9 +161,9 @@
 	})
 }
 
-// A zone is left with one controller that has lost the state store. A job
-// that is cancelled meanwhile must be gone within cancel_s: that controller
-// stops to keep leases in time, although nothing tells it of the cancellation.
+// The only controller that a zone can reach is cut off from the state store. The tasks of a job that is
+// cancelled meanwhile must end within cancel_s: that controller stops renewing leases in time, although
+// it does not learn of the cancellation.
 func TestCancelledTasksEndInTimeBehindAPartition(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/simcluster/remote.go
+++ b/internal/simcluster/remote.go
@@ -16,9 +16,10 @@
 )
 
 const (
-	// remoteTimeout bounds a forwarded request; it is longer than any party waits.
+	// remoteTimeout bounds a forwarded request. It is longer than any time-out of the simulated parties,
+	// so that theirs apply.
 	remoteTimeout = 10 * time.Second
-	// usersPool is how many idle connections the users keep.
+	// usersPool bounds the idle connections of the users' pool.
 	usersPool = 64
 )
 
@@ -31,7 +32,7 @@
 	clients map[string]*http.Client // by worker; "" is the users' pool
 }
 
-// NewRemoteNode forwards to the controller that listens on address.
+// NewRemoteNode returns a RemoteNode that forwards to the controller that listens on address.
 func NewRemoteNode(address string) *RemoteNode {
 	return &RemoteNode{address: address, clients: map[string]*http.Client{}}
 }
@@ -65,7 +66,7 @@
 	}
 }
 
-// client finds or makes the client of a request's sender.
+// client returns the client of a request's sender, which it adds if there is none.
 func (n *RemoteNode) client(path string, body []byte) *http.Client {
 	var heartbeat wire.Heartbeat
 	if path == "/checkin" && json.Unmarshal(body, &heartbeat) != nil {
@@ -82,15 +83,15 @@
 	return client
 }
 
-// closeBody closes a response that was read as far as anybody wants it.
+// closeBody closes the body of a response. An error is only logged: the response has been used by then.
 func closeBody(resp *http.Response) {
 	if err := resp.Body.Close(); err != nil {
 		slog.Debug("response could not be closed", "err", err)
 	}
 }
 
-// Listen serves a handler on a TCP address until the process ends; ctx bounds only the opening of
-// the listener. It returns the address that it got.
+// Listen serves a handler on a TCP address until the process ends, and returns the address that it
+// listens on. ctx bounds only the opening of the listener.
 func Listen(ctx context.Context, address string, handler http.Handler) (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", address)
 	if err != nil {
@@ -104,7 +105,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Delayed answers after a delay, as a service across a network does.
+// Delayed wraps a handler so that it answers after a delay, as a service across a network does.
 func Delayed(handler http.Handler, delay time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(delay)
--- a/internal/simcluster/users.go
+++ b/internal/simcluster/users.go
@@ -11,17 +11,18 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Users submits jobs, asks about them and cancels them, as users do by way of the load balancer.
-// The checker sees every answer.
+// Users submits, polls and cancels jobs, as users do through the load balancer. The checker checks
+// every answer.
 type Users struct {
-	// PollInterval is how often a user asks about a job.
+	// PollInterval is the time between two polls of a job by its user.
 	PollInterval time.Duration
-	// CrossCheckAnswers makes users ask at all nodes at once when an answer tells something new.
+	// CrossCheckAnswers makes users poll a job at all nodes at once after each answer that says something
+	// new about it.
 	CrossCheckAnswers atomic.Bool
-	// CancelOnCompletion makes users cancel jobs in the moment of their completion.
+	// CancelOnCompletion makes users cancel each job at the moment when its last task completes.
 	CancelOnCompletion atomic.Bool
-	// AllowUnfinishedJobs says that the users' deadline is no promise, but the end of a run in the
-	// middle of its work: jobs that are not over then are counted, and break no rule.
+	// AllowUnfinishedJobs is for runs that end in the middle of their work: jobs that are not over at
+	// their users' deadline are then counted, and are no violation.
 	AllowUnfinishedJobs bool
 
 	cluster    *Cluster
@@ -32,11 +33,12 @@
 	defaultPollInterval = 3 * time.Second
 	// userTimeout is how long a user waits for an answer.
 	userTimeout = 5 * time.Second
-	// retryInterval is when a user repeats what was not answered.
+	// retryInterval is how long a user waits before repeating a request that was not answered.
 	retryInterval = time.Second
-	// finalPolls is how often a user still asks about a job that is over.
+	// finalPolls is how often a user still polls a job that is over, so that a status that goes back is
+	// seen.
 	finalPolls = 4
-	// crossChecks is how often each node is asked about something new, crossCheckInterval apart.
+	// crossChecks is the number of requests to each node in a cross-check, crossCheckInterval apart.
 	crossChecks        = 3
 	crossCheckInterval = 3 * time.Millisecond
 )
@@ -46,7 +48,7 @@
 }
 
 // Request sends a user's request to a controller. It returns the status, 0 if no response came,
-// and the view of the job that a response of success has.
+// and the view of the job if the response is a success.
 func (u *Users) Request(node, method, path string, body any) (status int, view wire.JobView) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -70,18 +72,19 @@
 	return resp.StatusCode, view
 }
 
-// UploadSpec makes a job's description known to workers and to the checker.
+// UploadSpec makes a job's specification known to workers and to the checker.
 func (u *Users) UploadSpec(spec wire.JobSpec) { u.cluster.Checker.addSpec(spec) }
 
-// Run submits a job, polls it and, if it is not over after stay, cancels it, unless stay is 0. It
-// returns when the job is over, or at the deadline.
+// Run submits a job and polls it until it is over, or until the deadline. It cancels a job that is not
+// over after stay, if that is above 0.
 func (u *Users) Run(spec wire.JobSpec, stay time.Duration, deadline time.Time) {
 	if u.SubmitUntil(spec, deadline) {
 		u.Follow(spec, stay, deadline)
 	}
 }
 
-// SubmitUntil submits a job until it is accepted. It reports whether it was before the deadline.
+// SubmitUntil submits a job again and again until it is accepted, and reports whether it was before the
+// deadline.
 func (u *Users) SubmitUntil(spec wire.JobSpec, deadline time.Time) bool {
 	u.UploadSpec(spec)
 	for !u.Submit(u.randomNode(), spec) {
@@ -110,7 +113,7 @@
 			}
 		} else if stay > 0 && time.Now().After(cancelAt) {
 			if !u.Cancel(u.randomNode(), spec.UID) {
-				time.Sleep(retryInterval) // it may have been carried out all the same
+				time.Sleep(retryInterval) // it may have been cancelled without an answer
 			}
 			continue
 		}
@@ -135,7 +138,7 @@
 	u.observe(uid, asked, status, view)
 }
 
-// Cancel asks a node to cancel a job and reports whether the node did.
+// Cancel asks a node to cancel a job and reports whether the node confirmed it.
 func (u *Users) Cancel(node, uid string) bool {
 	u.cluster.Checker.cancelRequested(uid)
 	asked := time.Now()
@@ -147,8 +150,8 @@
 	return status == http.StatusOK
 }
 
-// CrossCheck asks for a job at all nodes at once, again and again within milliseconds, and repeats
-// its submission.
+// CrossCheck polls a job at all nodes at once, several times within milliseconds, and repeats its
+// submission at each. All answers must agree with what was answered before.
 func (u *Users) CrossCheck(uid string) {
 	spec := u.cluster.Checker.spec(uid)
 	var asking sync.WaitGroup
@@ -171,7 +174,8 @@
 	asking.Wait()
 }
 
-// UnfinishedJobs counts the jobs that were not over at their users' deadline, if that is allowed.
+// UnfinishedJobs returns how many jobs were not over at their users' deadline, if AllowUnfinishedJobs is
+// set.
 func (u *Users) UnfinishedJobs() int { return int(u.unfinished.Load()) }
 
 // randomNode picks a controller, as the load balancer does.
@@ -179,7 +183,7 @@
 	return u.cluster.Nodes[u.cluster.Net.RandIntN(len(u.cluster.Nodes))]
 }
 
-// observe gives an answer to the checker, and cross-checks what is new in it.
+// observe has the checker check an answer, and cross-checks the job if the answer says something new.
 func (u *Users) observe(uid string, asked time.Time, status int, view wire.JobView) {
 	if u.cluster.Checker.checkAnswer(uid, asked, status, view) && u.CrossCheckAnswers.Load() {
 		u.CrossCheck(uid)
--- a/internal/simcluster/worker.go
+++ b/internal/simcluster/worker.go
@@ -9,13 +9,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Machine says what a machine is.
+// Machine describes a machine as the cloud provisioned it.
 type Machine struct {
 	Host, MachineType, Zone string
 	Spot                    bool
 }
 
-// Worker is one machine and the worker on it.
+// Worker is a machine and the worker process on it, written from the published protocol. It is safe for
+// concurrent use.
 type Worker struct {
 	Machine
 	Address string // for direct commands
@@ -23,38 +24,38 @@
 	cluster *Cluster
 	born    time.Time
 	boot    time.Duration
-	died    atomic.Int64 // when, in nanoseconds after born; 0 while it lives
+	died    atomic.Int64 // time of death in nanoseconds after born; 0 while it lives
 
 	mu          sync.Mutex
 	dead        bool
 	hungUntil   time.Time
-	failUntil   time.Time // tasks that start before fail
+	failUntil   time.Time // tasks that start earlier fail
 	incarnation uint64
 	sequence    uint64
 	token       uint64    // highest fencing token seen
 	leaseFrom   time.Time // when the last answered heartbeat was sent
 	node        int       // index of the controller that heartbeats go to
 	tasks       map[taskKey]*workerTask
-	wake        chan struct{} // something has changed: a heartbeat is due
+	wake        chan struct{} // a change makes a heartbeat due
 	stop        chan struct{}
 }
 
-// taskKey is one attempt of a task.
+// taskKey identifies an attempt of a task.
 type taskKey struct {
 	name    string
 	attempt uint64
 }
 
-// workerTask is an attempt that the worker has.
+// workerTask is the state of an attempt on its worker.
 type workerTask struct {
 	status       wire.TaskStatus
 	cause        wire.Cause
 	checkpointed bool
-	started      bool      // it has its image, and has not ended
-	due          time.Time // of the next change; zero: none
+	started      bool      // it has its image and has not ended: the checker counts it as on the machine
+	due          time.Time // of the next change of status; zero: none
 }
 
-// taskInterval is how often a worker looks at its tasks and its lease.
+// taskInterval is how often a worker advances its tasks and checks its lease.
 const taskInterval = 100 * time.Millisecond
 
 func newWorker(cluster *Cluster, machine Machine, boot time.Duration) *Worker {
@@ -70,7 +71,7 @@
 	}
 }
 
-// Die ends the machine with all on it.
+// Die ends the machine and all its tasks. A second call does nothing.
 func (w *Worker) Die() {
 	w.mu.Lock()
 	if w.dead {
@@ -88,24 +89,24 @@
 	w.cluster.Net.Attach(w.Host, nil, nil)
 }
 
-// Hang stops the machine for a while; it goes on later, within its lease or not.
+// Hang stops the machine for a while. Its tasks go on afterwards if its lease has not ended by then.
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hungUntil = time.Now().Add(d)
 }
 
-// FailTasks makes every task that starts in the next while fail.
+// FailTasks makes every task that starts within d fail.
 func (w *Worker) FailTasks(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failUntil = time.Now().Add(d)
 }
 
-// age is how long ago the machine was made.
+// age returns how long ago the machine was provisioned.
 func (w *Worker) age() time.Duration { return time.Since(w.born) }
 
-// sinceDeath is how long ago the machine died, or negative.
+// sinceDeath returns how long ago the machine died; it is negative while the machine lives.
 func (w *Worker) sinceDeath() time.Duration {
 	died := w.died.Load()
 	if died == 0 {
@@ -116,7 +117,7 @@
 
 func (w *Worker) isDead() bool { return w.sinceDeath() >= 0 }
 
-// listed is the machine as the cloud lists it at an age.
+// listed returns the machine as the cloud lists it at an age.
 func (w *Worker) listed(age time.Duration) wire.ListedHost {
 	status := wire.HostRunning
 	if age < w.boot {
@@ -133,7 +134,7 @@
 	}
 }
 
-// load is what the machine has to do, if it is up and well.
+// load returns the capacity and the tasks of the machine; isUp is false if it is dead, booting or faulty.
 func (w *Worker) load() (load machineLoad, isUp bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,7 +154,7 @@
 	return load, true
 }
 
-// run is the machine's life: it boots, then sends heartbeats and runs its tasks.
+// run boots the machine, then sends heartbeats and runs its tasks until it dies.
 func (w *Worker) run() {
 	if !w.sleep(w.boot) {
 		return
@@ -173,14 +174,14 @@
 	}
 }
 
-// remainingHang is how long the machine still hangs.
+// remainingHang returns how long the machine still hangs.
 func (w *Worker) remainingHang() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return max(0, time.Until(w.hungUntil))
 }
 
-// sleep waits for a time. It returns false if the machine has died.
+// sleep waits for d. It returns false if the machine dies meanwhile.
 func (w *Worker) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -195,14 +196,14 @@
 	}
 }
 
-// runTasks runs the tasks and ends the incarnation with its lease.
+// runTasks advances the tasks, and ends the incarnation when its lease ends, until the machine dies.
 func (w *Worker) runTasks() {
 	for w.sleep(taskInterval) {
 		w.advance()
 	}
 }
 
-// advance ends the incarnation if its lease has ended, and changes the tasks whose time has come.
+// advance ends the incarnation if its lease has ended, and changes the status of tasks that are due.
 func (w *Worker) advance() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -251,7 +252,7 @@
 	w.notifyChange()
 }
 
-// killTasks forgets all tasks and returns those that were on the machine. w.mu is held.
+// killTasks removes all attempts and returns the names of the tasks that ran. w.mu is held.
 func (w *Worker) killTasks() (killed []string) {
 	for key, task := range w.tasks {
 		if task.started {
@@ -277,7 +278,7 @@
 	w.notifyChange()
 }
 
-// notifyChange lets the next heartbeat come soon.
+// notifyChange makes a heartbeat due: a worker reports changes early.
 func (w *Worker) notifyChange() {
 	select {
 	case w.wake <- struct{}{}:
--- a/internal/simcluster/worker_commands.go
+++ b/internal/simcluster/worker_commands.go
@@ -9,7 +9,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// minFetchS and fetchSpreadS bound the times that images take to be fetched, in seconds.
+// Fetching an image takes minFetchS seconds and up to fetchSpreadS more.
 const minFetchS, fetchSpreadS = 1, 4
 
 // serve answers direct commands.
@@ -92,7 +92,7 @@
 	return true
 }
 
-// acknowledge forgets an attempt that has ended. w.mu is held.
+// acknowledge removes an attempt that has ended from the heartbeats. w.mu is held.
 func (w *Worker) acknowledge(key taskKey) {
 	if task := w.tasks[key]; task != nil && task.status == wire.TaskEnded {
 		w.cluster.Checker.checkAcknowledge(key.name, key.attempt, w.Host)
--- a/internal/simcluster/worker_heartbeats.go
+++ b/internal/simcluster/worker_heartbeats.go
@@ -16,8 +16,8 @@
 	changeDelay = 200 * time.Millisecond
 	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// One in copiedHeartbeat heartbeats arrives a second time, much later: after minCopyDelayS and
-	// up to copyDelaySpreadS more, in seconds.
+	// A heartbeat whose sequence number is a multiple of copiedHeartbeat is sent a second time,
+	// minCopyDelayS seconds and up to copyDelaySpreadS more after the first.
 	copiedHeartbeat                 = 7
 	minCopyDelayS, copyDelaySpreadS = 2, 25
 )
@@ -36,7 +36,8 @@
 	}
 }
 
-// nextHeartbeat makes the heartbeat as the worker stands. w.mu is held.
+// nextHeartbeat encodes a heartbeat with the present state of the worker, under the next sequence number.
+// w.mu is held.
 func (w *Worker) nextHeartbeat() []byte {
 	w.sequence++
 	heartbeat := wire.Heartbeat{
@@ -66,7 +67,7 @@
 	return data
 }
 
-// sendHeartbeat sends one heartbeat; false means that the next node is to be tried.
+// sendHeartbeat sends one heartbeat. It returns false if the worker must try the next node.
 func (w *Worker) sendHeartbeat() bool {
 	w.mu.Lock()
 	sent := time.Now()
@@ -103,8 +104,8 @@
 	}
 }
 
-// acceptResponse renews the lease and executes the commands, or drops a response with a lower
-// token or to a heartbeat of an earlier incarnation. w.mu is held.
+// acceptResponse renews the lease and executes the commands. It drops a response with a lower token, and
+// one to a heartbeat of an earlier incarnation. w.mu is held.
 func (w *Worker) acceptResponse(body []byte, incarnation uint64, sent time.Time) {
 	var response wire.Commands
 	if json.Unmarshal(body, &response) != nil || response.FencingToken < w.token || w.incarnation != incarnation {
@@ -115,7 +116,7 @@
 	w.execute(response.Commands)
 }
 
-// raiseToken takes a token that may be higher than the highest seen. w.mu is held.
+// raiseToken records a token if it is the highest that the worker has seen. w.mu is held.
 func (w *Worker) raiseToken(token uint64) {
 	if token > w.token {
 		w.token = token
@@ -123,8 +124,8 @@
 	}
 }
 
-// followRedirect turns to the node that a 421 names, and reports whether it names another one that
-// is known. w.mu is held.
+// followRedirect makes the node that a 421 names the one that heartbeats go to. It returns false if the
+// 421 names no node, the same one or an unknown one. w.mu is held.
 func (w *Worker) followRedirect(body []byte) bool {
 	var redirect wire.Redirect
 	if json.Unmarshal(body, &redirect) != nil {
