--- a/cmd/fleetsim/failovers.go
+++ b/cmd/fleetsim/failovers.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// placementLimit is how soon after its leader's end a fleet is to be decided for again.
+	// placementLimit is how soon after a leader's end the next one has to place work.
 	placementLimit = 10 * time.Second
-	// giveUpAfter is when a failover counts as missed.
+	// giveUpAfter is how long to wait for a placement before a failover counts as missed.
 	giveUpAfter = time.Minute
-	// minAway and awaySpread bound how long an ended leader is away.
+	// An ended leader is away for minAway and up to awaySpread more.
 	minAway, awaySpread = 4 * time.Second, 12 * time.Second
-	// recordDelay is how long after the first placement a failover has been recorded.
+	// recordDelay is how long after the first placement the record of the failover is read: it is stored
+	// after the placement.
 	recordDelay = 2 * time.Second
 )
 
@@ -31,12 +32,12 @@
 	cluster   *simcluster.Cluster
 	processes *processes
 	rng       *rand.Rand
-	took      []time.Duration
-	warm      int
-	missed    int // no placement in time
+	took      []time.Duration // from each leader's end to the next one's first placement
+	warm      int             // failovers to a warm standby
+	missed    int             // no placement in time
 }
 
-// run ends so many leaders.
+// run ends as many leaders as given, at random moments.
 func (f *failovers) run(ctx context.Context, ends int) error {
 	for range ends {
 		time.Sleep(f.flags.EndEvery/2 + time.Duration(f.rng.Int64N(int64(f.flags.EndEvery))))
@@ -47,7 +48,8 @@
 	return nil
 }
 
-// endLeader ends the leader for a while: it is killed and started again, or stopped and continued.
+// endLeader ends the leader for a while: it is killed and started again, or paused and resumed. Without a
+// leader, the failover counts as missed.
 func (f *failovers) endLeader(ctx context.Context) error {
 	i, term, ok := leaderOf(f.cluster)
 	if !ok {
@@ -95,14 +97,15 @@
 	f.missed++
 }
 
-// record reads how the failover went, if it is of a newer term.
+// record returns the record of the newest failover, empty if that was not to a term newer than the given
+// one.
 func (f *failovers) record(term uint64) (record records.Failover) {
 	item, ok := f.cluster.Store.Get(records.FailoverKey)
 	if !ok {
 		return record
 	}
 	if err := json.Unmarshal(item.Value, &record); err != nil {
-		fmt.Fprintln(os.Stderr, "fleetsim: record of a takeover:", err)
+		fmt.Fprintln(os.Stderr, "fleetsim: record of a failover:", err)
 	}
 	if record.Term <= term {
 		return records.Failover{}
@@ -110,7 +113,7 @@
 	return record
 }
 
-// print tells how they went.
+// print prints the distribution of the times to the first placement.
 func (f *failovers) print() {
 	slices.Sort(f.took)
 	quantile := func(part float64) time.Duration {
@@ -129,7 +132,7 @@
 		len(f.took), f.warm, slow, placementLimit, f.missed, quantile(0.5), quantile(0.9), quantile(0.99), quantile(1))
 }
 
-// printCost tells what the leader and the others have used since they were started.
+// printCost prints what each controller has used since it was started.
 func (c *cli) printCost(ctx context.Context, p *processes, cluster *simcluster.Cluster) {
 	leader, _, ok := leaderOf(cluster)
 	for i := range c.Controllers {
--- a/cmd/fleetsim/load.go
+++ b/cmd/fleetsim/load.go
@@ -9,7 +9,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// load submits jobs by chance. The order of its draws is part of what a seed stands for.
+// load submits random jobs. A seed gives the same jobs only as long as the order of its draws stays.
 type load struct {
 	flags    *cli
 	cluster  *simcluster.Cluster
@@ -18,7 +18,7 @@
 	nextJob  int
 }
 
-// submitJobs submits jobs until the time is over.
+// submitJobs submits jobs until the time of --for is over.
 func (c *cli) submitJobs(cluster *simcluster.Cluster) {
 	l := &load{
 		flags:    c,
@@ -43,13 +43,13 @@
 	}
 }
 
-// submitService lets a user submit a service and cancel it after a while.
+// submitService starts a user that submits a service and cancels it after a random time.
 func (l *load) submitService() {
 	spec, stay := l.service()
 	go l.cluster.Users.Run(spec, stay, l.deadline)
 }
 
-// submitArray lets a user submit an array and wait for its end.
+// submitArray starts a user that submits an array and waits for its end.
 func (l *load) submitArray() {
 	spec, _ := l.service()
 	spec.JobClass, spec.Kind, spec.Priority, spec.AllowSpot = "batch", wire.JobArray, wire.BestEffort, true
@@ -57,7 +57,7 @@
 	go l.cluster.Users.Run(spec, 0, l.deadline)
 }
 
-// service makes the next job as a service, and how long it stays.
+// service draws the next job, as a service, and the time after which its user cancels it.
 func (l *load) service() (spec wire.JobSpec, stay time.Duration) {
 	spec = wire.JobSpec{
 		UID:       fmt.Sprintf("run-%06d", l.nextJob),
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -1,6 +1,6 @@
-// Command fleetsim runs a fake state store, a fake cloud, workers and users on
-// this machine's loopback interface. lotusstile can be tried and profiled
-// against them; docs/operations.md shows how.
+// Command fleetsim runs a fake state store, a fake cloud, workers and users on this machine's loopback
+// interface, to try and profile lotusstile against them. With --run it runs the controllers too, and with
+// --ends it ends leaders and measures failovers. docs/operations.md shows how to use it.
 package main
 
 import (
@@ -22,14 +22,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// cli is the flags; their names come from the fields'.
+// cli holds the flags. kong derives their names from those of the fields.
 type cli struct {
 	Dir         string        `required:"" type:"path" help:"Folder for the controllers' settings files (node-0.toml and so on)."`
 	Port        int           `default:"18070" help:"First of the loopback ports that are used."`
 	Controllers int           `default:"3" help:"Controllers that settings files are made for."`
 	Zones       int           `default:"2" help:"Zones, over which machines and controllers are spread."`
 	Teams       int           `default:"1" help:"Teams that jobs are submitted for."`
-	ReportS     float64       `default:"1" help:"Seconds from report to report of a worker."`
+	ReportS     float64       `default:"1" help:"Seconds between heartbeats of a worker."`
 	LeaseS      float64       `default:"10" help:"Seconds that a worker's lease lasts."`
 	Rps         float64       `default:"250" help:"Requests a second that the settings allow to the state service."`
 	WriteRps    float64       `default:"100" help:"Changes a second that the settings allow to the state service."`
@@ -41,14 +41,14 @@
 	Services    int           `default:"150" help:"Services that are submitted at the start."`
 	Arrays      int           `default:"0" help:"Arrays that are submitted at the start."`
 	PerMinute   float64       `default:"50" help:"Jobs submitted a minute after that."`
-	Stay        time.Duration `default:"4m" help:"How long services stay on the mean."`
-	Poll        time.Duration `default:"5s" help:"How often a user asks about a job."`
-	Delay       time.Duration `default:"4ms" help:"What the state service and the cloud take to answer."`
+	Stay        time.Duration `default:"4m" help:"Mean time after which users cancel services."`
+	Poll        time.Duration `default:"5s" help:"Time between two polls of a job by its user."`
+	Delay       time.Duration `default:"4ms" help:"Delay of the answers of the state service and the cloud."`
 	For         time.Duration `default:"2m" help:"How long to run."`
-	Seed        uint64        `default:"1" help:"Seed of what happens by chance."`
+	Seed        uint64        `default:"1" help:"Seed of all random choices."`
 	Run         string        `help:"Command that runs a controller: the controllers are run by it as processes, with their settings files."`
-	Ends        int           `default:"0" help:"Leaders that are killed, or stand still, at random moments; needs --run."`
-	EndEvery    time.Duration `default:"20s" help:"Time from one to the next on the mean."`
+	Ends        int           `default:"0" help:"Leaders that are killed, or paused, at random moments; needs --run."`
+	EndEvery    time.Duration `default:"20s" help:"Mean time between the ends of two leaders."`
 }
 
 func main() {
@@ -60,7 +60,7 @@
 	}
 }
 
-// run plays the deployment until its time is over, and prints what came of it.
+// run simulates the deployment for the given time, and prints the violations and counts.
 func (c *cli) run(ctx context.Context) error {
 	if err := c.check(); err != nil {
 		return err
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// check refuses flags that make no deployment, or one that this process has no room for.
+// check rejects flags that contradict each other, and a deployment that needs more ports or descriptors than
+// there are.
 func (c *cli) check() error {
 	if c.Ends > 0 && c.Run == "" {
 		return errors.New("--ends needs --run")
@@ -98,10 +99,11 @@
 	return c.checkDescriptors()
 }
 
-// checkDescriptors refuses a fleet that this process may not have enough descriptors for: each
-// worker listens, and has connections to the controllers that it reports to.
+// checkDescriptors rejects a fleet that may need more file descriptors than this process may have: each
+// worker has a listener, and connections to the controllers that it sends heartbeats to.
 func (c *cli) checkDescriptors() error {
-	const perWorker, others = 4, 1000
+	const perWorker = 4 // docs/CAPACITY.md
+	const others = 1000 // for the fakes, the users and the rest of the process
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("limit of descriptors: %w", err)
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// capacity is how many machines the cloud has.
+// capacity returns how many machines the cloud has at most.
 func (c *cli) capacity() int {
 	if c.Capacity == 0 {
 		return 2 * c.Machines
@@ -170,7 +172,8 @@
 	return cluster, nil
 }
 
-// runControllers runs the controllers as processes under load, and ends leaders.
+// runControllers runs the controllers as processes while users submit jobs, ends leaders if --ends is set,
+// and prints what the controllers have used.
 func (c *cli) runControllers(ctx context.Context, cluster *simcluster.Cluster) error {
 	p := newProcesses(c.Run, c.Dir, c.Controllers)
 	defer p.killAll()
--- a/cmd/fleetsim/processes.go
+++ b/cmd/fleetsim/processes.go
@@ -27,13 +27,13 @@
 	running []*exec.Cmd
 }
 
-// newProcesses makes the processes of so many controllers, whose settings files are in dir.
+// newProcesses prepares the processes of controllers whose settings files are in dir. It starts none.
 func newProcesses(command, dir string, controllers int) *processes {
 	words := strings.Fields(command)
 	return &processes{program: words[0], args: words[1:], dir: dir, running: make([]*exec.Cmd, controllers)}
 }
 
-// start starts a controller; what it logs goes to a file next to its settings.
+// start starts a controller, which logs to a file next to its settings. The process is killed when ctx ends.
 func (p *processes) start(ctx context.Context, i int) error {
 	log, err := os.OpenFile(filepath.Join(p.dir, nodeName(i)+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -52,16 +52,16 @@
 	return nil
 }
 
-// kill ends a controller at once.
+// kill kills a controller and waits for its end.
 func (p *processes) kill(i int) error {
 	if err := p.running[i].Process.Kill(); err != nil {
 		return fmt.Errorf("kill a controller: %w", err)
 	}
-	_ = p.running[i].Wait() // it was killed: that is its error
+	_ = p.running[i].Wait() // the error only says that it was killed
 	return nil
 }
 
-// signal stops a controller or lets it go on.
+// signal sends a signal to a controller, to pause or to resume it.
 func (p *processes) signal(i int, s syscall.Signal) error {
 	if err := p.running[i].Process.Signal(s); err != nil {
 		return fmt.Errorf("signal a controller: %w", err)
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// killAll kills all of them, also those that are stopped.
+// killAll kills all controllers, also those that are paused.
 func (p *processes) killAll() {
 	for i, cmd := range p.running {
 		if cmd != nil {
@@ -79,16 +79,16 @@
 	}
 }
 
-// usage is what a process has used.
+// usage is the processor time that a process has used, and its resident memory.
 type usage struct {
 	processor   time.Duration
 	residentKiB int
 }
 
-// clockTicks is the unit of the times in /proc, as Linux gives it to programs.
+// clockTicks is the number of ticks a second in which Linux counts the times in /proc.
 const clockTicks = 100
 
-// usage reads what a controller has used since it was started.
+// usage reads the usage of a controller from /proc.
 func (p *processes) usage(i int) (usage, error) {
 	dir := fmt.Sprintf("/proc/%d/", p.running[i].Process.Pid)
 	stat, err := os.ReadFile(dir + "stat")
@@ -97,6 +97,7 @@
 	}
 	_, after, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(after)
+	// Of /proc/PID/stat, counted from the field after the command name, which may contain spaces.
 	const user, system, pages = 11, 12, 21
 	var numbers [3]int
 	for k, field := range [...]int{user, system, pages} {
@@ -108,7 +109,7 @@
 	return usage{processor: ticks * time.Second / clockTicks, residentKiB: numbers[2] * os.Getpagesize() / 1024}, nil
 }
 
-// leaderOf is the number of the controller that leads and its term; ok is false if nobody does.
+// leaderOf returns the number of the controller that leads and its term; ok is false if none does.
 func leaderOf(cluster *simcluster.Cluster) (i int, term uint64, ok bool) {
 	item, ok := cluster.Store.Get(records.LeaderKey)
 	if !ok {
@@ -122,7 +123,7 @@
 	return i, item.ModRevision, err == nil
 }
 
-// statusTimeout is how long a controller may take to tell its status.
+// statusTimeout bounds a request for the status of a controller.
 const statusTimeout = 3 * time.Second
 
 // fetchStatus asks a controller for its status.
--- a/cmd/fleetsim/settings.go
+++ b/cmd/fleetsim/settings.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// settingsFormat is the settings file of a controller.
+// settingsFormat is the format of a controller's settings file, whose arguments settingsOf gives by number.
 const settingsFormat = `label = "node-%[1]d"
 location = "%[2]s"
 listen = "%[3]s"
@@ -40,9 +40,9 @@
 `
 
 const (
-	// cancelLeases is how many leases the tasks of a cancelled job have to end.
+	// cancelLeases is how many worker leases the tasks of a cancelled job have to end (cancel_s).
 	cancelLeases = 4
-	// firstController is the first port of the controllers, counted from the first of all.
+	// firstController is the offset of the controllers' first port from --port.
 	firstController = 10
 )
 
@@ -50,7 +50,7 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%d", i) }
 
-// zones names the zones.
+// zones returns the names of the zones.
 func (c *cli) zones() []string {
 	names := make([]string, c.Zones)
 	for i := range names {
@@ -59,11 +59,11 @@
 	return names
 }
 
-// zone is the zone of a controller.
+// zone returns the zone of a controller.
 func (c *cli) zone(i int) string { return c.zones()[i%c.Zones] }
 
-// address is the address of a port, counted from the first of all.
-func (c *cli) address(port int) string { return fmt.Sprintf("127.0.0.1:%d", c.Port+port) }
+// address returns the loopback address of the port at an offset from --port.
+func (c *cli) address(offset int) string { return fmt.Sprintf("127.0.0.1:%d", c.Port+offset) }
 
 func (c *cli) storeAddress() string { return c.address(0) }
 
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// settingsOf makes the settings file of controller i.
+// settingsOf returns the settings file of controller i.
 func (c *cli) settingsOf(i int) string {
 	var members strings.Builder
 	for j := range c.Controllers {
