--- a/internal/simcluster/dependencies_test.go
+++ b/internal/simcluster/dependencies_test.go
@@ -11,7 +11,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// jobJSON is a submission in JSON.
+// jobJSON returns the JSON body of a submission.
 func jobJSON(spec wire.JobSpec) string {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -20,8 +20,8 @@
 	return string(data)
 }
 
-// Submissions that name other jobs are answered as the interface has it, and a job that
-// is known is never refused.
+// Submissions with dependencies are answered as the protocol says, and a job that is known is never
+// refused.
 func TestSubmissionWithInvalidDependenciesIsRefused(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
@@ -57,8 +57,8 @@
 	})
 }
 
-// A list of jobs that does not fit a record is refused with word how many would, unless
-// the job is known: one that was accepted under a higher limit is not forgotten.
+// A list of dependencies that does not fit a record is refused with an error that says how many would fit,
+// unless the job is known: one that was accepted under a higher limit is not forgotten.
 func TestDependencyListLargerThanARecordIsRefused(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
@@ -80,11 +80,11 @@
 	})
 }
 
-// allOlderRelease makes all nodes of the older release.
+// allOlderRelease sets all nodes to the older release.
 func allOlderRelease(sc *scenario) { sc.olderRelease = [3]bool{true, true, true} }
 
-// Nothing that a node of the release before would run too early is accepted while there
-// is such a node: neither by a new node, nor forwarded to an old one.
+// A submission with dependencies, which a node of the older release would run too early, is refused while
+// there is such a node, both by new nodes and where a new node forwards it to an old one.
 func TestDependenciesAreRefusedWhileAnOlderReleaseServes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -117,8 +117,8 @@
 	})
 }
 
-// A node that the leader cannot reach is upgraded all the same: the leader learns from
-// the state store that it is, and that it is no longer old from nowhere else.
+// The cluster version rises although the leader cannot reach an upgraded node: the leader learns of the
+// upgrade from the state store, and from nowhere else.
 func TestClusterVersionRisesWhenAMemberIsUnreachable(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -142,17 +142,17 @@
 	})
 }
 
-// cancelledDependency is a cancellation of a job that others need, with a fault at that time.
+// cancelledDependency is a cancellation of a job that others depend on, during a fault.
 type cancelledDependency struct {
 	name          string
 	before, after func(sc *scenario) // the cancellation; nil: nothing
 	isOutage      bool               // no node can answer at once
 }
 
-// What needs a cancelled job is called cancelled by every node at once, whether anyone
-// can write it into the records or not: also without a leader, with the leader alone
-// refused by the state store, and after an outage of longer than cancel_s; also if it
-// was submitted after the cancellation, and whatever lies between the two.
+// Every node at once answers that the dependents of a cancelled job are cancelled, whether their records
+// can be written or not: also without a leader, while the state store refuses the leader alone, and after
+// an outage of longer than cancel_s; also for direct or indirect dependents that were submitted after the
+// cancellation.
 func TestCancellationReachesAllDependentJobs(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []cancelledDependency{
@@ -194,7 +194,7 @@
 		c.after(sc)
 	}
 	if !c.isOutage {
-		sc.expectCancelledEverywhere(submitted) // at once: nobody has had the time to write it anywhere
+		sc.expectCancelledEverywhere(submitted) // at once, before any node has had the time to write it
 	}
 	go func() {
 		for _, spec := range later {
@@ -211,7 +211,7 @@
 	sc.expectNoKeys("j/")
 }
 
-// chainOfJobs are a long first job and six more, each of which needs the one before.
+// chainOfJobs returns a long job and six more, each of which depends on the one before.
 func chainOfJobs() []wire.JobSpec {
 	first := stageJob(1, 1)
 	first.Cores, first.ExpectedRunS = 30, 300
@@ -222,7 +222,7 @@
 	return chain
 }
 
-// expectCancelledEverywhere expects that every node that is up calls some jobs cancelled.
+// expectCancelledEverywhere expects that every node that is up answers that the jobs are cancelled.
 func (sc *scenario) expectCancelledEverywhere(jobs []wire.JobSpec) {
 	sc.t.Helper()
 	for i, node := range nodeNames {
@@ -238,7 +238,7 @@
 	}
 }
 
-// pollFor asks for some jobs once a second, at one node or another.
+// pollFor polls some jobs once a second, each at one node or another.
 func (sc *scenario) pollFor(duration time.Duration, jobs []wire.JobSpec) {
 	for range duration / time.Second {
 		for _, spec := range jobs {
--- a/internal/simcluster/failover_test.go
+++ b/internal/simcluster/failover_test.go
@@ -13,8 +13,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// runStandbyScenarios plays scenarios of faults by chance with warm standbys, each prepared further
-// by its number.
+// runStandbyScenarios plays scenarios of random faults with warm standbys. prepare may change each of them
+// further by its number.
 func runStandbyScenarios(t *testing.T, firstSeed, scenarios uint64, prepare func(sc *scenario, number uint64)) {
 	t.Helper()
 	runRandomFaultScenarios(t, firstSeed, scenarios, func(sc *scenario, number uint64) {
@@ -23,18 +23,16 @@
 	})
 }
 
-// withStandby lets followers follow the leader's state.
+// withStandby switches warm standbys on.
 func withStandby(sc *scenario) { sc.standby = true }
 
-// The rules hold in scenarios of all faults by chance while successors take over what they have
-// followed.
+// The rules hold in scenarios of random faults while warm standbys become leaders.
 func TestRulesHoldWithWarmStandby(t *testing.T) {
 	t.Parallel()
 	runStandbyScenarios(t, 700, 8, func(*scenario, uint64) {})
 }
 
-// The same next to nodes of a release that knows no standby, one or two of them, leaders or
-// not.
+// The rules hold beside one or two nodes, leaders or not, of a release that knows no standbys.
 func TestRulesHoldWithWarmStandbyBesideAnOlderRelease(t *testing.T) {
 	t.Parallel()
 	runStandbyScenarios(t, 800, 4, func(sc *scenario, number uint64) {
@@ -43,8 +41,8 @@
 	})
 }
 
-// The same while nodes of the release before are replaced one after the other, in any order,
-// and some are taken back again.
+// The rules hold while nodes of the older release are upgraded one after the other, in any order, and some
+// are rolled back again.
 func TestRulesHoldWithWarmStandbyAcrossUpgrades(t *testing.T) {
 	t.Parallel()
 	runStandbyScenarios(t, 850, 6, func(sc *scenario, number uint64) {
@@ -64,7 +62,7 @@
 	})
 }
 
-// failovers is how failovers went.
+// failovers are the results of the failovers of a test.
 type failovers struct {
 	took       []time.Duration // from the leader's end to the next one's first placement
 	warm       int
@@ -72,12 +70,12 @@
 	violations []string
 }
 
-// placementLimit is how soon after its leader's end the next one has to place.
+// placementLimit is how soon after a leader's end the next one has to place work.
 const placementLimit = 10 * time.Second
 
-// Leaders crash or are paused in the middle of placements, with commands and commits in
-// flight: no rule is broken with or without a standby, most terms begin warm with one, and
-// none that does takes longer to its first placement than ten seconds after its leader's end.
+// Leaders crash or are paused in the middle of placements, with commands and commits in flight: no rule is
+// broken with a standby or without, most terms begin warm with one, and each that does has its first
+// placement within ten seconds of the last leader's end.
 func TestFailoverPlacesWithinTheLimit(t *testing.T) {
 	t.Parallel()
 	for _, standby := range []bool{false, true} {
@@ -102,8 +100,8 @@
 	}
 }
 
-// playFailovers ends leaders at random moments while jobs come all the time and users cancel
-// some of them, also between the end of a leader and the next one's beginning.
+// playFailovers ends leaders at random moments while users submit jobs all the time and cancel some of
+// them, also between the end of a leader and the election of the next one.
 func playFailovers(t *testing.T, seed uint64, standby bool, ends int) (result failovers) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -158,8 +156,7 @@
 	}
 }
 
-// submitJobsUntil submits short jobs until shortly before a deadline. Users cancel some of them, by
-// way of any node.
+// submitJobsUntil submits short jobs until shortly before a deadline. Users cancel some of them at any node.
 func (sc *scenario) submitJobsUntil(seed uint64, deadline time.Time) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	for i := 0; time.Now().Before(deadline.Add(-20 * time.Second)); i++ {
@@ -174,7 +171,7 @@
 	}
 }
 
-// failoverRecord is how the newest failover went.
+// failoverRecord returns the record of the newest failover.
 func (sc *scenario) failoverRecord() (record records.Failover) {
 	sc.t.Helper()
 	item, ok := sc.cluster.Store.Get(records.FailoverKey)
@@ -190,7 +187,7 @@
 // hardFailover is a failover with a fault before it or after it.
 type hardFailover struct {
 	name string
-	// before, if set, comes before the leader ends, and returns what ends it.
+	// before, if set, begins a fault before the leader ends, and returns the function that ends the fault.
 	before func(sc *scenario, leader, standby int) (restore func())
 	// after, if set, is done once there is a new leader.
 	after    func(sc *scenario, leader int)
@@ -198,8 +195,8 @@
 	duration time.Duration
 }
 
-// The hard cases of a failover, each while jobs come and go: no rule is broken, tasks are
-// placed again, and the new leader says what it has proven, or why it has listed all records.
+// In the hard cases of a failover, while jobs are submitted and end, no rule is broken, tasks are placed
+// again, and the new leader records that it began warm, or why it listed all records.
 func TestFailoverUnderFaultsIsWarmOrSaysWhy(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []hardFailover{
@@ -277,7 +274,7 @@
 	sc.end()
 }
 
-// leaderAndStandby are the numbers of the node that leads and of the one that is to follow it.
+// leaderAndStandby returns the numbers of the leader and of its warm standby.
 func (sc *scenario) leaderAndStandby() (leader, standby int) {
 	sc.t.Helper()
 	leader = sc.leaderIndex()
--- a/internal/simcluster/faulty_job_test.go
+++ b/internal/simcluster/faulty_job_test.go
@@ -8,8 +8,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A job that fails everywhere by its own fault quarantines no machine, provisions
-// no fleet and keeps nobody from running; its user can still cancel it.
+// A job that fails everywhere through its own fault gets no machine quarantined, does not make the fleet
+// grow and delays no other job; its user can still cancel it.
 func TestFaultyJobHarmsNoMachineAndNoOtherJob(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
@@ -43,7 +43,7 @@
 		}
 		users.Wait()
 		sc.expectNoViolations()
-		// Idle machines are returned and provisioned again, but not one for each failure.
+		// Idle machines are scaled in and provisioned again, but not one for each failure.
 		if n := sc.cluster.Cloud.MachinesProvisioned(); n > 8 {
 			t.Errorf("%d machines were provisioned", n)
 		}
--- a/internal/simcluster/relays_test.go
+++ b/internal/simcluster/relays_test.go
@@ -22,8 +22,8 @@
 // eight workers.
 const relayConnections = 16
 
-// runRelayScenarios plays scenarios of faults by chance with relays, each prepared further by its
-// number.
+// runRelayScenarios plays scenarios of random faults with relays. prepare may change each of them further
+// by its number.
 func runRelayScenarios(t *testing.T, firstSeed, scenarios uint64, prepare func(sc *scenario, number uint64)) {
 	t.Helper()
 	runRandomFaultScenarios(t, firstSeed, scenarios, func(sc *scenario, number uint64) {
@@ -32,15 +32,15 @@
 	})
 }
 
-// The rules hold in scenarios of all faults by chance while followers keep workers and relay
-// their heartbeats, also while the fleet grows and shrinks past the limit for that.
+// The rules hold in scenarios of random faults while followers serve workers and relay their heartbeats,
+// also while the fleet grows and shrinks across the size from which heartbeats are relayed.
 func TestRulesHoldWithRelays(t *testing.T) {
 	t.Parallel()
 	runRelayScenarios(t, 500, 8, func(*scenario, uint64) {})
 }
 
-// The same next to nodes of the release before, which know no relays: one or two of them,
-// leaders or not, are never sent workers to keep.
+// The rules hold beside one or two nodes of the older release, leaders or not. These know no relays, and no
+// workers are redirected to them for that.
 func TestRulesHoldWithRelaysBesideAnOlderRelease(t *testing.T) {
 	t.Parallel()
 	runRelayScenarios(t, 600, 6, func(sc *scenario, number uint64) {
@@ -49,7 +49,7 @@
 	})
 }
 
-// zonedCluster is controllers and workers in zones of their own.
+// zonedCluster is a simulated cluster with a controller and workers in each zone.
 type zonedCluster struct {
 	t       *testing.T
 	net     *faultnet.Network
@@ -131,7 +131,7 @@
 			outside = append(outside, name, peerAddress(name))
 		}
 	}
-	for k := range 2 * z.cluster.Cloud.Capacity() { // those that were provisioned as headroom too
+	for k := range 2 * z.cluster.Cloud.Capacity() { // machines that were provisioned as headroom included
 		if host := hostName(k); z.cluster.Cloud.ZoneOf(host) == z.zones[zone] {
 			inside = append(inside, host)
 		} else {
@@ -145,7 +145,7 @@
 	}
 }
 
-// leader is the number of the controller that leads.
+// leader returns the number of the controller that leads.
 func (z *zonedCluster) leader() int {
 	z.t.Helper()
 	item, _ := z.cluster.Store.Get(records.LeaderKey)
@@ -180,8 +180,8 @@
 	time.Sleep(2 * time.Minute)
 }
 
-// expectNoTaskLost plays a zoned cluster in simulated time: whatever f does to it, no task ends and
-// no rule is broken.
+// expectNoTaskLost plays a zoned cluster in simulated time and expects that no task ends and no rule is
+// broken, whatever f does to the cluster.
 func expectNoTaskLost(t *testing.T, f func(z *zonedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -197,10 +197,10 @@
 	})
 }
 
-// A zone that is cut off, leader or not, keeps the leases of its workers: they report to
-// the controller in it. While all workers reported to the leader, those of a cut zone
-// tried the controllers one after the other, 5 s each, and of 338 workers behind a cut 324
-// lost their leases before they came to their own.
+// In a zone that is cut off, with the leader or without, workers keep their leases: they send heartbeats to
+// the controller of the zone. While all workers sent them to the leader, those of a zone that was cut off
+// tried the controllers one after the other, 5 s each, and of 338 workers behind a partition 324 lost their
+// leases before they reached the one in their zone.
 func TestPartitionedZoneKeepsItsWorkerLeases(t *testing.T) {
 	t.Parallel()
 	for _, ofLeader := range []bool{false, true} {
@@ -208,7 +208,7 @@
 			expectNoTaskLost(t, func(z *zonedCluster) {
 				zone := z.leader()
 				if !ofLeader {
-					zone = (zone + zoneCount - 1) % zoneCount // the last that its workers would try
+					zone = (zone + zoneCount - 1) % zoneCount // the last controller that its workers try
 				}
 				z.net.SetLateDeliveryShare(0) // a held announcement of the next leader would end leases by the protocol
 				z.partitionZone(zone, true)
@@ -220,8 +220,8 @@
 	}
 }
 
-// A leader ends while followers keep the workers: nobody loses a lease, and the next leader
-// hears of all workers by the followers at once.
+// A leader crashes while followers serve the workers: no worker loses its lease, and the next leader
+// receives heartbeats of all workers through the followers at once.
 func TestLeaderCrashBehindRelaysLosesNoTask(t *testing.T) {
 	t.Parallel()
 	expectNoTaskLost(t, func(z *zonedCluster) {
@@ -235,8 +235,8 @@
 	})
 }
 
-// A follower ends, or stands still, while it keeps workers: they find another node, and
-// none of them is declared dead meanwhile.
+// A follower that serves workers crashes or is paused: its workers find another node, and none of their
+// machines is declared dead meanwhile.
 func TestRelayFailureLosesNoTask(t *testing.T) {
 	t.Parallel()
 	for _, pauses := range []bool{false, true} {
@@ -258,9 +258,9 @@
 	}
 }
 
-// A leader loses its workers, and they come by way of followers: it doubts its own links and
-// declares none of those dead that are still on their way. While only heartbeats that were relayed
-// singly counted for that, it declared 129 of its 178 dead.
+// A leader is cut off from its workers, and their heartbeats begin to arrive through followers: it suspects
+// its own links, and declares no machine dead whose worker has not reached a follower yet. While only
+// heartbeats that were relayed singly counted for that, it declared 129 of its 178 machines dead.
 func TestLeaderCutOffFromItsWorkersLosesNoTask(t *testing.T) {
 	t.Parallel()
 	expectNoTaskLost(t, func(z *zonedCluster) {
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -89,16 +89,16 @@
 	},
 }}
 
-// peerAddress is where a node listens for its peers.
+// peerAddress returns the address at which a node listens for its peers.
 func peerAddress(name string) string { return name + ":81" }
 
-// hostName is the name of a machine by its number.
+// hostName returns the name of a machine by its number.
 func hostName(number int) string { return fmt.Sprintf("m-%06d", number) }
 
-// jobName is the id of a job by its number.
+// jobName returns the ID of a job by its number.
 func jobName(number int) string { return fmt.Sprintf("run-%06d", number) }
 
-// parseNodeConfig makes the settings of one of several nodes, each in its zone.
+// parseNodeConfig returns the settings of one of several nodes, each in its zone.
 func parseNodeConfig(tb testing.TB, names, zones []string, i int) *config.Config {
 	tb.Helper()
 	members := ""
@@ -126,17 +126,16 @@
 	net          *faultnet.Network
 	stops        [3]context.CancelFunc
 	olderRelease [3]bool                 // nodes of the release before cluster version 2
-	nextLimits   *config.NextStateLimits // what the nodes are told of the state store's limits
+	nextLimits   *config.NextStateLimits // the state store's limits that the settings announce
 	// teams, if any, are those of the deployment.
 	teams []config.Team
-	// relayConnections, if above 0, lets followers relay heartbeats, with so many connections to a
-	// node.
+	// relayConnections, if above 0, switches relays on with this limit of connections to a node.
 	relayConnections int
-	// standby lets followers follow the leader's state.
+	// standby switches warm standbys on.
 	standby bool
 }
 
-// newScenario starts the controllers of a scenario that prepare may have changed before.
+// newScenario starts the controllers of a scenario. prepare may change it before that.
 func newScenario(tb testing.TB, seed uint64, prepare ...func(sc *scenario)) *scenario {
 	tb.Helper()
 	network := faultnet.New(rand.New(rand.NewPCG(seed, 1)))
@@ -149,7 +148,7 @@
 	return sc
 }
 
-// runScenario runs f in a scenario without faults, in which everything has come up.
+// runScenario runs f in a scenario without faults, once all nodes and machines are up.
 func runScenario(t *testing.T, f func(sc *scenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -198,7 +197,7 @@
 	sc.stops[i] = cancel
 }
 
-// crashNode ends a controller at once; what it had in flight may still happen.
+// crashNode ends a controller at once. Its requests in flight may still be carried out.
 func (sc *scenario) crashNode(i int) {
 	if sc.stops[i] == nil {
 		return
@@ -226,7 +225,7 @@
 func (sc *scenario) end() {
 	sc.crashAllNodes()
 	sc.cluster.StopMachines()
-	time.Sleep(2 * time.Minute) // late deliveries and time-outs run out
+	time.Sleep(2 * time.Minute) // late deliveries and time-outs pass
 }
 
 // isolatePeers cuts a controller off from its peers, or joins it to them again.
@@ -238,8 +237,9 @@
 	}
 }
 
-// partitionZoneA leaves one controller alone with the machines of zone a, or joins all again. It
-// goes over the first so many machines that there may be.
+// partitionZoneA cuts the links between machines and controllers that lead into or out of a zone, or joins
+// them again. The zone has the machines of zone a and one controller, inside. Links between controllers and to
+// the state store stay as they are. hosts is the number of machines that there may be.
 func (sc *scenario) partitionZoneA(inside, hosts int, on bool) {
 	for k := range hosts {
 		host := hostName(k)
@@ -296,7 +296,7 @@
 	expectNoViolations(sc.t, sc.cluster.Checker.Violations())
 }
 
-// maxShown is how many violations are shown.
+// maxShown is how many violations or keys a failed test prints at most.
 const maxShown = 10
 
 func expectNoViolations(tb testing.TB, violations []string) {
@@ -316,7 +316,7 @@
 	}
 }
 
-// leader is the number and the term of the controller that leads; -1 if nobody does.
+// leader returns the number and the term of the controller that leads; -1 if none does.
 func (sc *scenario) leader() (index int, term uint64) {
 	sc.t.Helper()
 	item, ok := sc.cluster.Store.Get(records.LeaderKey)
@@ -331,7 +331,7 @@
 	return slices.Index(nodeNames, leader.Node), item.ModRevision
 }
 
-// leaderIndex is the number of the controller that leads, or -1.
+// leaderIndex returns the number of the controller that leads, or -1.
 func (sc *scenario) leaderIndex() int {
 	sc.t.Helper()
 	index, _ := sc.leader()
@@ -345,7 +345,7 @@
 	return index >= 0 && nodeNames[index] == name
 }
 
-// crashLeader ends the leader; it is back after a while.
+// crashLeader crashes the leader, and starts it again after the given time.
 func (sc *scenario) crashLeader(back time.Duration) {
 	sc.t.Helper()
 	if leader := sc.leaderIndex(); leader >= 0 {
@@ -354,8 +354,8 @@
 	}
 }
 
-// cancelJobs lets users cancel all jobs up to a number at one node until it answers, or until the
-// time is over.
+// cancelJobs has users cancel all jobs up to a number at one node, each until the node confirms it or until
+// tryFor is over.
 func (sc *scenario) cancelJobs(node string, jobs int, tryFor time.Duration) {
 	for i := range jobs {
 		go func() {
--- a/internal/simcluster/users_test.go
+++ b/internal/simcluster/users_test.go
@@ -11,7 +11,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// submissionBody is a submission of a service of two tasks. A change "old=>new" replaces a part.
+// submissionBody returns the submission of a service of two tasks. A change "old=>new" replaces a part.
 func submissionBody(uid, change string) string {
 	body := fmt.Sprintf(`{"Uid":%q,"Berth":"b","Crew":"crew","Shape":"standing","Rank":"high","Legs":2,`+
 		`"Cores":4,"Gpus":1,"RamGb":8,"Rollout":"img","ImageGb":2,"Rigs":null,"Together":false,"Scatter":false,`+
@@ -36,11 +36,11 @@
 			sc.expectStatus(http.StatusNotFound, "n0", unknown.method, unknown.path, "")
 		}
 		sc.expectStatus(http.StatusCreated, "n0", http.MethodPost, "/work", submissionBody(uid, ""))
-		// A repeat is known at any node, even if it would be refused today.
+		// A repeat of a known job is accepted at any node, even if it would be refused as a new one.
 		for _, node := range nodeNames {
 			sc.expectStatus(http.StatusOK, node, http.MethodPost, "/work", submissionBody(uid, ""))
 			sc.expectStatus(http.StatusOK, node, http.MethodPost, "/work", submissionBody(uid, `"crew"=>"nobody"`))
-			// Nor is a job that is known malformed.
+			// Nor is a malformed repeat of a known job refused.
 			sc.expectStatus(http.StatusOK, node, http.MethodPost, "/work", submissionBody(uid, `"Legs":2,=>`))
 			sc.expectStatus(http.StatusOK, node, http.MethodGet, "/ready", "")
 		}
@@ -53,7 +53,7 @@
 			}
 		}
 		sc.expectStatus(http.StatusOK, "n1", http.MethodPost, path+"/withdraw", "")
-		for range 2 { // right away, and when it is archived
+		for range 2 { // at once, and after it is archived
 			for _, node := range nodeNames {
 				text := sc.expectStatus(http.StatusOK, node, http.MethodPost, "/work", submissionBody(uid, ""))
 				if !strings.Contains(text, "aborted") {
@@ -66,7 +66,7 @@
 	})
 }
 
-// expectSubmissionsRefused expects that what is malformed or can never run is refused.
+// expectSubmissionsRefused expects that submissions that are malformed or can never run are refused.
 func (sc *scenario) expectSubmissionsRefused() {
 	sc.t.Helper()
 	const uid = "run-000001"
@@ -90,8 +90,8 @@
 	}
 }
 
-// A node that alone cannot reach the state store forwards its users' requests; when nobody
-// reaches it, users get a Retry-After at once.
+// A node that alone cannot reach the state store forwards its users' requests; when no node can reach it,
+// users get a Retry-After at once.
 func TestNodeWithoutStateServiceForwardsUserRequests(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
@@ -118,7 +118,7 @@
 			if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
 				t.Errorf("%s answers %d, Retry-After %q", node, status, header.Get("Retry-After"))
 			}
-			sc.expectStatus(http.StatusOK, node, http.MethodGet, "/ready", "") // leaving would help nobody
+			sc.expectStatus(http.StatusOK, node, http.MethodGet, "/ready", "") // users that change to another node are served no better
 		}
 		sc.cluster.Store.SetDown(false)
 	})
@@ -174,7 +174,7 @@
 	return settings
 }
 
-// changeSettings changes settings and returns them as they are then.
+// changeSettings changes settings and returns the new ones.
 func (sc *scenario) changeSettings(node, change string) (settings wire.Settings) {
 	sc.t.Helper()
 	sc.decode(sc.expectStatus(http.StatusOK, node, http.MethodPut, settingsPath, change), &settings)
