--- a/internal/simcluster/leadership_test.go
+++ b/internal/simcluster/leadership_test.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// A leader with a low election priority transfers leadership once a node with a higher one has been healthy
-// for a while, and no running task ends because of it.
+// A leader transfers leadership once a node with a shorter campaign delay has been serving for a while, and
+// no running task ends because of it.
 func TestLeadershipTransferKeepsRunningTasks(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -66,7 +66,7 @@
 
 var (
 	nodeNames = []string{"n0", "n1", "n2"}
-	nodeZones = []string{"a", "b", "a"} // n2 is ill placed to lead
+	nodeZones = []string{"a", "b", "a"} // n2 has the longest campaign delay: n0, next in order, is in its zone
 )
 
 // The addresses of the outside systems, as the settings have them.
