--- a/internal/sched/large_test.go
+++ b/internal/sched/large_test.go
@@ -90,7 +90,7 @@
 }
 
 // BenchmarkRound measures one cycle over classes of retained machines (kept=true), and one reference cycle
-// over all machines (kept=false). docs/results-fleet.md quotes its name and those of its cases.
+// over all machines (kept=false). docs/results-fleet.md quotes its name.
 func BenchmarkRound(b *testing.B) {
 	for _, machines := range []int{340, 1350, 4000, 6000} {
 		for _, waiting := range []int{5, 50, 500} {
