--- a/internal/autoscaler/headroom_test.go
+++ b/internal/autoscaler/headroom_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Arrivals count less the longer ago they were: 1/e after 12 worker leases.
+// The count of arrivals decays exponentially, with a time constant of 12 worker leases.
 func TestArrivalsFade(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	arrivals := NewArrivals(workerLease)
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -9,9 +9,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// What a dead fleet of 4,096 and of 6,000 machines ran is provisioned for within some cycles, each
-// in calls that the cloud takes and no more than are allowed, and the decision takes less than a
-// second: with a look at every machine of the packing for each task it took several.
+// Machines for the tasks of a dead fleet of 4,096 and of 6,000 machines are provisioned within some
+// cycles, with no more calls in each than are allowed and none larger than the cloud accepts, and
+// the decision takes less than a second: when it looked at every bin for each task it took several.
 func TestPlanReplacesADeadFleetWithinItsCalls(t *testing.T) {
 	catalog := &wire.Catalog{MachineTypes: []wire.MachineType{{
 		Name:       "g8",
--- a/internal/autoscaler/releases_test.go
+++ b/internal/autoscaler/releases_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// A key is used once, also if the outcome of its commit is unknown; the record is dropped in the
-// end all the same.
+// A key is used once, also if the outcome of its commit is unknown; that record is dropped in the
+// end as well.
 func TestReleaseRecordOfUnknownOutcomeIsWrittenUnderAnotherKey(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	r := NewReleases(7)
--- a/internal/controller/batch_test.go
+++ b/internal/controller/batch_test.go
@@ -12,8 +12,8 @@
 )
 
 // A placement is written for the first time only while its job has a record. A commit without
-// launches had no compare of the job: carried out late, after the job and all its placements were
-// dropped, it brought one back for ever.
+// launches had no compare of the job: when it was carried out late, after the job and all its
+// placements were dropped, it brought a placement record back, which then stayed for ever.
 func TestFirstWriteOfAPlacementIsGuardedByItsJob(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -30,8 +30,9 @@
 	c.applyJobEventLocked(uid, watchcache.Entry{Job: record, ModRevision: modRevision})
 }
 
-// A stage preempts nobody by the priority of the last one while there is time to provision a
-// machine: batch lost a third of its starts to stages that were in no hurry.
+// A stage does not preempt other work by the priority that it inherits from the last stage while
+// there is time to provision a machine: batch jobs lost a third of their starts to stages that
+// could have waited.
 func TestInheritedPriorityCountsWhenTimeIsShort(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -60,8 +61,8 @@
 	}
 }
 
-// A job waits until the ends of all that it needs are committed. That a record is gone
-// is no such evidence: the job may have been cancelled.
+// A job waits until the ends of all jobs that it depends on are committed. That the record of one
+// is gone is no evidence of that: the job may have been cancelled.
 func TestReleaseNeedsCommittedEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -71,9 +71,10 @@
 	}, 8)
 }
 
-// An array that fails everywhere is tried again ever less often, and with one task at a time: 25
-// tasks once failed together, again and again, in room that others could have used. No machine is
-// quarantined for it for longer than the first suspicion lasts, and it is never abandoned.
+// An array that fails everywhere is retried less and less often, and with one task at a time: 25
+// tasks once failed at the same time in each retry, in room that other jobs could have used. No
+// machine is quarantined for it for longer than the first suspicion lasts, and the array is never
+// abandoned.
 func TestFaultyArrayIsRetriedWithOneTask(t *testing.T) {
 	const tasks, minutes = 25, 5
 	b, _, j := newFaultyFleet(t, 10, tasks)
@@ -99,7 +100,7 @@
 	if least := minutes * 60 / 31; again < least || again > 2*least+8 {
 		t.Errorf("%d tasks are tried in %d minutes", again, minutes)
 	}
-	// Once what it lacked is there, it runs whole.
+	// Once its tasks no longer fail, the whole array runs.
 	b.jobs[j.uid] = false
 	for range 60 {
 		b.step()
@@ -159,7 +160,7 @@
 	}
 }
 
-// The next leader, which has the records only, does not start a faulty array whole again.
+// The next leader, which has only the records, does not start all tasks of a faulty array again.
 func TestNextLeaderSuspectsArraysThatNeverSucceeded(t *testing.T) {
 	b, services, j := newFaultyFleet(t, 10, 25)
 	for range 30 {
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -10,9 +10,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Answers that have no commands wait for some, but not when another controller relays the
-// heartbeat or the node is behind. The waits of many machines end together: each with a wake-up
-// of its own, they took an eighth of a leader's processor time.
+// Answers without commands wait for some, but not if the caller does not allow it. The waits of
+// many machines end at the same moments: when each had a wake-up of its own, they took an eighth
+// of a leader's processor time.
 func TestWaitingAnswersEndTogether(t *testing.T) {
 	const machines = 120
 	synctest.Test(t, func(t *testing.T) {
@@ -51,9 +51,9 @@
 	})
 }
 
-// While the state store is not read, no answer waits for commands, which could not be sent: the
-// worker's next heartbeat comes sooner, and its lease is younger when the node has to stop
-// answering.
+// While the state store is not read, no answer waits for commands, since launches could not be
+// sent: the worker's next heartbeat comes sooner, and its lease is younger when the node has to
+// stop answering.
 func TestAnswersDoNotWaitWhileTheStateStoreIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestLeader(new(time.Time))
--- a/internal/controller/hugearray_test.go
+++ b/internal/controller/hugearray_test.go
@@ -67,9 +67,9 @@
 	})
 }
 
-// An array with more placements than a commit may have compares is done once its tasks are, its
-// workers are ordered to reap, and its records are dropped. All its placements were once counted
-// against the one commit that only writes its status: it stayed unfinished for ever.
+// An array with more placements than a commit may have compares is done once its tasks are, their
+// ends are acknowledged to the workers, and its records are dropped. All its placements once
+// counted against the one commit that only writes its status: it stayed unfinished for ever.
 func TestHugeArrayIsArchived(t *testing.T) {
 	const tasks = 25_000
 	now := time.Unix(10_000, 0)
@@ -103,9 +103,9 @@
 	})
 }
 
-// A machine gets no more tasks than its heartbeat has room for, those that have ended and wait to
-// be reaped included, but as many as that: an array of which more would fit a machine once
-// started nothing at all.
+// A machine gets as many tasks as its heartbeat has room for and no more. Tasks whose end is not
+// acknowledged count. An array of which more would have fitted a machine once started no task at
+// all.
 func TestHeartbeatsOfTinyTasksFitABody(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Resources{Cores: 0.02, RAM: 0.1})
--- a/internal/controller/job_test.go
+++ b/internal/controller/job_test.go
@@ -69,8 +69,8 @@
 }
 
 // Tasks that wait are returned once each, and all of them. A new leader once placed tasks twice
-// that an earlier term had placed and that were off again: they were on the list of freed tasks
-// and also not reached yet. The second attempt hid the first, which held its room for ever.
+// that an earlier term had placed and that were off again: they were in freedTasks and also not
+// before nextUnplaced. The second attempt hid the first, which occupied its room for ever.
 func TestNextWaitingTasksReturnsEachTaskOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := rapid.IntRange(1, 40).Draw(t, "tasks")
--- a/internal/controller/jobtable_test.go
+++ b/internal/controller/jobtable_test.go
@@ -8,8 +8,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A follower that asks again and again learns the final status of every job that ends, without
-// gaps, and of none that has not; what is kept for followers is bounded.
+// A follower that asks repeatedly learns the final status of every job that ends, without gaps, and
+// of none that has not ended; the number of final statuses stored for followers is limited.
 func TestFollowersLearnEachFinalStatus(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
--- a/internal/controller/launches_test.go
+++ b/internal/controller/launches_test.go
@@ -12,9 +12,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// What is never written does not hold up launches: the placements of jobs that were cancelled
-// together. Nor does what waits to be written: a job whose placement is due takes its launches
-// along.
+// Placements of cancelled jobs, which are never written, do not use up the budget of launches. Nor
+// do those that are due to be written: a job with a placement that is due can add launches to it.
 func TestCancelledJobsDoNotDelayLaunches(t *testing.T) {
 	for _, status := range []wire.JobStatus{wire.JobAborted, wire.JobQueued} {
 		now := time.Unix(1000, 0)
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -13,7 +13,7 @@
 )
 
 // newTestLeader is a leader of term 5 in zone a whose workers send a heartbeat a second, and whose
-// clock the test moves. It has no machines, and has judged who is alive for an hour.
+// clock the test moves. It has no machines, and its failure detector has run for an hour.
 func newTestLeader(now *time.Time) *Controller {
 	cfg := &config.Config{}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS = 1, 10, 40
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -19,7 +19,7 @@
 func (latest) InForce() clusterversion.Version { return clusterversion.Latest }
 
 // No more tasks are placed than their placement record has room for: a launch that can never be
-// recorded would keep its machine's room for ever.
+// recorded would occupy room on its machine for ever.
 func TestPlacementsFitTheirRecords(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -23,12 +23,13 @@
 	wantDead int
 }
 
-// A cut between zones silences machines one after the other, as their heartbeats come due, and a
-// follower answers some of them soon. None is declared dead before nothing can run there any
-// more: counting only those that were silent for three intervals, and taking those that a follower
-// answers for alive, a leader released 38 of 90. Up to half of a zone that stop while the others
-// send heartbeats are declared dead after three intervals, and more than that after a lease if a
-// controller there is reached: two thirds of a zone that had died were down for six leases.
+// In a cut between zones machines become silent one after the other, as their heartbeats come due,
+// and a follower answers some of them soon. None is declared dead before its tasks must have ended:
+// a leader that counted only those that were silent for three intervals, and took those that a
+// follower answers for reachable, released 38 of 90. Up to half of a zone that stop while the
+// others send heartbeats are declared dead after three intervals, and more than that after a lease
+// if a controller in the zone is reached: two thirds of a zone that had died were once not replaced
+// for six leases.
 func TestWhichSilentMachinesAreDeclaredDead(t *testing.T) {
 	all := func(int) bool { return true }
 	none := func(int) bool { return false }
@@ -133,8 +134,8 @@
 }
 
 // A leader whose process was paused, or that answered no heartbeats because the state store was
-// unreachable for too long, does not know who would have sent one meanwhile: it declares no
-// machine dead until they have had their time again.
+// unreachable for too long, does not know which machines would have sent one meanwhile: it declares
+// none dead until their restarted timeouts have passed.
 func TestNoMachineIsDeclaredDeadAfterAPauseOrAnOutage(t *testing.T) {
 	const machines = 40
 	for _, tc := range []struct {
@@ -185,8 +186,8 @@
 	}
 }
 
-// A new leader knows no zone of machines that died before it began. They are judged with the whole
-// fleet, and not taken for a zone that is cut off.
+// A new leader does not know the zone of machines that died before its term. They are compared with
+// the whole fleet, and not taken for a zone that is cut off.
 func TestMachinesOfUnknownZoneAreDeclaredDead(t *testing.T) {
 	const alive, deadMachines = 100, 20
 	now := time.Unix(1000, 0)
@@ -210,9 +211,9 @@
 	}
 }
 
-// A leader that loses its own workers while followers relay the others suspects its own links,
-// also while fewer than half of its workers have been silent for two intervals: the first of them
-// is not declared dead before it had the time to find a follower.
+// A leader that no longer receives heartbeats of its own workers while followers relay those of the
+// others suspects its own links, also while fewer than half of its workers have been silent for two
+// intervals: the first of them is not declared dead before it had the time to find a follower.
 func TestLeaderThatLosesItsOwnLinksDeclaresNoMachineDead(t *testing.T) {
 	const own, step = 18, 50 * time.Millisecond
 	cut := time.Unix(1000, 0)
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -30,7 +30,7 @@
 	return wire.WatchResponse{Revision: 4}, nil
 }
 
-// recordsOfTwoTasks are a job with two tasks on machines, and a machine that is returned.
+// recordsOfTwoTasks are a job with two tasks on machines, and a machine that is being released.
 func recordsOfTwoTasks() map[string][]wire.KeyValue {
 	spec := wire.JobSpec{
 		UID:       "run-000001",
@@ -54,8 +54,8 @@
 	}
 }
 
-// misleadingProof is a proof whose views say what is not so: that a machine is in a later session,
-// that another one which was returned takes work, and that nothing of the job runs.
+// misleadingProof is a proof whose views are wrong: that a machine is in a later incarnation, that
+// another one which is being released accepts attempts, and that no task of the job runs.
 func misleadingProof(t *testing.T, rows map[string][]wire.KeyValue) *standby.Proven {
 	t.Helper()
 	job := standby.JobView{UID: "run-000001", HasRun: true}
@@ -79,9 +79,9 @@
 	}
 }
 
-// A standby is no proof that a task is off, nor that a machine takes work: with whatever views,
-// the state has the attempts and returns of the records, no machine is ready before it sends a
-// heartbeat, and heartbeats count as without views.
+// A warm standby's views do not prove that a task is off, nor that a machine accepts attempts: with
+// any views, the state has the attempts and releases of the records, no machine is ready before it
+// sends a heartbeat, and heartbeats have the same effect as without views.
 func TestViewsProveNothing(t *testing.T) {
 	rows := recordsOfTwoTasks()
 	for _, proof := range []struct {
@@ -112,7 +112,7 @@
 				t.Errorf("%s: %s is %s on a machine that is %s", proof.name, a.TaskName(), a.State, a.Machine.State)
 			}
 		})
-		// The machine is in the session that its task is known from, whatever the view says.
+		// The machine is in the incarnation that its task was decided for, whatever the view says.
 		c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m-1", Zone: "a", Incarnation: 1, Sequence: 7, FencingToken: 5,
 			Tasks: []wire.TaskReport{{Task: "run-000001/0", Attempt: 1, Status: wire.TaskRunning}}}, now)
 		if a := j.attempt(0); a == nil || a.State != fleet.Running {
@@ -121,7 +121,7 @@
 	}
 }
 
-// While the state store does not answer, the proof is tried again, and then all is listed.
+// While the state store does not answer, the proof is retried; after that all records are listed.
 func TestUnansweredProofIsRetriedBeforeListing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -140,7 +140,7 @@
 	}
 }
 
-// Views are made of what has changed, and of everything for a standby that asks again.
+// A standby gets views of what has changed, and of everything if it has not asked for long.
 func TestDrainChangedViewsReturnsWhatChanged(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
--- a/internal/controller/nodecache_test.go
+++ b/internal/controller/nodecache_test.go
@@ -195,8 +195,8 @@
 	}
 }
 
-// The nodes that are kept are, after every event, what they would be if all were rebuilt:
-// whatever changes a machine, an attempt, a job's level, prices or headroom has to mark it.
+// After every event the cached nodes are equal to rebuilt ones: every change of a machine, an
+// attempt, a job's level, prices or headroom must mark the machines concerned.
 func TestReusedNodesMatchRebuiltOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newNodeCacheModel(t)
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -55,8 +55,9 @@
 	}
 }
 
-// A leader that learns from the record of a release that it is deposed ends its term and still
-// answers. It once waited for its own lock, and its node for ever for the term to end.
+// A leader that learns by the commit of a release record that it is deposed ends its term and still
+// answers. It once waited for a lock that it held itself, and its node waited for the end of the
+// term for ever.
 func TestLeaderDeposedWhileReleasingStepsDown(t *testing.T) {
 	c, _, cloud := newLeaderReleasing(3, &store.ConflictError{Failed: []string{records.LeaderKey}})
 	errEnded := errors.New("deposed")
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -14,8 +14,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// While the cloud has no spot machine for a job, it does not wait for one; from time to time the
-// cloud is asked again.
+// While the cloud has no spot machine for a job, the job does not wait for one; once the refusals
+// have expired, spot machines are requested again.
 func TestIsSpotExhaustedUntilRefusalsExpire(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -51,17 +51,17 @@
 
 // fakePeers are controllers of which those in some zones are reached, and all relays but one.
 type fakePeers struct {
-	zones     []string
-	lostRelay string
+	zones          []string
+	unreachedRelay string
 }
 
 func (p fakePeers) ReachedZones() []string         { return p.zones }
-func (p fakePeers) RelayReached(label string) bool { return label != p.lostRelay }
+func (p fakePeers) RelayReached(label string) bool { return label != p.unreachedRelay }
 
 // observe is what a controller sees that reaches the controllers of some zones, and all relays but
 // one.
-func observe(ms machines, now time.Time, lostRelay string, reachable ...string) Observation {
-	return Observation{Now: now, Machines: ms, Peers: fakePeers{zones: reachable, lostRelay: lostRelay}}
+func observe(ms machines, now time.Time, unreachedRelay string, reachable ...string) Observation {
+	return Observation{Now: now, Machines: ms, Peers: fakePeers{zones: reachable, unreachedRelay: unreachedRelay}}
 }
 
 func causes(j *Judgement, ms machines) map[Cause]int {
@@ -75,11 +75,11 @@
 func TestJudgementOfSilentMachines(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	for _, tc := range []struct {
-		name      string
-		machines  machines
-		reachable []string
-		lostRelay string
-		want      map[Cause]int
+		name           string
+		machines       machines
+		reachable      []string
+		unreachedRelay string
+		want           map[Cause]int
 	}{
 		{
 			name:      "all send heartbeats",
@@ -110,9 +110,9 @@
 			name: "the machines of a relay that is not reached get the time to find another",
 			machines: machines{}.withGroup(18, "a", "", now, 0).withGroup(1, "a", "lost", now, 4*interval).
 				withGroup(3, "a", "lost", now, interval),
-			reachable: []string{"a", "b", "c"},
-			lostRelay: "lost",
-			want:      map[Cause]int{NotDead: 22},
+			reachable:      []string{"a", "b", "c"},
+			unreachedRelay: "lost",
+			want:           map[Cause]int{NotDead: 22},
 		},
 		{
 			name: "those of a relay that is reached do not",
@@ -123,7 +123,7 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			judgement := newTestDetector(now).Judge(observe(tc.machines, now, tc.lostRelay, tc.reachable...))
+			judgement := newTestDetector(now).Judge(observe(tc.machines, now, tc.unreachedRelay, tc.reachable...))
 			got := causes(judgement, tc.machines)
 			for _, cause := range []Cause{NotDead, SilentAlone, LeaseExpired, Failed, NeverBooted, SpotReclaimed} {
 				if got[cause] != tc.want[cause] {
@@ -159,8 +159,9 @@
 	}
 }
 
-// Most machines of a zone whose controllers are not reached are held until nothing of them can run
-// on; for a lease after the cut has ended, too, since they come back one after the other.
+// If most machines of a zone are silent and its controllers are not reached, they are not declared
+// dead before their tasks must have ended; nor for a lease after the cut has ended, since they come
+// back one after the other.
 func TestMachinesBehindACutAreHeldUntilTheirTasksEnd(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	d := newTestDetector(now)
@@ -200,8 +201,8 @@
 	}
 }
 
-// Machines of unknown zone are counted once, with the whole fleet, and so are those of a zone there:
-// they are no zone of their own.
+// Machines of unknown zone are counted once, with the whole fleet, as all others are: they are no
+// zone of their own.
 func TestEvidenceCountsMachinesOfUnknownZoneWithTheFleet(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	ms := machines{}.withGroup(7, "a", "", now, interval).withGroup(2, "", "", now, 3*interval).
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -41,7 +41,7 @@
 }
 
 // An attempt of an earlier term is off its machine only once a heartbeat with
-// this term's token lacks it: an earlier leader's launch may still be under way.
+// this term's token lacks it: an answer of the earlier leader may still carry its launch.
 func TestInheritedAttemptIsOffOnlyByThisTermsToken(t *testing.T) {
 	now := time.Now()
 	f := New(5, lease, noObserver{})
@@ -93,7 +93,7 @@
 	}
 }
 
-// A machine whose return was attempted is never used again.
+// A machine whose release was attempted is never used again.
 func TestReturningMachineIsNeverUsedAgain(t *testing.T) {
 	now := time.Now()
 	f := New(5, lease, noObserver{})
@@ -137,10 +137,10 @@
 }
 
 // A machine whose lease ends although it sends heartbeats does not get the answers, and is
-// avoided. That its heartbeats were not answered for long proves nothing of the kind: 600 jobs
-// waited for two leases after an outage while 700 machines had room. Nor does a copy of a
-// heartbeat of an earlier incarnation, but a machine was avoided for two leases when one met a
-// new leader.
+// avoided. If its heartbeats were not answered, in an outage, that proves nothing about it: 600 jobs
+// once waited for two leases after an outage while 700 machines had room. Nor does a copy of a
+// heartbeat of an earlier incarnation: when a new leader received one, the machine was avoided for
+// two leases.
 func TestNewIncarnationAvoidsMachineOnlyIfAnswersWereLost(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -158,7 +158,7 @@
 		m := f.Get("m-1")
 		m.Capacity = Resources{8, 8, 8}
 		now = now.Add(tc.after)
-		m.LastHeartbeat, m.LastHeartbeatHere = now, now // all machines are given their time again
+		m.LastHeartbeat, m.LastHeartbeatHere = now, now // as failuredetector.Detector.Reset does
 		f.ApplyHeartbeat(heartbeat(2, 30, 5), now)
 		if got := m.AcceptsAttempts(now); got != tc.want {
 			t.Errorf("%s: accepts attempts: %v, want %v", tc.name, got, tc.want)
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -8,8 +8,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Each of 4,096 and of 6,000 machines keeps its tasks: it gets its launches, reports them, is
-// marked as changed, and loses them by its own new incarnation alone.
+// Each of 4,096 and of 6,000 machines has tasks of its own: it gets their launches, reports them, is
+// marked as changed, and only its own new incarnation takes its tasks off.
 func TestLargeFleetKeepsItsTasks(t *testing.T) {
 	const tasks = 8
 	for _, machines := range []int{4096, 6000} {
--- a/internal/fleet/worker_model_test.go
+++ b/internal/fleet/worker_model_test.go
@@ -11,9 +11,9 @@
 
 // Terms of the model: the leader under test and the deposed one before it.
 const (
-	modelTerm    = 5
-	deposedTerm  = 4
-	inheritedTry = 3
+	modelTerm       = 5
+	deposedTerm     = 4
+	inheritedNumber = 3
 )
 
 // workerModel is a model of one machine whose worker keeps to the protocol, and of the network
@@ -46,7 +46,7 @@
 		incarnation: 1,
 		token:       deposedTerm,
 		on:          map[attemptKey]bool{},
-		inherited:   &Attempt{JobUID: "run-000009", Number: inheritedTry, Incarnation: 1, Inherited: true},
+		inherited:   &Attempt{JobUID: "run-000009", Number: inheritedNumber, Incarnation: 1, Inherited: true},
 	}
 	w.fleet.AddAttempt(w.fleet.GetOrAdd("m-1", w.now), w.inherited, w.now)
 	w.attempts = append(w.attempts, w.inherited)
@@ -155,9 +155,9 @@
 	}
 }
 
-// Against a model of one machine whose worker keeps to the protocol, an attempt that is said to be
-// off is not on the machine and never comes back, whatever of heartbeats, answers and commands is lost
-// or repeated.
+// With a model of one machine whose worker follows the protocol, an attempt that is said to be off is
+// not on the machine and never gets there, whichever heartbeats, answers and commands are lost or
+// repeated.
 func TestOffIsProof(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorkerModel(t)
