--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -43,7 +43,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if err := c.applyReturnRecords(stored.returns, now); err != nil {
+	if err := c.applyReleaseRecords(stored.releases, now); err != nil {
 		return err
 	}
 	c.applyImageRecords(stored.images, now)
@@ -58,7 +58,7 @@
 		}
 	}
 	if c.Source != nil {
-		c.Source.Seed(c, stored.placements, stored.returns, stored.images)
+		c.Source.Seed(c, stored.placements, stored.releases, stored.images)
 	}
 	c.loaded = true
 	c.loader = nil
@@ -69,9 +69,9 @@
 	return nil
 }
 
-// applyReturnRecords applies the records of releases that earlier terms have attempted: these
+// applyReleaseRecords applies the records of releases that earlier terms have attempted: these
 // machines may vanish at any time, and are never used again. c.mu is held.
-func (c *Controller) applyReturnRecords(rows []wire.KeyValue, now time.Time) error {
+func (c *Controller) applyReleaseRecords(rows []wire.KeyValue, now time.Time) error {
 	for _, row := range rows {
 		var record records.ScaleIns
 		if err := wire.Decode(row.Value, &record); err != nil {
--- a/internal/controller/recordloader.go
+++ b/internal/controller/recordloader.go
@@ -17,8 +17,8 @@
 // termRecords are the records that a term begins with. With a warm standby the job records are
 // missing: the controller has them from the job cache.
 type termRecords struct {
-	jobs, placements, returns, images []wire.KeyValue
-	hints                             *standby.Proven // nil if all records were listed
+	jobs, placements, releases, images []wire.KeyValue
+	hints                              *standby.Proven // nil if all records were listed
 }
 
 // recordLoader reads the records that a term begins with: from the copy that this node has
@@ -72,7 +72,7 @@
 	return &termRecords{
 		jobs:       l.listings[records.JobPrefix],
 		placements: l.listings[records.PlacementPrefix],
-		returns:    l.listings[records.ScaleInPrefix],
+		releases:   l.listings[records.ScaleInPrefix],
 		images:     l.listings[records.ImagesPrefix],
 	}, nil
 }
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	l.failover.recordWarm(proven)
-	return &termRecords{placements: proven.Placements, returns: proven.Returns, images: proven.Images, hints: proven}, nil
+	return &termRecords{placements: proven.Placements, releases: proven.Returns, images: proven.Images, hints: proven}, nil
 }
 
 // isFinalProofError reports whether the proof would fail again if it were retried.
