--- a/internal/api/admin.go
+++ b/internal/api/admin.go
@@ -112,7 +112,7 @@
 	if l := n.lead.Load(); l != nil {
 		st.Lead = n.leadStatus(l)
 	} else if p := n.leader(); p != nil {
-		if lead, err := p.Lead(); err == nil {
+		if lead, err := p.LeadStatus(); err == nil {
 			st.Lead = lead
 		}
 	}
@@ -122,8 +122,8 @@
 	return c.JSON(http.StatusOK, st)
 }
 
-// Lead answers a peer that shows the leader's status.
-func (n *Node) Lead() *wire.LeadStatus {
+// LeadStatus answers a peer that shows the leader's status.
+func (n *Node) LeadStatus() *wire.LeadStatus {
 	l := n.lead.Load()
 	if l == nil || n.elector.State() == election.Following {
 		return nil
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -59,7 +59,7 @@
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
-			n.tellWithdrawn(peer.WithdrawnArgs{UID: uid, Rec: rec, Stamp: stamp})
+			n.tellWithdrawn(peer.Cancellation{UID: uid, Record: rec, ModRevision: stamp})
 		case errors.As(err, &conflict):
 		default:
 			slog.Info("withdrawal not recorded", "uid", uid, "err", err)
@@ -73,22 +73,22 @@
 // the state service refuses, or whose watch is late, stops the tasks at once. No
 // rule rests on it: a peer that it does not reach learns of the withdrawal by
 // reading, or stops renewing leases.
-func (n *Node) tellWithdrawn(a peer.WithdrawnArgs) {
-	n.Withdrawn(a)
+func (n *Node) tellWithdrawn(a peer.Cancellation) {
+	n.Cancelled(a)
 	for _, p := range n.peers {
 		if _, ok := p.Last(n.cfg.HoldTTL()); !ok {
 			continue
 		}
 		go func() {
-			if err := p.Withdrawn(a); err != nil {
+			if err := p.NotifyCancelled(a); err != nil {
 				slog.Debug("peer not told of a withdrawal", "peer", p.Label, "uid", a.UID, "err", err)
 			}
 		}()
 	}
 }
 
-// Withdrawn takes word of a committed withdrawal.
-func (n *Node) Withdrawn(a peer.WithdrawnArgs) {
-	n.finals.put(a.UID, a.Rec.Status)
-	n.mirror.Hint(a.UID, a.Rec, a.Stamp)
+// Cancelled takes word of a committed withdrawal.
+func (n *Node) Cancelled(a peer.Cancellation) {
+	n.finals.put(a.UID, a.Record.Status)
+	n.mirror.Hint(a.UID, a.Record, a.ModRevision)
 }
--- a/internal/api/counts.go
+++ b/internal/api/counts.go
@@ -38,7 +38,7 @@
 
 // update takes the counts in a peer's answer to a ping. Counts of archived jobs
 // are forgotten once they are most of all.
-func (t *taskCounts) update(from string, asked peer.PingArgs, r peer.PingReply, jobs jobIndex) {
+func (t *taskCounts) update(from string, asked peer.PingArgs, r peer.PingResult, jobs jobIndex) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !r.Leading || r.CountsRevision == 0 || r.Term < t.term {
--- a/internal/api/node.go
+++ b/internal/api/node.go
@@ -253,11 +253,11 @@
 }
 
 // Ping answers a peer.
-func (n *Node) Ping(a peer.PingArgs) peer.PingReply {
-	r := peer.PingReply{Term: n.elector.View().Term, Serving: n.serving(), Heard: n.keptLately(), Version: int(clusterversion.Latest),
-		Relays: n.cfg.RelayCheckIns, Follows: n.cfg.WarmStandby}
+func (n *Node) Ping(a peer.PingArgs) peer.PingResult {
+	r := peer.PingResult{Term: n.elector.View().Term, Serving: n.serving(), RenewedHosts: n.keptLately(), Version: int(clusterversion.Latest),
+		CanRelay: n.cfg.RelayCheckIns, CanFollow: n.cfg.WarmStandby}
 	if c := n.lead.Load(); c != nil {
-		r.Leading, r.Term, r.Relaying, r.Standby = true, c.Term(), n.relayMode(), n.chooseStandby()
+		r.Leading, r.Term, r.WantsRelays, r.Standby = true, c.Term(), n.relayMode(), n.chooseStandby()
 		if a.Term > c.Term() {
 			n.elector.Saw(a.Term, "")
 		}
--- a/internal/api/relay.go
+++ b/internal/api/relay.go
@@ -37,13 +37,13 @@
 }
 
 // exchangeReports passes a batch to the leader.
-func (n *Node) exchangeReports(to relay.Leader, args peer.RelayArgs) (peer.RelayReply, error) {
+func (n *Node) exchangeReports(to relay.Leader, args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
 	for _, p := range n.peers {
 		if p.Label == to.Label {
-			return p.RelayReports(args)
+			return p.RelayHeartbeats(args)
 		}
 	}
-	return peer.RelayReply{}, relay.ErrLeaderNotReached
+	return peer.HeartbeatBatchReply{}, relay.ErrLeaderNotReached
 }
 
 // beginRelays makes this node's router and receiver of a term.
@@ -89,11 +89,11 @@
 	}
 }
 
-// RelayReports answers a batch of reports that a follower relays.
-func (n *Node) RelayReports(a peer.RelayArgs) (peer.RelayReply, error) {
+// RelayHeartbeats answers a batch of reports that a follower relays.
+func (n *Node) RelayHeartbeats(a peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
 	receiver := n.relays.receiver.Load()
 	if receiver == nil {
-		return peer.RelayReply{Term: n.elector.View().Term}, nil
+		return peer.HeartbeatBatchReply{Term: n.elector.View().Term}, nil
 	}
 	reply, err := receiver.Exchange(a)
 	if errors.Is(err, relay.ErrMalformedBatch) {
@@ -103,12 +103,12 @@
 }
 
 // answerRelayed decides the answer to one relayed report.
-func (n *Node) answerRelayed(ctx context.Context, r *wire.Report, from string, pressure relay.Pressure) peer.RelayedAnswer {
-	a := peer.RelayedAnswer{Host: r.Host, Shift: r.Session, Tick: r.Sequence}
+func (n *Node) answerRelayed(ctx context.Context, r *wire.Report, from string, pressure relay.Pressure) peer.HeartbeatAnswer {
+	a := peer.HeartbeatAnswer{Host: r.Host, Incarnation: r.Session, Sequence: r.Sequence}
 	d := n.decide(ctx, r, nil, source{relay: from, pressure: pressure})
 	a.Status = d.status
 	if d.orders != nil {
-		a.Orders = *d.orders
+		a.Response = *d.orders
 	}
 	if d.redirect != nil {
 		a.Redirect = *d.redirect
@@ -131,7 +131,7 @@
 	case err != nil:
 		return n.keepLease(r)
 	case a.Status == http.StatusOK:
-		return &a.Orders, nil
+		return &a.Response, nil
 	case a.Status == http.StatusMisdirectedRequest:
 		return nil, &a.Redirect
 	}
@@ -141,7 +141,7 @@
 // relaying reports whether a leader wants its followers to keep workers.
 func (n *Node) relaying(leader *peer.Peer) bool {
 	last, ok := leader.Last(n.cfg.HoldTTL())
-	return ok && last.Relaying && n.cfg.RelayCheckIns
+	return ok && last.WantsRelays && n.cfg.RelayCheckIns
 }
 
 // route returns where a worker that reports at a controller has to go instead, or "".
@@ -154,13 +154,13 @@
 }
 
 // notePeer takes what a ping has told of a peer's part in relaying.
-func (n *Node) notePeer(label string, reply peer.PingReply, reached bool) {
+func (n *Node) notePeer(label string, reply peer.PingResult, reached bool) {
 	if router := n.relays.router.Load(); router != nil {
-		router.Usable(label, reached && reply.Relays)
+		router.Usable(label, reached && reply.CanRelay)
 	}
 	if reached && reply.Leading {
 		mode := relay.Direct
-		if reply.Relaying {
+		if reply.WantsRelays {
 			mode = relay.Relayed
 		}
 		n.relays.heard.Store(int32(mode))
--- a/internal/api/reports.go
+++ b/internal/api/reports.go
@@ -46,8 +46,8 @@
 	return c.JSONBlob(status, answer)
 }
 
-// RelayCheckIn answers a report that a peer relays.
-func (n *Node) RelayCheckIn(a peer.CheckInArgs) peer.CheckInReply {
+// RelayHeartbeat answers a report that a peer relays.
+func (n *Node) RelayHeartbeat(a peer.CheckInArgs) peer.CheckInReply {
 	if n.lead.Load() == nil {
 		return peer.CheckInReply{Status: http.StatusMisdirectedRequest}
 	}
@@ -179,7 +179,7 @@
 		if !n.relaysSingly(r.Host) {
 			return nil, &wire.Redirect{Dispatcher: p.Label}
 		}
-		if reply, err := p.CheckIn(body); err == nil && reply.Status == http.StatusOK {
+		if reply, err := p.RelayHeartbeat(body); err == nil && reply.Status == http.StatusOK {
 			var o wire.Orders
 			if err := wire.Decode(reply.Body, &o); err == nil {
 				return &o, nil
@@ -304,7 +304,7 @@
 	var ids []string
 	for _, p := range n.peers {
 		if r, ok := p.Last(n.cfg.HoldTTL()); ok {
-			ids = append(ids, r.Heard...)
+			ids = append(ids, r.RenewedHosts...)
 		}
 	}
 	return ids
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -125,7 +125,7 @@
 	}
 	var fit []string
 	for _, p := range n.peers {
-		if last, ok := p.Last(n.cfg.HoldTTL()); ok && last.Serving && last.Follows {
+		if last, ok := p.Last(n.cfg.HoldTTL()); ok && last.Serving && last.CanFollow {
 			fit = append(fit, p.Label)
 		}
 	}
@@ -197,7 +197,7 @@
 	n.standby.mu.Unlock()
 	return slices.ContainsFunc(n.peers, func(p *peer.Peer) bool {
 		last, ok := p.Last(n.cfg.HoldTTL())
-		return ok && p.Label == told && last.Serving && last.Follows
+		return ok && p.Label == told && last.Serving && last.CanFollow
 	})
 }
 
--- /dev/null
+++ b/internal/peer/messages.go
@@ -0,0 +1,460 @@
+package peer
+
+import (
+	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// This file is the edge to the other controllers: every message of the net/rpc service, and the
+// conversions to and from the types that the rest of the program uses. encoding/gob goes by the Go
+// names of fields, and nodes of two releases serve side by side, so the fields here keep the names
+// that they were first sent with. The fixtures in testdata/release1 pin them. Fields may be added:
+// a receiver ignores those that it does not know.
+
+// PingArgs tells a peer about the caller.
+type PingArgs struct {
+	From string
+	Term uint64
+	// The counts of jobs' tasks that the caller has from the callee already.
+	CountsTerm, CountsRevision uint64
+	Version                    int // cluster version that the caller understands; 0: an older release
+}
+
+// PingReply is the message form of PingResult.
+type PingReply struct {
+	Term           uint64
+	Leading        bool
+	Serving        bool
+	Heard          []string
+	Counts         []wire.JobView
+	CountsRevision uint64
+	CountsMore     bool
+	Version        int
+	Relays         bool
+	Relaying       bool
+	Follows        bool
+	Standby        string
+}
+
+func (r PingResult) message() PingReply {
+	return PingReply{
+		Term:           r.Term,
+		Leading:        r.Leading,
+		Serving:        r.Serving,
+		Heard:          r.RenewedHosts,
+		Counts:         r.Counts,
+		CountsRevision: r.CountsRevision,
+		CountsMore:     r.CountsMore,
+		Version:        r.Version,
+		Relays:         r.CanRelay,
+		Relaying:       r.WantsRelays,
+		Follows:        r.CanFollow,
+		Standby:        r.Standby,
+	}
+}
+
+func (m PingReply) result() PingResult {
+	return PingResult{
+		Term:           m.Term,
+		Leading:        m.Leading,
+		Serving:        m.Serving,
+		RenewedHosts:   m.Heard,
+		Counts:         m.Counts,
+		CountsRevision: m.CountsRevision,
+		CountsMore:     m.CountsMore,
+		Version:        m.Version,
+		CanRelay:       m.Relays,
+		WantsRelays:    m.Relaying,
+		CanFollow:      m.Follows,
+		Standby:        m.Standby,
+	}
+}
+
+// CountsArgs asks the leader for the number of finished and running tasks of a job.
+type CountsArgs struct{ UID string }
+
+// CountsReply answers CountsArgs. Known is false if the callee does not lead.
+type CountsReply struct {
+	Known         bool
+	Done, Running int
+}
+
+// CheckInArgs relays a single worker's heartbeat to the leader.
+type CheckInArgs struct{ Body []byte }
+
+// CheckInReply is the leader's HTTP answer to the heartbeat.
+type CheckInReply struct {
+	Status int
+	Body   []byte
+}
+
+// UserArgs forwards a user's request that the caller cannot serve.
+type UserArgs struct {
+	Method, Path string
+	Body         []byte
+}
+
+// UserReply is the HTTP answer to a forwarded request.
+type UserReply struct {
+	Status     int
+	RetryAfter string
+	Body       []byte
+}
+
+// LeadReply is the leader's status, or nothing from a node that does not lead.
+type LeadReply struct{ Lead *LeadStatusMessage }
+
+// LeadStatusMessage is the message form of wire.LeadStatus.
+type LeadStatusMessage struct {
+	Term     uint64
+	Loaded   bool
+	Window   int
+	Round    RoundStatusMessage
+	Machines map[string]int
+	Classes  map[string]ClassStatusMessage
+	CheckIns string
+	Workers  map[string]int
+	Suspects int
+	Blamed   int
+}
+
+// RoundStatusMessage is the message form of wire.RoundStatus.
+type RoundStatusMessage struct {
+	AgoS      float64
+	TookMs    float64
+	Waiting   int
+	Started   int
+	Stopped   int
+	Short     int
+	Objective float64
+	Reserved  string
+	Overrun   bool
+}
+
+// ClassStatusMessage is the message form of wire.ClassStatus.
+type ClassStatusMessage struct {
+	Jobs    int
+	Waiting int
+	Placed  int
+}
+
+func leadStatusMessage(status *wire.LeadStatus) *LeadStatusMessage {
+	if status == nil {
+		return nil
+	}
+	message := &LeadStatusMessage{
+		Term:     status.Term,
+		Loaded:   status.Loaded,
+		Window:   status.Window,
+		Round:    RoundStatusMessage(status.Round),
+		Machines: status.Machines,
+		CheckIns: status.CheckIns,
+		Workers:  status.Workers,
+		Suspects: status.Suspects,
+		Blamed:   status.Blamed,
+	}
+	if status.Classes != nil {
+		message.Classes = make(map[string]ClassStatusMessage, len(status.Classes))
+	}
+	for name, class := range status.Classes {
+		message.Classes[name] = ClassStatusMessage(class)
+	}
+	return message
+}
+
+func (m *LeadStatusMessage) status() *wire.LeadStatus {
+	if m == nil {
+		return nil
+	}
+	status := &wire.LeadStatus{
+		Term:     m.Term,
+		Loaded:   m.Loaded,
+		Window:   m.Window,
+		Round:    wire.RoundStatus(m.Round),
+		Machines: m.Machines,
+		CheckIns: m.CheckIns,
+		Workers:  m.Workers,
+		Suspects: m.Suspects,
+		Blamed:   m.Blamed,
+	}
+	if m.Classes != nil {
+		status.Classes = make(map[string]wire.ClassStatus, len(m.Classes))
+	}
+	for name, class := range m.Classes {
+		status.Classes[name] = wire.ClassStatus(class)
+	}
+	return status
+}
+
+// WithdrawnArgs is the message form of Cancellation.
+type WithdrawnArgs struct {
+	UID   string
+	Rec   JobMessage
+	Stamp uint64
+}
+
+// WithdrawnReply is empty.
+type WithdrawnReply struct{}
+
+// JobMessage is the message form of ledger.Job.
+type JobMessage struct {
+	Spec   WorkMessage
+	Status wire.JobStatus
+	AtMs   int64
+	Per    int
+}
+
+// WorkMessage is the message form of wire.Work.
+type WorkMessage struct {
+	UID, Berth, Crew           string
+	Shape                      wire.Shape
+	Rank                       wire.Rank
+	Legs                       int
+	Cores, Gpus, RAMGb         float64
+	Rollout                    string
+	ImageGb                    float64
+	Rigs                       []string
+	Yard                       string
+	Together, Scatter, Standby bool
+	ExpectS, MarkS, StowS      float64
+	DueS                       *float64
+	Awaits                     []string
+}
+
+func (c Cancellation) message() WithdrawnArgs {
+	job := JobMessage{
+		Spec:   workMessage(&c.Record.Spec),
+		Status: c.Record.Status,
+		AtMs:   c.Record.AtMs,
+		Per:    c.Record.Per,
+	}
+	return WithdrawnArgs{UID: c.UID, Rec: job, Stamp: c.ModRevision}
+}
+
+func (m *WithdrawnArgs) cancellation() Cancellation {
+	record := ledger.Job{
+		Spec:   m.Rec.Spec.work(),
+		Status: m.Rec.Status,
+		AtMs:   m.Rec.AtMs,
+		Per:    m.Rec.Per,
+	}
+	return Cancellation{UID: m.UID, Record: record, ModRevision: m.Stamp}
+}
+
+func workMessage(work *wire.Work) WorkMessage {
+	return WorkMessage{
+		UID:      work.UID,
+		Berth:    work.Berth,
+		Crew:     work.Crew,
+		Shape:    work.Shape,
+		Rank:     work.Rank,
+		Legs:     work.Legs,
+		Cores:    work.Cores,
+		Gpus:     work.Gpus,
+		RAMGb:    work.RAMGb,
+		Rollout:  work.Rollout,
+		ImageGb:  work.ImageGb,
+		Rigs:     work.Rigs,
+		Yard:     work.Yard,
+		Together: work.Together,
+		Scatter:  work.Scatter,
+		Standby:  work.Standby,
+		ExpectS:  work.ExpectS,
+		MarkS:    work.MarkS,
+		StowS:    work.StowS,
+		DueS:     work.DueS,
+		Awaits:   work.Awaits,
+	}
+}
+
+func (m *WorkMessage) work() wire.Work {
+	return wire.Work{
+		UID:      m.UID,
+		Berth:    m.Berth,
+		Crew:     m.Crew,
+		Shape:    m.Shape,
+		Rank:     m.Rank,
+		Legs:     m.Legs,
+		Cores:    m.Cores,
+		Gpus:     m.Gpus,
+		RAMGb:    m.RAMGb,
+		Rollout:  m.Rollout,
+		ImageGb:  m.ImageGb,
+		Rigs:     m.Rigs,
+		Yard:     m.Yard,
+		Together: m.Together,
+		Scatter:  m.Scatter,
+		Standby:  m.Standby,
+		ExpectS:  m.ExpectS,
+		MarkS:    m.MarkS,
+		StowS:    m.StowS,
+		DueS:     m.DueS,
+		Awaits:   m.Awaits,
+	}
+}
+
+// RelayArgs is the message form of HeartbeatBatch.
+type RelayArgs struct {
+	From    string
+	Term    uint64
+	Reports []RelayedReport
+	Bodies  []byte
+}
+
+// RelayedReport is the message form of RelayedHeartbeat.
+type RelayedReport struct {
+	Host        string
+	Shift, Tick uint64
+	Repeats     uint64
+	Size        int
+	Pressure    uint8
+}
+
+func (b *HeartbeatBatch) message() RelayArgs {
+	message := RelayArgs{From: b.From, Term: b.Term, Bodies: b.Bodies}
+	for _, h := range b.Heartbeats {
+		message.Reports = append(message.Reports, RelayedReport{
+			Host:     h.Host,
+			Shift:    h.Incarnation,
+			Tick:     h.Sequence,
+			Repeats:  h.RepeatOf,
+			Size:     h.Size,
+			Pressure: h.Pressure,
+		})
+	}
+	return message
+}
+
+func (m *RelayArgs) batch() HeartbeatBatch {
+	batch := HeartbeatBatch{From: m.From, Term: m.Term, Bodies: m.Bodies}
+	for _, r := range m.Reports {
+		batch.Heartbeats = append(batch.Heartbeats, RelayedHeartbeat{
+			Host:        r.Host,
+			Incarnation: r.Shift,
+			Sequence:    r.Tick,
+			RepeatOf:    r.Repeats,
+			Size:        r.Size,
+			Pressure:    r.Pressure,
+		})
+	}
+	return batch
+}
+
+// RelayReply is the message form of HeartbeatBatchReply.
+type RelayReply struct {
+	Term    uint64
+	Leading bool
+	Answers []RelayedAnswer
+	Resend  []string
+}
+
+// RelayedAnswer is the message form of HeartbeatAnswer.
+type RelayedAnswer struct {
+	Host        string
+	Shift, Tick uint64
+	Status      int
+	Orders      OrdersMessage
+	Redirect    RedirectMessage
+}
+
+// OrdersMessage is the message form of wire.Orders.
+type OrdersMessage struct {
+	Baton  uint64
+	Orders []OrderMessage
+}
+
+// OrderMessage is the message form of wire.Order.
+type OrderMessage struct {
+	Verb    wire.Verb
+	Leg     string
+	Try     uint64
+	LeewayS float64
+}
+
+// RedirectMessage is the message form of wire.Redirect.
+type RedirectMessage struct{ Dispatcher string }
+
+func (r *HeartbeatBatchReply) message() RelayReply {
+	message := RelayReply{Term: r.Term, Leading: r.Leading, Resend: r.Resend}
+	for i := range r.Answers {
+		message.Answers = append(message.Answers, r.Answers[i].message())
+	}
+	return message
+}
+
+func (m *RelayReply) reply() HeartbeatBatchReply {
+	reply := HeartbeatBatchReply{Term: m.Term, Leading: m.Leading, Resend: m.Resend}
+	for i := range m.Answers {
+		reply.Answers = append(reply.Answers, m.Answers[i].answer())
+	}
+	return reply
+}
+
+func (a *HeartbeatAnswer) message() RelayedAnswer {
+	message := RelayedAnswer{
+		Host:     a.Host,
+		Shift:    a.Incarnation,
+		Tick:     a.Sequence,
+		Status:   a.Status,
+		Orders:   OrdersMessage{Baton: a.Response.Baton},
+		Redirect: RedirectMessage{Dispatcher: a.Redirect.Dispatcher},
+	}
+	for _, order := range a.Response.Orders {
+		message.Orders.Orders = append(message.Orders.Orders, OrderMessage{
+			Verb:    order.Verb,
+			Leg:     order.Leg,
+			Try:     order.Try,
+			LeewayS: order.LeewayS,
+		})
+	}
+	return message
+}
+
+func (m *RelayedAnswer) answer() HeartbeatAnswer {
+	answer := HeartbeatAnswer{
+		Host:        m.Host,
+		Incarnation: m.Shift,
+		Sequence:    m.Tick,
+		Status:      m.Status,
+		Response:    wire.Orders{Baton: m.Orders.Baton},
+		Redirect:    wire.Redirect{Dispatcher: m.Redirect.Dispatcher},
+	}
+	for _, order := range m.Orders.Orders {
+		answer.Response.Orders = append(answer.Response.Orders, wire.Order{
+			Verb:    order.Verb,
+			Leg:     order.Leg,
+			Try:     order.Try,
+			LeewayS: order.LeewayS,
+		})
+	}
+	return answer
+}
+
+// FollowArgs asks the leader for one part of a transfer of its state.
+type FollowArgs struct {
+	From string // label of the standby
+	Term uint64 // term of the leader that it means
+	// Transfer and Part name the part. Transfer 0 begins a new transfer, of what has
+	// changed since Have; of everything if Have is 0 or too old.
+	Transfer uint64
+	Part     int
+	Have     uint64 // sequence number up to which the standby has all changes of this term
+}
+
+// FollowReply is one part.
+type FollowReply struct {
+	Term    uint64
+	Leading bool // leads the term that was asked for, and has something to follow
+	// Transfer is 0 if the transfer that was asked for is no longer kept.
+	Transfer uint64
+	Part     int
+	Last     bool   // the transfer ends with this part
+	Full     bool   // the transfer holds everything, not changes since Base
+	Base     uint64 // sequence number that the changes follow on
+	// What holds once the last part is taken: sequence number, position in the state
+	// service's history up to which all records are part of it, and digest.
+	Sequence, Position, Digest uint64
+	Entries                    int // in Body
+	Size                       int // of Body, decompressed
+	Body                       []byte
+}
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -16,7 +16,7 @@
 
 // batch collects reports until they are sent.
 type batch struct {
-	reports []peer.RelayedReport
+	reports []peer.RelayedHeartbeat
 	bodies  []byte
 }
 
@@ -25,18 +25,18 @@
 
 // repeat adds a report that differs from an earlier one in nothing but its tick.
 func (b *batch) repeat(r, earlier *wire.Report, pressure Pressure) {
-	b.reports = append(b.reports, peer.RelayedReport{Host: r.Host, Shift: r.Session, Tick: r.Sequence, Repeats: earlier.Sequence, Pressure: uint8(pressure)})
+	b.reports = append(b.reports, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Session, Sequence: r.Sequence, RepeatOf: earlier.Sequence, Pressure: uint8(pressure)})
 }
 
 // add adds a report in full.
 func (b *batch) add(r *wire.Report, body []byte, pressure Pressure) {
-	b.reports = append(b.reports, peer.RelayedReport{Host: r.Host, Shift: r.Session, Tick: r.Sequence, Size: len(body), Pressure: uint8(pressure)})
+	b.reports = append(b.reports, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Session, Sequence: r.Sequence, Size: len(body), Pressure: uint8(pressure)})
 	b.bodies = append(b.bodies, body...)
 }
 
 // args is the batch as it is sent.
-func (b *batch) args(from string, term uint64) peer.RelayArgs {
-	args := peer.RelayArgs{From: from, Term: term, Reports: b.reports}
+func (b *batch) args(from string, term uint64) peer.HeartbeatBatch {
+	args := peer.HeartbeatBatch{From: from, Term: term, Heartbeats: b.reports}
 	if len(b.bodies) > 0 {
 		args.Bodies = s2.Encode(nil, b.bodies)
 	}
@@ -45,11 +45,11 @@
 
 // bodiesOf takes a received batch apart: one body for each report, nil for those that
 // repeat an earlier one.
-func bodiesOf(args *peer.RelayArgs) ([][]byte, error) {
+func bodiesOf(args *peer.HeartbeatBatch) ([][]byte, error) {
 	want := 0
-	for i := range args.Reports {
-		size := args.Reports[i].Size
-		if size < 0 || size > wire.MaxBody || (size == 0) != (args.Reports[i].Repeats > 0) {
+	for i := range args.Heartbeats {
+		size := args.Heartbeats[i].Size
+		if size < 0 || size > wire.MaxBody || (size == 0) != (args.Heartbeats[i].RepeatOf > 0) {
 			return nil, fmt.Errorf("%w: report %d of %d bytes", ErrMalformedBatch, i, size)
 		}
 		want += size
@@ -64,9 +64,9 @@
 			return nil, fmt.Errorf("%w: %v", ErrMalformedBatch, err)
 		}
 	}
-	bodies := make([][]byte, len(args.Reports))
-	for i := range args.Reports {
-		if size := args.Reports[i].Size; size > 0 {
+	bodies := make([][]byte, len(args.Heartbeats))
+	for i := range args.Heartbeats {
+		if size := args.Heartbeats[i].Size; size > 0 {
 			bodies[i], data = data[:size], data[size:]
 		}
 	}
--- a/internal/relay/receiver.go
+++ b/internal/relay/receiver.go
@@ -16,7 +16,7 @@
 
 // AnswerFunc decides the answer to a report that a follower relays. It may wait for
 // commands to come up.
-type AnswerFunc func(ctx context.Context, r *wire.Report, relay string, pressure Pressure) peer.RelayedAnswer
+type AnswerFunc func(ctx context.Context, r *wire.Report, relay string, pressure Pressure) peer.HeartbeatAnswer
 
 // Receiver answers the batches of a leader's followers, for one term.
 type Receiver struct {
@@ -27,21 +27,21 @@
 	bases *xsync.Map[string, *wire.Report]
 
 	mu       sync.Mutex
-	outboxes map[string]map[string]peer.RelayedAnswer // by relay and host: answers that are ready
+	outboxes map[string]map[string]peer.HeartbeatAnswer // by relay and host: answers that are ready
 }
 
 // NewReceiver makes the receiver of a term. members are the labels of the other nodes.
 func NewReceiver(ctx context.Context, term uint64, members []string, answer AnswerFunc) *Receiver {
-	v := &Receiver{ctx: ctx, term: term, answer: answer, bases: xsync.NewMap[string, *wire.Report](), outboxes: map[string]map[string]peer.RelayedAnswer{}}
+	v := &Receiver{ctx: ctx, term: term, answer: answer, bases: xsync.NewMap[string, *wire.Report](), outboxes: map[string]map[string]peer.HeartbeatAnswer{}}
 	for _, label := range members {
-		v.outboxes[label] = map[string]peer.RelayedAnswer{}
+		v.outboxes[label] = map[string]peer.HeartbeatAnswer{}
 	}
 	return v
 }
 
 // Exchange takes a batch and returns the answers that are ready for its sender.
-func (v *Receiver) Exchange(args peer.RelayArgs) (peer.RelayReply, error) {
-	reply := peer.RelayReply{Term: v.term}
+func (v *Receiver) Exchange(args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
+	reply := peer.HeartbeatBatchReply{Term: v.term}
 	if args.Term != v.term || v.ctx.Err() != nil {
 		return reply, nil
 	}
@@ -55,11 +55,11 @@
 	}
 	reply.Leading = true
 	for i, body := range bodies {
-		head := &args.Reports[i]
+		head := &args.Heartbeats[i]
 		report, err := v.resolve(head, body)
 		switch {
 		case err != nil:
-			v.deliver(args.From, peer.RelayedAnswer{Host: head.Host, Shift: head.Shift, Tick: head.Tick, Status: http.StatusBadRequest})
+			v.deliver(args.From, peer.HeartbeatAnswer{Host: head.Host, Incarnation: head.Incarnation, Sequence: head.Sequence, Status: http.StatusBadRequest})
 		case report == nil:
 			reply.Resend = append(reply.Resend, head.Host)
 		default:
@@ -72,14 +72,14 @@
 
 // resolve makes the report that a batch holds in full or by reference. It returns nil
 // if the report is needed in full.
-func (v *Receiver) resolve(head *peer.RelayedReport, body []byte) (*wire.Report, error) {
-	if head.Repeats > 0 {
+func (v *Receiver) resolve(head *peer.RelayedHeartbeat, body []byte) (*wire.Report, error) {
+	if head.RepeatOf > 0 {
 		base, ok := v.bases.Load(head.Host)
-		if !ok || base.Session != head.Shift || base.Sequence != head.Repeats {
+		if !ok || base.Session != head.Incarnation || base.Sequence != head.RepeatOf {
 			return nil, nil
 		}
 		report := *base
-		report.Sequence = head.Tick
+		report.Sequence = head.Sequence
 		v.bases.Store(head.Host, &report)
 		return &report, nil
 	}
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if report.Host != head.Host || report.Session != head.Shift || report.Sequence != head.Tick {
+	if report.Host != head.Host || report.Session != head.Incarnation || report.Sequence != head.Sequence {
 		return nil, ErrMalformedBatch
 	}
 	v.bases.Store(report.Host, &report)
@@ -113,29 +113,29 @@
 
 // deliver keeps an answer until its relay asks for it. A newer one of the same host
 // takes its place: the worker waits for that one only.
-func (v *Receiver) deliver(relay string, a peer.RelayedAnswer) {
+func (v *Receiver) deliver(relay string, a peer.HeartbeatAnswer) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	old, ok := v.outboxes[relay][a.Host]
-	if ok && (old.Shift > a.Shift || old.Shift == a.Shift && old.Tick > a.Tick) {
+	if ok && (old.Incarnation > a.Incarnation || old.Incarnation == a.Incarnation && old.Sequence > a.Sequence) {
 		return
 	}
 	v.outboxes[relay][a.Host] = a
 }
 
 // takeAnswers takes all that is ready for a relay.
-func (v *Receiver) takeAnswers(relay string) []peer.RelayedAnswer {
+func (v *Receiver) takeAnswers(relay string) []peer.HeartbeatAnswer {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	ready := v.outboxes[relay]
 	if len(ready) == 0 {
 		return nil
 	}
-	answers := make([]peer.RelayedAnswer, 0, len(ready))
+	answers := make([]peer.HeartbeatAnswer, 0, len(ready))
 	for _, a := range ready {
 		answers = append(answers, a)
 	}
 	clear(ready)
-	slices.SortFunc(answers, func(a, b peer.RelayedAnswer) int { return strings.Compare(a.Host, b.Host) })
+	slices.SortFunc(answers, func(a, b peer.HeartbeatAnswer) int { return strings.Compare(a.Host, b.Host) })
 	return answers
 }
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -33,12 +33,12 @@
 
 // result is what became of a report.
 type result struct {
-	answer peer.RelayedAnswer
+	answer peer.HeartbeatAnswer
 	err    error
 }
 
 // ExchangeFunc passes a batch to the leader and returns its reply.
-type ExchangeFunc func(to Leader, args peer.RelayArgs) (peer.RelayReply, error)
+type ExchangeFunc func(to Leader, args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error)
 
 // SenderConfig is what a Sender is made with.
 type SenderConfig struct {
@@ -80,10 +80,10 @@
 
 // Report relays one report to the leader and waits for the answer. The error is one of
 // the package's, or that of the context.
-func (s *Sender) Report(ctx context.Context, to Leader, r *wire.Report, body []byte, pressure Pressure) (peer.RelayedAnswer, error) {
+func (s *Sender) Report(ctx context.Context, to Leader, r *wire.Report, body []byte, pressure Pressure) (peer.HeartbeatAnswer, error) {
 	p := &pendingReport{report: r, body: body, pressure: pressure, result: make(chan result, 1)}
 	if err := s.add(to, p); err != nil {
-		return peer.RelayedAnswer{}, err
+		return peer.HeartbeatAnswer{}, err
 	}
 	timer := time.NewTimer(s.Patience)
 	defer timer.Stop()
@@ -204,7 +204,7 @@
 	s.noteTaken(inBatch, reply.Resend)
 	for _, a := range reply.Answers {
 		p := s.pending[a.Host]
-		if p != nil && p.report.Session == a.Shift && p.report.Sequence == a.Tick {
+		if p != nil && p.report.Session == a.Incarnation && p.report.Sequence == a.Sequence {
 			s.finish(p, result{answer: a})
 		}
 	}
