--- a/cmd/fleetsim/processes.go
+++ b/cmd/fleetsim/processes.go
@@ -115,7 +115,7 @@
 		return 0, 0, false
 	}
 	i, err := strconv.Atoi(strings.TrimPrefix(leader.Node, "node-"))
-	return i, item.Stamp, err == nil
+	return i, item.ModRevision, err == nil
 }
 
 // status asks a controller how it stands.
--- a/internal/api/admin.go
+++ b/internal/api/admin.go
@@ -97,8 +97,8 @@
 			metrics.WriteGaugeUint64(&out, fmt.Sprintf(`lotusstile_tasks{class=%q,state="placed"}`, class), uint64(cl.Placed))
 		}
 		metrics.WriteGaugeUint64(&out, "lotusstile_window", uint64(st.Window))
-		metrics.WriteGaugeUint64(&out, "lotusstile_suspected_jobs", uint64(st.Suspects))
-		metrics.WriteGaugeUint64(&out, "lotusstile_blamed_machines", uint64(st.Blamed))
+		metrics.WriteGaugeUint64(&out, "lotusstile_suspected_jobs", uint64(st.SuspectJobs))
+		metrics.WriteGaugeUint64(&out, "lotusstile_blamed_machines", uint64(st.QuarantinedMachines))
 		metrics.WriteCounterUint64(&out, "lotusstile_stale_nodes_total", l.StaleNodes())
 	}
 	return c.Blob(http.StatusOK, "text/plain; version=0.0.4", out.Bytes())
@@ -135,7 +135,7 @@
 func (n *Node) leadStatus(l *controller.Controller) *wire.LeadStatus {
 	st := l.Status()
 	if router := n.relays.router.Load(); router != nil {
-		st.CheckIns, st.Workers = router.Mode().String(), router.Load()
+		st.HeartbeatRouting, st.Workers = router.Mode().String(), router.Load()
 	}
 	return &st
 }
@@ -163,7 +163,7 @@
 		return echo.NewHTTPError(http.StatusBadRequest, "the body must be a JSON object with the Stamp of the settings that it changes")
 	}
 	now := *n.settings.Load()
-	if now.Stamp != *version.Stamp {
+	if now.ModRevision != *version.Stamp {
 		return c.JSON(http.StatusConflict, now)
 	}
 	next := now
@@ -176,9 +176,9 @@
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
 	value := ledger.Encode(next)
-	stamp, err := n.store.Commit(c.Request().Context(), wire.Commit{
-		Guards: []wire.Guard{{Key: ledger.SettingsKey, Stamp: now.Stamp}},
-		Apply:  []wire.Change{{Set: ledger.SettingsKey, Value: value}},
+	stamp, err := n.store.Commit(c.Request().Context(), wire.Transaction{
+		Compares: []wire.Compare{{Key: ledger.SettingsKey, ModRevision: now.ModRevision}},
+		Changes:  []wire.Change{{Set: ledger.SettingsKey, Value: value}},
 	})
 	var conflict *store.ConflictError
 	switch {
@@ -187,6 +187,6 @@
 	case err != nil:
 		return retryLater(c, "cannot be recorded now")
 	}
-	n.takeSettings(wire.News{Set: ledger.SettingsKey, Value: value, Stamp: stamp})
+	n.takeSettings(wire.WatchEvent{Set: ledger.SettingsKey, Value: value, ModRevision: stamp})
 	return c.JSON(http.StatusOK, n.settings.Load())
 }
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -52,9 +52,9 @@
 			continue
 		}
 		rec.Finish(wire.JobAborted, n.cfg.ValueBytes())
-		stamp, err := n.store.Commit(ctx, wire.Commit{
-			Guards: []wire.Guard{{Key: item.Key, Stamp: item.Stamp}},
-			Apply:  []wire.Change{{Set: item.Key, Value: ledger.Encode(rec)}},
+		stamp, err := n.store.Commit(ctx, wire.Transaction{
+			Compares: []wire.Compare{{Key: item.Key, ModRevision: item.ModRevision}},
+			Changes:  []wire.Change{{Set: item.Key, Value: ledger.Encode(rec)}},
 		})
 		var conflict *store.ConflictError
 		switch {
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -35,8 +35,8 @@
 // All is decided on a read that began after the request. What happens to the named
 // jobs between that read and the commit is not lost: readers derive a job's status
 // from the records of those that it needs, each time (see dependencyCancelled).
-func (n *Node) initialStatus(ctx context.Context, work *wire.Work) (wire.JobStatus, error) {
-	if len(work.Awaits) == 0 {
+func (n *Node) initialStatus(ctx context.Context, work *wire.JobSpec) (wire.JobStatus, error) {
+	if len(work.Dependencies) == 0 {
 		return wire.JobQueued, nil
 	}
 	if n.version.InForce() < clusterversion.Pipelines {
@@ -45,12 +45,12 @@
 	if err := n.refresher.Refresh(ctx); err != nil {
 		return "", err
 	}
-	for _, uid := range work.Awaits {
+	for _, uid := range work.Dependencies {
 		if err := n.checkDependency(ctx, work.UID, uid); err != nil {
 			return "", err
 		}
 	}
-	cancelled, err := n.dependencyCancelled(ctx, work.Awaits, map[string]bool{})
+	cancelled, err := n.dependencyCancelled(ctx, work.Dependencies, map[string]bool{})
 	switch {
 	case err != nil:
 		return "", err
@@ -66,7 +66,7 @@
 		return &dependencyError{dependency, "which is the job itself"}
 	}
 	if entry, ok := n.mirror.Job(dependency); ok {
-		if entry.Job.Spec.Shape == wire.Standing {
+		if entry.Job.Spec.Kind == wire.Service {
 			return &dependencyError{dependency, "which is a service and never done"}
 		}
 		return nil
@@ -115,7 +115,7 @@
 		return status, nil, nil
 	}
 	if entry, ok := n.mirror.Job(uid); ok {
-		return entry.Job.Status, entry.Job.Spec.Awaits, nil
+		return entry.Job.Status, entry.Job.Spec.Dependencies, nil
 	}
 	// Its record is gone, and its final status was written with that.
 	view, found, err := n.readFinal(ctx, uid)
@@ -150,13 +150,13 @@
 }
 
 // tooLong tells how much of a job's description can be stored.
-func tooLong(work *wire.Work, size, most int) string {
-	if len(work.Awaits) == 0 {
+func tooLong(work *wire.JobSpec, size, most int) string {
+	if len(work.Dependencies) == 0 {
 		return fmt.Sprintf("the description is too long: it takes %d bytes of at most %d", size, most)
 	}
 	without := *work
-	without.Awaits = nil
-	perID := len(ledger.Encode(work.Awaits[0])) + 1
+	without.Dependencies = nil
+	perID := len(ledger.Encode(work.Dependencies[0])) + 1
 	room := max(0, (most-size+len(ledger.Encode(work))-len(ledger.Encode(without)))/perID)
 	return fmt.Sprintf("the description is too long: it takes %d bytes of at most %d; Awaits may name about %d jobs beside the rest", size, most, room)
 }
--- a/internal/api/http.go
+++ b/internal/api/http.go
@@ -40,7 +40,7 @@
 		} else {
 			slog.Error("request failed", "path", c.Path(), "err", err)
 		}
-		if err := c.JSON(status, wire.Fault{Error: text}); err != nil {
+		if err := c.JSON(status, wire.ErrorResponse{Error: text}); err != nil {
 			slog.Debug("answer not written", "err", err)
 		}
 	}
@@ -114,7 +114,7 @@
 
 func retryAfter(c echo.Context, wait time.Duration, why string) error {
 	c.Response().Header().Set(echo.HeaderRetryAfter, strconv.Itoa(max(1, int(math.Ceil(wait.Seconds())))))
-	return c.JSON(http.StatusServiceUnavailable, wire.Fault{Error: why})
+	return c.JSON(http.StatusServiceUnavailable, wire.ErrorResponse{Error: why})
 }
 
 // ready answers health checks. A node is out only while it cannot serve and
--- a/internal/api/node.go
+++ b/internal/api/node.go
@@ -190,14 +190,14 @@
 }
 
 // takeOption takes a record of what holds for all nodes.
-func (n *Node) takeOption(news wire.News) {
+func (n *Node) takeOption(news wire.WatchEvent) {
 	n.version.Take(news)
 	n.takeSettings(news)
 }
 
 // takeSettings takes the operators' own settings from the state service.
-func (n *Node) takeSettings(ch wire.News) {
-	if ch.Set != ledger.SettingsKey || ch.Stamp <= n.settings.Load().Stamp {
+func (n *Node) takeSettings(ch wire.WatchEvent) {
+	if ch.Set != ledger.SettingsKey || ch.ModRevision <= n.settings.Load().ModRevision {
 		return
 	}
 	s := ledger.DefaultSettings(n.cfg.Cluster.Workers.ReportS)
@@ -209,7 +209,7 @@
 		slog.Error("stored settings are not valid", "err", err)
 		return
 	}
-	s.Stamp = ch.Stamp
+	s.ModRevision = ch.ModRevision
 	slog.Info("settings in force", "settings", s)
 	n.settings.Store(&s)
 }
--- a/internal/api/relay.go
+++ b/internal/api/relay.go
@@ -103,8 +103,8 @@
 }
 
 // answerRelayed decides the answer to one relayed report.
-func (n *Node) answerRelayed(ctx context.Context, r *wire.Report, from string, pressure relay.Pressure) peer.HeartbeatAnswer {
-	a := peer.HeartbeatAnswer{Host: r.Host, Incarnation: r.Session, Sequence: r.Sequence}
+func (n *Node) answerRelayed(ctx context.Context, r *wire.Heartbeat, from string, pressure relay.Pressure) peer.HeartbeatAnswer {
+	a := peer.HeartbeatAnswer{Host: r.Host, Incarnation: r.Incarnation, Sequence: r.Sequence}
 	d := n.decide(ctx, r, nil, source{relay: from, pressure: pressure})
 	a.Status = d.status
 	if d.orders != nil {
@@ -119,7 +119,7 @@
 // relayReport relays a worker's report to the leader by the next batch, and returns the
 // leader's answer to it: with neither, the leader cannot answer now. If it is not reached,
 // its place is taken.
-func (n *Node) relayReport(ctx context.Context, leader *peer.Peer, r *wire.Report, body []byte, pressure relay.Pressure) (*wire.Orders, *wire.Redirect) {
+func (n *Node) relayReport(ctx context.Context, leader *peer.Peer, r *wire.Heartbeat, body []byte, pressure relay.Pressure) (*wire.Commands, *wire.Redirect) {
 	last, ok := leader.Last(n.cfg.HoldTTL())
 	if !ok {
 		return n.keepLease(r)
@@ -145,7 +145,7 @@
 }
 
 // route returns where a worker that reports at a controller has to go instead, or "".
-func (n *Node) route(r *wire.Report, at string, pressure relay.Pressure) string {
+func (n *Node) route(r *wire.Heartbeat, at string, pressure relay.Pressure) string {
 	router := n.relays.router.Load()
 	if router == nil {
 		return ""
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -47,7 +47,7 @@
 // reads could miss a job that is archived between them, and take one request more for each
 // question about a job that nobody has submitted.
 func (n *Node) neverAccepted(ctx context.Context, uid string) (bool, error) {
-	_, err := n.store.Commit(ctx, wire.Commit{Guards: []wire.Guard{{Key: ledger.JobKey(uid)}, {Key: ledger.FinalKey(uid)}}})
+	_, err := n.store.Commit(ctx, wire.Transaction{Compares: []wire.Compare{{Key: ledger.JobKey(uid)}, {Key: ledger.FinalKey(uid)}}})
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
 		return false, nil
@@ -75,7 +75,7 @@
 	if err := wire.Decode(item.Value, &rec); err != nil {
 		return view, false, err
 	}
-	if len(rec.Spec.Awaits) > 0 && !rec.Status.Final() {
+	if len(rec.Spec.Dependencies) > 0 && !rec.Status.Final() {
 		// The jobs that it needs are looked up in this node's copy.
 		if err := n.refresher.Refresh(ctx); err != nil {
 			return view, false, err
@@ -92,7 +92,7 @@
 func (n *Node) viewOf(ctx context.Context, uid string, rec *ledger.Job) (wire.JobView, error) {
 	view := wire.JobView{UID: uid, Status: rec.Status}
 	if !rec.Status.Final() {
-		cancelled, err := n.dependencyCancelled(ctx, rec.Spec.Awaits, map[string]bool{})
+		cancelled, err := n.dependencyCancelled(ctx, rec.Spec.Dependencies, map[string]bool{})
 		if err != nil {
 			return view, err
 		}
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	w, err := wire.ParseWork(body)
+	w, err := wire.ParseJobSpec(body)
 	if err != nil {
 		uid, ok := wire.UIDOf(body)
 		if !ok {
@@ -65,13 +65,13 @@
 
 // recordJob commits the record of a new job. A *store.ConflictError means that the job
 // is known.
-func (n *Node) recordJob(ctx context.Context, work *wire.Work, value json.RawMessage) error {
+func (n *Node) recordJob(ctx context.Context, work *wire.JobSpec, value json.RawMessage) error {
 	// When many come at once, those of higher rank are taken first: each rank
 	// leaves a quarter of the budget to each rank above it.
 	leave := float64(wire.Critical.Level()-admissionRank(work).Level()) / float64(wire.Critical.Level())
-	tx := wire.Commit{
-		Guards: []wire.Guard{{Key: ledger.JobKey(work.UID)}, {Key: ledger.FinalKey(work.UID)}},
-		Apply:  []wire.Change{{Set: ledger.JobKey(work.UID), Value: value}},
+	tx := wire.Transaction{
+		Compares: []wire.Compare{{Key: ledger.JobKey(work.UID)}, {Key: ledger.FinalKey(work.UID)}},
+		Changes:  []wire.Change{{Set: ledger.JobKey(work.UID), Value: value}},
 	}
 	_, err := n.store.Commit(store.User(ctx, leave), tx)
 	for errors.Is(err, store.ErrUnknown) && ctx.Err() == nil {
@@ -98,11 +98,11 @@
 // A job that waits for others is a stage of a pipeline. Users give the rank that they
 // care about to its last stage only, and can submit that only once the others are
 // accepted: all of them are admitted like work of high rank.
-func admissionRank(work *wire.Work) wire.Rank {
-	if len(work.Awaits) > 0 && work.Rank.Level() < wire.High.Level() {
+func admissionRank(work *wire.JobSpec) wire.Priority {
+	if len(work.Dependencies) > 0 && work.Priority.Level() < wire.High.Level() {
 		return wire.High
 	}
-	return work.Rank
+	return work.Priority
 }
 
 // refuse answers a submission that is not taken, unless the job is known already:
@@ -122,8 +122,8 @@
 }
 
 // refusal tells why a job can never run.
-func (n *Node) refusal(cat *wire.Catalog, w *wire.Work) (string, bool) {
-	team, ok := n.cfg.Team(w.Crew)
+func (n *Node) refusal(cat *wire.Catalog, w *wire.JobSpec) (string, bool) {
+	team, ok := n.cfg.Team(w.Team)
 	if !ok {
 		return "unknown team", true
 	}
@@ -131,8 +131,8 @@
 		return "a task fits no machine type that the job allows", true
 	}
 	tasks := 1.0
-	if w.Shape != wire.Sweep {
-		tasks = float64(w.Legs)
+	if w.Kind != wire.JobArray {
+		tasks = float64(w.TaskCount)
 	}
 	if (team.CpusMax > 0 && tasks*w.Cores > team.CpusMax) || (team.GpusMax > 0 && tasks*w.Gpus > team.GpusMax) {
 		return "the job needs more than its team's limit", true
--- a/internal/api/version.go
+++ b/internal/api/version.go
@@ -19,7 +19,7 @@
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.HoldTTL())
 	defer cancel()
 	var understood []clusterversion.Version
-	var read []wire.Guard
+	var read []wire.Compare
 	for _, p := range n.peers {
 		version := p.Understands()
 		if _, reached := p.Last(n.cfg.HoldTTL()); !reached && version < clusterversion.Latest {
--- a/internal/clusterversion/clusterversion.go
+++ b/internal/clusterversion/clusterversion.go
@@ -33,7 +33,7 @@
 
 // Store is what raising the version needs of the state service.
 type Store interface {
-	Commit(ctx context.Context, tx wire.Commit) (uint64, error)
+	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 }
 
 // Tracker knows the version in force, as far as this node has learned. It is safe for
@@ -55,7 +55,7 @@
 }
 
 // Take learns from a change of a record; others than that of the version are passed over.
-func (t *Tracker) Take(news wire.News) {
+func (t *Tracker) Take(news wire.WatchEvent) {
 	if news.Set != ledger.VersionKey {
 		return
 	}
@@ -64,7 +64,7 @@
 		slog.Error("cluster version cannot be read", "err", err)
 		return
 	}
-	t.learn(Version(record.Version), news.Stamp)
+	t.learn(Version(record.Version), news.ModRevision)
 }
 
 // learn is the one function that changes the version in force. It never falls.
@@ -81,7 +81,7 @@
 
 // Raise brings the version that all members understand into force, in a commit that
 // only the leader of the term can make, while what was read of members still holds.
-func (t *Tracker) Raise(ctx context.Context, store Store, term uint64, understood []Version, read ...wire.Guard) error {
+func (t *Tracker) Raise(ctx context.Context, store Store, term uint64, understood []Version, read ...wire.Compare) error {
 	to := Latest
 	for _, version := range understood {
 		to = min(to, version)
@@ -92,9 +92,9 @@
 	if to <= force {
 		return nil
 	}
-	epoch, err := store.Commit(ctx, wire.Commit{
-		Guards: append([]wire.Guard{{Key: ledger.LeaderKey, Stamp: term}, {Key: ledger.VersionKey, Stamp: stamp}}, read...),
-		Apply:  []wire.Change{{Set: ledger.VersionKey, Value: ledger.Encode(ledger.ClusterVersion{Version: int(to)})}},
+	epoch, err := store.Commit(ctx, wire.Transaction{
+		Compares: append([]wire.Compare{{Key: ledger.LeaderKey, ModRevision: term}, {Key: ledger.VersionKey, ModRevision: stamp}}, read...),
+		Changes:  []wire.Change{{Set: ledger.VersionKey, Value: ledger.Encode(ledger.ClusterVersion{Version: int(to)})}},
 	})
 	if err != nil {
 		return fmt.Errorf("raise the cluster version: %w", err)
--- a/internal/clusterversion/presence.go
+++ b/internal/clusterversion/presence.go
@@ -41,8 +41,8 @@
 // keepAnnounced holds up the announcement on a lease until the version is in force or
 // the lease is lost.
 func (t *Tracker) keepAnnounced(ctx context.Context, leases LeaseStore, label string, permit uint64, ttl time.Duration) error {
-	_, err := leases.Commit(ctx, wire.Commit{Apply: []wire.Change{{
-		Set: ledger.ReleaseKey(label), Value: ledger.Encode(ledger.ClusterVersion{Version: int(Latest)}), Permit: permit,
+	_, err := leases.Commit(ctx, wire.Transaction{Changes: []wire.Change{{
+		Set: ledger.ReleaseKey(label), Value: ledger.Encode(ledger.ClusterVersion{Version: int(Latest)}), LeaseID: permit,
 	}}})
 	for err == nil && t.waitForce(ctx, ttl/announceShare) {
 		err = leases.TouchHold(ctx, permit)
@@ -68,13 +68,13 @@
 
 // Announced reads which version a node announces, and the guard that it still does. A
 // node without an announcement is at First.
-func Announced(ctx context.Context, reader Reader, label string) (Version, wire.Guard, error) {
-	guard := wire.Guard{Key: ledger.ReleaseKey(label)}
+func Announced(ctx context.Context, reader Reader, label string) (Version, wire.Compare, error) {
+	guard := wire.Compare{Key: ledger.ReleaseKey(label)}
 	item, found, err := reader.Get(ctx, guard.Key)
 	if err != nil || !found {
 		return First, guard, err
 	}
-	guard.Stamp = item.Stamp
+	guard.ModRevision = item.ModRevision
 	var record ledger.ClusterVersion
 	if err := wire.Decode(item.Value, &record); err != nil {
 		return First, guard, err
@@ -84,5 +84,5 @@
 
 // Reader reads single records.
 type Reader interface {
-	Get(ctx context.Context, key string) (wire.Item, bool, error)
+	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
 }
--- a/internal/controller/announce.go
+++ b/internal/controller/announce.go
@@ -90,16 +90,16 @@
 		slog.Debug("token not announced", "host", t.host, "err", err)
 		return
 	}
-	if r.Token > c.term {
-		c.Saw(r.Token)
+	if r.FencingToken > c.term {
+		c.Saw(r.FencingToken)
 		c.depose("a worker has seen a higher token")
 		return
 	}
-	if r.Token == c.term && r.Session == t.session {
+	if r.FencingToken == c.term && r.Incarnation == t.session {
 		c.alive(t.host)
 	}
-	if r.Token < c.term && r.Session != t.session && strings.EqualFold(r.Host, t.host) {
-		if _, err := c.Worker.Announce(ctx, t.address, c.term, r.Session); err != nil {
+	if r.FencingToken < c.term && r.Incarnation != t.session && strings.EqualFold(r.Host, t.host) {
+		if _, err := c.Worker.Announce(ctx, t.address, c.term, r.Incarnation); err != nil {
 			slog.Debug("token not announced", "host", t.host, "err", err)
 		}
 	}
--- a/internal/controller/checkin.go
+++ b/internal/controller/checkin.go
@@ -27,13 +27,13 @@
 // that waits only makes the next report come later: when a leader that was cut off with its
 // zone had to stop answering, its workers' leases were half of an interval older than a
 // follower's, and of some 700 machines 170 to 220 lost them just before the cut ended.
-func (c *Controller) CheckIn(ctx context.Context, r *wire.Report, opts CheckInOptions) (o wire.Orders, ok bool) {
-	if r.Token > c.term {
-		c.Saw(r.Token)
+func (c *Controller) CheckIn(ctx context.Context, r *wire.Heartbeat, opts CheckInOptions) (o wire.Commands, ok bool) {
+	if r.FencingToken > c.term {
+		c.Saw(r.FencingToken)
 		c.depose("a worker has seen a higher token")
-		return wire.Orders{}, false
+		return wire.Commands{}, false
 	}
-	o = wire.Orders{Baton: c.term, Orders: []wire.Order{}}
+	o = wire.Commands{FencingToken: c.term, Commands: []wire.Command{}}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.loaded {
@@ -51,15 +51,15 @@
 	if opts.Relayed || wasDirect && opts.Via != "" {
 		m.Relayed = now // it reported here, and may not reach this node any more
 	}
-	o.Orders = c.fleet.Orders(m, now, c.mayLaunch())
-	if len(o.Orders) > 0 || !opts.MayWait || m.State != fleet.Ready || !c.mayLaunch() {
+	o.Commands = c.fleet.Orders(m, now, c.mayLaunch())
+	if len(o.Commands) > 0 || !opts.MayWait || m.State != fleet.Ready || !c.mayLaunch() {
 		return o, true
 	}
 	c.waitForCommands(ctx, m)
 	// Commands answer the newest report only: the worker drops this answer if it
 	// has sent another one.
-	if m.Session == r.Session && m.Sequence == r.Sequence && ctx.Err() == nil {
-		o.Orders = c.fleet.Orders(m, c.now(), c.mayLaunch())
+	if m.Session == r.Incarnation && m.Sequence == r.Sequence && ctx.Err() == nil {
+		o.Commands = c.fleet.Orders(m, c.now(), c.mayLaunch())
 	}
 	return o, true
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -29,14 +29,14 @@
 // Store is what a controller needs of the state service.
 type Store interface {
 	ledger.Reader
-	Get(ctx context.Context, key string) (wire.Item, bool, error)
-	Commit(ctx context.Context, tx wire.Commit) (uint64, error)
+	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
+	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 }
 
 // Cloud is what it needs of the cloud.
 type Cloud interface {
 	Catalog(ctx context.Context) (wire.Catalog, error)
-	Rent(ctx context.Context, r wire.RentRequest) ([]string, error)
+	Rent(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
 	Return(ctx context.Context, hosts []string) error
 	List(ctx context.Context) ([]wire.ListedHost, error)
 	// ListTakes is the least time that a list of so many machines takes.
@@ -47,7 +47,7 @@
 type Worker interface {
 	// Announce tells a worker the term's token. It returns the worker's
 	// session and the highest token the worker has seen.
-	Announce(ctx context.Context, address string, token, shift uint64) (wire.Report, error)
+	Announce(ctx context.Context, address string, token, shift uint64) (wire.Heartbeat, error)
 }
 
 // VersionTracker tells which formats of records are in use.
@@ -98,8 +98,8 @@
 	cancel    context.CancelFunc
 	begun     time.Time
 	loaded    bool
-	warmTries int                    // checks of what was followed that the state service did not answer
-	listings  map[string][]wire.Item // records that load has listed so far, by prefix
+	warmTries int                        // checks of what was followed that the state service did not answer
+	listings  map[string][]wire.KeyValue // records that load has listed so far, by prefix
 	takeover  *takeover
 
 	// Jobs and their attempts: events.go, dependencies.go, status.go.
@@ -283,13 +283,13 @@
 }
 
 // refresh takes a job's record, as just read, into the picture.
-func (c *Controller) refresh(uid string, item wire.Item) {
+func (c *Controller) refresh(uid string, item wire.KeyValue) {
 	var rec ledger.Job
 	if err := wire.Decode(item.Value, &rec); err != nil {
 		slog.Error("job record cannot be read", "uid", uid, "err", err)
 		return
 	}
-	c.jobEvent(uid, ledger.Entry{Job: &rec, Stamp: item.Stamp})
+	c.jobEvent(uid, ledger.Entry{Job: &rec, Stamp: item.ModRevision})
 }
 
 // checkDeposed ends the term if a commit failed because of the leader's key.
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -22,9 +22,9 @@
 // nothing.
 func (c *Controller) addToGraph(j *job, now time.Time) {
 	spec := &j.rec.Spec
-	vertex := pipeline.Job{Awaits: spec.Awaits, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageMs(spec)}
-	if spec.DueS != nil {
-		vertex.DueMs = float64(j.rec.AtMs) + *spec.DueS*1000
+	vertex := pipeline.Job{Awaits: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageMs(spec)}
+	if spec.DeadlineS != nil {
+		vertex.DueMs = float64(j.rec.AtMs) + *spec.DeadlineS*1000
 	}
 	effects := c.graph.Add(j.uid, vertex)
 	j.level, j.dueMs = c.graph.Urgency(j.uid)
@@ -38,8 +38,8 @@
 }
 
 // stageMs is how long a job is expected to hold up those that need it.
-func (c *Controller) stageMs(spec *wire.Work) float64 {
-	return 1000 * (runAllowance*spec.ExpectS + 2*c.Config.Cluster.Workers.ReportS)
+func (c *Controller) stageMs(spec *wire.JobSpec) float64 {
+	return 1000 * (runAllowance*spec.ExpectedRunS + 2*c.Config.Cluster.Workers.ReportS)
 }
 
 // finished notes that a job's final status is committed.
@@ -94,7 +94,7 @@
 		return
 	}
 	j.released = true
-	if len(j.rec.Spec.Awaits) > 0 {
+	if len(j.rec.Spec.Dependencies) > 0 {
 		// What its users expect of it counts from now, but for its deadline.
 		j.fromMs = now.UnixMilli()
 		j.waitFrom = now
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -27,7 +27,7 @@
 	case j == nil:
 		j = newJob(uid, e, now)
 		c.jobs[uid] = j
-		slog.Info("job", "uid", uid, "berth", e.Job.Spec.Berth, "legs", e.Job.Spec.Legs, "gpus", e.Job.Spec.Gpus, "image", e.Job.Spec.Rollout, "status", string(e.Job.Status))
+		slog.Info("job", "uid", uid, "berth", e.Job.Spec.JobClass, "legs", e.Job.Spec.TaskCount, "gpus", e.Job.Spec.Gpus, "image", e.Job.Spec.Image, "status", string(e.Job.Status))
 		c.addToGraph(j, now)
 	case e.Stamp > j.stamp:
 		wasFinal := j.rec.Status.Final()
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -87,7 +87,7 @@
 // not start together. Whole arrays that were tried again took room, images and changes of the
 // state service from others, only to fail.
 func (j *job) probes() bool {
-	return j.suspect && j.rec.Spec.Shape == wire.Sweep && !j.rec.Spec.Together
+	return j.suspect && j.rec.Spec.Kind == wire.JobArray && !j.rec.Spec.SingleZone
 }
 
 // works reports whether a task of the job has run for a lease: a mistaken one fails as it starts.
@@ -119,14 +119,14 @@
 // it is done, and yet it has been tried as often as it has tasks, and twice at least, it may be
 // mistaken. It is tried with one task then; if others were to blame, that costs little.
 func (j *job) suspectByRecords() {
-	if j.rec.Spec.Shape != wire.Sweep || j.done > 0 {
+	if j.rec.Spec.Kind != wire.JobArray || j.done > 0 {
 		return
 	}
 	tries := -j.live
 	for _, p := range j.pieces {
 		tries += int(p.next) - 1
 	}
-	if tries >= max(2, j.rec.Spec.Legs) {
+	if tries >= max(2, j.rec.Spec.TaskCount) {
 		j.suspect = true
 	}
 }
--- a/internal/controller/guarantees.go
+++ b/internal/controller/guarantees.go
@@ -19,8 +19,8 @@
 		if j.rec.Status.Final() || !j.released {
 			continue
 		}
-		unfinished := float64(j.rec.Spec.Legs - j.done)
-		jobs = append(jobs, guarantee.Job{UID: j.uid, Team: j.rec.Spec.Crew, Level: j.level, AtMs: j.rec.AtMs,
+		unfinished := float64(j.rec.Spec.TaskCount - j.done)
+		jobs = append(jobs, guarantee.Job{UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, AtMs: j.rec.AtMs,
 			Needs: guarantee.Amount{Cores: unfinished * j.need.Cores, Gpus: unfinished * j.need.Gpus}})
 	}
 	return guarantee.Within(guarantees, jobs)
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -32,7 +32,7 @@
 // noteSomeImages records the images of as many machines as one commit holds.
 func (c *Controller) noteSomeImages(ctx context.Context) {
 	tx, noted := c.imagesToNote()
-	if len(tx.Apply) == 0 {
+	if len(tx.Changes) == 0 {
 		return
 	}
 	if _, err := c.Store.Commit(store.Note(ctx), tx); err != nil {
@@ -45,11 +45,11 @@
 }
 
 // imagesToNote makes the next commit of machines' images.
-func (c *Controller) imagesToNote() (tx wire.Commit, noted map[string]imageNote) {
+func (c *Controller) imagesToNote() (tx wire.Transaction, noted map[string]imageNote) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	tx.Guards = []wire.Guard{{Key: ledger.LeaderKey, Stamp: c.term}}
+	tx.Compares = []wire.Compare{{Key: ledger.LeaderKey, ModRevision: c.term}}
 	noted = map[string]imageNote{}
 	// A commit that is larger than the state service takes would be rejected, and nothing
 	// ever be noted.
@@ -57,7 +57,7 @@
 	size := 0
 	c.fleet.Each(func(m *fleet.Machine) {
 		known := c.noted[m.ID]
-		if m.State != fleet.Ready || len(m.Images) <= known.images || now.Sub(known.at) <= c.Config.Lease() || len(tx.Apply) >= most || size > maxTx {
+		if m.State != fleet.Ready || len(m.Images) <= known.images || now.Sub(known.at) <= c.Config.Lease() || len(tx.Changes) >= most || size > maxTx {
 			return
 		}
 		noted[m.ID] = imageNote{len(m.Images), now}
@@ -65,7 +65,7 @@
 		names = ledger.FitNames(names[:min(len(names), maxNotedImages)], c.Config.ValueBytes())
 		value := ledger.Encode(ledger.Images{Names: names})
 		size += len(value)
-		tx.Apply = append(tx.Apply, wire.Change{Set: ledger.ImagesKey(m.ID), Value: value})
+		tx.Changes = append(tx.Changes, wire.Change{Set: ledger.ImagesKey(m.ID), Value: value})
 	})
 	return tx, noted
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -55,22 +55,22 @@
 }
 
 func newJob(uid string, e ledger.Entry, now time.Time) *job {
-	return &job{uid: uid, rec: e.Job, stamp: e.Stamp, level: e.Job.Spec.Rank.Level(), dueMs: math.Inf(1), fromMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
+	return &job{uid: uid, rec: e.Job, stamp: e.Stamp, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), fromMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
 		pieces: map[int]*piece{}, waitFrom: now, avoid: map[string]time.Time{}}
 }
 
 // load takes a record of a piece into the job.
-func (j *job) load(n int, row wire.Item) []ledger.Placed {
+func (j *job) load(n int, row wire.KeyValue) []ledger.Placed {
 	rec, err := ledger.DecodePiece(row.Value)
 	if err != nil {
 		slog.Error("placement record cannot be read", "key", row.Key, "err", err)
 		return nil
 	}
-	p := &piece{job: j, n: n, stamp: row.Stamp, next: rec.Next, live: map[int]*fleet.Attempt{}}
+	p := &piece{job: j, n: n, stamp: row.ModRevision, next: rec.Next, live: map[int]*fleet.Attempt{}}
 	p.done.Done = rec.Done
 	j.pieces[n] = p
 	for i := range j.rec.Per {
-		if n*j.rec.Per+i < j.rec.Spec.Legs && rec.DoneBit(i) {
+		if n*j.rec.Per+i < j.rec.Spec.TaskCount && rec.DoneBit(i) {
 			j.done++
 		}
 	}
@@ -136,7 +136,7 @@
 	if j.rec.Status.Final() || !j.released {
 		return 0
 	}
-	return max(0, j.rec.Spec.Legs-j.done-j.live)
+	return max(0, j.rec.Spec.TaskCount-j.done-j.live)
 }
 
 // pick takes up to n tasks that wait. A task may be known twice as waiting, by
@@ -155,7 +155,7 @@
 		j.freed = j.freed[:len(j.freed)-1]
 		take(task)
 	}
-	for ; len(tasks) < n && j.cursor < j.rec.Spec.Legs; j.cursor++ {
+	for ; len(tasks) < n && j.cursor < j.rec.Spec.TaskCount; j.cursor++ {
 		take(j.cursor)
 	}
 	return tasks
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -21,7 +21,7 @@
 
 // records is what a term begins with.
 type records struct {
-	jobs, pieces, returns, images []wire.Item
+	jobs, pieces, returns, images []wire.KeyValue
 	hints                         *standby.Proven // nil if all records were listed
 }
 
@@ -37,7 +37,7 @@
 		if err := wire.Decode(row.Value, &rec); err != nil {
 			return fmt.Errorf("job record %s: %w", row.Key, err)
 		}
-		c.jobEvent(strings.TrimPrefix(row.Key, ledger.JobPrefix), ledger.Entry{Job: &rec, Stamp: row.Stamp})
+		c.jobEvent(strings.TrimPrefix(row.Key, ledger.JobPrefix), ledger.Entry{Job: &rec, Stamp: row.ModRevision})
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +86,7 @@
 		slog.Info("all records are listed", "term", c.term, "why", err)
 	}
 	if c.listings == nil {
-		c.listings = map[string][]wire.Item{}
+		c.listings = map[string][]wire.KeyValue{}
 	}
 	for _, under := range []string{ledger.JobPrefix, ledger.PiecePrefix, ledger.ReturnsPrefix, ledger.ImagesPrefix} {
 		if _, known := c.listings[under]; known {
@@ -128,7 +128,7 @@
 }
 
 // takeReturns takes records of returns that an earlier term has attempted. c.mu is held.
-func (c *Controller) takeReturns(rows []wire.Item, now time.Time) error {
+func (c *Controller) takeReturns(rows []wire.KeyValue, now time.Time) error {
 	for _, row := range rows {
 		var rec ledger.Returns
 		if err := wire.Decode(row.Value, &rec); err != nil {
@@ -146,7 +146,7 @@
 }
 
 // takeImages takes records of machines' images. c.mu is held.
-func (c *Controller) takeImages(rows []wire.Item, now time.Time) {
+func (c *Controller) takeImages(rows []wire.KeyValue, now time.Time) {
 	for _, row := range rows {
 		id := strings.TrimPrefix(row.Key, ledger.ImagesPrefix)
 		var rec ledger.Images
@@ -165,7 +165,7 @@
 
 // takePieces takes records of placements and returns how many attempts they list. c.mu is
 // held.
-func (c *Controller) takePieces(rows []wire.Item, now time.Time) (inherited int) {
+func (c *Controller) takePieces(rows []wire.KeyValue, now time.Time) (inherited int) {
 	for _, row := range rows {
 		uid, n, ok := ledger.SplitPieceKey(row.Key)
 		j := c.jobs[uid]
@@ -179,7 +179,7 @@
 		for _, pl := range j.load(n, row) {
 			m := c.fleet.Know(pl.Host, now)
 			a := &fleet.Attempt{UID: uid, Task: pl.Task, Try: pl.Try, Session: pl.Session, Need: j.need,
-				Image: j.rec.Spec.Rollout, Inherited: true}
+				Image: j.rec.Spec.Image, Inherited: true}
 			j.pieces[n].live[pl.Task] = a
 			j.live++
 			c.fleet.Place(m, a, now)
--- a/internal/controller/lost.go
+++ b/internal/controller/lost.go
@@ -25,7 +25,7 @@
 // every machine behind a cut between zones was returned with all it served.
 func (c *Controller) followKeptLeases(ctx context.Context) {
 	hold, pause := c.Config.Lease(), c.Config.ReportEvery()
-	ledger.Follow(ctx, c.Store, ledger.KeptPrefix, hold, pause, ledger.Funcs{Changed: func(n wire.News) {
+	ledger.Follow(ctx, c.Store, ledger.KeptPrefix, hold, pause, ledger.Funcs{Changed: func(n wire.WatchEvent) {
 		var kept ledger.Kept
 		if n.Set == "" {
 			return
@@ -320,7 +320,7 @@
 func (c *Controller) saveTasks(m *fleet.Machine, now time.Time) {
 	m.Each(func(a *fleet.Attempt) {
 		if j := c.jobs[a.UID]; j != nil && a.Live() && !a.Stopping {
-			c.stop(a, j.rec.Spec.StowS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
+			c.stop(a, j.rec.Spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
 		}
 	})
 }
--- a/internal/controller/nodes.go
+++ b/internal/controller/nodes.go
@@ -114,7 +114,7 @@
 			n.Images = append(n.Images, a.Image)
 		}
 		j := c.jobs[a.UID]
-		if j != nil && !j.rec.Spec.Standby {
+		if j != nil && !j.rec.Spec.AllowSpot {
 			n.Leaving, n.Fixed = false, true
 		}
 		switch {
@@ -131,12 +131,12 @@
 // replica that has not run yet serves nobody: it can be displaced like batch,
 // and loses what it has fetched.
 func victim(j *job, a *fleet.Attempt) sched.Victim {
-	v := sched.Victim{ID: a.Serial, UID: j.uid, Team: j.rec.Spec.Crew, Level: j.level, Need: a.Need}
-	switch serves := j.rec.Spec.Shape == wire.Standing; {
+	v := sched.Victim{ID: a.Serial, UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, Need: a.Need}
+	switch serves := j.rec.Spec.Kind == wire.Service; {
 	case !a.RunAt.IsZero():
 		v.Serve, v.Since, v.Loss = serves, a.RunAt, math.Inf(1)
-		if j.rec.Spec.MarkS > 0 {
-			v.Loss = j.rec.Spec.StowS
+		if j.rec.Spec.CheckpointIntervalS > 0 {
+			v.Loss = j.rec.Spec.CheckpointOnStopS
 		}
 	case serves:
 		v.Since, v.Loss = a.Since, math.Inf(1)
--- a/internal/controller/picture.go
+++ b/internal/controller/picture.go
@@ -51,7 +51,7 @@
 	in.Guaranteed = c.withinGuarantees()
 	in.VictimsBelow = 1 // nothing is displaced while nothing waits
 	for _, j := range c.jobs {
-		if t := in.Teams[j.rec.Spec.Crew]; t != nil {
+		if t := in.Teams[j.rec.Spec.Team]; t != nil {
 			t.Used.Cores += float64(j.live) * j.need.Cores
 			t.Used.Gpus += float64(j.live) * j.need.Gpus
 			if in.Guaranteed != nil {
@@ -83,9 +83,9 @@
 	var nodes []sched.Node
 	for _, r := range c.pending {
 		room := provision.Cap(c.machineType(r.req.MachineType))
-		n := sched.Node{ID: r.req.Booking, Type: r.req.MachineType, Zone: r.req.Zone, Spot: r.req.Spot,
+		n := sched.Node{ID: r.req.RequestID, Type: r.req.MachineType, Zone: r.req.Zone, Spot: r.req.Spot,
 			Cap: room, Later: room, Price: c.price(r.req.MachineType, r.req.Spot)}
-		for range r.req.HowMany {
+		for range r.req.Count {
 			nodes = append(nodes, n)
 		}
 	}
@@ -100,15 +100,15 @@
 	if waiting == 0 {
 		return nil
 	}
-	if spec.Shape == wire.Group && j.live > 0 {
+	if spec.Kind == wire.Gang && j.live > 0 {
 		// A gang runs whole or not at all: the rest ends, and it starts anew.
 		j.each(func(a *fleet.Attempt) {
-			c.stop(a, spec.StowS+c.Config.Cluster.Workers.ReportS, now, "its gang is not whole")
+			c.stop(a, spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "its gang is not whole")
 		})
 		return nil
 	}
 	byYard, known := map[string]int{}, true
-	if j.live > 0 && (spec.Together || spec.Scatter) {
+	if j.live > 0 && (spec.SingleZone || spec.SpreadZones) {
 		j.each(func(a *fleet.Attempt) {
 			byYard[a.Machine.Zone]++
 			known = known && a.Machine.Zone != ""
@@ -120,8 +120,8 @@
 	sj := &sched.Job{Spec: spec, Guaranteed: guaranteed, Level: c.levelNow(j, now), AtMs: j.fromMs, Waiting: waiting, Live: j.live, ByZone: byYard,
 		WaitedS: now.Sub(j.waitFrom).Seconds(), SlackS: c.slackS(spec), LaxS: c.laxS(j, now), Avoid: c.avoids(j, now)}
 	// What a service has lost is down until it has its image again.
-	sj.Fetch = sj.SlackS < 0 || j.lost > 0 && spec.Shape == wire.Standing
-	sj.Dear = spec.Standby && c.spotSpent(spec, now)
+	sj.Fetch = sj.SlackS < 0 || j.lost > 0 && spec.Kind == wire.Service
+	sj.Dear = spec.AllowSpot && c.spotSpent(spec, now)
 	boot := c.bootS(spec)
 	sj.Tired = sj.WaitedS > boot
 	sj.Overdue = sj.Tired || sj.LaxS < boot
@@ -134,7 +134,7 @@
 // rank, and stop nobody's work.
 func (c *Controller) levelNow(j *job, now time.Time) int {
 	spec := &j.rec.Spec
-	own := spec.Rank.Level()
+	own := spec.Priority.Level()
 	if j.level <= own {
 		return own
 	}
@@ -156,10 +156,10 @@
 // An array that starts whole has no first task.
 func (c *Controller) overdueToBegin(j *job, now time.Time) bool {
 	s := &j.rec.Spec
-	usual := c.arrive[s.Berth]
-	return s.Shape == wire.Sweep && !s.Together && !j.begun && j.done == 0 && j.live == 0 &&
+	usual := c.arrive[s.JobClass]
+	return s.Kind == wire.JobArray && !s.SingleZone && !j.begun && j.done == 0 && j.live == 0 &&
 		now.Sub(time.UnixMilli(j.fromMs)) > beginLeases*c.Config.Lease() &&
-		usual != nil && float64(s.Legs*s.Legs) >= usual.tasksSquared
+		usual != nil && float64(s.TaskCount*s.TaskCount) >= usual.tasksSquared
 }
 
 // avoids names the machine that a job failed on lately. A job that failed on
@@ -179,7 +179,7 @@
 // spotSpent reports whether the cloud had no spot machine left that may run the
 // job when it was last asked: work that waited for one was only late. From time
 // to time the refusals run out, and it is asked again.
-func (c *Controller) spotSpent(w *wire.Work, now time.Time) bool {
+func (c *Controller) spotSpent(w *wire.JobSpec, now time.Time) bool {
 	for i := range c.cat.MachineTypes {
 		r := &c.cat.MachineTypes[i]
 		if !provision.Cap(r).Holds(fleet.Need(w)) {
@@ -201,7 +201,7 @@
 	case r == nil:
 		return 0
 	case spot:
-		return r.LowPrice
+		return r.SpotHourly
 	}
 	return r.Hourly
 }
@@ -217,27 +217,27 @@
 	age := float64(now.UnixMilli()-j.fromMs) / 1000
 	left := (j.dueMs - float64(now.UnixMilli())) / 1000
 	for _, o := range c.Config.Cluster.Objectives {
-		if o.Kind == "finished" && o.Class == s.Berth && o.WithinS > age {
+		if o.Kind == "finished" && o.Class == s.JobClass && o.WithinS > age {
 			left = min(left, o.WithinS-age)
 		}
 	}
-	if math.IsInf(left, 1) || s.Shape != wire.Sweep {
+	if math.IsInf(left, 1) || s.Kind != wire.JobArray {
 		return 4*c.bootS(s) - now.Sub(j.waitFrom).Seconds()
 	}
 	fetch := 0.0
 	for i := range c.cat.MachineTypes {
-		if r := &c.cat.MachineTypes[i]; r.PullGbPerS > 0 {
-			fetch = max(fetch, s.ImageGb/r.PullGbPerS)
+		if r := &c.cat.MachineTypes[i]; r.FetchGbPerS > 0 {
+			fetch = max(fetch, s.ImageGb/r.FetchGbPerS)
 		}
 	}
-	return left - fetch - runAllowance*s.ExpectS
+	return left - fetch - runAllowance*s.ExpectedRunS
 }
 
 // bootS is how long the quickest machine that may run a task of the job boots.
-func (c *Controller) bootS(w *wire.Work) float64 {
+func (c *Controller) bootS(w *wire.JobSpec) float64 {
 	boot := math.Inf(1)
 	for i := range c.cat.MachineTypes {
-		if r := &c.cat.MachineTypes[i]; provision.Cap(r).Holds(fleet.Need(w)) && (len(w.Rigs) == 0 || slices.Contains(w.Rigs, r.Name)) {
+		if r := &c.cat.MachineTypes[i]; provision.Cap(r).Holds(fleet.Need(w)) && (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, r.Name)) {
 			boot = min(boot, r.BootS)
 		}
 	}
@@ -247,16 +247,16 @@
 // slackS is how long after a launch is decided a start is still within the time
 // that the users set for the job's class, if the machine must fetch the image
 // first. The rate that the catalog gives is met give or take a third.
-func (c *Controller) slackS(w *wire.Work) float64 {
+func (c *Controller) slackS(w *wire.JobSpec) float64 {
 	slack := math.Inf(1)
 	for _, o := range c.Config.Cluster.Objectives {
-		if o.Kind != "wait" || o.Class != w.Berth {
+		if o.Kind != "wait" || o.Class != w.JobClass {
 			continue
 		}
 		for i := range c.cat.MachineTypes {
 			r := &c.cat.MachineTypes[i]
-			if provision.Cap(r).Holds(fleet.Need(w)) && r.PullGbPerS > 0 {
-				slack = min(slack, o.WithinS-w.ImageGb/r.PullGbPerS*4/3-c.Config.Cluster.Workers.ReportS)
+			if provision.Cap(r).Holds(fleet.Need(w)) && r.FetchGbPerS > 0 {
+				slack = min(slack, o.WithinS-w.ImageGb/r.FetchGbPerS*4/3-c.Config.Cluster.Workers.ReportS)
 			}
 		}
 	}
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -14,7 +14,7 @@
 )
 
 // rental is a request to the cloud that is not answered yet.
-type rental struct{ req wire.RentRequest }
+type rental struct{ req wire.ProvisionRequest }
 
 // refusal remembers that the cloud had no capacity for a group.
 type refusal struct {
@@ -26,9 +26,9 @@
 // again.
 func (c *Controller) book(r provision.Rent) *rental {
 	c.rents++
-	req := wire.RentRequest{Booking: fmt.Sprintf("lt-%d-%d", c.term, c.rents), MachineType: r.Type, Zone: r.Zone, Spot: r.Spot, HowMany: r.Count}
+	req := wire.ProvisionRequest{RequestID: fmt.Sprintf("lt-%d-%d", c.term, c.rents), MachineType: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 	out := &rental{req}
-	c.pending[req.Booking] = out
+	c.pending[req.RequestID] = out
 	return out
 }
 
@@ -39,12 +39,12 @@
 	for try := 0; try < 4 && ctx.Err() == nil; try++ {
 		hosts, err := c.Cloud.Rent(ctx, r.req)
 		if err == nil {
-			slog.Info("rented", "booking", r.req.Booking, "rig", r.req.MachineType, "yard", r.req.Zone, "standby", r.req.Spot, "asked", r.req.HowMany, "hosts", hosts)
+			slog.Info("rented", "booking", r.req.RequestID, "rig", r.req.MachineType, "yard", r.req.Zone, "standby", r.req.Spot, "asked", r.req.Count, "hosts", hosts)
 			c.mu.Lock()
 			now := c.now()
-			delete(c.pending, r.req.Booking)
+			delete(c.pending, r.req.RequestID)
 			delete(c.refused, group)
-			if len(hosts) < r.req.HowMany {
+			if len(hosts) < r.req.Count {
 				c.refuse(group, now)
 			}
 			for _, h := range hosts {
@@ -56,7 +56,7 @@
 			c.mu.Unlock()
 			return
 		}
-		slog.Info("rental failed", "booking", r.req.Booking, "rig", r.req.MachineType, "yard", r.req.Zone, "standby", r.req.Spot, "err", err)
+		slog.Info("rental failed", "booking", r.req.RequestID, "rig", r.req.MachineType, "yard", r.req.Zone, "standby", r.req.Spot, "err", err)
 		if errors.Is(err, cloud.ErrNoCapacity) {
 			c.mu.Lock()
 			c.refuse(group, c.now())
@@ -67,7 +67,7 @@
 		pause *= 2
 	}
 	c.mu.Lock()
-	delete(c.pending, r.req.Booking)
+	delete(c.pending, r.req.RequestID)
 	c.mu.Unlock()
 }
 
--- a/internal/controller/returns.go
+++ b/internal/controller/returns.go
@@ -77,9 +77,9 @@
 	c.returnKeys++
 	rec := returnsRecord{fmt.Sprintf("%s%d-%d", ledger.ReturnsPrefix, c.term, c.returnKeys), hosts}
 	c.mu.Unlock()
-	_, err := c.Store.Commit(ctx, wire.Commit{
-		Guards: []wire.Guard{{Key: ledger.LeaderKey, Stamp: c.term}, {Key: rec.key}},
-		Apply:  []wire.Change{{Set: rec.key, Value: ledger.Encode(ledger.Returns{Hosts: hosts})}},
+	_, err := c.Store.Commit(ctx, wire.Transaction{
+		Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: c.term}, {Key: rec.key}},
+		Changes:  []wire.Change{{Set: rec.key, Value: ledger.Encode(ledger.Returns{Hosts: hosts})}},
 	})
 	if err != nil {
 		slog.Warn("returns not recorded", "hosts", hosts, "err", err)
@@ -141,7 +141,7 @@
 		r := c.returns[id]
 		return r == nil || !r.goneAt.IsZero() && now.Sub(r.goneAt) > keep
 	}
-	tx := wire.Commit{Guards: []wire.Guard{{Key: ledger.LeaderKey, Stamp: c.term}}}
+	tx := wire.Transaction{Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: c.term}}}
 	var plain, done []string // machines whose images, and records, this drops
 	for _, rec := range c.returnsRecords {
 		if slices.ContainsFunc(rec.hosts, func(id string) bool { return !over(id) }) {
@@ -152,20 +152,20 @@
 			if c.noted[id].images == 0 {
 				continue
 			}
-			if left = len(tx.Apply) >= ops; left {
+			if left = len(tx.Changes) >= ops; left {
 				break
 			}
-			tx.Apply = append(tx.Apply, wire.Change{Drop: ledger.ImagesKey(id)})
+			tx.Changes = append(tx.Changes, wire.Change{Drop: ledger.ImagesKey(id)})
 			plain = append(plain, id)
 		}
-		if left || len(tx.Apply) >= ops {
+		if left || len(tx.Changes) >= ops {
 			break
 		}
-		tx.Apply = append(tx.Apply, wire.Change{Drop: rec.key})
+		tx.Changes = append(tx.Changes, wire.Change{Drop: rec.key})
 		done = append(done, rec.key)
 	}
 	c.mu.Unlock()
-	if len(tx.Apply) == 0 {
+	if len(tx.Changes) == 0 {
 		return
 	}
 	if _, err := c.Store.Commit(store.Note(ctx), tx); err != nil {
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -76,8 +76,8 @@
 			continue
 		}
 		leeway := 0.0
-		if v := c.jobs[a.UID].rec.Spec; v.MarkS > 0 && v.StowS < s.SlackS {
-			leeway = v.StowS + c.Config.Cluster.Workers.ReportS
+		if v := c.jobs[a.UID].rec.Spec; v.CheckpointIntervalS > 0 && v.CheckpointOnStopS < s.SlackS {
+			leeway = v.CheckpointOnStopS + c.Config.Cluster.Workers.ReportS
 		}
 		slog.Info("preempted", "leg", a.Name(), "host", a.Machine.ID)
 		c.stop(a, leeway, now, "preempted")
@@ -102,7 +102,7 @@
 // as fit; a gang starts whole or not at all.
 func reportableTasks(m *fleet.Machine, place sched.Place) int {
 	room := max(0, maxTasks-m.AttemptCount())
-	if place.Job.Spec.Shape == wire.Group && place.Count > room {
+	if place.Job.Spec.Kind == wire.Gang && place.Count > room {
 		return 0
 	}
 	return min(place.Count, room)
@@ -141,8 +141,8 @@
 			if !p.dirty || p.due.After(now) {
 				budget--
 			}
-			a := &fleet.Attempt{UID: j.uid, Task: task, Try: p.next, Need: j.need, Image: j.rec.Spec.Rollout}
-			if j.rec.Spec.Shape == wire.Group {
+			a := &fleet.Attempt{UID: j.uid, Task: task, Try: p.next, Need: j.need, Image: j.rec.Spec.Image}
+			if j.rec.Spec.Kind == wire.Gang {
 				a.Try = j.gangTry()
 			}
 			p.next = max(p.next, a.Try+1)
--- a/internal/controller/spare.go
+++ b/internal/controller/spare.go
@@ -14,7 +14,7 @@
 
 // arrivals measures how often jobs of a class come, with old ones fading.
 type arrivals struct {
-	spec         *wire.Work
+	spec         *wire.JobSpec
 	level        int
 	count        float64 // jobs, each less the longer ago it came
 	tasksSquared float64 // tasks of a job, squared, on the mean
@@ -35,13 +35,13 @@
 
 // arrived notes a new job.
 func (c *Controller) arrived(j *job, now time.Time) {
-	s, tasks := &j.rec.Spec, float64(j.rec.Spec.Legs)
-	a := c.arrive[s.Berth]
+	s, tasks := &j.rec.Spec, float64(j.rec.Spec.TaskCount)
+	a := c.arrive[s.JobClass]
 	if a == nil {
 		a = &arrivals{at: now, tasksSquared: tasks * tasks}
-		c.arrive[s.Berth] = a
+		c.arrive[s.JobClass] = a
 	}
-	a.spec, a.level = s, s.Rank.Level()
+	a.spec, a.level = s, s.Priority.Level()
 	a.tasksSquared += (tasks*tasks - a.tasksSquared) / 8
 	a.fade(now, c.fadeS())
 	a.count++
@@ -51,7 +51,7 @@
 // they need is kept, or rented, beyond what waits.
 func (c *Controller) spare(now time.Time) []*sched.Job {
 	var jobs []*sched.Job
-	factor := c.Settings().Spare
+	factor := c.Settings().Headroom
 	for _, a := range c.arrive {
 		if a.level < wire.High.Level() || factor == 0 {
 			continue
@@ -60,7 +60,7 @@
 		perS := a.count / c.fadeS()
 		n := int(math.Ceil(factor * float64(provision.Spare(perS, a.tasksSquared, c.bootS(a.spec)))))
 		spec := *a.spec // of all phantoms of the class
-		spec.UID, spec.Legs, spec.Shape, spec.Together, spec.Scatter = "", 1, wire.Sweep, false, false
+		spec.UID, spec.TaskCount, spec.Kind, spec.SingleZone, spec.SpreadZones = "", 1, wire.JobArray, false, false
 		fetch := c.slackS(a.spec) < 0
 		for i := range n {
 			jobs = append(jobs, &sched.Job{Spec: &spec, Level: a.level, AtMs: int64(i), Waiting: 1, ByZone: map[string]int{}, Fetch: fetch})
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -87,18 +87,18 @@
 	c.fleet.Each(func(m *fleet.Machine) {
 		st.Machines[m.State.String()]++
 		if m.Blamed && now.Before(m.AvoidUntil) {
-			st.Blamed++
+			st.QuarantinedMachines++
 		}
 	})
 	for _, j := range c.jobs {
 		if j.suspect {
-			st.Suspects++
+			st.SuspectJobs++
 		}
-		cl := st.Classes[j.rec.Spec.Berth]
+		cl := st.Classes[j.rec.Spec.JobClass]
 		cl.Jobs++
 		cl.Waiting += j.waiting()
 		cl.Placed += j.live
-		st.Classes[j.rec.Spec.Berth] = cl
+		st.Classes[j.rec.Spec.JobClass] = cl
 	}
 	return st
 }
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -86,9 +86,9 @@
 func (c *Controller) recordTakeover(rec ledger.Takeover) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Config.HoldTTL())
 	defer cancel()
-	_, err := c.Store.Commit(store.Note(ctx), wire.Commit{
-		Guards: []wire.Guard{{Key: ledger.LeaderKey, Stamp: c.term}},
-		Apply:  []wire.Change{{Set: ledger.TakeoverKey, Value: ledger.Encode(rec)}},
+	_, err := c.Store.Commit(store.Note(ctx), wire.Transaction{
+		Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: c.term}},
+		Changes:  []wire.Change{{Set: ledger.TakeoverKey, Value: ledger.Encode(rec)}},
 	})
 	if err != nil {
 		slog.Info("takeover not recorded", "term", c.term, "err", err)
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -175,7 +175,7 @@
 	}
 	for _, a := range p.Leader.Arrivals {
 		job := a.Job
-		c.arrive[a.Class] = &arrivals{spec: &job, level: job.Rank.Level(), count: a.Count, tasksSquared: a.TasksSquare, at: fromMilliseconds(a.AtMs)}
+		c.arrive[a.Class] = &arrivals{spec: &job, level: job.Priority.Level(), count: a.Count, tasksSquared: a.TasksSquare, at: fromMilliseconds(a.AtMs)}
 	}
 	if w := p.Leader.Window; w > 0 {
 		c.window = min(w, c.Settings().Window)
@@ -204,7 +204,7 @@
 			j.waitFrom = from
 		}
 		for _, t := range tasks {
-			if t.Task >= j.rec.Spec.Legs {
+			if t.Task >= j.rec.Spec.TaskCount {
 				continue
 			}
 			if a := j.attempt(t.Task); a != nil && a.Try == t.Try {
--- a/internal/controller/writer.go
+++ b/internal/controller/writer.go
@@ -16,7 +16,7 @@
 
 // batch is one commit of the writer and what follows from it.
 type batch struct {
-	tx     wire.Commit
+	tx     wire.Transaction
 	note   bool // nothing waits for it
 	pieces []pieceWrite
 	jobs   []jobWrite
@@ -86,11 +86,11 @@
 	}
 	ops := c.batchOps()
 	b := c.batch(jobs, now, ops)
-	if len(b.tx.Apply) == 0 {
+	if len(b.tx.Changes) == 0 {
 		b = c.batch(withdrawn, now, max(4, ops/2))
 		b.note = true
 	}
-	if len(b.tx.Apply) == 0 {
+	if len(b.tx.Changes) == 0 {
 		return nil
 	}
 	return b
@@ -119,7 +119,7 @@
 // batch puts into one commit of at most ops changes what has room of what jobs
 // have to write.
 func (c *Controller) batch(jobs []*job, now time.Time, ops int) *batch {
-	b := &batch{tx: wire.Commit{Guards: []wire.Guard{{Key: ledger.LeaderKey, Stamp: c.term}}}}
+	b := &batch{tx: wire.Transaction{Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: c.term}}}}
 	// Ends that others wait for go first: they hold up whole pipelines.
 	holdsUp := func(j *job) bool { return c.over(j) && c.graph.Awaited(j.uid) }
 	slices.SortFunc(jobs, func(x, y *job) int {
@@ -133,7 +133,7 @@
 	})
 	size := 0
 	for _, j := range jobs {
-		if now.Before(c.singlesUntil) && len(b.tx.Apply) > 0 {
+		if now.Before(c.singlesUntil) && len(b.tx.Changes) > 0 {
 			break
 		}
 		if c.over(j) {
@@ -142,7 +142,7 @@
 		}
 		needsJob := false
 		for _, p := range j.pieces {
-			if !p.dirty || p.unsure || p.due.After(now) || len(b.tx.Apply) >= ops || size > maxTx || len(b.tx.Guards)+2 > maxGuards(ops) {
+			if !p.dirty || p.unsure || p.due.After(now) || len(b.tx.Changes) >= ops || size > maxTx || len(b.tx.Compares)+2 > maxGuards(ops) {
 				continue
 			}
 			w := pieceWrite{p: p, seq: p.seq, planned: p.planned(), ended: slices.Clone(p.ended)}
@@ -152,8 +152,8 @@
 			}
 			size += len(value)
 			key := ledger.PieceKey(j.uid, p.n)
-			b.tx.Guards = append(b.tx.Guards, wire.Guard{Key: key, Stamp: p.stamp})
-			b.tx.Apply = append(b.tx.Apply, wire.Change{Set: key, Value: value})
+			b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: p.stamp})
+			b.tx.Changes = append(b.tx.Changes, wire.Change{Set: key, Value: value})
 			b.pieces = append(b.pieces, w)
 			needsJob = needsJob || len(w.planned) > 0 || p.stamp == 0
 		}
@@ -162,7 +162,7 @@
 			// piece is written for the first time only while its job has a record:
 			// a commit that is carried out late would bring it back after the job
 			// and all its pieces were dropped, and its absence is no guard then.
-			b.tx.Guards = append(b.tx.Guards, wire.Guard{Key: ledger.JobKey(j.uid), Stamp: j.stamp})
+			b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: ledger.JobKey(j.uid), ModRevision: j.stamp})
 		}
 	}
 	return b
@@ -174,7 +174,7 @@
 	if j.rec.Status.Final() || j.cancelled {
 		return j.live == 0
 	}
-	return j.done >= j.rec.Spec.Legs && j.live == 0
+	return j.done >= j.rec.Spec.TaskCount && j.live == 0
 }
 
 // archive adds to a batch what brings a job nearer to its end: its pieces are dropped and
@@ -186,11 +186,11 @@
 	}
 	const recordChanges = 2 // the record is dropped, the final status set
 	changes := j.storedPieces() + recordChanges
-	room := ops - len(b.tx.Apply)
+	room := ops - len(b.tx.Changes)
 	switch {
 	case changes > ops:
 		c.archiveInParts(b, j, ops)
-	case changes <= room && len(b.tx.Guards)+changes <= maxGuards(ops):
+	case changes <= room && len(b.tx.Compares)+changes <= maxGuards(ops):
 		c.archiveWhole(b, j)
 	}
 }
@@ -198,9 +198,9 @@
 // archiveWhole adds to a batch all that is left to do for a job that is over.
 func (c *Controller) archiveWhole(b *batch, j *job) {
 	status := j.outcome()
-	jobGuard := wire.Guard{Key: ledger.JobKey(j.uid), Stamp: j.stamp}
-	b.tx.Guards = append(b.tx.Guards, jobGuard, wire.Guard{Key: ledger.FinalKey(j.uid), Stamp: 0})
-	b.tx.Apply = append(b.tx.Apply, wire.Change{Drop: jobGuard.Key},
+	jobGuard := wire.Compare{Key: ledger.JobKey(j.uid), ModRevision: j.stamp}
+	b.tx.Compares = append(b.tx.Compares, jobGuard, wire.Compare{Key: ledger.FinalKey(j.uid), ModRevision: 0})
+	b.tx.Changes = append(b.tx.Changes, wire.Change{Drop: jobGuard.Key},
 		wire.Change{Set: ledger.FinalKey(j.uid), Value: ledger.Encode(ledger.Final{Status: status})})
 	for _, p := range j.pieces {
 		if p.stamp != 0 {
@@ -216,7 +216,7 @@
 // batch really writes counts against its room: an array of 25,000 tasks whose 295 pieces were
 // all counted, in a service that takes 96 conditions, was never called done.
 func (c *Controller) archiveInParts(b *batch, j *job, ops int) {
-	hasRoom := func() bool { return len(b.tx.Apply) < ops && len(b.tx.Guards) < maxGuards(ops) }
+	hasRoom := func() bool { return len(b.tx.Changes) < ops && len(b.tx.Compares) < maxGuards(ops) }
 	if !hasRoom() {
 		return
 	}
@@ -225,8 +225,8 @@
 		rec := *j.rec
 		rec.Finish(status, c.Config.ValueBytes())
 		key := ledger.JobKey(j.uid)
-		b.tx.Guards = append(b.tx.Guards, wire.Guard{Key: key, Stamp: j.stamp})
-		b.tx.Apply = append(b.tx.Apply, wire.Change{Set: key, Value: ledger.Encode(rec)})
+		b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: j.stamp})
+		b.tx.Changes = append(b.tx.Changes, wire.Change{Set: key, Value: ledger.Encode(rec)})
 		b.jobs = append(b.jobs, jobWrite{j, status, false})
 		return
 	}
@@ -243,8 +243,8 @@
 
 func (b *batch) drop(p *piece) {
 	key := ledger.PieceKey(p.job.uid, p.n)
-	b.tx.Guards = append(b.tx.Guards, wire.Guard{Key: key, Stamp: p.stamp})
-	b.tx.Apply = append(b.tx.Apply, wire.Change{Drop: key})
+	b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: p.stamp})
+	b.tx.Changes = append(b.tx.Changes, wire.Change{Drop: key})
 	b.pieces = append(b.pieces, pieceWrite{p: p, seq: p.seq, dropped: true})
 }
 
@@ -340,14 +340,14 @@
 		j.unsure = true
 	}
 	c.mu.Unlock()
-	get := func(key string) (wire.Item, bool, bool) {
+	get := func(key string) (wire.KeyValue, bool, bool) {
 		for {
 			item, found, err := c.Store.Get(ctx, key)
 			if err == nil {
 				return item, found, true
 			}
 			if !sleep(ctx, c.Config.ReportEvery()/4) {
-				return wire.Item{}, false, false
+				return wire.KeyValue{}, false, false
 			}
 		}
 	}
@@ -358,9 +358,9 @@
 		}
 		c.mu.Lock()
 		if !found {
-			item.Stamp = 0
+			item.ModRevision = 0
 		}
-		w.p.stamp, w.p.unsure = item.Stamp, false
+		w.p.stamp, w.p.unsure = item.ModRevision, false
 		w.p.setDirty(true)
 		c.mu.Unlock()
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -35,8 +35,8 @@
 // Store is what an election needs of the state service.
 type Store interface {
 	ledger.Reader
-	Get(ctx context.Context, key string) (wire.Item, bool, error)
-	Commit(ctx context.Context, tx wire.Commit) (uint64, error)
+	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
+	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 	OpenHold(ctx context.Context, ttl time.Duration) (uint64, error)
 	TouchHold(ctx context.Context, permit uint64) error
 	CloseHold(ctx context.Context, permit uint64) error
@@ -164,13 +164,13 @@
 }
 
 // Reset takes a listing of the keys of the election.
-func (e *Elector) Reset(rows []wire.Item, _ uint64, _ time.Time) {
+func (e *Elector) Reset(rows []wire.KeyValue, _ uint64, _ time.Time) {
 	e.mu.Lock()
 	e.view.Synced = true
 	leading := false
 	for _, row := range rows {
 		leading = leading || row.Key == ledger.LeaderKey
-		e.learn(row.Key, row.Value, row.Stamp)
+		e.learn(row.Key, row.Value, row.ModRevision)
 	}
 	if !leading {
 		e.vacate()
@@ -180,13 +180,13 @@
 }
 
 // Apply takes changes of the keys of the election.
-func (e *Elector) Apply(ch wire.Changes, _ uint64, _ time.Time) {
+func (e *Elector) Apply(ch wire.WatchResponse, _ uint64, _ time.Time) {
 	e.mu.Lock()
-	for _, n := range ch.News {
-		if n.Drop == ledger.LeaderKey && n.Stamp > e.view.Term {
+	for _, n := range ch.Events {
+		if n.Drop == ledger.LeaderKey && n.ModRevision > e.view.Term {
 			e.vacate()
 		} else if n.Set != "" {
-			e.learn(n.Set, n.Value, n.Stamp)
+			e.learn(n.Set, n.Value, n.ModRevision)
 		}
 	}
 	e.mu.Unlock()
@@ -269,9 +269,9 @@
 		return 0, 0, false
 	}
 	rec := ledger.Encode(ledger.Leader{Node: e.label})
-	term, err = e.store.Commit(ctx, wire.Commit{
-		Guards: []wire.Guard{{Key: ledger.LeaderKey, Stamp: 0}},
-		Apply:  []wire.Change{{Set: ledger.LeaderKey, Value: rec, Permit: permit}, {Set: ledger.TermKey, Value: rec}},
+	term, err = e.store.Commit(ctx, wire.Transaction{
+		Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: 0}},
+		Changes:  []wire.Change{{Set: ledger.LeaderKey, Value: rec, LeaseID: permit}, {Set: ledger.TermKey, Value: rec}},
 	})
 	if err == nil {
 		return term, permit, true
@@ -280,8 +280,8 @@
 	var conflict *store.ConflictError
 	if !errors.As(err, &conflict) && errors.Is(err, store.ErrUnknown) {
 		// The commit may have been applied: the key then hangs on our hold.
-		if item, found, err := e.store.Get(ctx, ledger.LeaderKey); err == nil && found && item.Permit == permit {
-			return item.Stamp, permit, true
+		if item, found, err := e.store.Get(ctx, ledger.LeaderKey); err == nil && found && item.LeaseID == permit {
+			return item.ModRevision, permit, true
 		}
 	}
 	if err := e.store.CloseHold(ctx, permit); err != nil {
@@ -290,7 +290,7 @@
 	if item, found, err := e.store.Get(ctx, ledger.LeaderKey); err == nil {
 		e.mu.Lock()
 		if found {
-			e.learn(item.Key, item.Value, item.Stamp)
+			e.learn(item.Key, item.Value, item.ModRevision)
 		}
 		e.mu.Unlock()
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -81,7 +81,7 @@
 }
 
 // Need is what a task of a job takes.
-func Need(w *wire.Work) Res { return Res{w.Cores, w.Gpus, w.RAMGb} }
+func Need(w *wire.JobSpec) Res { return Res{w.Cores, w.Gpus, w.RAMGb} }
 
 type attemptKey struct {
 	task string
@@ -345,7 +345,7 @@
 	f.watcher.AttemptChanged(a, a.State, "placed")
 }
 
-// Commit notes that the record of a planned attempt is committed.
+// Transaction notes that the record of a planned attempt is committed.
 func (f *Fleet) Commit(a *Attempt, now time.Time) {
 	if a.State == Planned {
 		f.setAttempt(a, Committed, now, "recorded")
@@ -398,20 +398,20 @@
 	}
 }
 
-// Report takes a check-in into the picture. fresh is false for a copy that is no newer than what is known: it
+// Heartbeat takes a check-in into the picture. fresh is false for a copy that is no newer than what is known: it
 // changes nothing and gets no orders.
-func (f *Fleet) Report(r *wire.Report, now time.Time) (m *Machine, fresh bool) {
+func (f *Fleet) Report(r *wire.Heartbeat, now time.Time) (m *Machine, fresh bool) {
 	m = f.Know(r.Host, now)
-	if m.State == Gone || r.Session < m.Session || (r.Session == m.Session && r.Sequence <= m.Sequence) {
+	if m.State == Gone || r.Incarnation < m.Session || (r.Incarnation == m.Session && r.Sequence <= m.Sequence) {
 		return m, false
 	}
 	f.Touch(m)
 	newSession := f.noteReport(m, r, now)
 	reported := reportedAttempts(m, r)
-	confirmed := r.Token == f.term
+	confirmed := r.FencingToken == f.term
 	for k, a := range m.attempts {
 		switch l := reported[k]; {
-		case a.Session < r.Session:
+		case a.Session < r.Incarnation:
 			// The worker killed and forgot everything of earlier sessions, and
 			// drops every answer to a report of an earlier session.
 			f.setAttempt(a, Off, now, "machine has a new session")
@@ -431,11 +431,11 @@
 
 // noteReport takes what a fresh report says of its machine, and reports whether the machine
 // has begun a new session.
-func (f *Fleet) noteReport(m *Machine, r *wire.Report, now time.Time) (newSession bool) {
-	newSession, answeredAgo := r.Session > m.Session && m.Session != 0, now.Sub(m.answered)
-	m.Session, m.Sequence, m.Heard, m.Reported, m.answered = r.Session, r.Sequence, now, now, now
+func (f *Fleet) noteReport(m *Machine, r *wire.Heartbeat, now time.Time) (newSession bool) {
+	newSession, answeredAgo := r.Incarnation > m.Session && m.Session != 0, now.Sub(m.answered)
+	m.Session, m.Sequence, m.Heard, m.Reported, m.answered = r.Incarnation, r.Sequence, now, now, now
 	m.Address, m.Type, m.Zone, m.Spot = r.Address, r.MachineType, r.Zone, r.Spot
-	if r.WarningS != nil {
+	if r.SpotNoticeS != nil {
 		m.Warned = true
 	}
 	if newSession && answeredAgo < f.lease && m.State == Ready {
@@ -452,23 +452,23 @@
 
 // reportedAttempts finds the attempts of a report, and notes those that no record knows as
 // the machine's orphans.
-func reportedAttempts(m *Machine, r *wire.Report) map[attemptKey]*wire.TaskReport {
+func reportedAttempts(m *Machine, r *wire.Heartbeat) map[attemptKey]*wire.TaskReport {
 	reported := make(map[attemptKey]*wire.TaskReport, len(r.Tasks))
 	m.orphans = m.orphans[:0]
 	for i := range r.Tasks {
 		l := &r.Tasks[i]
-		k := attemptKey{l.Task, l.Try}
+		k := attemptKey{l.Task, l.Attempt}
 		reported[k] = l
 		if m.attempts[k] == nil {
-			m.orphans = append(m.orphans, orphan{l.Task, l.Try, l.Status == wire.TaskEnded})
+			m.orphans = append(m.orphans, orphan{l.Task, l.Attempt, l.Status == wire.TaskEnded})
 		}
 	}
 	return reported
 }
 
 // missing takes into account that a fresh report of an attempt's session lacks it.
-func (f *Fleet) missing(a *Attempt, r *wire.Report, now time.Time) {
-	confirmed := r.Token == f.term
+func (f *Fleet) missing(a *Attempt, r *wire.Heartbeat, now time.Time) {
+	confirmed := r.FencingToken == f.term
 	switch a.State {
 	case Committed:
 		// An earlier term's launch can only have travelled in an answer
@@ -528,33 +528,33 @@
 	case wire.TaskSaving:
 		f.setAttempt(a, Saving, now, "reported")
 	case wire.TaskEnded:
-		a.Cause, a.Kept = l.Cause, l.Kept
+		a.Cause, a.Kept = l.Cause, l.Checkpointed
 		f.setAttempt(a, Ended, now, string(l.Cause))
 	}
 }
 
-// Orders makes the answer to a fresh report. Launches go only to a machine
+// Commands makes the answer to a fresh report. Launches go only to a machine
 // that is ready, and only for attempts that are committed.
-func (f *Fleet) Orders(m *Machine, now time.Time, launches bool) []wire.Order {
-	orders := []wire.Order{}
+func (f *Fleet) Orders(m *Machine, now time.Time, launches bool) []wire.Command {
+	orders := []wire.Command{}
 	for _, s := range m.orphans {
 		if s.ended {
-			orders = append(orders, wire.Order{Verb: wire.Reap, Leg: s.task, Try: s.try})
+			orders = append(orders, wire.Command{Verb: wire.Acknowledge, Task: s.task, Attempt: s.try})
 		} else {
-			orders = append(orders, wire.Order{Verb: wire.Stop, Leg: s.task, Try: s.try})
+			orders = append(orders, wire.Command{Verb: wire.Stop, Task: s.task, Attempt: s.try})
 		}
 	}
 	for _, a := range m.attempts {
 		switch a.State {
 		case Recorded:
-			orders = append(orders, wire.Order{Verb: wire.Reap, Leg: a.Name(), Try: a.Try})
+			orders = append(orders, wire.Command{Verb: wire.Acknowledge, Task: a.Name(), Attempt: a.Try})
 		case Sent, Fetching, Running:
 			if a.Stopping {
-				orders = append(orders, wire.Order{Verb: wire.Stop, Leg: a.Name(), Try: a.Try, LeewayS: a.LeewayS})
+				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Try, GracePeriodS: a.LeewayS})
 			}
 		case Saving:
 			if a.Stopping && a.LeewayS == 0 {
-				orders = append(orders, wire.Order{Verb: wire.Stop, Leg: a.Name(), Try: a.Try})
+				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Try})
 			}
 		}
 	}
@@ -565,7 +565,7 @@
 		if a.State == Committed && !a.Inherited && !a.Stopping && a.Session == m.Session {
 			a.SentSequence = m.Sequence
 			f.setAttempt(a, Sent, now, "launch given")
-			orders = append(orders, wire.Order{Verb: wire.Launch, Leg: a.Name(), Try: a.Try})
+			orders = append(orders, wire.Command{Verb: wire.Launch, Task: a.Name(), Attempt: a.Try})
 		}
 	}
 	return orders
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -49,7 +49,7 @@
 
 // Job is an accepted job. Status is queued until it is final.
 type Job struct {
-	Spec   wire.Work      `json:"Spec"`
+	Spec   wire.JobSpec   `json:"Spec"`
 	Status wire.JobStatus `json:"Status"`
 	AtMs   int64          `json:"AtMs"` // time of day of acceptance
 	Per    int            `json:"Per"`  // tasks to a piece of its placement
@@ -68,7 +68,7 @@
 	if len(Encode(j)) <= valueBytes {
 		return
 	}
-	j.Spec.Rigs, j.Spec.Yard, j.Spec.Rollout, j.Spec.Awaits = nil, "", "", nil
+	j.Spec.MachineTypes, j.Spec.Zone, j.Spec.Image, j.Spec.Dependencies = nil, "", "", nil
 }
 
 // Final is the last word on a job.
--- a/internal/ledger/mirror.go
+++ b/internal/ledger/mirror.go
@@ -17,17 +17,17 @@
 
 // Reader is what a mirror needs of the state service.
 type Reader interface {
-	List(ctx context.Context, under string) ([]wire.Item, uint64, error)
-	Changes(ctx context.Context, under string, after uint64, hold time.Duration) (wire.Changes, error)
+	List(ctx context.Context, under string) ([]wire.KeyValue, uint64, error)
+	Changes(ctx context.Context, under string, after uint64, hold time.Duration) (wire.WatchResponse, error)
 }
 
 // Follower is what a prefix is followed for. begun is when the read that an
 // update stems from began: whatever was committed before is part of it.
 type Follower interface {
 	// Reset takes a whole listing, made at epoch.
-	Reset(rows []wire.Item, epoch uint64, begun time.Time)
+	Reset(rows []wire.KeyValue, epoch uint64, begun time.Time)
 	// Apply takes what changed after the epoch after.
-	Apply(ch wire.Changes, after uint64, begun time.Time)
+	Apply(ch wire.WatchResponse, after uint64, begun time.Time)
 }
 
 // Follow keeps f up to date with the keys under a prefix: it lists them, then
@@ -60,7 +60,7 @@
 				continue
 			}
 			f.Apply(ch, epoch, begun)
-			epoch = max(epoch, ch.Epoch)
+			epoch = max(epoch, ch.Revision)
 		}
 	}
 }
@@ -73,24 +73,24 @@
 
 // Funcs makes a Follower of functions that get one key's news each: Listed those
 // of a listing, Changed those of a later change. Either may be nil.
-type Funcs struct{ Listed, Changed func(n wire.News) }
+type Funcs struct{ Listed, Changed func(n wire.WatchEvent) }
 
 // Reset hands on the keys of a listing.
-func (f Funcs) Reset(rows []wire.Item, _ uint64, _ time.Time) {
+func (f Funcs) Reset(rows []wire.KeyValue, _ uint64, _ time.Time) {
 	if f.Listed == nil {
 		return
 	}
 	for _, row := range rows {
-		f.Listed(wire.News{Set: row.Key, Value: row.Value, Stamp: row.Stamp})
+		f.Listed(wire.WatchEvent{Set: row.Key, Value: row.Value, ModRevision: row.ModRevision})
 	}
 }
 
 // Apply hands on changes.
-func (f Funcs) Apply(ch wire.Changes, _ uint64, _ time.Time) {
+func (f Funcs) Apply(ch wire.WatchResponse, _ uint64, _ time.Time) {
 	if f.Changed == nil {
 		return
 	}
-	for _, n := range ch.News {
+	for _, n := range ch.Events {
 		f.Changed(n)
 	}
 }
@@ -157,14 +157,14 @@
 // Reset takes a listing. It was made over a while: only what was committed
 // before it began is sure to be in it, and later changes are taken once more
 // from its epoch on.
-func (m *Mirror) Reset(rows []wire.Item, epoch uint64, begun time.Time) {
+func (m *Mirror) Reset(rows []wire.KeyValue, epoch uint64, begun time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	seen := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		uid := strings.TrimPrefix(row.Key, JobPrefix)
 		seen[uid] = true
-		m.put(uid, row.Value, row.Stamp)
+		m.put(uid, row.Value, row.ModRevision)
 	}
 	for uid := range m.jobs {
 		if !seen[uid] {
@@ -181,23 +181,23 @@
 // Apply takes what changed after an epoch. Two reads may overlap, a watch and a
 // Refresh: what is known already is passed over, and changes that do not
 // follow on what is known are not taken at all.
-func (m *Mirror) Apply(ch wire.Changes, after uint64, begun time.Time) {
+func (m *Mirror) Apply(ch wire.WatchResponse, after uint64, begun time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if after > m.epoch {
 		return // a listing went back behind it
 	}
-	for _, n := range ch.News {
-		if n.Stamp <= m.epoch {
+	for _, n := range ch.Events {
+		if n.ModRevision <= m.epoch {
 			continue
 		}
 		if n.Drop != "" {
-			m.drop(strings.TrimPrefix(n.Drop, JobPrefix), n.Stamp)
+			m.drop(strings.TrimPrefix(n.Drop, JobPrefix), n.ModRevision)
 		} else {
-			m.put(strings.TrimPrefix(n.Set, JobPrefix), n.Value, n.Stamp)
+			m.put(strings.TrimPrefix(n.Set, JobPrefix), n.Value, n.ModRevision)
 		}
 	}
-	m.epoch = max(m.epoch, ch.Epoch)
+	m.epoch = max(m.epoch, ch.Revision)
 	m.renew(begun)
 }
 
--- a/internal/ledger/settings.go
+++ b/internal/ledger/settings.go
@@ -10,7 +10,7 @@
 // The paper's default interval is 3 s; the fetch of an image takes most of the
 // time that users wait, so a round is a third of a report's interval here.
 func DefaultSettings(reportS float64) wire.Settings {
-	return wire.Settings{IntervalS: reportS / 3, Window: 200, Spare: 2}
+	return wire.Settings{IntervalS: reportS / 3, Window: 200, Headroom: 2}
 }
 
 // CheckSettings reports what is wrong with the operators' own settings.
@@ -22,7 +22,7 @@
 	if s.Window < 1 || s.Window > 10000 {
 		faults = append(faults, errors.New("setting Window must be from 1 to 10000"))
 	}
-	if !(s.Spare >= 0 && s.Spare <= 100) {
+	if !(s.Headroom >= 0 && s.Headroom <= 100) {
 		faults = append(faults, errors.New("setting Spare must be from 0 to 100"))
 	}
 	return errors.Join(faults...)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -148,10 +148,10 @@
 		Window:   status.Window,
 		Round:    RoundStatusMessage(status.Round),
 		Machines: status.Machines,
-		CheckIns: status.CheckIns,
+		CheckIns: status.HeartbeatRouting,
 		Workers:  status.Workers,
-		Suspects: status.Suspects,
-		Blamed:   status.Blamed,
+		Suspects: status.SuspectJobs,
+		Blamed:   status.QuarantinedMachines,
 	}
 	if status.Classes != nil {
 		message.Classes = make(map[string]ClassStatusMessage, len(status.Classes))
@@ -167,15 +167,15 @@
 		return nil
 	}
 	status := &wire.LeadStatus{
-		Term:     m.Term,
-		Loaded:   m.Loaded,
-		Window:   m.Window,
-		Round:    wire.RoundStatus(m.Round),
-		Machines: m.Machines,
-		CheckIns: m.CheckIns,
-		Workers:  m.Workers,
-		Suspects: m.Suspects,
-		Blamed:   m.Blamed,
+		Term:                m.Term,
+		Loaded:              m.Loaded,
+		Window:              m.Window,
+		Round:               wire.RoundStatus(m.Round),
+		Machines:            m.Machines,
+		HeartbeatRouting:    m.CheckIns,
+		Workers:             m.Workers,
+		SuspectJobs:         m.Suspects,
+		QuarantinedMachines: m.Blamed,
 	}
 	if m.Classes != nil {
 		status.Classes = make(map[string]wire.ClassStatus, len(m.Classes))
@@ -207,8 +207,8 @@
 // WorkMessage is the message form of wire.Work.
 type WorkMessage struct {
 	UID, Berth, Crew           string
-	Shape                      wire.Shape
-	Rank                       wire.Rank
+	Shape                      wire.JobKind
+	Rank                       wire.Priority
 	Legs                       int
 	Cores, Gpus, RAMGb         float64
 	Rollout                    string
@@ -241,55 +241,55 @@
 	return Cancellation{UID: m.UID, Record: record, ModRevision: m.Stamp}
 }
 
-func workMessage(work *wire.Work) WorkMessage {
+func workMessage(work *wire.JobSpec) WorkMessage {
 	return WorkMessage{
 		UID:      work.UID,
-		Berth:    work.Berth,
-		Crew:     work.Crew,
-		Shape:    work.Shape,
-		Rank:     work.Rank,
-		Legs:     work.Legs,
+		Berth:    work.JobClass,
+		Crew:     work.Team,
+		Shape:    work.Kind,
+		Rank:     work.Priority,
+		Legs:     work.TaskCount,
 		Cores:    work.Cores,
 		Gpus:     work.Gpus,
 		RAMGb:    work.RAMGb,
-		Rollout:  work.Rollout,
+		Rollout:  work.Image,
 		ImageGb:  work.ImageGb,
-		Rigs:     work.Rigs,
-		Yard:     work.Yard,
-		Together: work.Together,
-		Scatter:  work.Scatter,
-		Standby:  work.Standby,
-		ExpectS:  work.ExpectS,
-		MarkS:    work.MarkS,
-		StowS:    work.StowS,
-		DueS:     work.DueS,
-		Awaits:   work.Awaits,
+		Rigs:     work.MachineTypes,
+		Yard:     work.Zone,
+		Together: work.SingleZone,
+		Scatter:  work.SpreadZones,
+		Standby:  work.AllowSpot,
+		ExpectS:  work.ExpectedRunS,
+		MarkS:    work.CheckpointIntervalS,
+		StowS:    work.CheckpointOnStopS,
+		DueS:     work.DeadlineS,
+		Awaits:   work.Dependencies,
 	}
 }
 
-func (m *WorkMessage) work() wire.Work {
-	return wire.Work{
-		UID:      m.UID,
-		Berth:    m.Berth,
-		Crew:     m.Crew,
-		Shape:    m.Shape,
-		Rank:     m.Rank,
-		Legs:     m.Legs,
-		Cores:    m.Cores,
-		Gpus:     m.Gpus,
-		RAMGb:    m.RAMGb,
-		Rollout:  m.Rollout,
-		ImageGb:  m.ImageGb,
-		Rigs:     m.Rigs,
-		Yard:     m.Yard,
-		Together: m.Together,
-		Scatter:  m.Scatter,
-		Standby:  m.Standby,
-		ExpectS:  m.ExpectS,
-		MarkS:    m.MarkS,
-		StowS:    m.StowS,
-		DueS:     m.DueS,
-		Awaits:   m.Awaits,
+func (m *WorkMessage) work() wire.JobSpec {
+	return wire.JobSpec{
+		UID:                 m.UID,
+		JobClass:            m.Berth,
+		Team:                m.Crew,
+		Kind:                m.Shape,
+		Priority:            m.Rank,
+		TaskCount:           m.Legs,
+		Cores:               m.Cores,
+		Gpus:                m.Gpus,
+		RAMGb:               m.RAMGb,
+		Image:               m.Rollout,
+		ImageGb:             m.ImageGb,
+		MachineTypes:        m.Rigs,
+		Zone:                m.Yard,
+		SingleZone:          m.Together,
+		SpreadZones:         m.Scatter,
+		AllowSpot:           m.Standby,
+		ExpectedRunS:        m.ExpectS,
+		CheckpointIntervalS: m.MarkS,
+		CheckpointOnStopS:   m.StowS,
+		DeadlineS:           m.DueS,
+		Dependencies:        m.Awaits,
 	}
 }
 
@@ -396,15 +396,15 @@
 		Shift:    a.Incarnation,
 		Tick:     a.Sequence,
 		Status:   a.Status,
-		Orders:   OrdersMessage{Baton: a.Response.Baton},
-		Redirect: RedirectMessage{Dispatcher: a.Redirect.Dispatcher},
+		Orders:   OrdersMessage{Baton: a.Response.FencingToken},
+		Redirect: RedirectMessage{Dispatcher: a.Redirect.Leader},
 	}
-	for _, order := range a.Response.Orders {
+	for _, order := range a.Response.Commands {
 		message.Orders.Orders = append(message.Orders.Orders, OrderMessage{
 			Verb:    order.Verb,
-			Leg:     order.Leg,
-			Try:     order.Try,
-			LeewayS: order.LeewayS,
+			Leg:     order.Task,
+			Try:     order.Attempt,
+			LeewayS: order.GracePeriodS,
 		})
 	}
 	return message
@@ -416,15 +416,15 @@
 		Incarnation: m.Shift,
 		Sequence:    m.Tick,
 		Status:      m.Status,
-		Response:    wire.Orders{Baton: m.Orders.Baton},
-		Redirect:    wire.Redirect{Dispatcher: m.Redirect.Dispatcher},
+		Response:    wire.Commands{FencingToken: m.Orders.Baton},
+		Redirect:    wire.Redirect{Leader: m.Redirect.Dispatcher},
 	}
 	for _, order := range m.Orders.Orders {
-		answer.Response.Orders = append(answer.Response.Orders, wire.Order{
-			Verb:    order.Verb,
-			Leg:     order.Leg,
-			Try:     order.Try,
-			LeewayS: order.LeewayS,
+		answer.Response.Commands = append(answer.Response.Commands, wire.Command{
+			Verb:         order.Verb,
+			Task:         order.Leg,
+			Attempt:      order.Try,
+			GracePeriodS: order.LeewayS,
 		})
 	}
 	return answer
--- a/internal/peer/types.go
+++ b/internal/peer/types.go
@@ -69,6 +69,6 @@
 	Incarnation uint64 // of the heartbeat
 	Sequence    uint64 // of the heartbeat
 	Status      int
-	Response    wire.Orders   // with 200
+	Response    wire.Commands // with 200
 	Redirect    wire.Redirect // with 421
 }
--- a/internal/provision/provision.go
+++ b/internal/provision/provision.go
@@ -13,7 +13,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Group is what a rental asks for.
+// Gang is what a rental asks for.
 type Group struct {
 	Type string
 	Zone string
@@ -35,7 +35,7 @@
 func Cap(r *wire.MachineType) fleet.Res { return fleet.Res{Cores: r.Cores, Gpus: r.Gpus, RAM: r.RAMGb} }
 
 // Fits reports whether a task of the job fits some machine that it may use.
-func Fits(cat *wire.Catalog, w *wire.Work) bool {
+func Fits(cat *wire.Catalog, w *wire.JobSpec) bool {
 	for i := range cat.MachineTypes {
 		r := &cat.MachineTypes[i]
 		if !Cap(r).Holds(fleet.Need(w)) {
@@ -55,7 +55,7 @@
 	Shorts     []sched.Short
 	Population map[string]int   // machines of each zone
 	Refused    func(Group) bool // groups that are passed over
-	// Calls is how many rentals may be asked for at once, of wire.MaxRent machines each at
+	// Calls is how many rentals may be asked for at once, of wire.MaxProvision machines each at
 	// most. Every group gets one at least.
 	Calls int
 }
@@ -94,7 +94,7 @@
 	for first := true; left > 0 && (first || len(rents) < calls); first = false {
 		left = 0
 		for i := range wanted {
-			n := min(wanted[i].Count, wire.MaxRent)
+			n := min(wanted[i].Count, wire.MaxProvision)
 			if n == 0 || !first && len(rents) >= calls {
 				continue
 			}
@@ -172,10 +172,10 @@
 }
 
 func zoneOK(j *sched.Job, zones map[string]int, zone string) bool {
-	if j.Spec.Scatter && zones[zone] >= (j.Spec.Legs+1)/2 {
+	if j.Spec.SpreadZones && zones[zone] >= (j.Spec.TaskCount+1)/2 {
 		return false
 	}
-	if j.Spec.Together {
+	if j.Spec.SingleZone {
 		for y, n := range zones {
 			if n > 0 && y != zone {
 				return false
@@ -206,12 +206,12 @@
 				if !sched.Allowed(j.Spec, r.Name, y, spot) || refused(g) {
 					continue
 				}
-				if j.Spec.Standby && !spot && !j.Tired && !j.Dear {
+				if j.Spec.AllowSpot && !spot && !j.Tired && !j.Dear {
 					continue // spot machines are many times cheaper: worth a wait
 				}
 				price := r.Hourly
 				if spot {
-					price = r.LowPrice
+					price = r.SpotHourly
 				}
 				cost := price / float64(n)
 				if cost < bestCost || (cost == bestCost && pop[y] < bestPop) {
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -24,13 +24,13 @@
 func (b *batch) full() bool { return len(b.bodies) >= maxBatchBytes-wire.MaxBody }
 
 // repeat adds a report that differs from an earlier one in nothing but its tick.
-func (b *batch) repeat(r, earlier *wire.Report, pressure Pressure) {
-	b.reports = append(b.reports, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Session, Sequence: r.Sequence, RepeatOf: earlier.Sequence, Pressure: uint8(pressure)})
+func (b *batch) repeat(r, earlier *wire.Heartbeat, pressure Pressure) {
+	b.reports = append(b.reports, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Incarnation, Sequence: r.Sequence, RepeatOf: earlier.Sequence, Pressure: uint8(pressure)})
 }
 
 // add adds a report in full.
-func (b *batch) add(r *wire.Report, body []byte, pressure Pressure) {
-	b.reports = append(b.reports, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Session, Sequence: r.Sequence, Size: len(body), Pressure: uint8(pressure)})
+func (b *batch) add(r *wire.Heartbeat, body []byte, pressure Pressure) {
+	b.reports = append(b.reports, peer.RelayedHeartbeat{Host: r.Host, Incarnation: r.Incarnation, Sequence: r.Sequence, Size: len(body), Pressure: uint8(pressure)})
 	b.bodies = append(b.bodies, body...)
 }
 
@@ -74,10 +74,10 @@
 }
 
 // sameButTick reports whether two reports of a worker say the same in the same session.
-func sameButTick(a, b *wire.Report) bool {
-	if a.WarningS != nil || b.WarningS != nil {
+func sameButTick(a, b *wire.Heartbeat) bool {
+	if a.SpotNoticeS != nil || b.SpotNoticeS != nil {
 		return false // the notice runs down
 	}
 	return a.Host == b.Host && a.Address == b.Address && a.MachineType == b.MachineType && a.Zone == b.Zone && a.Spot == b.Spot &&
-		a.Session == b.Session && a.Token == b.Token && slices.Equal(a.Tasks, b.Tasks)
+		a.Incarnation == b.Incarnation && a.FencingToken == b.FencingToken && slices.Equal(a.Tasks, b.Tasks)
 }
--- a/internal/relay/receiver.go
+++ b/internal/relay/receiver.go
@@ -16,7 +16,7 @@
 
 // AnswerFunc decides the answer to a report that a follower relays. It may wait for
 // commands to come up.
-type AnswerFunc func(ctx context.Context, r *wire.Report, relay string, pressure Pressure) peer.HeartbeatAnswer
+type AnswerFunc func(ctx context.Context, r *wire.Heartbeat, relay string, pressure Pressure) peer.HeartbeatAnswer
 
 // Receiver answers the batches of a leader's followers, for one term.
 type Receiver struct {
@@ -24,7 +24,7 @@
 	term   uint64
 	answer AnswerFunc
 	// bases holds by host the last report that was taken: what the next may repeat.
-	bases *xsync.Map[string, *wire.Report]
+	bases *xsync.Map[string, *wire.Heartbeat]
 
 	mu       sync.Mutex
 	outboxes map[string]map[string]peer.HeartbeatAnswer // by relay and host: answers that are ready
@@ -32,7 +32,7 @@
 
 // NewReceiver makes the receiver of a term. members are the labels of the other nodes.
 func NewReceiver(ctx context.Context, term uint64, members []string, answer AnswerFunc) *Receiver {
-	v := &Receiver{ctx: ctx, term: term, answer: answer, bases: xsync.NewMap[string, *wire.Report](), outboxes: map[string]map[string]peer.HeartbeatAnswer{}}
+	v := &Receiver{ctx: ctx, term: term, answer: answer, bases: xsync.NewMap[string, *wire.Heartbeat](), outboxes: map[string]map[string]peer.HeartbeatAnswer{}}
 	for _, label := range members {
 		v.outboxes[label] = map[string]peer.HeartbeatAnswer{}
 	}
@@ -72,10 +72,10 @@
 
 // resolve makes the report that a batch holds in full or by reference. It returns nil
 // if the report is needed in full.
-func (v *Receiver) resolve(head *peer.RelayedHeartbeat, body []byte) (*wire.Report, error) {
+func (v *Receiver) resolve(head *peer.RelayedHeartbeat, body []byte) (*wire.Heartbeat, error) {
 	if head.RepeatOf > 0 {
 		base, ok := v.bases.Load(head.Host)
-		if !ok || base.Session != head.Incarnation || base.Sequence != head.RepeatOf {
+		if !ok || base.Incarnation != head.Incarnation || base.Sequence != head.RepeatOf {
 			return nil, nil
 		}
 		report := *base
@@ -83,11 +83,11 @@
 		v.bases.Store(head.Host, &report)
 		return &report, nil
 	}
-	report, err := wire.ParseReport(body)
+	report, err := wire.ParseHeartbeat(body)
 	if err != nil {
 		return nil, err
 	}
-	if report.Host != head.Host || report.Session != head.Incarnation || report.Sequence != head.Sequence {
+	if report.Host != head.Host || report.Incarnation != head.Incarnation || report.Sequence != head.Sequence {
 		return nil, ErrMalformedBatch
 	}
 	v.bases.Store(report.Host, &report)
@@ -96,7 +96,7 @@
 
 // Forget drops what is kept of the hosts that are not there any more.
 func (v *Receiver) Forget(there func(host string) bool) {
-	v.bases.Range(func(host string, _ *wire.Report) bool {
+	v.bases.Range(func(host string, _ *wire.Heartbeat) bool {
 		if !there(host) {
 			v.bases.Delete(host)
 		}
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -184,7 +184,7 @@
 // Route notes that a worker reports at a controller, and returns where it has to go: ""
 // if it stays. A late copy of a report says nothing about where the worker is. A controller
 // that has no connection left for it gives it up at once, if another one has room.
-func (r *Router) Route(report *wire.Report, at string, pressure Pressure, now time.Time) string {
+func (r *Router) Route(report *wire.Heartbeat, at string, pressure Pressure, now time.Time) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.mode == Direct {
@@ -211,16 +211,16 @@
 }
 
 // note keeps where a worker reports. r.mu is held.
-func (r *Router) note(report *wire.Report, at string, now time.Time) (p *placement, fresh bool) {
+func (r *Router) note(report *wire.Heartbeat, at string, now time.Time) (p *placement, fresh bool) {
 	p = r.workers[report.Host]
 	if p == nil {
 		p = &placement{}
 		r.workers[report.Host] = p
 	}
-	if report.Session < p.session || report.Session == p.session && report.Sequence <= p.sequence {
+	if report.Incarnation < p.session || report.Incarnation == p.session && report.Sequence <= p.sequence {
 		return p, false
 	}
-	p.session, p.sequence, p.seen = report.Session, report.Sequence, now
+	p.session, p.sequence, p.seen = report.Incarnation, report.Sequence, now
 	p.left = slices.DeleteFunc(p.left, func(d departure) bool { return now.Sub(d.at) >= stayLeases*r.Lease })
 	if p.at != "" && at != p.at {
 		p.leave(now)
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -23,7 +23,7 @@
 
 // pendingReport is a report whose worker waits for an answer.
 type pendingReport struct {
-	report *wire.Report
+	report *wire.Heartbeat
 	body   []byte
 	// pressure is how short of connections this node was when the report came.
 	pressure Pressure
@@ -68,19 +68,19 @@
 
 	mu      sync.Mutex
 	leader  Leader
-	pending map[string]*pendingReport // by host
-	queue   []*pendingReport          // in the order of arrival; some may be answered already
-	taken   map[string]*wire.Report   // by host: the last report that the leader has taken
+	pending map[string]*pendingReport  // by host
+	queue   []*pendingReport           // in the order of arrival; some may be answered already
+	taken   map[string]*wire.Heartbeat // by host: the last report that the leader has taken
 }
 
 // NewSender makes a Sender that relays nothing until it runs.
 func NewSender(cfg SenderConfig) *Sender {
-	return &Sender{SenderConfig: cfg, wake: make(chan struct{}, 1), pending: map[string]*pendingReport{}, taken: map[string]*wire.Report{}}
+	return &Sender{SenderConfig: cfg, wake: make(chan struct{}, 1), pending: map[string]*pendingReport{}, taken: map[string]*wire.Heartbeat{}}
 }
 
-// Report relays one report to the leader and waits for the answer. The error is one of
+// Heartbeat relays one report to the leader and waits for the answer. The error is one of
 // the package's, or that of the context.
-func (s *Sender) Report(ctx context.Context, to Leader, r *wire.Report, body []byte, pressure Pressure) (peer.HeartbeatAnswer, error) {
+func (s *Sender) Report(ctx context.Context, to Leader, r *wire.Heartbeat, body []byte, pressure Pressure) (peer.HeartbeatAnswer, error) {
 	p := &pendingReport{report: r, body: body, pressure: pressure, result: make(chan result, 1)}
 	if err := s.add(to, p); err != nil {
 		return peer.HeartbeatAnswer{}, err
@@ -130,8 +130,8 @@
 }
 
 // newer reports whether a report is newer than another one of the same worker.
-func newer(r, than *wire.Report) bool {
-	return r.Session > than.Session || r.Session == than.Session && r.Sequence > than.Sequence
+func newer(r, than *wire.Heartbeat) bool {
+	return r.Incarnation > than.Incarnation || r.Incarnation == than.Incarnation && r.Sequence > than.Sequence
 }
 
 // move is the one function that changes the state of a report. s.mu is held.
@@ -204,7 +204,7 @@
 	s.noteTaken(inBatch, reply.Resend)
 	for _, a := range reply.Answers {
 		p := s.pending[a.Host]
-		if p != nil && p.report.Session == a.Incarnation && p.report.Sequence == a.Sequence {
+		if p != nil && p.report.Incarnation == a.Incarnation && p.report.Sequence == a.Sequence {
 			s.finish(p, result{answer: a})
 		}
 	}
--- a/internal/sched/bounds.go
+++ b/internal/sched/bounds.go
@@ -32,10 +32,10 @@
 	}
 	s := j.Spec
 	r.job = j
-	r.holders = r.view.images[s.Rollout]
+	r.holders = r.view.images[s.Image]
 	r.imageKnown = r.holders != nil || len(r.in.Nodes) > 0
-	r.bounded = !s.Together && !s.Scatter && j.Avoid == ""
-	r.jobBound = bound{need: fleet.Need(s), types: strings.Join(s.Rigs, " "), zone: s.Yard, spot: s.Standby, overdue: j.Overdue, tired: j.Tired, dear: j.Dear}
+	r.bounded = !s.SingleZone && !s.SpreadZones && j.Avoid == ""
+	r.jobBound = bound{need: fleet.Need(s), types: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.Overdue, tired: j.Tired, dear: j.Dear}
 }
 
 // boundIn names the kind of the job that is looked at, in a layer.
@@ -43,7 +43,7 @@
 	b := r.jobBound
 	b.layer = l
 	if r.warm {
-		b.image = r.job.Spec.Rollout
+		b.image = r.job.Spec.Image
 	}
 	if l == displaced {
 		b.displacer = r.displacerOf(r.job)
--- a/internal/sched/classes.go
+++ b/internal/sched/classes.go
@@ -240,7 +240,7 @@
 // has reports whether a node has the image of the job that is looked at.
 func (r *round) has(slot int32) bool {
 	if kept := int32(r.view.Len()); slot >= kept {
-		return slices.Contains(r.in.Nodes[slot-kept].Images, r.job.Spec.Rollout)
+		return slices.Contains(r.in.Nodes[slot-kept].Images, r.job.Spec.Image)
 	}
 	return r.holders != nil && r.holders.Test(uint(slot))
 }
@@ -249,7 +249,7 @@
 // those that need the fewest machines, then the tightest fit. The image goes first where its
 // fetch alone would make the start late. CPU-only work goes where the fewest GPUs are free.
 func better(j *Job, a, b *group) int {
-	if !j.Fetch && !j.Spec.Standby {
+	if !j.Fetch && !j.Spec.AllowSpot {
 		if order := cmp.Compare(a.price, b.price); order != 0 {
 			return order
 		}
@@ -268,7 +268,7 @@
 	groups := newHeap(r.weigh(j, want, l, zone), func(a, b *group) bool { return better(j, a, b) < 0 })
 	var places []Place
 	var taken map[string]int // by zone
-	if j.Spec.Scatter {
+	if j.Spec.SpreadZones {
 		taken = map[string]int{}
 	}
 	var alike []cursor
@@ -281,7 +281,7 @@
 		}
 		for slot := r.next(alike, j); slot >= 0 && want > 0; slot = r.next(alike, j) {
 			c := min(first.count, want)
-			if j.Spec.Scatter {
+			if j.Spec.SpreadZones {
 				z := r.zone(slot)
 				if c = min(c, zoneRoom(j, z)-taken[z]); c <= 0 {
 					continue
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -63,7 +63,7 @@
 func (r *round) displacerOf(j *Job) displacer {
 	d := displacer{below: r.displacesBelow(j), overdue: j.Overdue}
 	if r.in.Guaranteed != nil {
-		d.team, d.reclaims = j.Spec.Crew, j.Guaranteed
+		d.team, d.reclaims = j.Spec.Team, j.Guaranteed
 	}
 	return d
 }
@@ -165,7 +165,7 @@
 func (r *round) displacements(j *Job, want int) []choice {
 	need, d, m := fleet.Need(j.Spec), r.displaceableBy(j), r.memory
 	most := math.MaxInt
-	if !j.Spec.Together && !j.Spec.Scatter {
+	if !j.Spec.SingleZone && !j.Spec.SpreadZones {
 		most = want
 	}
 	worst := newHeap(m.choices[:0], func(a, b *choice) bool { return b.before(a) })
@@ -225,7 +225,7 @@
 	order := newHeap(choices, (*choice).before)
 	zone := ""
 	for z, n := range j.ByZone {
-		if j.Spec.Together && n > 0 {
+		if j.Spec.SingleZone && n > 0 {
 			zone = z
 		}
 	}
@@ -233,10 +233,10 @@
 	for order.Len() > 0 && len(places) < want {
 		c := order.Pop()
 		z := r.zone(c.node)
-		if (j.Spec.Together && zone != "" && z != zone) || zoneRoom(j, z)-taken[z] <= 0 {
+		if (j.Spec.SingleZone && zone != "" && z != zone) || zoneRoom(j, z)-taken[z] <= 0 {
 			continue
 		}
-		if j.Spec.Together {
+		if j.Spec.SingleZone {
 			zone = z
 		}
 		if !r.leavesGuarantees(j, &c, reclaimed) {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -61,7 +61,7 @@
 
 // Job is a job with tasks that wait.
 type Job struct {
-	Spec  *wire.Work
+	Spec  *wire.JobSpec
 	Level int
 	// Guaranteed: it lies within its team's guarantee, and does not wait for other teams.
 	Guaranteed bool
@@ -149,12 +149,12 @@
 // rank below only when the window is small; order is kept by the pass itself.
 var DefaultPriorities = [5]float64{0, 1, 4, 16, 64}
 
-// Order sorts jobs by whether their team's guarantee covers them, then by rank, then by how long they can still wait, then age,
+// Command sorts jobs by whether their team's guarantee covers them, then by rank, then by how long they can still wait, then age,
 // then id. Work that cannot be in time any more lets the rest of its rank pass,
 // but not for ever. First tasks of jobs that should have begun come first, those
 // of the oldest job before others.
 func Order(jobs []*Job, patienceS float64) {
-	late := func(j *Job) int { return b2i(j.LaxS < 0 && j.Spec.Shape == wire.Sweep && j.WaitedS < patienceS) }
+	late := func(j *Job) int { return b2i(j.LaxS < 0 && j.Spec.Kind == wire.JobArray && j.WaitedS < patienceS) }
 	slices.SortFunc(jobs, func(a, b *Job) int {
 		if a.First && b.First {
 			return cmp.Or(cmp.Compare(b2i(b.Guaranteed), b2i(a.Guaranteed)), cmp.Compare(b.Level, a.Level), cmp.Compare(a.AtMs, b.AtMs), cmp.Compare(a.Spec.UID, b.Spec.UID))
@@ -288,7 +288,7 @@
 // quota is how many waiting tasks the limit of the job's team allows.
 func (r *round) quota(j *Job) int {
 	want := j.Waiting
-	t := r.in.Teams[j.Spec.Crew]
+	t := r.in.Teams[j.Spec.Team]
 	if t == nil {
 		return 0
 	}
@@ -306,12 +306,12 @@
 // whole reports whether the job starts with all its tasks or not at all. A job
 // that runs already only gets back what it lost.
 func whole(j *Job) bool {
-	return (j.Spec.Shape != wire.Sweep || j.Spec.Together) && j.Live == 0
+	return (j.Spec.Kind != wire.JobArray || j.Spec.SingleZone) && j.Live == 0
 }
 
 // Allowed reports whether a job may use a machine of this kind at all.
-func Allowed(w *wire.Work, machineType, zone string, spot bool) bool {
-	return (len(w.Rigs) == 0 || slices.Contains(w.Rigs, machineType)) && (w.Yard == "" || w.Yard == zone) && (!spot || w.Standby)
+func Allowed(w *wire.JobSpec, machineType, zone string, spot bool) bool {
+	return (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, machineType)) && (w.Zone == "" || w.Zone == zone) && (!spot || w.AllowSpot)
 }
 
 // fit finds room for up to want tasks of j in a layer and takes it. With start
@@ -322,7 +322,7 @@
 		return 0
 	}
 	var places []Place
-	if j.Spec.Together {
+	if j.Spec.SingleZone {
 		places = r.together(j, want, l)
 	} else {
 		places = r.choose(j, want, l, "")
@@ -377,15 +377,15 @@
 
 // zoneRoom is how many more tasks of j each zone may hold.
 func zoneRoom(j *Job, zone string) int {
-	if !j.Spec.Scatter {
-		return j.Spec.Legs
+	if !j.Spec.SpreadZones {
+		return j.Spec.TaskCount
 	}
-	return (j.Spec.Legs+1)/2 - j.ByZone[zone]
+	return (j.Spec.TaskCount+1)/2 - j.ByZone[zone]
 }
 
 // mayUse reports whether a job may use machines of a kind.
 func mayUse(j *Job, k *kind) bool {
-	if !k.spot && !k.fixed && j.Spec.Standby && !j.Dear && (!j.Overdue || k.leaving && !j.Tired) {
+	if !k.spot && !k.fixed && j.Spec.AllowSpot && !j.Dear && (!j.Overdue || k.leaving && !j.Tired) {
 		return false
 	}
 	return Allowed(j.Spec, k.machineType, k.zone, k.spot)
@@ -414,7 +414,7 @@
 // price is what placing a task there costs: nothing for work that may be stopped
 // and fills the gaps of a machine that stays anyway.
 func (r *round) price(j *Job, k *kind, need fleet.Res) float64 {
-	if j.Spec.Standby && k.fixed {
+	if j.Spec.AllowSpot && k.fixed {
 		return 0
 	}
 	return taskPrice(k, need)
@@ -444,7 +444,7 @@
 	}
 	j.Live += n
 	j.Waiting -= n
-	t := r.in.Teams[j.Spec.Crew]
+	t := r.in.Teams[j.Spec.Team]
 	t.Used.Cores += float64(n) * need.Cores
 	t.Used.Gpus += float64(n) * need.Gpus
 	if start {
@@ -477,7 +477,7 @@
 	for want > 0 && roomier.Len() > 0 {
 		slot := roomier.Pop()
 		z := r.zone(slot)
-		if j.Spec.Together && zone != "" && z != zone {
+		if j.Spec.SingleZone && zone != "" && z != zone {
 			continue
 		}
 		c := min(r.kinds[r.memory.kind[slot]].capacity.Count(need, want), zoneRoom(j, z)-taken[z])
--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -103,10 +103,10 @@
 }
 
 // items lists the records under a prefix as the state service would.
-func (c contents) items(prefix string) []wire.Item {
-	var rows []wire.Item
+func (c contents) items(prefix string) []wire.KeyValue {
+	var rows []wire.KeyValue
 	c.tree.Root().WalkPrefix([]byte(prefix), func(_ []byte, entry *Entry) bool {
-		rows = append(rows, wire.Item{Key: entry.Key, Value: entry.Value, Stamp: entry.Stamp})
+		rows = append(rows, wire.KeyValue{Key: entry.Key, Value: entry.Value, ModRevision: entry.Stamp})
 		return false
 	})
 	return rows
--- a/internal/standby/positions.go
+++ b/internal/standby/positions.go
@@ -77,9 +77,9 @@
 }
 
 // recordKeys lists the keys of followed records that a commit changes.
-func recordKeys(tx wire.Commit) []string {
+func recordKeys(tx wire.Transaction) []string {
 	var keys []string
-	for _, change := range tx.Apply {
+	for _, change := range tx.Changes {
 		if key := change.Set + change.Drop; isRecord(key) {
 			keys = append(keys, key)
 		}
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -15,7 +15,7 @@
 // Proven is a copy that agrees with the state service: its records are those that a
 // listing begun after the election would show.
 type Proven struct {
-	Pieces, Returns, Images []wire.Item
+	Pieces, Returns, Images []wire.KeyValue
 	// Hints are the views of the leader before: nothing is proven about them.
 	Machines []MachineView
 	Jobs     []JobView
@@ -90,9 +90,9 @@
 }
 
 // changesSince reads what has changed of the followed records, all prefixes at once.
-func changesSince(ctx context.Context, r ledger.Reader, position uint64) ([]wire.News, error) {
+func changesSince(ctx context.Context, r ledger.Reader, position uint64) ([]wire.WatchEvent, error) {
 	var wg sync.WaitGroup
-	changes := make([]wire.Changes, len(recordPrefixes))
+	changes := make([]wire.WatchResponse, len(recordPrefixes))
 	errs := make([]error, len(recordPrefixes))
 	for i, prefix := range recordPrefixes {
 		wg.Add(1)
@@ -102,18 +102,18 @@
 		}()
 	}
 	wg.Wait()
-	var news []wire.News
+	var news []wire.WatchEvent
 	for i := range changes {
-		news = append(news, changes[i].News...)
+		news = append(news, changes[i].Events...)
 	}
 	return news, errors.Join(errs...)
 }
 
 // prove takes changes into a copy and lists what it then holds.
-func prove(h *held, news []wire.News) (*Proven, error) {
+func prove(h *held, news []wire.WatchEvent) (*Proven, error) {
 	edit := h.edit()
 	for _, n := range news {
-		edit.take(&Entry{Key: n.Set + n.Drop, Value: n.Value, Stamp: n.Stamp, Dropped: n.Drop != ""})
+		edit.take(&Entry{Key: n.Set + n.Drop, Value: n.Value, Stamp: n.ModRevision, Dropped: n.Drop != ""})
 	}
 	now := edit.contents()
 	p := &Proven{Pieces: now.items(ledger.PiecePrefix), Returns: now.items(ledger.ReturnsPrefix), Images: now.items(ledger.ImagesPrefix),
--- a/internal/standby/source.go
+++ b/internal/standby/source.go
@@ -76,13 +76,13 @@
 }
 
 // Seed takes the records that a term began with: all that were committed before it did.
-func (s *Source) Seed(views Views, lists ...[]wire.Item) {
+func (s *Source) Seed(views Views, lists ...[]wire.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	edit := s.contents.edit()
 	for _, rows := range lists {
 		for _, row := range rows {
-			entry := &Entry{Key: row.Key, Value: row.Value, Stamp: row.Stamp}
+			entry := &Entry{Key: row.Key, Value: row.Value, Stamp: row.ModRevision}
 			if isRecord(entry.Key) {
 				edit.take(entry)
 			}
@@ -252,8 +252,8 @@
 // Store is what a controller needs of the state service.
 type Store interface {
 	ledger.Reader
-	Get(ctx context.Context, key string) (wire.Item, bool, error)
-	Commit(ctx context.Context, tx wire.Commit) (uint64, error)
+	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
+	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 }
 
 // Recorder is a Store that tells a Source of every commit.
@@ -266,7 +266,7 @@
 func NewRecorder(s Store, source *Source) *Recorder { return &Recorder{s, source} }
 
 // Get reads a key. What it shows is at least as new as what the source holds.
-func (r *Recorder) Get(ctx context.Context, key string) (wire.Item, bool, error) {
+func (r *Recorder) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
 	item, found, err := r.Store.Get(ctx, key)
 	if err == nil && isRecord(key) {
 		r.source.read(key, item, found)
@@ -274,8 +274,8 @@
 	return item, found, err
 }
 
-// Commit passes a commit on and takes its outcome into the source.
-func (r *Recorder) Commit(ctx context.Context, tx wire.Commit) (uint64, error) {
+// Transaction passes a commit on and takes its outcome into the source.
+func (r *Recorder) Commit(ctx context.Context, tx wire.Transaction) (uint64, error) {
 	keys := recordKeys(tx)
 	if len(keys) == 0 {
 		return r.Store.Commit(ctx, tx)
@@ -295,9 +295,9 @@
 
 // guardedKeys leaves out the keys of hints, which nothing rests on: a machine's images are
 // written without a guard of their own.
-func guardedKeys(tx wire.Commit, keys []string) []string {
+func guardedKeys(tx wire.Transaction, keys []string) []string {
 	guarded := map[string]bool{}
-	for _, guard := range tx.Guards {
+	for _, guard := range tx.Compares {
 		guarded[guard.Key] = true
 	}
 	var out []string
@@ -328,9 +328,9 @@
 }
 
 // committed takes a commit in that was carried out.
-func (s *Source) committed(id uint64, tx wire.Commit, keys []string, revision uint64) {
+func (s *Source) committed(id uint64, tx wire.Transaction, keys []string, revision uint64) {
 	var entries []*Entry
-	for _, c := range tx.Apply {
+	for _, c := range tx.Changes {
 		if key := c.Set + c.Drop; isRecord(key) {
 			entries = append(entries, &Entry{Key: key, Value: c.Value, Stamp: revision, Dropped: c.Drop != ""})
 		}
@@ -342,11 +342,11 @@
 }
 
 // read takes a record in as it was read.
-func (s *Source) read(key string, item wire.Item, found bool) {
+func (s *Source) read(key string, item wire.KeyValue, found bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if found {
-		s.take([]*Entry{{Key: key, Value: item.Value, Stamp: item.Stamp}})
+		s.take([]*Entry{{Key: key, Value: item.Value, Stamp: item.ModRevision}})
 	} else {
 		s.take([]*Entry{{Key: key, Dropped: true, Stamp: ^uint64(0)}})
 	}
