--- a/internal/standby/views.go
+++ b/internal/standby/views.go
@@ -119,7 +119,7 @@
 // Arrival is how often jobs of a class have come.
 type Arrival struct {
 	Class       string
-	Job         wire.Work // one of them
+	Job         wire.JobSpec // one of them
 	Count       float64
 	TasksSquare float64 // tasks of a job, squared, on the mean
 	AtMs        int64
--- a/internal/standin/loopback.go
+++ b/internal/standin/loopback.go
@@ -61,7 +61,7 @@
 }
 
 func (n *RemoteNode) client(path string, body []byte) *http.Client {
-	var report wire.Report
+	var report wire.Heartbeat
 	if path == "/checkin" && json.Unmarshal(body, &report) != nil {
 		report.Host = ""
 	}
--- a/internal/standin/occupancy.go
+++ b/internal/standin/occupancy.go
@@ -14,10 +14,10 @@
 }
 
 // put notes that a task of a job is on a machine.
-func (o *occupancy) put(task, host string, spec *wire.Work) {
+func (o *occupancy) put(task, host string, spec *wire.JobSpec) {
 	member(o.hosts, task)[host] = true
 	member(o.byJob, spec.UID)[task] = true
-	member(o.byTeam, spec.Crew)[spec.UID] = true
+	member(o.byTeam, spec.Team)[spec.UID] = true
 }
 
 // take notes that a task has left a machine.
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -83,7 +83,7 @@
 // none.
 func (c *Client) noteThrottled(body any) {
 	c.throttled.Add(1)
-	if tx, ok := body.(wire.Commit); ok && len(tx.Apply) > 0 {
+	if tx, ok := body.(wire.Transaction); ok && len(tx.Changes) > 0 {
 		return
 	}
 	now := time.Now()
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -3,11 +3,11 @@
 // Settings are the operators' own settings, as the administration API shows
 // and takes them. Stamp is their version: 0 until they are first changed.
 type Settings struct {
-	Stamp     uint64  `json:"Stamp"`
-	IntervalS float64 `json:"IntervalS"` // seconds from round to round
-	Window    int     `json:"Window"`    // most jobs that a round looks over
-	Spare     float64 `json:"Spare"`     // times the usual spare room; 0 keeps none
-	Profiling bool    `json:"Profiling"` // profiles are served at /admin/pprof
+	ModRevision uint64  `json:"Stamp"`
+	IntervalS   float64 `json:"IntervalS"` // seconds from round to round
+	Window      int     `json:"Window"`    // most jobs that a round looks over
+	Headroom    float64 `json:"Spare"`     // times the usual spare room; 0 keeps none
+	Profiling   bool    `json:"Profiling"` // profiles are served at /admin/pprof
 }
 
 // Status answers GET /admin/status.
@@ -41,16 +41,16 @@
 
 // LeadStatus is what only the leader knows.
 type LeadStatus struct {
-	Term     uint64                 `json:"Term"`
-	Loaded   bool                   `json:"Loaded"`
-	Window   int                    `json:"Window"`
-	Round    RoundStatus            `json:"Round"`
-	Machines map[string]int         `json:"Machines"`           // by state
-	Classes  map[string]ClassStatus `json:"Classes"`            // by class of jobs
-	CheckIns string                 `json:"CheckIns,omitempty"` // "direct", or "relayed" by followers; only where relays are switched on
-	Workers  map[string]int         `json:"Workers,omitempty"`  // by the controller that they report to
-	Suspects int                    `json:"Suspects"`           // jobs that fail on machine after machine: tried with one task at a time
-	Blamed   int                    `json:"Blamed"`             // machines that are passed over for tasks that failed on them
+	Term                uint64                 `json:"Term"`
+	Loaded              bool                   `json:"Loaded"`
+	Window              int                    `json:"Window"`
+	Round               RoundStatus            `json:"Round"`
+	Machines            map[string]int         `json:"Machines"`           // by state
+	Classes             map[string]ClassStatus `json:"Classes"`            // by class of jobs
+	HeartbeatRouting    string                 `json:"CheckIns,omitempty"` // "direct", or "relayed" by followers; only where relays are switched on
+	Workers             map[string]int         `json:"Workers,omitempty"`  // by the controller that they report to
+	SuspectJobs         int                    `json:"Suspects"`           // jobs that fail on machine after machine: tried with one task at a time
+	QuarantinedMachines int                    `json:"Blamed"`             // machines that are passed over for tasks that failed on them
 }
 
 // RoundStatus describes the last round.
