--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -111,7 +111,7 @@
 const firstController = 10
 
 func (c *cli) listen(i int) string { return fmt.Sprintf("127.0.0.1:%d", c.Port+firstController+i) }
-func (c *cli) mesh(i int) string {
+func (c *cli) peerAddr(i int) string {
 	return fmt.Sprintf("127.0.0.1:%d", c.Port+firstController+c.Controllers+i)
 }
 
@@ -120,14 +120,14 @@
 	var members strings.Builder
 	for j := range c.Controllers {
 		if j != i {
-			fmt.Fprintf(&members, "[[members]]\nlabel = \"node-%d\"\nlocation = %q\nendpoint = %q\n", j, c.zone(j), c.mesh(j))
+			fmt.Fprintf(&members, "[[members]]\nlabel = \"node-%d\"\nlocation = %q\nendpoint = %q\n", j, c.zone(j), c.peerAddr(j))
 		}
 	}
 	var teams strings.Builder
 	for j := range c.Teams {
 		fmt.Fprintf(&teams, "[[cluster.teams]]\nname = %q\n", c.team(j))
 	}
-	return fmt.Sprintf(settings, i, c.zone(i), c.listen(i), c.mesh(i), members.String(), c.Port, c.Port+1,
+	return fmt.Sprintf(settings, i, c.zone(i), c.listen(i), c.peerAddr(i), members.String(), c.Port, c.Port+1,
 		c.Controllers, `"`+strings.Join(c.zones(), `", "`)+`"`, teams.String(), c.ReportS, c.LeaseS, cancelLeases*c.LeaseS,
 		c.Rps, c.WriteRps, c.MemMb, c.Connections)
 }
--- a/cmd/lotusstile/main.go
+++ b/cmd/lotusstile/main.go
@@ -28,15 +28,15 @@
 }
 
 type serveCmd struct {
-	Config        string `required:"" type:"path" help:"Settings file (TOML)."`
-	RelayCheckIns bool   `help:"Let followers keep workers and relay their reports in batches, once the fleet is too large for the connections of one controller."`
-	WarmStandby   bool   `help:"Let the likely successor of the leader follow its state, so that it can decide sooner after the leader's end."`
+	Config          string `required:"" type:"path" help:"Settings file (TOML)."`
+	RelayHeartbeats bool   `name:"relay-check-ins" help:"Let followers keep workers and relay their reports in batches, once the fleet is too large for the connections of one controller."`
+	WarmStandby     bool   `help:"Let the likely successor of the leader follow its state, so that it can decide sooner after the leader's end."`
 }
 
 type checkCmd struct {
-	Config        string `required:"" type:"path" help:"Settings file (TOML)."`
-	Machines      int    `help:"Size of fleet that the settings are to carry: warn of what does not."`
-	RelayCheckIns bool   `help:"As for serve." default:"true" negatable:""`
+	Config          string `required:"" type:"path" help:"Settings file (TOML)."`
+	Machines        int    `help:"Size of fleet that the settings are to carry: warn of what does not."`
+	RelayHeartbeats bool   `name:"relay-check-ins" help:"As for serve." default:"true" negatable:""`
 }
 
 type versionCmd struct{}
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.RelayCheckIns, cfg.WarmStandby = s.RelayCheckIns, s.WarmStandby
+	cfg.RelayHeartbeats, cfg.WarmStandby = s.RelayHeartbeats, s.WarmStandby
 	checkDescriptors(cfg.Cluster.Limits.MaxConnections)
 	// The limit counts all that the process holds; half is left for what the
 	// runtime does not count and for bursts. Below that, memory is cheaper than
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.RelayCheckIns = c.RelayCheckIns
+	cfg.RelayHeartbeats = c.RelayHeartbeats
 	fmt.Printf("%s: settings of %s are valid\n", c.Config, cfg.Label)
 	if c.Machines < 0 {
 		return errors.New("--machines must not be negative")
--- a/internal/api/admin.go
+++ b/internal/api/admin.go
@@ -158,12 +158,14 @@
 	if err != nil {
 		return err
 	}
-	var version struct{ Stamp *uint64 }
-	if err := json.Unmarshal(body, &version); err != nil || version.Stamp == nil {
+	var version struct {
+		ModRevision *uint64 `json:"Stamp"`
+	}
+	if err := json.Unmarshal(body, &version); err != nil || version.ModRevision == nil {
 		return echo.NewHTTPError(http.StatusBadRequest, "the body must be a JSON object with the Stamp of the settings that it changes")
 	}
 	now := *n.settings.Load()
-	if now.ModRevision != *version.Stamp {
+	if now.ModRevision != *version.ModRevision {
 		return c.JSON(http.StatusConflict, now)
 	}
 	next := now
@@ -176,7 +178,7 @@
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
 	value := ledger.Encode(next)
-	stamp, err := n.store.Commit(c.Request().Context(), wire.Transaction{
+	modRevision, err := n.store.Commit(c.Request().Context(), wire.Transaction{
 		Compares: []wire.Compare{{Key: ledger.SettingsKey, ModRevision: now.ModRevision}},
 		Changes:  []wire.Change{{Set: ledger.SettingsKey, Value: value}},
 	})
@@ -187,6 +189,6 @@
 	case err != nil:
 		return retryLater(c, "cannot be recorded now")
 	}
-	n.takeSettings(wire.WatchEvent{Set: ledger.SettingsKey, Value: value, ModRevision: stamp})
+	n.takeSettings(wire.WatchEvent{Set: ledger.SettingsKey, Value: value, ModRevision: modRevision})
 	return c.JSON(http.StatusOK, n.settings.Load())
 }
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -14,8 +14,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// withdraw cancels a job, or says that it is done.
-func (n *Node) withdraw(c echo.Context) error {
+// cancel cancels a job, or says that it is done.
+func (n *Node) cancel(c echo.Context) error {
 	uid := c.Param("id")
 	if !wire.ValidUID(uid) {
 		return echo.NewHTTPError(http.StatusNotFound, "no such job")
@@ -52,14 +52,14 @@
 			continue
 		}
 		rec.Finish(wire.JobAborted, n.cfg.ValueBytes())
-		stamp, err := n.store.Commit(ctx, wire.Transaction{
+		modRevision, err := n.store.Commit(ctx, wire.Transaction{
 			Compares: []wire.Compare{{Key: item.Key, ModRevision: item.ModRevision}},
 			Changes:  []wire.Change{{Set: item.Key, Value: ledger.Encode(rec)}},
 		})
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
-			n.tellWithdrawn(peer.Cancellation{UID: uid, Record: rec, ModRevision: stamp})
+			n.notifyCancelled(peer.Cancellation{UID: uid, Record: rec, ModRevision: modRevision})
 		case errors.As(err, &conflict):
 		default:
 			slog.Info("withdrawal not recorded", "uid", uid, "err", err)
@@ -69,14 +69,14 @@
 	return retryLater(c, "cannot be decided now")
 }
 
-// tellWithdrawn spreads the word of a committed withdrawal, so that a leader that
+// notifyCancelled spreads the word of a committed withdrawal, so that a leader that
 // the state service refuses, or whose watch is late, stops the tasks at once. No
 // rule rests on it: a peer that it does not reach learns of the withdrawal by
 // reading, or stops renewing leases.
-func (n *Node) tellWithdrawn(a peer.Cancellation) {
+func (n *Node) notifyCancelled(a peer.Cancellation) {
 	n.Cancelled(a)
 	for _, p := range n.peers {
-		if _, ok := p.Last(n.cfg.HoldTTL()); !ok {
+		if _, ok := p.Last(n.cfg.LeaderLeaseTTL()); !ok {
 			continue
 		}
 		go func() {
--- a/internal/api/crowding.go
+++ b/internal/api/crowding.go
@@ -48,7 +48,7 @@
 	connections := float64(n.cfg.Cluster.Limits.MaxConnections)
 	return connlimit.Limits{Places: int(placesShare * connections), Reserve: int(reserveShare * connections),
 		// A worker that is well is idle for no longer than one interval.
-		MinIdle: 2 * n.cfg.ReportEvery(), Patience: n.cfg.ReportEvery()}
+		MinIdle: 2 * n.cfg.HeartbeatInterval(), Patience: n.cfg.HeartbeatInterval()}
 }
 
 // pressure is how short of connections this node is for a request.
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -87,8 +87,8 @@
 // turn, is cancelled, as of the last read of the jobs. It follows from records alone,
 // whether anyone has written it into the records of those that wait or not. A job that
 // is done cannot be cancelled any more, so nothing before it matters.
-func (n *Node) dependencyCancelled(ctx context.Context, awaits []string, seen map[string]bool) (bool, error) {
-	for _, uid := range awaits {
+func (n *Node) dependencyCancelled(ctx context.Context, dependencies []string, seen map[string]bool) (bool, error) {
+	for _, uid := range dependencies {
 		if seen[uid] {
 			continue
 		}
@@ -146,7 +146,7 @@
 	if method != http.MethodPost || path != submitPath || version >= clusterversion.Pipelines {
 		return true
 	}
-	return !wire.HasAwaits(body)
+	return !wire.HasDependencies(body)
 }
 
 // tooLong tells how much of a job's description can be stored.
--- a/internal/api/http.go
+++ b/internal/api/http.go
@@ -44,10 +44,10 @@
 			slog.Debug("answer not written", "err", err)
 		}
 	}
-	e.POST("/checkin", n.checkIn)
+	e.POST("/checkin", n.heartbeat)
 	e.POST(submitPath, n.user(n.submit))
 	e.GET("/work/:id", n.user(n.poll))
-	e.POST("/work/:id/withdraw", n.user(n.withdraw))
+	e.POST("/work/:id/withdraw", n.user(n.cancel))
 	e.GET("/ready", n.ready)
 	e.GET("/admin/status", n.adminStatus)
 	e.GET("/admin/metrics", n.adminMetrics)
@@ -65,10 +65,10 @@
 		ConnState:         limited.Track,
 		ConnContext:       limited.Context,
 		Handler:           n.inTurn(n.Handler()),
-		ReadHeaderTimeout: n.cfg.Lease() / 2,
-		ReadTimeout:       n.cfg.Lease() / 2,
-		WriteTimeout:      n.cfg.Lease(),
-		IdleTimeout:       3 * n.cfg.Lease(),
+		ReadHeaderTimeout: n.cfg.WorkerLease() / 2,
+		ReadTimeout:       n.cfg.WorkerLease() / 2,
+		WriteTimeout:      n.cfg.WorkerLease(),
+		IdleTimeout:       3 * n.cfg.WorkerLease(),
 		MaxHeaderBytes:    8 << 10,
 	}
 	err := srv.Serve(limited)
@@ -123,7 +123,7 @@
 	if !n.mirror.Synced() || n.cat.Load() == nil {
 		return retryLater(c, "still catching up")
 	}
-	if n.store.ProofAge() > n.cfg.HoldTTL()*3/2 && (n.elsewhere() || n.isolated()) {
+	if n.store.ProofAge() > n.cfg.LeaderLeaseTTL()*3/2 && (n.elsewhere() || n.isolated()) {
 		return retryLater(c, errElsewhere.Error())
 	}
 	return c.NoContent(http.StatusOK)
@@ -134,7 +134,7 @@
 // answer.
 func (n *Node) isolated() bool {
 	for _, p := range n.peers {
-		if _, ok := p.Last(n.cfg.HoldTTL() * 3 / 2); ok {
+		if _, ok := p.Last(n.cfg.LeaderLeaseTTL() * 3 / 2); ok {
 			return false
 		}
 	}
--- a/internal/api/node.go
+++ b/internal/api/node.go
@@ -56,15 +56,15 @@
 	reserve     *reserve
 	connections atomic.Pointer[connlimit.Listener] // of users, workers and operators; nil before it listens
 
-	mu       sync.Mutex
-	contacts map[string]contact   // by machine: how it was answered in the leader's place
-	kept     map[string]time.Time // by machine: when this node kept its lease
+	mu            sync.Mutex
+	contacts      map[string]contact   // by machine: how it was answered in the leader's place
+	renewedLeases map[string]time.Time // by machine: when this node kept its lease
 }
 
 // Network is how a node reaches others.
 type Network struct {
 	State, Cloud, Workers http.RoundTripper
-	Mesh                  peer.Dialer
+	DialPeer              peer.Dialer
 }
 
 // TCP is the network of a node that runs as a process of its own.
@@ -73,12 +73,12 @@
 		return &http.Transport{DialContext: (&net.Dialer{Timeout: dial}).DialContext, MaxConnsPerHost: conns,
 			MaxIdleConnsPerHost: idle, IdleConnTimeout: idleFor, DisableCompression: true}
 	}
-	lease, every := cfg.Lease(), cfg.ReportEvery()
+	lease, every := cfg.WorkerLease(), cfg.HeartbeatInterval()
 	return Network{
 		State:   transport(lease/5, 24, 8, 3*lease),
 		Cloud:   transport(lease/5, 6, 3, 3*lease),
 		Workers: transport(every/2, 1, 1, every),
-		Mesh: func(addr string, timeout time.Duration) (net.Conn, error) {
+		DialPeer: func(addr string, timeout time.Duration) (net.Conn, error) {
 			return net.DialTimeout("tcp", addr, timeout)
 		},
 	}
@@ -86,18 +86,18 @@
 
 // New makes a node.
 func New(cfg *config.Config, nw Network) *Node {
-	timeout := cfg.Lease() / 5
+	timeout := cfg.WorkerLease() / 5
 	st := cfg.StateLimits()
 	n := &Node{
-		cfg:      cfg,
-		store:    store.New(cfg.Services.State, store.Limits{Rps: st.Rps, WriteRps: st.WriteRps, Nodes: len(cfg.Members) + 1}, timeout, nw.State),
-		cloud:    cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, timeout, nw.Cloud),
-		mirror:   ledger.NewMirror(),
-		peers:    peer.Peers(cfg, cfg.HoldTTL()/4, nw.Mesh),
-		contacts: map[string]contact{},
-		kept:     map[string]time.Time{},
-		version:  clusterversion.NewTracker(),
-		workers:  &http.Client{Timeout: cfg.ReportEvery(), Transport: nw.Workers},
+		cfg:           cfg,
+		store:         store.New(cfg.Services.State, store.Limits{Rps: st.Rps, WriteRps: st.WriteRps, Nodes: len(cfg.Members) + 1}, timeout, nw.State),
+		cloud:         cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, timeout, nw.Cloud),
+		mirror:        ledger.NewMirror(),
+		peers:         peer.Peers(cfg, cfg.LeaderLeaseTTL()/4, nw.DialPeer),
+		contacts:      map[string]contact{},
+		renewedLeases: map[string]time.Time{},
+		version:       clusterversion.NewTracker(),
+		workers:       &http.Client{Timeout: cfg.HeartbeatInterval(), Transport: nw.Workers},
 	}
 	n.refresher = ledger.NewRefresher(n.mirror, n.store, n.store.SharedReads(), timeout)
 	n.finals = newFinals(cfg.Cluster.Limits.MemMb)
@@ -107,18 +107,18 @@
 	n.newRelays()
 	n.newStandby()
 	n.reserve = newReserve(cfg.Cluster.Limits.MaxConnections)
-	n.load.limit, n.load.most = cfg.ReportEvery()/2, int64(cfg.Cluster.Limits.MaxConnections/8)
+	n.load.limit, n.load.most = cfg.HeartbeatInterval()/2, int64(cfg.Cluster.Limits.MaxConnections/8)
 	n.echo = n.routes()
-	n.elector = election.New(n.store, cfg.Label, cfg.HoldTTL(), n.leadTerm)
+	n.elector = election.New(n.store, cfg.Label, cfg.LeaderLeaseTTL(), n.leadTerm)
 	n.elector.Align(cfg.Grid())
-	n.elector.Prefer(n.campaignHandicap, n.better)
+	n.elector.Prefer(n.campaignDelay, n.better)
 	n.elector.DeferTo(n.otherStandsBy)
 	return n
 }
 
 // Run listens and serves until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
-	mesh, err := net.Listen("tcp", n.cfg.MeshAddr)
+	peerListener, err := net.Listen("tcp", n.cfg.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("listen on mesh_addr: %w", err)
 	}
@@ -134,30 +134,30 @@
 		return err
 	}
 	errs := make(chan error, 2)
-	go func() { errs <- peer.Serve(mesh, srv) }()
+	go func() { errs <- peer.Serve(peerListener, srv) }()
 	go func() { errs <- n.serve(users) }()
 	n.Start(ctx)
-	slog.Info("serving", "label", n.cfg.Label, "listen", n.cfg.Listen, "mesh", n.cfg.MeshAddr)
+	slog.Info("serving", "label", n.cfg.Label, "listen", n.cfg.Listen, "mesh", n.cfg.PeerAddr)
 	select {
 	case <-ctx.Done():
 	case err = <-errs:
 	}
-	mesh.Close()
+	peerListener.Close()
 	users.Close()
 	return err
 }
 
 // Start begins all that a node does beside answering. It ends with ctx.
 func (n *Node) Start(ctx context.Context) {
-	hold, pause := n.cfg.Lease(), n.cfg.HoldTTL()/8
-	go n.mirror.Run(ctx, n.store, hold, pause)
-	go ledger.Follow(ctx, n.store, ledger.SettingsPrefix, 3*hold, pause, ledger.Funcs{Listed: n.takeOption, Changed: n.takeOption})
+	watchFor, pause := n.cfg.WorkerLease(), n.cfg.LeaderLeaseTTL()/8
+	go n.mirror.Run(ctx, n.store, watchFor, pause)
+	go ledger.Follow(ctx, n.store, ledger.SettingsPrefix, 3*watchFor, pause, ledger.Funcs{Listed: n.takeOption, Changed: n.takeOption})
 	go n.elector.Run(ctx)
-	go n.version.Announce(ctx, n.store, n.cfg.Label, 2*n.cfg.HoldTTL())
+	go n.version.Announce(ctx, n.store, n.cfg.Label, 2*n.cfg.LeaderLeaseTTL())
 	go n.readCatalog(ctx)
-	go n.heartbeat(ctx)
-	go n.load.watch(ctx, n.cfg.Grid(), n.cfg.HoldTTL()/8)
-	go n.publishKept(ctx)
+	go n.keepCacheFresh(ctx)
+	go n.load.watch(ctx, n.cfg.Grid(), n.cfg.LeaderLeaseTTL()/8)
+	go n.publishRenewedLeases(ctx)
 	go n.relays.sender.Run(ctx)
 	go n.followLeader(ctx)
 	for _, p := range n.peers {
@@ -176,9 +176,9 @@
 	defer cancel()
 	deps := controller.Deps{Config: n.cfg, Store: n.store, Cloud: n.cloud, Worker: n, Mirror: n.mirror,
 		Settings: func() wire.Settings { return *n.settings.Load() }, Rounded: n.rounded,
-		Version: n.version,
-		Saw:     func(t uint64) { n.elector.Saw(t, "") }, Heard: n.heard, Reached: n.reached, RelayReached: n.relayReached,
-		Vacant: n.elector.VacantSince(), Final: n.finals.put}
+		Version:     n.version,
+		ObserveTerm: func(t uint64) { n.elector.ObserveTerm(t, "") }, RenewedByPeers: n.renewedByPeers, Reached: n.reached, RelayReached: n.relayReached,
+		LeaderlessSince: n.elector.LeaderlessSince(), Final: n.finals.put}
 	n.beginStandby(&deps, term)
 	defer n.endStandby()
 	c := controller.New(deps, term)
@@ -190,9 +190,9 @@
 }
 
 // takeOption takes a record of what holds for all nodes.
-func (n *Node) takeOption(news wire.WatchEvent) {
-	n.version.Take(news)
-	n.takeSettings(news)
+func (n *Node) takeOption(event wire.WatchEvent) {
+	n.version.Take(event)
+	n.takeSettings(event)
 }
 
 // takeSettings takes the operators' own settings from the state service.
@@ -216,7 +216,7 @@
 
 // readCatalog learns the machine types, which submissions are checked against.
 func (n *Node) readCatalog(ctx context.Context) {
-	pause := n.cfg.HoldTTL() / 4
+	pause := n.cfg.LeaderLeaseTTL() / 4
 	for ctx.Err() == nil {
 		cat, err := n.cloud.Catalog(ctx)
 		if err == nil && len(cat.MachineTypes) > 0 {
@@ -225,7 +225,7 @@
 		}
 		slog.Warn("no catalog yet", "err", err)
 		time.Sleep(pause)
-		pause = min(2*pause, n.cfg.Lease())
+		pause = min(2*pause, n.cfg.WorkerLease())
 	}
 }
 
@@ -245,21 +245,21 @@
 					n.finals.put(view.UID, view.Status)
 				}
 			}
-			n.elector.Saw(r.Term, p.Label)
+			n.elector.ObserveTerm(r.Term, p.Label)
 		}
 		n.raiseVersion(ctx)
-		time.Sleep(n.cfg.Grid().Next(time.Now(), n.cfg.HoldTTL()/4))
+		time.Sleep(n.cfg.Grid().Next(time.Now(), n.cfg.LeaderLeaseTTL()/4))
 	}
 }
 
 // Ping answers a peer.
 func (n *Node) Ping(a peer.PingArgs) peer.PingResult {
-	r := peer.PingResult{Term: n.elector.View().Term, Serving: n.serving(), RenewedHosts: n.keptLately(), Version: int(clusterversion.Latest),
-		CanRelay: n.cfg.RelayCheckIns, CanFollow: n.cfg.WarmStandby}
+	r := peer.PingResult{Term: n.elector.View().Term, Serving: n.serving(), RenewedHosts: n.renewedHosts(), Version: int(clusterversion.Latest),
+		CanRelay: n.cfg.RelayHeartbeats, CanFollow: n.cfg.WarmStandby}
 	if c := n.lead.Load(); c != nil {
 		r.Leading, r.Term, r.WantsRelays, r.Standby = true, c.Term(), n.relayMode(), n.chooseStandby()
 		if a.Term > c.Term() {
-			n.elector.Saw(a.Term, "")
+			n.elector.ObserveTerm(a.Term, "")
 		}
 		since := a.CountsRevision
 		if a.CountsTerm != c.Term() {
@@ -287,7 +287,7 @@
 		if p.Label != v.Leader {
 			continue
 		}
-		if r, ok := p.Last(n.cfg.HoldTTL() * 3 / 4); ok && r.Leading && r.Term >= v.Term {
+		if r, ok := p.Last(n.cfg.LeaderLeaseTTL() * 3 / 4); ok && r.Leading && r.Term >= v.Term {
 			return p
 		}
 	}
@@ -296,15 +296,15 @@
 
 // serving reports whether this node has read the state service lately. The
 // heartbeat reads it often enough that an idle node is not taken for cut off.
-func (n *Node) serving() bool { return n.store.ProofAge() < n.cfg.HoldTTL()/2 }
+func (n *Node) serving() bool { return n.store.ProofAge() < n.cfg.LeaderLeaseTTL()/2 }
 
-// heartbeat brings the mirror of jobs up to date past its watch: an idle node is
+// keepCacheFresh brings the mirror of jobs up to date past its watch: an idle node is
 // then not taken for cut off, and what it knows of withdrawals is never older
 // than a tenth of a lease while it reaches the state service.
-func (n *Node) heartbeat(ctx context.Context) {
-	every := n.cfg.HoldTTL() / 8
+func (n *Node) keepCacheFresh(ctx context.Context) {
+	every := n.cfg.LeaderLeaseTTL() / 8
 	for ctx.Err() == nil {
-		if n.store.ProofAge() > every || time.Since(n.mirror.Fresh()) > n.cfg.Lease()/10 {
+		if n.store.ProofAge() > every || time.Since(n.mirror.Fresh()) > n.cfg.WorkerLease()/10 {
 			rctx, cancel := context.WithTimeout(store.Urgent(ctx), 2*every)
 			if err := n.mirror.Refresh(rctx, n.store); err != nil {
 				slog.Debug("state service not reached", "err", err)
--- a/internal/api/placement.go
+++ b/internal/api/placement.go
@@ -27,20 +27,20 @@
 	return false
 }
 
-// handicap says how badly a node is placed to lead now: 0 for the best.
-func (n *Node) handicap(label string, lost func(label string) bool) int {
-	return n.cfg.Handicap(label) + n.cfg.LostSuccessors(label, lost)
+// delay says how badly a node is placed to lead now: 0 for the best.
+func (n *Node) delay(label string, lost func(label string) bool) int {
+	return n.cfg.CampaignDelay(label) + n.cfg.LostSuccessors(label, lost)
 }
 
-// campaignHandicap is this node's handicap when nobody leads.
-func (n *Node) campaignHandicap() int {
-	return n.handicap(n.cfg.Label, func(label string) bool { return n.lostFor(label, n.cfg.HoldTTL()) })
+// campaignDelay is this node's handicap when nobody leads.
+func (n *Node) campaignDelay() int {
+	return n.delay(n.cfg.Label, func(label string) bool { return n.lostFor(label, n.cfg.LeaderLeaseTTL()) })
 }
 
-// successorHandicap is a node's handicap once this one, which leads, is lost.
-func (n *Node) successorHandicap(label string) int {
-	return n.handicap(label, func(other string) bool {
-		return other == n.cfg.Label || n.lostFor(other, n.cfg.HoldTTL())
+// successorDelay is a node's handicap once this one, which leads, is lost.
+func (n *Node) successorDelay(label string) int {
+	return n.delay(label, func(other string) bool {
+		return other == n.cfg.Label || n.lostFor(other, n.cfg.LeaderLeaseTTL())
 	})
 }
 
@@ -49,13 +49,13 @@
 // do not, and only while all workers report to the leader.
 func (n *Node) better() bool {
 	c := n.lead.Load()
-	enough := handoverLeases * n.cfg.Lease()
+	enough := handoverLeases * n.cfg.WorkerLease()
 	if c == nil || time.Since(c.Begun()) < enough {
 		return false
 	}
-	lost := func(label string) bool { return !n.relayMode() && n.lostFor(label, n.cfg.Lease()) }
-	own := n.handicap(n.cfg.Label, lost)
+	lost := func(label string) bool { return !n.relayMode() && n.lostFor(label, n.cfg.WorkerLease()) }
+	own := n.delay(n.cfg.Label, lost)
 	return slices.ContainsFunc(n.peers, func(p *peer.Peer) bool {
-		return p.Well() > enough && n.handicap(p.Label, lost) < own
+		return p.Well() > enough && n.delay(p.Label, lost) < own
 	})
 }
--- a/internal/api/relay.go
+++ b/internal/api/relay.go
@@ -19,16 +19,16 @@
 // relays is a node's part in relaying reports: the sender while it follows, router and
 // receiver while it leads.
 type relays struct {
-	sender   *relay.Sender
-	router   atomic.Pointer[relay.Router]
-	receiver atomic.Pointer[relay.Receiver]
-	heard    atomic.Int32 // the mode that a leader told last
+	sender     *relay.Sender
+	router     atomic.Pointer[relay.Router]
+	receiver   atomic.Pointer[relay.Receiver]
+	leaderMode atomic.Int32 // the mode that a leader told last
 }
 
 // newRelays makes the parts that a node needs in any term.
 func (n *Node) newRelays() {
-	every := n.cfg.ReportEvery()
-	callTimeout := n.cfg.HoldTTL() / 4
+	every := n.cfg.HeartbeatInterval()
+	callTimeout := n.cfg.LeaderLeaseTTL() / 4
 	n.relays.sender = relay.NewSender(relay.SenderConfig{
 		Label: n.cfg.Label, Exchange: n.exchangeReports, Grid: n.cfg.Grid(), Period: every / batchesPerReport,
 		Patience: min(every/2+3*every/batchesPerReport+callTimeout, relay.WorkerPatience*7/8),
@@ -48,7 +48,7 @@
 
 // beginRelays makes this node's router and receiver of a term.
 func (n *Node) beginRelays(ctx context.Context, term uint64) {
-	if !n.cfg.RelayCheckIns {
+	if !n.cfg.RelayHeartbeats {
 		return
 	}
 	zones := map[string]string{n.cfg.Label: n.cfg.Location}
@@ -58,7 +58,7 @@
 		members = append(members, p.Label)
 	}
 	n.relays.router.Store(relay.NewRouter(relay.RouterConfig{Self: n.cfg.Label, Zones: zones, Connections: n.cfg.Cluster.Limits.MaxConnections,
-		ReportEvery: n.cfg.ReportEvery(), Lease: n.cfg.Lease()}, relay.Mode(n.relays.heard.Load())))
+		ReportEvery: n.cfg.HeartbeatInterval(), Lease: n.cfg.WorkerLease()}, relay.Mode(n.relays.leaderMode.Load())))
 	n.relays.receiver.Store(relay.NewReceiver(ctx, term, members, n.answerRelayed))
 	go n.watchFleetSize(ctx)
 }
@@ -72,7 +72,7 @@
 // watchFleetSize tells the router how many machines there are, and lets the receiver
 // forget those that are gone, until the term ends.
 func (n *Node) watchFleetSize(ctx context.Context) {
-	for forgotten := time.Now(); ctx.Err() == nil; time.Sleep(n.cfg.Grid().Next(time.Now(), n.cfg.HoldTTL()/4)) {
+	for forgotten := time.Now(); ctx.Err() == nil; time.Sleep(n.cfg.Grid().Next(time.Now(), n.cfg.LeaderLeaseTTL()/4)) {
 		c, router, receiver := n.lead.Load(), n.relays.router.Load(), n.relays.receiver.Load()
 		if c == nil || router == nil || receiver == nil {
 			continue
@@ -82,7 +82,7 @@
 			continue
 		}
 		router.Resize(machines)
-		if time.Since(forgotten) > n.cfg.Lease() {
+		if time.Since(forgotten) > n.cfg.WorkerLease() {
 			forgotten = time.Now()
 			receiver.Forget(c.HasMachine)
 		}
@@ -120,16 +120,16 @@
 // leader's answer to it: with neither, the leader cannot answer now. If it is not reached,
 // its place is taken.
 func (n *Node) relayReport(ctx context.Context, leader *peer.Peer, r *wire.Heartbeat, body []byte, pressure relay.Pressure) (*wire.Commands, *wire.Redirect) {
-	last, ok := leader.Last(n.cfg.HoldTTL())
+	last, ok := leader.Last(n.cfg.LeaderLeaseTTL())
 	if !ok {
-		return n.keepLease(r)
+		return n.renewForLeader(r)
 	}
 	a, err := n.relays.sender.Report(ctx, relay.Leader{Label: leader.Label, Term: last.Term}, r, body, pressure)
 	switch {
 	case errors.Is(err, relay.ErrSuperseded):
 		return nil, nil // nobody waits for an answer to this one any more
 	case err != nil:
-		return n.keepLease(r)
+		return n.renewForLeader(r)
 	case a.Status == http.StatusOK:
 		return &a.Response, nil
 	case a.Status == http.StatusMisdirectedRequest:
@@ -140,8 +140,8 @@
 
 // relaying reports whether a leader wants its followers to keep workers.
 func (n *Node) relaying(leader *peer.Peer) bool {
-	last, ok := leader.Last(n.cfg.HoldTTL())
-	return ok && last.WantsRelays && n.cfg.RelayCheckIns
+	last, ok := leader.Last(n.cfg.LeaderLeaseTTL())
+	return ok && last.WantsRelays && n.cfg.RelayHeartbeats
 }
 
 // route returns where a worker that reports at a controller has to go instead, or "".
@@ -163,7 +163,7 @@
 		if reply.WantsRelays {
 			mode = relay.Relayed
 		}
-		n.relays.heard.Store(int32(mode))
+		n.relays.leaderMode.Store(int32(mode))
 	}
 }
 
@@ -177,7 +177,7 @@
 func (n *Node) relayReached(label string) bool {
 	for _, p := range n.peers {
 		if p.Label == label {
-			_, ok := p.Last(n.cfg.HoldTTL())
+			_, ok := p.Last(n.cfg.LeaderLeaseTTL())
 			return ok
 		}
 	}
--- a/internal/api/reports.go
+++ b/internal/api/reports.go
@@ -22,9 +22,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// checkIn answers a worker: the leader itself, or a follower that sends the
+// heartbeat answers a worker: the leader itself, or a follower that sends the
 // worker to the leader, relays its report, or keeps its lease.
-func (n *Node) checkIn(c echo.Context) error {
+func (n *Node) heartbeat(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
 		return err
@@ -136,16 +136,16 @@
 		}
 	}
 	// Both are learned at once: a withdrawal that came between would be lost.
-	withdrawn, fresh := n.mirror.Withdrawn(uids)
+	cancelled, fresh := n.mirror.Cancelled(uids)
 	if n.tooOld(fresh) {
 		return false
 	}
-	if len(withdrawn) == 0 {
+	if len(cancelled) == 0 {
 		return true
 	}
 	gone := func(task string) bool {
 		uid, _, _ := wire.SplitTaskName(task)
-		return withdrawn[uid]
+		return cancelled[uid]
 	}
 	stops := map[wire.Command]bool{}
 	for _, l := range r.Tasks {
@@ -187,7 +187,7 @@
 			slog.Error("relayed answer cannot be read", "peer", p.Label, "err", err)
 		}
 	}
-	return n.keepLease(r)
+	return n.renewForLeader(r)
 }
 
 // leaderOrders is the leader's own answer to a report.
@@ -202,8 +202,8 @@
 			return nil, &wire.Redirect{Leader: to}
 		}
 	}
-	opts := controller.CheckInOptions{Relayed: single, Via: from.relay, MayWait: !single && from.pressure == relay.Relaxed && !n.load.behind.Load()}
-	if o, ok := c.CheckIn(ctx, r, opts); ok {
+	opts := controller.HeartbeatOptions{Relayed: single, Via: from.relay, MayWait: !single && from.pressure == relay.Relaxed && !n.load.behind.Load()}
+	if o, ok := c.Heartbeat(ctx, r, opts); ok {
 		return &o, nil
 	}
 	return nil, &wire.Redirect{}
@@ -223,7 +223,7 @@
 func (n *Node) relaysSingly(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	now, lease := time.Now(), n.cfg.Lease()
+	now, lease := time.Now(), n.cfg.WorkerLease()
 	c := n.contacts[host]
 	switch {
 	case now.Before(c.until):
@@ -239,71 +239,71 @@
 	return c.redirected != now
 }
 
-// keepLease answers for a leader that this node cannot reach: the lease goes
+// renewForLeader answers for a leader that this node cannot reach: the lease goes
 // on and nothing is launched. A worker that has seen a newer token than the state
 // service or a leader has told this node has been reached by that token's leader,
 // past this node: it is sent to look for it. The others keep the token that this node
 // knows. A deposed leader that had lost the state service and its peers gave all its
 // workers the new token as soon as the first of them had heard it, and so kept a whole
 // fleet from the new leader, which took it for lost.
-func (n *Node) keepLease(r *wire.Heartbeat) (*wire.Commands, *wire.Redirect) {
+func (n *Node) renewForLeader(r *wire.Heartbeat) (*wire.Commands, *wire.Redirect) {
 	v := n.elector.View()
 	if !v.Synced || v.Known == 0 {
 		return nil, nil
 	}
 	if r.FencingToken > v.Known {
-		n.elector.Saw(r.FencingToken, "")
+		n.elector.ObserveTerm(r.FencingToken, "")
 		return nil, &wire.Redirect{}
 	}
 	n.mu.Lock()
-	if _, ok := n.kept[r.Host]; !ok {
+	if _, ok := n.renewedLeases[r.Host]; !ok {
 		slog.Info("keeping a lease in the leader's place", "host", r.Host, "term", v.Known)
 	}
-	n.kept[r.Host] = time.Now()
+	n.renewedLeases[r.Host] = time.Now()
 	n.mu.Unlock()
 	return &wire.Commands{FencingToken: v.Known, Commands: []wire.Command{}}, nil
 }
 
-// publishKept writes which machines this node answers while it cannot reach
+// publishRenewedLeases writes which machines this node answers while it cannot reach
 // the leader, where the leader can read it.
-func (n *Node) publishKept(ctx context.Context) {
+func (n *Node) publishRenewedLeases(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(n.cfg.Lease() / 5)
-		ids := n.keptLately()
+		time.Sleep(n.cfg.WorkerLease() / 5)
+		ids := n.renewedHosts()
 		if len(ids) == 0 || n.lead.Load() != nil || n.leader() != nil || !n.serving() {
 			continue
 		}
 		for i := 0; len(ids) > 0; i++ {
 			part := ledger.FitNames(ids, n.cfg.ValueBytes())
 			ids = ids[len(part):]
-			key := fmt.Sprintf("%s%s/%d", ledger.KeptPrefix, n.cfg.Label, i)
-			if _, err := n.store.Commit(store.User(ctx, 0), wire.Transaction{Changes: []wire.Change{{Set: key, Value: ledger.Encode(ledger.Kept{Hosts: part})}}}); err != nil {
+			key := fmt.Sprintf("%s%s/%d", ledger.RenewedLeasesPrefix, n.cfg.Label, i)
+			if _, err := n.store.Commit(store.User(ctx, 0), wire.Transaction{Changes: []wire.Change{{Set: key, Value: ledger.Encode(ledger.RenewedLeases{Hosts: part})}}}); err != nil {
 				slog.Debug("kept machines not published", "err", err)
 			}
 		}
 	}
 }
 
-func (n *Node) keptLately() []string {
+func (n *Node) renewedHosts() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var ids []string
 	now := time.Now()
-	for id, at := range n.kept {
-		if now.Sub(at) < n.cfg.HoldTTL() {
+	for id, at := range n.renewedLeases {
+		if now.Sub(at) < n.cfg.LeaderLeaseTTL() {
 			ids = append(ids, id)
 		} else {
-			delete(n.kept, id)
+			delete(n.renewedLeases, id)
 		}
 	}
 	return ids
 }
 
-// heard is which machines peers answer in the leader's place.
-func (n *Node) heard() []string {
+// renewedByPeers is which machines peers answer in the leader's place.
+func (n *Node) renewedByPeers() []string {
 	var ids []string
 	for _, p := range n.peers {
-		if r, ok := p.Last(n.cfg.HoldTTL()); ok {
+		if r, ok := p.Last(n.cfg.LeaderLeaseTTL()); ok {
 			ids = append(ids, r.RenewedHosts...)
 		}
 	}
@@ -314,7 +314,7 @@
 func (n *Node) reached() []string {
 	zones := []string{n.cfg.Location}
 	for _, p := range n.peers {
-		if _, ok := p.Last(n.cfg.HoldTTL()); ok {
+		if _, ok := p.Last(n.cfg.LeaderLeaseTTL()); ok {
 			zones = append(zones, p.Location)
 		}
 	}
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -38,7 +38,7 @@
 	if !n.cfg.WarmStandby {
 		return
 	}
-	n.standby.follower = standby.NewFollower(standby.FollowerConfig{Label: n.cfg.Label, Fetch: n.fetchState, BehindAfter: n.cfg.HoldTTL()})
+	n.standby.follower = standby.NewFollower(standby.FollowerConfig{Label: n.cfg.Label, Fetch: n.fetchState, BehindAfter: n.cfg.LeaderLeaseTTL()})
 	for _, name := range standby.StateNames() {
 		n.meters.NewGauge(fmt.Sprintf(`lotusstile_standby_state{state=%q}`, name), func() float64 {
 			if n.standby.follower.Status().State.String() == name {
@@ -85,7 +85,7 @@
 	for _, p := range n.peers {
 		members = append(members, p.Label)
 	}
-	source := standby.NewSource(term, members, 2*n.cfg.HoldTTL())
+	source := standby.NewSource(term, members, 2*n.cfg.LeaderLeaseTTL())
 	deps.Source, deps.Store = source, standby.NewRecorder(n.store, source)
 	deps.Prove = func(ctx context.Context, term uint64) (*standby.Proven, error) {
 		return n.standby.follower.Prove(ctx, n.store, term)
@@ -125,7 +125,7 @@
 	}
 	var fit []string
 	for _, p := range n.peers {
-		if last, ok := p.Last(n.cfg.HoldTTL()); ok && last.Serving && last.CanFollow {
+		if last, ok := p.Last(n.cfg.LeaderLeaseTTL()); ok && last.Serving && last.CanFollow {
 			fit = append(fit, p.Label)
 		}
 	}
@@ -134,10 +134,10 @@
 	best := ""
 	if len(fit) > 0 {
 		best = slices.MinFunc(fit, func(a, b string) int {
-			return cmp.Or(cmp.Compare(n.successorHandicap(a), n.successorHandicap(b)), strings.Compare(a, b))
+			return cmp.Or(cmp.Compare(n.successorDelay(a), n.successorDelay(b)), strings.Compare(a, b))
 		})
 	}
-	if !slices.Contains(fit, n.standby.chosen) || n.successorHandicap(best) < n.successorHandicap(n.standby.chosen) {
+	if !slices.Contains(fit, n.standby.chosen) || n.successorDelay(best) < n.successorDelay(n.standby.chosen) {
 		if n.standby.chosen != best {
 			slog.Info("standby chosen", "from", n.standby.chosen, "to", best)
 		}
@@ -152,7 +152,7 @@
 		return
 	}
 	for ctx.Err() == nil {
-		time.Sleep(n.cfg.Grid().Next(time.Now(), n.cfg.HoldTTL()/4))
+		time.Sleep(n.cfg.Grid().Next(time.Now(), n.cfg.LeaderLeaseTTL()/4))
 		if n.lead.Load() != nil {
 			continue
 		}
@@ -164,7 +164,7 @@
 		n.standby.mu.Unlock()
 		switch {
 		case leader == "":
-			n.standby.follower.NotHeard()
+			n.standby.follower.LeaderNotReached()
 		case told == n.cfg.Label:
 			n.standby.follower.Pull(leader, term)
 		case told != "":
@@ -179,7 +179,7 @@
 	if p == nil {
 		return "", 0, ""
 	}
-	last, ok := p.Last(n.cfg.HoldTTL())
+	last, ok := p.Last(n.cfg.LeaderLeaseTTL())
 	if !ok || !last.Leading {
 		return "", 0, ""
 	}
@@ -196,7 +196,7 @@
 	told := n.standby.told
 	n.standby.mu.Unlock()
 	return slices.ContainsFunc(n.peers, func(p *peer.Peer) bool {
-		last, ok := p.Last(n.cfg.HoldTTL())
+		last, ok := p.Last(n.cfg.LeaderLeaseTTL())
 		return ok && p.Label == told && last.Serving && last.CanFollow
 	})
 }
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -45,7 +45,7 @@
 		if c.Get("passed") == nil {
 			req := c.Request()
 			for _, p := range n.peers {
-				r, ok := p.Last(n.cfg.HoldTTL())
+				r, ok := p.Last(n.cfg.LeaderLeaseTTL())
 				if !ok || !r.Serving || !understands(p.Understands(), req.Method, req.URL.Path, body) {
 					continue
 				}
@@ -65,7 +65,7 @@
 // elsewhere reports whether a peer reaches the state service.
 func (n *Node) elsewhere() bool {
 	for _, p := range n.peers {
-		if r, ok := p.Last(n.cfg.HoldTTL()); ok && r.Serving {
+		if r, ok := p.Last(n.cfg.LeaderLeaseTTL()); ok && r.Serving {
 			return true
 		}
 	}
--- a/internal/api/version.go
+++ b/internal/api/version.go
@@ -16,13 +16,13 @@
 	if lead == nil || n.version.InForce() == clusterversion.Latest {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, n.cfg.HoldTTL())
+	ctx, cancel := context.WithTimeout(ctx, n.cfg.LeaderLeaseTTL())
 	defer cancel()
 	var understood []clusterversion.Version
 	var read []wire.Compare
 	for _, p := range n.peers {
 		version := p.Understands()
-		if _, reached := p.Last(n.cfg.HoldTTL()); !reached && version < clusterversion.Latest {
+		if _, reached := p.Last(n.cfg.LeaderLeaseTTL()); !reached && version < clusterversion.Latest {
 			announced, guard, err := clusterversion.Announced(ctx, n.store, p.Label)
 			if err != nil {
 				slog.Debug("announced version not read", "peer", p.Label, "err", err)
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -48,7 +48,7 @@
 	connections := cfg.Cluster.Limits.MaxConnections
 	l := Limit{Setting: "cluster.machine_limits.max_connections", Machines: (len(cfg.Members) + 1) * relay.MostWorkers(connections),
 		Beyond: "workers are served in turn, each report on a connection of its own"}
-	if !cfg.RelayCheckIns {
+	if !cfg.RelayHeartbeats {
 		l.Machines = relay.MostWorkers(connections)
 		l.Beyond += "; with --relay-check-ins, every controller would take some"
 	}
@@ -58,7 +58,7 @@
 // machineList is how many machines the cloud's list can be read of before what it says of the
 // first is too old to tell that machines are gone.
 func machineList(cfg *config.Config) Limit {
-	age := 4*cfg.ListLag() + cfg.Lease()
+	age := 4*cfg.ListLag() + cfg.WorkerLease()
 	return Limit{Setting: "cluster.cloud.rps", Machines: cloud.MostListed(cfg.Cluster.Cloud.Rps, age),
 		Beyond: fmt.Sprintf("reading the machine list takes longer than %s, so machines that are gone are found late", age.Round(time.Second))}
 }
@@ -67,7 +67,7 @@
 // leases last: each has one of its images, and is in some piece of a placement.
 func takeoverListing(cfg *config.Config) Limit {
 	const recordsOfMachine, leaseShare = 2, 0.5
-	keys := ledger.ListedWithin(cfg.StateLimits().Rps, time.Duration(leaseShare*float64(cfg.Lease())))
+	keys := ledger.ListedWithin(cfg.StateLimits().Rps, time.Duration(leaseShare*float64(cfg.WorkerLease())))
 	return Limit{Setting: "cluster.state.rps", Machines: keys / recordsOfMachine,
 		Beyond: "a new leader without a warm standby lists records for over half of a lease, and launches nothing meanwhile"}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -46,8 +46,8 @@
 	// listShare is the share of the calls that pages of the list may take: at 6,000 machines a
 	// list has twelve, and without a bound they took every call that there is.
 	listShare = 0.5
-	// pageTries is how often a page is asked for.
-	pageTries = 3
+	// pageAttempts is how often a page is asked for.
+	pageAttempts = 3
 )
 
 // New makes a client that speaks over rt, to a cloud that allows rps calls a second.
@@ -147,7 +147,7 @@
 	after := ""
 	for {
 		page, err := c.page(ctx, after)
-		for try := 1; err != nil && try < pageTries && ctx.Err() == nil; try++ {
+		for attempt := 1; err != nil && attempt < pageAttempts && ctx.Err() == nil; attempt++ {
 			page, err = c.page(ctx, after)
 		}
 		if err != nil {
--- a/internal/clusterversion/clusterversion.go
+++ b/internal/clusterversion/clusterversion.go
@@ -39,9 +39,9 @@
 // Tracker knows the version in force, as far as this node has learned. It is safe for
 // concurrent use.
 type Tracker struct {
-	mu    sync.Mutex
-	force Version
-	stamp uint64 // of the record
+	mu          sync.Mutex
+	force       Version
+	modRevision uint64 // of the record
 }
 
 // NewTracker makes a tracker that has learned nothing yet.
@@ -55,23 +55,23 @@
 }
 
 // Take learns from a change of a record; others than that of the version are passed over.
-func (t *Tracker) Take(news wire.WatchEvent) {
-	if news.Set != ledger.VersionKey {
+func (t *Tracker) Take(event wire.WatchEvent) {
+	if event.Set != ledger.VersionKey {
 		return
 	}
 	var record ledger.ClusterVersion
-	if err := wire.Decode(news.Value, &record); err != nil {
+	if err := wire.Decode(event.Value, &record); err != nil {
 		slog.Error("cluster version cannot be read", "err", err)
 		return
 	}
-	t.learn(Version(record.Version), news.ModRevision)
+	t.learn(Version(record.Version), event.ModRevision)
 }
 
 // learn is the one function that changes the version in force. It never falls.
-func (t *Tracker) learn(version Version, stamp uint64) {
+func (t *Tracker) learn(version Version, modRevision uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.stamp = max(t.stamp, stamp)
+	t.modRevision = max(t.modRevision, modRevision)
 	if version <= t.force {
 		return
 	}
@@ -87,18 +87,18 @@
 		to = min(to, version)
 	}
 	t.mu.Lock()
-	force, stamp := t.force, t.stamp
+	force, modRevision := t.force, t.modRevision
 	t.mu.Unlock()
 	if to <= force {
 		return nil
 	}
-	epoch, err := store.Commit(ctx, wire.Transaction{
-		Compares: append([]wire.Compare{{Key: ledger.LeaderKey, ModRevision: term}, {Key: ledger.VersionKey, ModRevision: stamp}}, read...),
+	revision, err := store.Commit(ctx, wire.Transaction{
+		Compares: append([]wire.Compare{{Key: ledger.LeaderKey, ModRevision: term}, {Key: ledger.VersionKey, ModRevision: modRevision}}, read...),
 		Changes:  []wire.Change{{Set: ledger.VersionKey, Value: ledger.Encode(ledger.ClusterVersion{Version: int(to)})}},
 	})
 	if err != nil {
 		return fmt.Errorf("raise the cluster version: %w", err)
 	}
-	t.learn(to, epoch)
+	t.learn(to, revision)
 	return nil
 }
--- a/internal/clusterversion/presence.go
+++ b/internal/clusterversion/presence.go
@@ -13,9 +13,9 @@
 // LeaseStore is what announcing a version needs of the state service.
 type LeaseStore interface {
 	Store
-	OpenHold(ctx context.Context, ttl time.Duration) (uint64, error)
-	TouchHold(ctx context.Context, permit uint64) error
-	CloseHold(ctx context.Context, permit uint64) error
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, leaseID uint64) error
+	RevokeLease(ctx context.Context, leaseID uint64) error
 }
 
 // announceShare of the time to live of an announcement is how often it is renewed.
@@ -28,9 +28,9 @@
 	ctx = store.Urgent(ctx)
 	// As a rule the leader learns it from pings before anything has to be written.
 	for t.waitForce(ctx, ttl) {
-		permit, err := leases.OpenHold(ctx, ttl)
+		leaseID, err := leases.GrantLease(ctx, ttl)
 		if err == nil {
-			err = t.keepAnnounced(ctx, leases, label, permit, ttl)
+			err = t.keepAnnounced(ctx, leases, label, leaseID, ttl)
 		}
 		if err != nil {
 			slog.Debug("version not announced", "err", err)
@@ -40,17 +40,17 @@
 
 // keepAnnounced holds up the announcement on a lease until the version is in force or
 // the lease is lost.
-func (t *Tracker) keepAnnounced(ctx context.Context, leases LeaseStore, label string, permit uint64, ttl time.Duration) error {
+func (t *Tracker) keepAnnounced(ctx context.Context, leases LeaseStore, label string, leaseID uint64, ttl time.Duration) error {
 	_, err := leases.Commit(ctx, wire.Transaction{Changes: []wire.Change{{
-		Set: ledger.ReleaseKey(label), Value: ledger.Encode(ledger.ClusterVersion{Version: int(Latest)}), LeaseID: permit,
+		Set: ledger.ReleaseKey(label), Value: ledger.Encode(ledger.ClusterVersion{Version: int(Latest)}), LeaseID: leaseID,
 	}}})
 	for err == nil && t.waitForce(ctx, ttl/announceShare) {
-		err = leases.TouchHold(ctx, permit)
+		err = leases.RenewLease(ctx, leaseID)
 	}
 	if err != nil {
 		return err
 	}
-	return leases.CloseHold(ctx, permit)
+	return leases.RevokeLease(ctx, leaseID)
 }
 
 // waitForce waits for a while. It reports whether the latest version is still not in
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -64,15 +64,15 @@
 	Label    string   `toml:"label"`
 	Location string   `toml:"location"`
 	Listen   string   `toml:"listen"`
-	MeshAddr string   `toml:"mesh_addr"`
+	PeerAddr string   `toml:"mesh_addr"`
 	Members  []Member `toml:"members"`
 	Services struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"services"`
-	// RelayCheckIns lets followers keep workers and relay their reports in batches once
+	// RelayHeartbeats lets followers keep workers and relay their reports in batches once
 	// the fleet is large. It is set on the command line.
-	RelayCheckIns bool `toml:"-"`
+	RelayHeartbeats bool `toml:"-"`
 	// WarmStandby lets the likely successor follow the leader's state. It is set on the
 	// command line.
 	WarmStandby bool `toml:"-"`
@@ -143,7 +143,7 @@
 		}
 	}
 	addr("listen", c.Listen)
-	addr("mesh_addr", c.MeshAddr)
+	addr("mesh_addr", c.PeerAddr)
 	addr("services.cloud", c.Services.Cloud)
 	addr("services.state", c.Services.State)
 	seen := map[string]bool{c.Label: true}
@@ -182,7 +182,7 @@
 	// A node's knowledge of withdrawals is up to a tenth of a lease old when all
 	// is well; below twice that, leases would end at the first late answer of the
 	// state service.
-	fault(cl.Workers.CancelS > 0 && c.KnowledgeLimit() < c.Lease()/5,
+	fault(cl.Workers.CancelS > 0 && c.KnowledgeLimit() < c.WorkerLease()/5,
 		"cluster.workers.cancel_s must be at least 1.3 times lease_s: withdrawn tasks behind a cut are gone only when their lease has ended")
 	return errors.Join(faults...)
 }
@@ -199,25 +199,25 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Lease is how long a worker keeps its tasks without an answered report.
-func (c *Config) Lease() time.Duration { return seconds(c.Cluster.Workers.LeaseS) }
+// WorkerLease is how long a worker keeps its tasks without an answered report.
+func (c *Config) WorkerLease() time.Duration { return seconds(c.Cluster.Workers.LeaseS) }
 
-// ReportEvery is the interval of workers' reports.
-func (c *Config) ReportEvery() time.Duration { return seconds(c.Cluster.Workers.ReportS) }
+// HeartbeatInterval is the interval of workers' reports.
+func (c *Config) HeartbeatInterval() time.Duration { return seconds(c.Cluster.Workers.ReportS) }
 
 // ListLag is the usual age of the cloud's machine list.
 func (c *Config) ListLag() time.Duration { return seconds(c.Cluster.Cloud.ListLagS) }
 
-// HoldTTL is the time to live of the leader's hold: a fifth of the workers'
+// LeaderLeaseTTL is the time to live of the leader's hold: a fifth of the workers'
 // lease, so that a successor has most of a lease left to gather the workers.
-func (c *Config) HoldTTL() time.Duration { return c.Lease() / 5 }
+func (c *Config) LeaderLeaseTTL() time.Duration { return c.WorkerLease() / 5 }
 
 // gridShare of a report's interval is the unit that periodic work is aligned to:
 // halves, thirds and quarters of the interval are multiples of it.
 const gridShare = 12
 
 // Grid is what the process's periodic work is aligned to.
-func (c *Config) Grid() tick.Grid { return tick.Grid{Unit: c.ReportEvery() / gridShare} }
+func (c *Config) Grid() tick.Grid { return tick.Grid{Unit: c.HeartbeatInterval() / gridShare} }
 
 // KnowledgeLimit is how old a node's knowledge of withdrawals may be for it to
 // go on renewing leases. A task that was withdrawn right after the read that the
@@ -225,14 +225,14 @@
 // its report: no later than cancel_s after that read, less a tenth of a lease.
 // docs/safety.md says what that margin is for.
 func (c *Config) KnowledgeLimit() time.Duration {
-	return seconds(c.Cluster.Workers.CancelS) - c.Lease() - c.Lease()/10
+	return seconds(c.Cluster.Workers.CancelS) - c.WorkerLease() - c.WorkerLease()/10
 }
 
-// Handicap says how badly this node is placed to lead: 0 for the best. A worker
+// CampaignDelay says how badly this node is placed to lead: 0 for the best. A worker
 // that loses its leader tries the nodes after it in order, and each that a cut
 // between zones hides costs it half of its lease. So a leader is well placed if
 // few nodes of its own zone follow it before the first one of any other zone.
-func (c *Config) Handicap(label string) int {
+func (c *Config) CampaignDelay(label string) int {
 	zones := map[string]string{c.Label: c.Location}
 	labels := []string{c.Label}
 	for _, m := range c.Members {
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -64,7 +64,7 @@
 // try another node.
 func (l *Listener) Accept() (net.Conn, error) {
 	for !l.hasPlace() && !l.closed.Load() {
-		l.awaitPlace()
+		l.waitForPlace()
 	}
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -78,7 +78,7 @@
 			accepted.Close()
 			return nil, net.ErrClosed
 		}
-		l.awaitPlace()
+		l.waitForPlace()
 	}
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		c.Close() // it is gone already: the server finds it closed
@@ -135,9 +135,9 @@
 	return longest
 }
 
-// awaitPlace waits until a place has come free or another connection may be idle for long
+// waitForPlace waits until a place has come free or another connection may be idle for long
 // enough.
-func (l *Listener) awaitPlace() {
+func (l *Listener) waitForPlace() {
 	const looks = 8 // in the time that a connection has to be idle
 	timer := time.NewTimer(l.limits.MinIdle / looks)
 	defer timer.Stop()
--- a/internal/controller/announce.go
+++ b/internal/controller/announce.go
@@ -27,7 +27,7 @@
 // announcing tells the token to workers that do not report: they may sit at a
 // deposed leader that still answers them.
 func (c *Controller) announcing(ctx context.Context) {
-	every := c.Config.ReportEvery()
+	every := c.Config.HeartbeatInterval()
 	for sleep(ctx, c.untilNext(every/2)) {
 		var wg sync.WaitGroup
 		targets := c.toAnnounce()
@@ -53,7 +53,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	every := c.Config.ReportEvery()
+	every := c.Config.HeartbeatInterval()
 	if now.Sub(c.begun) < 2*every {
 		return nil // most report by themselves
 	}
@@ -62,14 +62,14 @@
 		if m.Address == "" || m.State == fleet.Gone || m.State == fleet.Returning {
 			return
 		}
-		if m.State == fleet.Ready && now.Sub(m.Heard) < 2*every {
+		if m.State == fleet.Ready && now.Sub(m.LastHeartbeat) < 2*every {
 			return
 		}
 		if m.State == fleet.Booting && !m.Listed || now.Sub(c.announced[m.ID]) < 3*every {
 			return
 		}
-		incarnation := max(m.Session, m.SessionHint)
-		m.Each(func(a *fleet.Attempt) { incarnation = max(incarnation, a.Session) })
+		incarnation := max(m.Incarnation, m.IncarnationHint)
+		m.Each(func(a *fleet.Attempt) { incarnation = max(incarnation, a.Incarnation) })
 		ts = append(ts, announcement{m.ID, m.Address, max(incarnation, 1)})
 	})
 	// Any of them, for most may be gone together: one that answers is enough to
@@ -91,7 +91,7 @@
 		return
 	}
 	if r.FencingToken > c.term {
-		c.Saw(r.FencingToken)
+		c.ObserveTerm(r.FencingToken)
 		c.depose("a worker has seen a higher token")
 		return
 	}
@@ -112,6 +112,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m := c.fleet.Get(host); m != nil && m.State == fleet.Booting {
-		m.Heard = c.now()
+		m.LastHeartbeat = c.now()
 	}
 }
--- a/internal/controller/checkin.go
+++ b/internal/controller/checkin.go
@@ -8,8 +8,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// CheckInOptions says how a report has come and how it may be answered.
-type CheckInOptions struct {
+// HeartbeatOptions says how a report has come and how it may be answered.
+type HeartbeatOptions struct {
 	// Relayed: another controller passes the report on.
 	Relayed bool
 	// Via is the follower that keeps the worker and relays its reports in batches; ""
@@ -20,16 +20,16 @@
 	MayWait bool
 }
 
-// CheckIn answers a worker's report. ok is false if the report shows that this
+// Heartbeat answers a worker's report. ok is false if the report shows that this
 // term is over. An answer to a ready machine that has no commands waits for some a
 // part of a report's interval: launches and stops then travel at once instead of with
 // the next report. While the state service is not read no launch can come up, and an answer
 // that waits only makes the next report come later: when a leader that was cut off with its
 // zone had to stop answering, its workers' leases were half of an interval older than a
 // follower's, and of some 700 machines 170 to 220 lost them just before the cut ended.
-func (c *Controller) CheckIn(ctx context.Context, r *wire.Heartbeat, opts CheckInOptions) (o wire.Commands, ok bool) {
+func (c *Controller) Heartbeat(ctx context.Context, r *wire.Heartbeat, opts HeartbeatOptions) (o wire.Commands, ok bool) {
 	if r.FencingToken > c.term {
-		c.Saw(r.FencingToken)
+		c.ObserveTerm(r.FencingToken)
 		c.depose("a worker has seen a higher token")
 		return wire.Commands{}, false
 	}
@@ -41,25 +41,25 @@
 	}
 	now := c.now()
 	before := c.fleet.Get(r.Host)
-	wasDirect := before != nil && before.Session != 0 && before.Via == ""
-	m, fresh := c.fleet.Report(r, now)
+	wasDirect := before != nil && before.Incarnation != 0 && before.RelayedBy == ""
+	m, fresh := c.fleet.ApplyHeartbeat(r, now)
 	if !fresh {
 		return o, true
 	}
 	c.capacity(m)
-	m.Via = opts.Via
+	m.RelayedBy = opts.Via
 	if opts.Relayed || wasDirect && opts.Via != "" {
-		m.Relayed = now // it reported here, and may not reach this node any more
+		m.LastRelayedHeartbeat = now // it reported here, and may not reach this node any more
 	}
-	o.Commands = c.fleet.Orders(m, now, c.mayLaunch())
+	o.Commands = c.fleet.Commands(m, now, c.mayLaunch())
 	if len(o.Commands) > 0 || !opts.MayWait || m.State != fleet.Ready || !c.mayLaunch() {
 		return o, true
 	}
 	c.waitForCommands(ctx, m)
 	// Commands answer the newest report only: the worker drops this answer if it
 	// has sent another one.
-	if m.Session == r.Incarnation && m.Sequence == r.Sequence && ctx.Err() == nil {
-		o.Commands = c.fleet.Orders(m, c.now(), c.mayLaunch())
+	if m.Incarnation == r.Incarnation && m.Sequence == r.Sequence && ctx.Err() == nil {
+		o.Commands = c.fleet.Commands(m, c.now(), c.mayLaunch())
 	}
 	return o, true
 }
@@ -72,7 +72,7 @@
 	wake := make(chan struct{})
 	c.waitingAnswers[m.ID] = wake
 	c.mu.Unlock()
-	t := time.NewTimer(c.Config.Grid().Within(time.Now(), c.Config.ReportEvery()/2))
+	t := time.NewTimer(c.Config.Grid().Within(time.Now(), c.Config.HeartbeatInterval()/2))
 	select {
 	case <-wake:
 	case <-t.C:
@@ -89,7 +89,7 @@
 // between the commit of a launch and its answer, another node may have confirmed
 // that the job is cancelled: the launch waits until that would be known.
 func (c *Controller) mayLaunch() bool {
-	return c.now().Sub(c.Mirror.Fresh()) < c.Config.HoldTTL()
+	return c.now().Sub(c.Mirror.Fresh()) < c.Config.LeaderLeaseTTL()
 }
 
 // answerNow lets an answer to a machine go that waits for commands.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -57,17 +57,17 @@
 
 // Deps is what a controller works with.
 type Deps struct {
-	Config   *config.Config
-	Store    Store
-	Cloud    Cloud
-	Worker   Worker
-	Mirror   *ledger.Mirror
-	Version  VersionTracker
-	Settings func() wire.Settings
-	Saw      func(term uint64)   // a newer term was seen
-	Heard    func() []string     // machines that peers answer
-	Reached  func() []string     // zones of the controllers that are reached, this one included
-	Rounded  func(time.Duration) // a round took this long
+	Config         *config.Config
+	Store          Store
+	Cloud          Cloud
+	Worker         Worker
+	Mirror         *ledger.Mirror
+	Version        VersionTracker
+	Settings       func() wire.Settings
+	ObserveTerm    func(term uint64)   // a newer term was seen
+	RenewedByPeers func() []string     // machines that peers answer
+	Reached        func() []string     // zones of the controllers that are reached, this one included
+	Rounded        func(time.Duration) // a round took this long
 	// RelayReached reports whether a follower that relays reports answers.
 	RelayReached func(label string) bool
 	// Prove checks what this node has followed as a warm standby; nil if it follows nothing.
@@ -75,7 +75,7 @@
 	// Source offers what this term knows to a standby; nil if there is none.
 	Source *standby.Source
 	// Vacant is when this node saw that nobody leads.
-	Vacant time.Time
+	LeaderlessSince time.Time
 	// Final is told of final statuses that are committed; nil if nobody asks.
 	Final func(uid string, status wire.JobStatus)
 	// Promoted is told once how the takeover went; nil if nobody asks.
@@ -85,22 +85,22 @@
 // Controller leads one term.
 type Controller struct {
 	Deps
-	term        uint64
-	wake        chan struct{} // the writer has work
-	news        chan struct{} // there is something to place
-	returnsWake chan struct{} // there is something to return
-	resolveWake chan struct{} // a job waits for one whose final status is not known
-	now         func() time.Time
+	term          uint64
+	wake          chan struct{} // the writer has work
+	placementWake chan struct{} // there is something to place
+	returnsWake   chan struct{} // there is something to return
+	resolveWake   chan struct{} // a job waits for one whose final status is not known
+	now           func() time.Time
 
 	mu sync.Mutex
 
 	// The term: controller.go, load.go, takeover.go.
-	cancel    context.CancelFunc
-	begun     time.Time
-	loaded    bool
-	warmTries int                        // checks of what was followed that the state service did not answer
-	listings  map[string][]wire.KeyValue // records that load has listed so far, by prefix
-	takeover  *takeover
+	cancel       context.CancelFunc
+	begun        time.Time
+	loaded       bool
+	warmAttempts int                        // checks of what was followed that the state service did not answer
+	listings     map[string][]wire.KeyValue // records that load has listed so far, by prefix
+	takeover     *takeover
 
 	// Jobs and their attempts: events.go, dependencies.go, status.go.
 	jobs           map[string]*job
@@ -149,18 +149,18 @@
 
 // New makes the controller of a term.
 func New(d Deps, term uint64) *Controller {
-	c := &Controller{Deps: d, term: term, wake: make(chan struct{}, 1), news: make(chan struct{}, 1), returnsWake: make(chan struct{}, 1),
+	c := &Controller{Deps: d, term: term, wake: make(chan struct{}, 1), placementWake: make(chan struct{}, 1), returnsWake: make(chan struct{}, 1),
 		resolveWake: make(chan struct{}, 1), now: time.Now,
 		jobs: map[string]*job{}, graph: pipeline.New(), pending: map[string]*rental{}, refused: map[provision.Group]refusal{},
 		arrive: map[string]*arrivals{}, cutOff: map[string]time.Time{}, noted: map[string]imageNote{}, announced: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}, carrierLost: map[string]time.Time{}}
-	c.fleet = fleet.New(term, d.Config.Lease(), c)
-	c.evidence = blame.New(evidenceLeases * d.Config.Lease())
+	c.fleet = fleet.New(term, d.Config.WorkerLease(), c)
+	c.evidence = blame.New(evidenceLeases * d.Config.WorkerLease())
 	c.returns = map[string]*pendingReturn{}
 	c.nodes = newKeptNodes()
 	c.countsRevision = 1
 	c.begun = c.now()
 	c.window = d.Settings().Window
-	c.takeover = newTakeover(term, d.Config.Label, d.Vacant, c.begun)
+	c.takeover = newTakeover(term, d.Config.Label, d.LeaderlessSince, c.begun)
 	return c
 }
 
@@ -179,7 +179,7 @@
 	c.mu.Unlock()
 	c.Mirror.Listen(c.jobEvent)
 	defer c.Mirror.Listen(nil)
-	pause := c.Config.HoldTTL() / 10
+	pause := c.Config.LeaderLeaseTTL() / 10
 	for {
 		err := c.load(ctx)
 		if err == nil {
@@ -191,7 +191,7 @@
 		}
 	}
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){c.writer, c.rounds, c.lists, c.returning, c.announcing, c.noteImages, c.followKeptLeases, c.resolving} {
+	for _, f := range []func(context.Context){c.writer, c.rounds, c.lists, c.returning, c.announcing, c.noteImages, c.followRenewedLeases, c.resolving} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -274,7 +274,7 @@
 
 // MachineChanged logs a machine's change of state.
 func (c *Controller) MachineChanged(m *fleet.Machine, from fleet.MachineState, why string) {
-	slog.Info("machine", "host", m.ID, "from", from.String(), "to", m.State.String(), "shift", m.Session, "why", why)
+	slog.Info("machine", "host", m.ID, "from", from.String(), "to", m.State.String(), "shift", m.Incarnation, "why", why)
 	c.views.machine(m.ID)
 	c.noteReady(m)
 	if m.State == fleet.Gone {
@@ -289,7 +289,7 @@
 		slog.Error("job record cannot be read", "uid", uid, "err", err)
 		return
 	}
-	c.jobEvent(uid, ledger.Entry{Job: &rec, Stamp: item.ModRevision})
+	c.jobEvent(uid, ledger.Entry{Job: &rec, ModRevision: item.ModRevision})
 }
 
 // checkDeposed ends the term if a commit failed because of the leader's key.
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -22,7 +22,7 @@
 // nothing.
 func (c *Controller) addToGraph(j *job, now time.Time) {
 	spec := &j.rec.Spec
-	vertex := pipeline.Job{Awaits: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageMs(spec)}
+	vertex := pipeline.Job{Dependencies: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageMs(spec)}
 	if spec.DeadlineS != nil {
 		vertex.DueMs = float64(j.rec.AtMs) + *spec.DeadlineS*1000
 	}
@@ -101,7 +101,7 @@
 		slog.Info("job released", "uid", j.uid)
 	}
 	c.arrived(j, now)
-	notify(c.news)
+	notify(c.placementWake)
 }
 
 // resolving reads what became of jobs that others wait for and that are archived.
@@ -113,7 +113,7 @@
 		case <-c.resolveWake:
 		}
 		for !c.resolve(ctx) {
-			if !sleep(ctx, c.untilNext(c.Config.ReportEvery()/3)) {
+			if !sleep(ctx, c.untilNext(c.Config.HeartbeatInterval()/3)) {
 				return
 			}
 		}
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -21,7 +21,7 @@
 	j := c.jobs[uid]
 	switch {
 	case e.Job == nil:
-		if j != nil && e.Stamp >= j.stamp {
+		if j != nil && e.ModRevision >= j.modRevision {
 			c.dropJob(j, now)
 		}
 	case j == nil:
@@ -29,9 +29,9 @@
 		c.jobs[uid] = j
 		slog.Info("job", "uid", uid, "berth", e.Job.Spec.JobClass, "legs", e.Job.Spec.TaskCount, "gpus", e.Job.Spec.Gpus, "image", e.Job.Spec.Image, "status", string(e.Job.Status))
 		c.addToGraph(j, now)
-	case e.Stamp > j.stamp:
+	case e.ModRevision > j.modRevision:
 		wasFinal := j.rec.Status.Final()
-		j.rec, j.stamp = e.Job, e.Stamp
+		j.rec, j.modRevision = e.Job, e.ModRevision
 		if !wasFinal && e.Job.Status == wire.JobAborted {
 			slog.Info("job withdrawn", "uid", uid)
 			j.each(func(a *fleet.Attempt) { c.stop(a, 0, now, "withdrawn") })
@@ -65,7 +65,7 @@
 
 // AttemptChanged keeps the jobs in step with their attempts.
 func (c *Controller) AttemptChanged(a *fleet.Attempt, from fleet.AttemptState, why string) {
-	slog.Info("attempt", "leg", a.Name(), "try", a.Try, "host", a.Machine.ID, "from", from.String(), "to", a.State.String(), "why", why)
+	slog.Info("attempt", "leg", a.Name(), "try", a.Number, "host", a.Machine.ID, "from", from.String(), "to", a.State.String(), "why", why)
 	if a.State == fleet.Committed {
 		c.answerNow(a.Machine)
 	}
@@ -107,7 +107,7 @@
 // Until then the task is reported as ended, and a new leader would learn of it
 // from there. Each end written at once took more of the state service's budget
 // of changes than all launches.
-func (c *Controller) endsWait() time.Duration { return 2 * c.Config.ReportEvery() }
+func (c *Controller) endsWait() time.Duration { return 2 * c.Config.HeartbeatInterval() }
 
 // ended takes the end of an attempt into its job.
 func (c *Controller) ended(j *job, p *piece, a *fleet.Attempt) {
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -20,40 +20,40 @@
 	// suspectLeases and faultyLeases are for how many leases a machine is passed over that a
 	// task has failed on, and one that is faulty by all that is known.
 	suspectLeases, faultyLeases = 1, 6
-	// firstHoldShare of a lease is the longest that a job is held back for the first time. It
-	// doubles each time, up to mostHoldLeases.
-	firstHoldShare = 1. / 8
-	mostHoldLeases = 3
+	// firstBackoffShare of a lease is the longest that a job is held back for the first time. It
+	// doubles each time, up to maxBackoffLeases.
+	firstBackoffShare = 1. / 8
+	maxBackoffLeases  = 3
 )
 
 // blame takes the failure of a task into the evidence, and acts on what that says.
 func (c *Controller) blame(j *job, m *fleet.Machine, now time.Time) {
 	c.evidence.Failed(j.uid, m.ID, j.done > 0, now)
-	maps.DeleteFunc(j.avoid, func(_ string, at time.Time) bool { return now.Sub(at) > evidenceLeases*c.Config.Lease() })
+	maps.DeleteFunc(j.avoid, func(_ string, at time.Time) bool { return now.Sub(at) > evidenceLeases*c.Config.WorkerLease() })
 	j.avoid[m.ID] = now
 	if c.evidence.SurelyMistaken(j.uid) {
-		c.holdBack(j, now)
+		c.backOff(j, now)
 		c.clearMachines(j)
 	}
 	switch {
 	case c.evidence.SurelyFaulty(m.ID):
-		c.passOver(m, faultyLeases*c.Config.Lease(), now)
+		c.passOver(m, faultyLeases*c.Config.WorkerLease(), now)
 	case !j.suspect:
-		c.passOver(m, suspectLeases*c.Config.Lease(), now)
+		c.passOver(m, suspectLeases*c.Config.WorkerLease(), now)
 	}
 }
 
-// holdBack lets a mistaken job wait, longer each time, so that many do not come back together. Tasks of
+// backOff lets a mistaken job wait, longer each time, so that many do not come back together. Tasks of
 // it that fail meanwhile were started before and say nothing new.
-func (c *Controller) holdBack(j *job, now time.Time) {
-	if now.Before(j.heldUntil) {
+func (c *Controller) backOff(j *job, now time.Time) {
+	if now.Before(j.backoffUntil) {
 		return
 	}
-	lease := c.Config.Lease()
-	most := min(mostHoldLeases*lease, time.Duration(firstHoldShare*float64(lease))<<min(j.fails, 16))
+	lease := c.Config.WorkerLease()
+	most := min(maxBackoffLeases*lease, time.Duration(firstBackoffShare*float64(lease))<<min(j.fails, 16))
 	wait := most/2 + rand.N(most/2)
 	j.fails++
-	j.suspect, j.heldUntil = true, now.Add(wait)
+	j.suspect, j.backoffUntil = true, now.Add(wait)
 	c.views.job(j.uid)
 	slog.Info("job is held back", "uid", j.uid, "times", j.fails, "for", wait.String(), "mistaken", c.evidence.Mistaken(j.uid))
 }
@@ -64,7 +64,7 @@
 // passOver keeps launches from a machine for a while.
 func (c *Controller) passOver(m *fleet.Machine, rest time.Duration, now time.Time) {
 	if until := now.Add(rest); until.After(m.AvoidUntil) {
-		m.AvoidUntil, m.Blamed = until, true
+		m.AvoidUntil, m.Quarantined = until, true
 		c.fleet.Touch(m)
 		slog.Info("machine passed over", "host", m.ID, "for", rest.String(), "faulty", c.evidence.Faulty(m.ID))
 	}
@@ -75,10 +75,10 @@
 func (c *Controller) clearMachines(j *job) {
 	for _, id := range c.evidence.Machines(j.uid) {
 		m := c.fleet.Get(id)
-		if m == nil || !m.Blamed || c.evidence.SurelyFaulty(id) {
+		if m == nil || !m.Quarantined || c.evidence.SurelyFaulty(id) {
 			continue
 		}
-		m.AvoidUntil, m.Blamed = time.Time{}, false
+		m.AvoidUntil, m.Quarantined = time.Time{}, false
 		c.fleet.Touch(m)
 	}
 }
@@ -94,7 +94,7 @@
 func (c *Controller) works(j *job, now time.Time) bool {
 	works := false
 	j.each(func(a *fleet.Attempt) {
-		works = works || a.State == fleet.Running && !a.RunAt.IsZero() && now.Sub(a.RunAt) > c.Config.Lease()
+		works = works || a.State == fleet.Running && !a.RunAt.IsZero() && now.Sub(a.RunAt) > c.Config.WorkerLease()
 	})
 	return works
 }
@@ -102,7 +102,7 @@
 // mayPlace is how many of the waiting tasks of a job may be placed now.
 func (c *Controller) mayPlace(j *job, now time.Time) int {
 	waiting := j.waiting()
-	if waiting == 0 || now.Before(j.heldUntil) {
+	if waiting == 0 || now.Before(j.backoffUntil) {
 		return 0
 	}
 	if !j.probes() {
@@ -122,11 +122,11 @@
 	if j.rec.Spec.Kind != wire.JobArray || j.done > 0 {
 		return
 	}
-	tries := -j.live
+	attempts := -j.live
 	for _, p := range j.pieces {
-		tries += int(p.next) - 1
+		attempts += int(p.next) - 1
 	}
-	if tries >= max(2, j.rec.Spec.TaskCount) {
+	if attempts >= max(2, j.rec.Spec.TaskCount) {
 		j.suspect = true
 	}
 }
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -24,7 +24,7 @@
 // noteImages records which images machines have, so that a new leader knows
 // where starts are quick. It loses nothing but time if it is late or fails.
 func (c *Controller) noteImages(ctx context.Context) {
-	for sleep(ctx, c.untilNext(c.Config.ReportEvery())) {
+	for sleep(ctx, c.untilNext(c.Config.HeartbeatInterval())) {
 		c.noteSomeImages(ctx)
 	}
 }
@@ -57,7 +57,7 @@
 	size := 0
 	c.fleet.Each(func(m *fleet.Machine) {
 		known := c.noted[m.ID]
-		if m.State != fleet.Ready || len(m.Images) <= known.images || now.Sub(known.at) <= c.Config.Lease() || len(tx.Changes) >= most || size > maxTx {
+		if m.State != fleet.Ready || len(m.Images) <= known.images || now.Sub(known.at) <= c.Config.WorkerLease() || len(tx.Changes) >= most || size > maxTx {
 			return
 		}
 		noted[m.ID] = imageNote{len(m.Images), now}
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -12,24 +12,24 @@
 
 // piece is a part of a job's placement and the stamp of its record.
 type piece struct {
-	job    *job
-	n      int
-	stamp  uint64
-	next   uint64
-	done   ledger.Piece // only Done is used
-	live   map[int]*fleet.Attempt
-	ended  []*fleet.Attempt // ended, not yet recorded so
-	seq    int              // counts changes
-	dirty  bool             // see setDirty
-	due    time.Time        // when a dirty piece is to be written
-	unsure bool             // the outcome of a commit is unknown: read before writing
+	job         *job
+	n           int
+	modRevision uint64
+	next        uint64
+	done        ledger.Piece // only Done is used
+	live        map[int]*fleet.Attempt
+	ended       []*fleet.Attempt // ended, not yet recorded so
+	seq         int              // counts changes
+	dirty       bool             // see setDirty
+	due         time.Time        // when a dirty piece is to be written
+	unsure      bool             // the outcome of a commit is unknown: read before writing
 }
 
 // job is the leader's picture of a job.
 type job struct {
 	uid            string
 	rec            *ledger.Job
-	stamp          uint64
+	modRevision    uint64
 	level          int     // its own, or the highest of those that need it
 	dueMs          float64 // by its own deadline or theirs; +Inf if there is none
 	released       bool    // all that it needs is done
@@ -49,13 +49,13 @@
 	suspect        bool                 // it may be mistaken: failures.go
 	lost           int                  // tasks that ended against the job's will
 	countsRevision uint64               // of the last change of its counts of tasks
-	heldUntil      time.Time            // not placed before
+	backoffUntil   time.Time            // not placed before
 	unsure         bool                 // the outcome of its archiving is unknown
 	asideUntil     time.Time            // nothing of it is written before: the state service rejected it
 }
 
 func newJob(uid string, e ledger.Entry, now time.Time) *job {
-	return &job{uid: uid, rec: e.Job, stamp: e.Stamp, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), fromMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
+	return &job{uid: uid, rec: e.Job, modRevision: e.ModRevision, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), fromMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
 		pieces: map[int]*piece{}, waitFrom: now, avoid: map[string]time.Time{}}
 }
 
@@ -66,7 +66,7 @@
 		slog.Error("placement record cannot be read", "key", row.Key, "err", err)
 		return nil
 	}
-	p := &piece{job: j, n: n, stamp: row.ModRevision, next: rec.Next, live: map[int]*fleet.Attempt{}}
+	p := &piece{job: j, n: n, modRevision: row.ModRevision, next: rec.Next, live: map[int]*fleet.Attempt{}}
 	p.done.Done = rec.Done
 	j.pieces[n] = p
 	for i := range j.rec.Per {
@@ -92,7 +92,7 @@
 func (j *job) storedPieces() int {
 	stored := 0
 	for _, p := range j.pieces {
-		if p.stamp != 0 {
+		if p.modRevision != 0 {
 			stored++
 		}
 	}
@@ -161,13 +161,13 @@
 	return tasks
 }
 
-// gangTry is the try that all tasks of a gang share in one start: that of those
+// gangAttempt is the try that all tasks of a gang share in one start: that of those
 // which are placed already, else one that none of them has used.
-func (j *job) gangTry() uint64 {
+func (j *job) gangAttempt() uint64 {
 	next := uint64(1)
 	for _, p := range j.pieces {
 		for _, a := range p.live {
-			return a.Try
+			return a.Number
 		}
 		next = max(next, p.next)
 	}
@@ -208,7 +208,7 @@
 func (p *piece) record() ledger.Piece {
 	rec := ledger.Piece{Next: p.next, Done: p.done.Done}
 	for _, a := range p.live {
-		rec.Live = append(rec.Live, ledger.Placed{Task: a.Task, Try: a.Try, Host: a.Machine.ID, Session: a.Session})
+		rec.Live = append(rec.Live, ledger.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation})
 	}
 	return rec
 }
@@ -220,9 +220,9 @@
 	if ledger.FitsPlain(tasks, valueBytes) {
 		return true
 	}
-	bytes := ledger.DenseBytes(ledger.Placed{Task: task, Try: p.next, Host: m.ID, Session: m.Session}, tasks)
+	bytes := ledger.DenseBytes(ledger.Placed{Task: task, Attempt: p.next, Host: m.ID, Incarnation: m.Incarnation}, tasks)
 	for _, a := range p.live {
-		bytes += ledger.DenseBytes(ledger.Placed{Task: a.Task, Try: a.Try, Host: a.Machine.ID, Session: a.Session}, tasks)
+		bytes += ledger.DenseBytes(ledger.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}, tasks)
 	}
 	return bytes <= ledger.DenseRoom(valueBytes, tasks)
 }
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -40,7 +40,7 @@
 func (c *Controller) setAside(b *batch, rejected *store.RejectedError) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	until := c.now().Add(c.Config.Lease())
+	until := c.now().Add(c.Config.WorkerLease())
 	slog.Error("commit rejected", "term", c.term, "keys", rejected.Keys, "detail", rejected.Detail)
 	jobs := b.touched()
 	if len(jobs) > 1 {
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -15,9 +15,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// warmTries is how often a warm standby's copy is checked before all records are listed
+// warmAttempts is how often a warm standby's copy is checked before all records are listed
 // instead, if the state service does not answer.
-const warmTries = 3
+const warmAttempts = 3
 
 // records is what a term begins with.
 type records struct {
@@ -37,7 +37,7 @@
 		if err := wire.Decode(row.Value, &rec); err != nil {
 			return fmt.Errorf("job record %s: %w", row.Key, err)
 		}
-		c.jobEvent(strings.TrimPrefix(row.Key, ledger.JobPrefix), ledger.Entry{Job: &rec, Stamp: row.ModRevision})
+		c.jobEvent(strings.TrimPrefix(row.Key, ledger.JobPrefix), ledger.Entry{Job: &rec, ModRevision: row.ModRevision})
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,17 +72,17 @@
 // term changes what it lists, but for jobs, whose changes the mirror tells. When a service that
 // got too many requests refused one of four listings in turn, all four were read anew for 12 s.
 func (c *Controller) readRecords(ctx context.Context) (*records, error) {
-	if c.Prove != nil && c.warmTries < warmTries {
+	if c.Prove != nil && c.warmAttempts < warmAttempts {
 		recs, err := c.provenRecords(ctx)
 		if err == nil {
 			return recs, nil
 		}
 		c.takeover.cold(err)
 		if !finalProof(err) {
-			c.warmTries++
+			c.warmAttempts++
 			return nil, err
 		}
-		c.warmTries = warmTries
+		c.warmAttempts = warmAttempts
 		slog.Info("all records are listed", "term", c.term, "why", err)
 	}
 	if c.listings == nil {
@@ -178,7 +178,7 @@
 		}
 		for _, pl := range j.load(n, row) {
 			m := c.fleet.Know(pl.Host, now)
-			a := &fleet.Attempt{UID: uid, Task: pl.Task, Try: pl.Try, Session: pl.Session, Need: j.need,
+			a := &fleet.Attempt{UID: uid, Task: pl.Task, Number: pl.Attempt, Incarnation: pl.Incarnation, Need: j.need,
 				Image: j.rec.Spec.Image, Inherited: true}
 			j.pieces[n].live[pl.Task] = a
 			j.live++
--- a/internal/controller/lost.go
+++ b/internal/controller/lost.go
@@ -11,22 +11,22 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// noteHeardByPeers notes the machines that other nodes answer: they are not silent.
-func (c *Controller) noteHeardByPeers(now time.Time) {
-	for _, id := range c.Heard() {
+// noteRenewedByPeers notes the machines that other nodes answer: they are not silent.
+func (c *Controller) noteRenewedByPeers(now time.Time) {
+	for _, id := range c.RenewedByPeers() {
 		if m := c.fleet.Get(id); m != nil {
-			m.Heard = now
+			m.LastHeartbeat = now
 		}
 	}
 }
 
-// followKeptLeases listens to followers that are cut off from this node, but not from
+// followRenewedLeases listens to followers that are cut off from this node, but not from
 // the state service: the machines that they answer are alive. Without this,
 // every machine behind a cut between zones was returned with all it served.
-func (c *Controller) followKeptLeases(ctx context.Context) {
-	hold, pause := c.Config.Lease(), c.Config.ReportEvery()
-	ledger.Follow(ctx, c.Store, ledger.KeptPrefix, hold, pause, ledger.Funcs{Changed: func(n wire.WatchEvent) {
-		var kept ledger.Kept
+func (c *Controller) followRenewedLeases(ctx context.Context) {
+	wait, pause := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
+	ledger.Follow(ctx, c.Store, ledger.RenewedLeasesPrefix, wait, pause, ledger.Funcs{Changed: func(n wire.WatchEvent) {
+		var kept ledger.RenewedLeases
 		if n.Set == "" {
 			return
 		}
@@ -39,7 +39,7 @@
 		now := c.now()
 		for _, id := range kept.Hosts {
 			if m := c.fleet.Get(id); m != nil {
-				m.Heard = now
+				m.LastHeartbeat = now
 			}
 		}
 	}})
@@ -49,7 +49,7 @@
 // that stood still does not know who reported meanwhile.
 func (c *Controller) resetLiveness(now time.Time) {
 	c.steady = now
-	c.fleet.Each(func(m *fleet.Machine) { m.Heard, m.Reported = now, now })
+	c.fleet.Each(func(m *fleet.Machine) { m.LastHeartbeat, m.LastHeartbeatHere = now, now })
 }
 
 // pauseLiveness judges no silence while this node answers no reports, since what it
@@ -93,22 +93,22 @@
 
 // lookAround looks at all machines once.
 func (c *Controller) lookAround(now time.Time) *liveness {
-	every, lease := c.Config.ReportEvery(), c.Config.Lease()
+	every, lease := c.Config.HeartbeatInterval(), c.Config.WorkerLease()
 	l := &liveness{zones: map[string]*silence{}, carriers: map[string]*silence{}, newest: map[string]time.Time{}}
 	all := silenceOf(l.zones, "")
 	c.fleet.Each(func(m *fleet.Machine) {
 		if m.State != fleet.Gone {
 			l.total++
 		}
-		if !m.Relayed.IsZero() && now.Sub(m.Relayed) < lease {
+		if !m.LastRelayedHeartbeat.IsZero() && now.Sub(m.LastRelayedHeartbeat) < lease {
 			l.relayed++
 		}
-		if m.Reported.After(l.newest[m.Via]) {
-			l.newest[m.Via] = m.Reported
+		if m.LastHeartbeatHere.After(l.newest[m.RelayedBy]) {
+			l.newest[m.RelayedBy] = m.LastHeartbeatHere
 		}
-		silent := now.Sub(m.Reported)
+		silent := now.Sub(m.LastHeartbeatHere)
 		if m.State == fleet.Ready || m.State == fleet.Confirming {
-			silenceOf(l.carriers, m.Via).count(silent, every)
+			silenceOf(l.carriers, m.RelayedBy).count(silent, every)
 		}
 		if m.State == fleet.Returning || m.State == fleet.Gone || m.State == fleet.Booting && m.LiveCount() == 0 {
 			return
@@ -167,15 +167,15 @@
 		return
 	}
 	for via, reported := range l.newest {
-		if now.Sub(reported) > c.Config.ReportEvery()/2 || via != "" && !c.RelayReached(via) {
+		if now.Sub(reported) > c.Config.HeartbeatInterval()/2 || via != "" && !c.RelayReached(via) {
 			c.carrierLost[via] = now
 		}
 	}
 }
 
-// workerTry is what a node that does not answer costs a worker, as the protocol
+// workerAttempt is what a node that does not answer costs a worker, as the protocol
 // has it: it waits 4 s for the answer and tries the next node 1 s later.
-const workerTry = 5 * time.Second
+const workerAttempt = 5 * time.Second
 
 // declareLost decides which machines to return because they are lost.
 func (c *Controller) declareLost(now time.Time) {
@@ -216,7 +216,7 @@
 }
 
 func (c *Controller) doubtsOf(around *liveness, now time.Time) *doubts {
-	every := c.Config.ReportEvery()
+	every := c.Config.HeartbeatInterval()
 	// The first machines behind a cut are quiet for three intervals while the
 	// last ones have just missed a report: counting only the quiet ones, a
 	// leader returned 17 of 90 before it saw that there was a cut. Up to half of
@@ -226,7 +226,7 @@
 	// It learns with its next report that one is gone, and each that does not answer costs
 	// it one try.
 	notReached := len(c.Config.Members) + 1 - len(c.Reached())
-	d.search = every*5/4 + time.Duration(max(1, notReached))*workerTry
+	d.search = every*5/4 + time.Duration(max(1, notReached))*workerAttempt
 	if around.manyRelayed() {
 		// It may be this node's own links: a leader that had lost the workers
 		// returned 150 of 330 on their way to its peers, and 80 still when it
@@ -240,15 +240,15 @@
 // after the other: the last ones must not be taken for lost because the others are back.
 func (d *doubts) cutOff(m *fleet.Machine) bool {
 	at, ok := d.c.cutOff[m.Zone]
-	return ok && d.now.Sub(at) < d.c.Config.Lease()
+	return ok && d.now.Sub(at) < d.c.Config.WorkerLease()
 }
 
 // patienceWith is for how long a machine may be silent.
 func (d *doubts) patienceWith(m *fleet.Machine) time.Duration {
-	if at, ok := d.c.carrierLost[m.Via]; ok && d.now.Sub(at) < d.c.Config.Lease() {
+	if at, ok := d.c.carrierLost[m.RelayedBy]; ok && d.now.Sub(at) < d.c.Config.WorkerLease() {
 		// It looks for another node; its last answer may have waited for
 		// commands, and for the next batch.
-		return max(d.patience, d.search+3*d.c.Config.ReportEvery()/2)
+		return max(d.patience, d.search+3*d.c.Config.HeartbeatInterval()/2)
 	}
 	return d.patience
 }
@@ -256,7 +256,7 @@
 // alone reports whether a silent machine is one of few: if not, it is rather its controller or
 // its zone that is not reached.
 func (d *doubts) alone(m *fleet.Machine) bool {
-	if !onlyHere(d.around.carriers) && d.around.carriers[m.Via].most(d.part) {
+	if !onlyHere(d.around.carriers) && d.around.carriers[m.RelayedBy].most(d.part) {
 		return false
 	}
 	return !d.cutOff(m) && !d.around.zones[m.Zone].most(d.part)
@@ -264,7 +264,7 @@
 
 // lostBecause is why a machine is given up; "" if it is not.
 func (d *doubts) lostBecause(m *fleet.Machine) string {
-	silent := d.now.Sub(m.Heard)
+	silent := d.now.Sub(m.LastHeartbeat)
 	switch {
 	case m.State == fleet.Returning || m.State == fleet.Gone:
 		return ""
@@ -295,7 +295,7 @@
 func (d *doubts) silentAlone(m *fleet.Machine, silent time.Duration) bool {
 	switch {
 	case m.State == fleet.Ready:
-		return d.now.Sub(d.c.steady) > d.c.Config.Lease() && silent > d.patienceWith(m) && d.alone(m)
+		return d.now.Sub(d.c.steady) > d.c.Config.WorkerLease() && silent > d.patienceWith(m) && d.alone(m)
 	case m.State == fleet.Booting && m.LiveCount() > 0:
 		return silent > d.search && d.alone(m)
 	}
@@ -312,7 +312,7 @@
 	if r := d.c.machineType(m.Type); r != nil {
 		boot = r.BootS
 	}
-	settled := d.now.Sub(d.c.steady) > 2*d.c.Config.Lease()
+	settled := d.now.Sub(d.c.steady) > 2*d.c.Config.WorkerLease()
 	return settled && d.now.Sub(m.Born).Seconds() > boots*boot
 }
 
--- a/internal/controller/nodes.go
+++ b/internal/controller/nodes.go
@@ -41,7 +41,7 @@
 			c.putNode(id, c.fleet.Get(id), now)
 		}
 	}
-	if now.Sub(c.nodes.checked) > c.Config.Lease() {
+	if now.Sub(c.nodes.checked) > c.Config.WorkerLease() {
 		c.checkNodes(now)
 	}
 }
--- a/internal/controller/picture.go
+++ b/internal/controller/picture.go
@@ -158,7 +158,7 @@
 	s := &j.rec.Spec
 	usual := c.arrive[s.JobClass]
 	return s.Kind == wire.JobArray && !s.SingleZone && !j.begun && j.done == 0 && j.live == 0 &&
-		now.Sub(time.UnixMilli(j.fromMs)) > beginLeases*c.Config.Lease() &&
+		now.Sub(time.UnixMilli(j.fromMs)) > beginLeases*c.Config.WorkerLease() &&
 		usual != nil && float64(s.TaskCount*s.TaskCount) >= usual.tasksSquared
 }
 
@@ -168,7 +168,7 @@
 func (c *Controller) avoids(j *job, now time.Time) string {
 	if len(j.avoid) == 1 {
 		for id, at := range j.avoid {
-			if now.Sub(at) < 6*c.Config.Lease() {
+			if now.Sub(at) < 6*c.Config.WorkerLease() {
 				return id
 			}
 		}
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -36,7 +36,7 @@
 func (c *Controller) rent(ctx context.Context, r *rental) {
 	pause := c.Config.ListLag() / 4
 	group := provision.Group{Type: r.req.MachineType, Zone: r.req.Zone, Spot: r.req.Spot}
-	for try := 0; try < 4 && ctx.Err() == nil; try++ {
+	for attempt := 0; attempt < 4 && ctx.Err() == nil; attempt++ {
 		hosts, err := c.Cloud.Rent(ctx, r.req)
 		if err == nil {
 			slog.Info("rented", "booking", r.req.RequestID, "rig", r.req.MachineType, "yard", r.req.Zone, "standby", r.req.Spot, "asked", r.req.Count, "hosts", hosts)
@@ -73,7 +73,7 @@
 
 // refuse passes a group over for a while, longer each time.
 func (c *Controller) refuse(g provision.Group, now time.Time) {
-	pause := min(max(c.refused[g].pause*2, c.Config.Lease()/2), 3*c.Config.Lease())
+	pause := min(max(c.refused[g].pause*2, c.Config.WorkerLease()/2), 3*c.Config.WorkerLease())
 	c.refused[g] = refusal{now.Add(pause), pause}
 }
 
@@ -83,7 +83,7 @@
 	least := max(c.Config.ListLag()*2/3, time.Duration(float64(8*time.Second)/c.Config.Cluster.Cloud.Rps))
 	var priced time.Time
 	for ctx.Err() == nil {
-		if now := c.now(); priced.IsZero() || now.Sub(priced) > 3*c.Config.Lease() {
+		if now := c.now(); priced.IsZero() || now.Sub(priced) > 3*c.Config.WorkerLease() {
 			cat, err := c.Cloud.Catalog(ctx)
 			if err != nil {
 				slog.Warn("no catalog", "err", err)
@@ -139,7 +139,7 @@
 		// Once listed, a machine stays listed until it is gone. A list may be
 		// old, but not older than a machine that was listed long ago.
 		// The same goes for one that has been known for that long and never was.
-		if !seen[m.ID] && now.Sub(m.Born) > 4*c.Config.ListLag()+c.Config.Lease() && now.Sub(m.Heard) > 2*c.Config.ReportEvery() {
+		if !seen[m.ID] && now.Sub(m.Born) > 4*c.Config.ListLag()+c.Config.WorkerLease() && now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval() {
 			c.failed(m)
 		}
 		if ret := c.returns[m.ID]; ret != nil && m.State == fleet.Gone && seen[m.ID] {
--- a/internal/controller/returns.go
+++ b/internal/controller/returns.go
@@ -38,7 +38,7 @@
 // returning returns machines: first the record, then the request, until the
 // cloud confirms; the record goes once no list shows its machines any more.
 func (c *Controller) returning(ctx context.Context) {
-	pause := c.Config.ReportEvery() / 3
+	pause := c.Config.HeartbeatInterval() / 3
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -126,14 +126,14 @@
 		c.returns[id].goneAt = now
 		c.fleet.Confirm(c.fleet.Get(id), now, "returned")
 	}
-	notify(c.news) // what they ran can be placed
+	notify(c.placementWake) // what they ran can be placed
 	return true
 }
 
 // forgetReturned drops the records of machines that are gone for long enough
 // that no list shows them, those of their images first.
 func (c *Controller) forgetReturned(ctx context.Context) {
-	keep := 6*c.Config.ListLag() + 3*c.Config.Lease()
+	keep := 6*c.Config.ListLag() + 3*c.Config.WorkerLease()
 	ops := max(4, c.batchOps()/3)
 	c.mu.Lock()
 	now := c.now()
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -19,7 +19,7 @@
 		case <-ctx.Done():
 			return
 		case <-time.After(c.untilNext(interval)):
-		case <-c.news:
+		case <-c.placementWake:
 			// A job came: it need not wait for the interval to pass, only long
 			// enough for others that come with it.
 			if !sleep(ctx, interval/8) {
@@ -37,13 +37,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if !c.lastAt.IsZero() && now.Sub(c.lastAt) > max(interval, c.Config.ReportEvery())*2 {
+	if !c.lastAt.IsZero() && now.Sub(c.lastAt) > max(interval, c.Config.HeartbeatInterval())*2 {
 		slog.Warn("stood still", "term", c.term, "for", now.Sub(c.lastAt).String())
 		c.resetLiveness(now)
 	}
 	c.pauseLiveness(now)
-	c.noteHeardByPeers(now)
-	c.fleet.Silence(now)
+	c.noteRenewedByPeers(now)
+	c.fleet.SuspectSilent(now)
 	c.declareLost(now)
 	if c.cat == nil {
 		return nil
@@ -141,11 +141,11 @@
 			if !p.dirty || p.due.After(now) {
 				budget--
 			}
-			a := &fleet.Attempt{UID: j.uid, Task: task, Try: p.next, Need: j.need, Image: j.rec.Spec.Image}
+			a := &fleet.Attempt{UID: j.uid, Task: task, Number: p.next, Need: j.need, Image: j.rec.Spec.Image}
 			if j.rec.Spec.Kind == wire.Gang {
-				a.Try = j.gangTry()
+				a.Number = j.gangAttempt()
 			}
-			p.next = max(p.next, a.Try+1)
+			p.next = max(p.next, a.Number+1)
 			p.live[task] = a
 			j.live++
 			p.touch(now)
--- a/internal/controller/spare.go
+++ b/internal/controller/spare.go
@@ -31,7 +31,7 @@
 const arrivalFadeS = 6 // times the users' longest wait for a machine: see fadeS
 
 // fadeS is the time over which arrivals fade.
-func (c *Controller) fadeS() float64 { return arrivalFadeS * 2 * c.Config.Lease().Seconds() }
+func (c *Controller) fadeS() float64 { return arrivalFadeS * 2 * c.Config.WorkerLease().Seconds() }
 
 // arrived notes a new job.
 func (c *Controller) arrived(j *job, now time.Time) {
@@ -71,7 +71,7 @@
 
 // provision rents for what has no room and marks idle machines for return.
 func (c *Controller) provision(p *picture, plan *sched.Plan, now time.Time) []*rental {
-	settled := now.Sub(c.steady) > c.Config.Lease()
+	settled := now.Sub(c.steady) > c.Config.WorkerLease()
 	spare := c.planSpare(p, plan, now)
 	// A new leader waits until the machines have reported before it decides
 	// that there are too few or too many.
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -86,7 +86,7 @@
 	now := c.now()
 	c.fleet.Each(func(m *fleet.Machine) {
 		st.Machines[m.State.String()]++
-		if m.Blamed && now.Before(m.AvoidUntil) {
+		if m.Quarantined && now.Before(m.AvoidUntil) {
 			st.QuarantinedMachines++
 		}
 	})
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -15,22 +15,22 @@
 
 // takeover notes how a term began, for one line of the log and one record.
 type takeover struct {
-	rec    ledger.Takeover
-	vacant time.Time // when it was seen that nobody leads
-	ready  bool      // a machine has reported with this term's token
-	done   bool      // the first round that could place tasks has ended
+	rec             ledger.Takeover
+	leaderlessSince time.Time // when it was seen that nobody leads
+	ready           bool      // a machine has reported with this term's token
+	done            bool      // the first round that could place tasks has ended
 }
 
-func newTakeover(term uint64, node string, vacant, elected time.Time) *takeover {
-	if vacant.IsZero() || vacant.After(elected) {
-		vacant = elected
+func newTakeover(term uint64, node string, leaderlessSince, elected time.Time) *takeover {
+	if leaderlessSince.IsZero() || leaderlessSince.After(elected) {
+		leaderlessSince = elected
 	}
-	t := &takeover{vacant: vacant, rec: ledger.Takeover{Term: term, Node: node, Cause: "no warm standby"}}
+	t := &takeover{leaderlessSince: leaderlessSince, rec: ledger.Takeover{Term: term, Node: node, Cause: "no warm standby"}}
 	t.rec.ElectedMs = t.since(elected)
 	return t
 }
 
-func (t *takeover) since(now time.Time) int64 { return now.Sub(t.vacant).Milliseconds() }
+func (t *takeover) since(now time.Time) int64 { return now.Sub(t.leaderlessSince).Milliseconds() }
 
 // cold notes why what was followed could not be taken over.
 func (t *takeover) cold(err error) { t.rec.Cause = err.Error() }
@@ -84,7 +84,7 @@
 
 // recordTakeover keeps the record of the takeover. It is not tried twice: the log has it.
 func (c *Controller) recordTakeover(rec ledger.Takeover) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.Config.HoldTTL())
+	ctx, cancel := context.WithTimeout(context.Background(), c.Config.LeaderLeaseTTL())
 	defer cancel()
 	_, err := c.Store.Commit(store.Note(ctx), wire.Transaction{
 		Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: c.term}},
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -42,7 +42,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if !c.views.on || now.Sub(c.views.taken) > viewsFor*c.Config.HoldTTL() {
+	if !c.views.on || now.Sub(c.views.taken) > viewsFor*c.Config.LeaderLeaseTTL() {
 		c.noteAllViews()
 	}
 	c.views.taken = now
@@ -83,7 +83,7 @@
 // stopIdleViews ends the noting of changes once no standby has asked for a while. c.mu is
 // held.
 func (c *Controller) stopIdleViews(now time.Time) {
-	if c.views.on && now.Sub(c.views.taken) > viewsFor*c.Config.HoldTTL() {
+	if c.views.on && now.Sub(c.views.taken) > viewsFor*c.Config.LeaderLeaseTTL() {
 		c.views = viewChanges{}
 	}
 }
@@ -107,11 +107,11 @@
 	if m == nil || m.State == fleet.Gone {
 		return standby.NoMachine(host), nil
 	}
-	v := standby.MachineView{Host: host, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: m.Session,
+	v := standby.MachineView{Host: host, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation,
 		BornMs: milliseconds(m.Born), AvoidMs: milliseconds(m.AvoidUntil), SpotNotice: m.Warned,
 		Images: slices.Sorted(maps.Keys(m.Images))}
 	if m.State == fleet.Ready {
-		v.Token = c.term
+		v.FencingToken = c.term
 	}
 	return v.Entry()
 }
@@ -121,11 +121,11 @@
 	if j == nil {
 		return standby.NoJob(uid), nil
 	}
-	v := standby.JobView{UID: uid, Begun: j.begun, Fails: j.fails, HoldMs: milliseconds(j.heldUntil), WaitMs: milliseconds(j.waitFrom)}
+	v := standby.JobView{UID: uid, Begun: j.begun, Fails: j.fails, NotBeforeMs: milliseconds(j.backoffUntil), WaitMs: milliseconds(j.waitFrom)}
 	var running []standby.RunningTask
 	j.each(func(a *fleet.Attempt) {
 		if !a.RunAt.IsZero() {
-			running = append(running, standby.RunningTask{Task: a.Task, Try: a.Try, SinceS: a.RunAt.Unix()})
+			running = append(running, standby.RunningTask{Task: a.Task, Attempt: a.Number, SinceS: a.RunAt.Unix()})
 		}
 	})
 	slices.SortFunc(running, func(a, b standby.RunningTask) int { return cmp.Compare(a.Task, b.Task) })
@@ -160,7 +160,7 @@
 			continue
 		}
 		m.Address, m.Type, m.Zone, m.Spot = v.Address, v.Type, v.Zone, v.Spot
-		m.SessionHint, m.Warned, m.AvoidUntil = v.Session, v.SpotNotice, fromMilliseconds(v.AvoidMs)
+		m.IncarnationHint, m.Warned, m.AvoidUntil = v.Incarnation, v.SpotNotice, fromMilliseconds(v.AvoidMs)
 		if born := fromMilliseconds(v.BornMs); !born.IsZero() && born.Before(m.Born) {
 			m.Born = born
 		}
@@ -198,7 +198,7 @@
 			slog.Warn("running tasks are not known", "err", err)
 			continue
 		}
-		j.begun, j.fails, j.heldUntil = j.begun || v.Begun, max(j.fails, v.Fails), fromMilliseconds(v.HoldMs)
+		j.begun, j.fails, j.backoffUntil = j.begun || v.Begun, max(j.fails, v.Fails), fromMilliseconds(v.NotBeforeMs)
 		j.suspect = j.suspect || j.fails > 0
 		if from := fromMilliseconds(v.WaitMs); !from.IsZero() && from.Before(j.waitFrom) {
 			j.waitFrom = from
@@ -207,7 +207,7 @@
 			if t.Task >= j.rec.Spec.TaskCount {
 				continue
 			}
-			if a := j.attempt(t.Task); a != nil && a.Try == t.Try {
+			if a := j.attempt(t.Task); a != nil && a.Number == t.Attempt {
 				a.RunAt = time.Unix(min(t.SinceS, now.Unix()), 0)
 				c.fleet.Touch(a.Machine)
 			}
--- a/internal/controller/writer.go
+++ b/internal/controller/writer.go
@@ -42,13 +42,13 @@
 
 // writer commits what changed, batch by batch.
 func (c *Controller) writer(ctx context.Context) {
-	tick := c.Config.ReportEvery() / 3
+	ticker := c.Config.HeartbeatInterval() / 3
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.wake:
-		case <-time.After(c.untilNext(tick)):
+		case <-time.After(c.untilNext(ticker)):
 		}
 		for ctx.Err() == nil {
 			b := c.collect()
@@ -61,7 +61,7 @@
 			if b.note {
 				break // later, when records leave more room
 			}
-			sleep(ctx, tick/2)
+			sleep(ctx, ticker/2)
 		}
 	}
 }
@@ -74,12 +74,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	var jobs, withdrawn []*job
+	var jobs, cancelled []*job
 	for _, j := range c.jobs {
 		switch {
 		case j.unsure || now.Before(j.asideUntil):
 		case c.over(j) && (j.rec.Status.Final() || j.cancelled):
-			withdrawn = append(withdrawn, j)
+			cancelled = append(cancelled, j)
 		case c.over(j) || !j.rec.Status.Final() && j.writes(now):
 			jobs = append(jobs, j)
 		}
@@ -87,7 +87,7 @@
 	ops := c.batchOps()
 	b := c.batch(jobs, now, ops)
 	if len(b.tx.Changes) == 0 {
-		b = c.batch(withdrawn, now, max(4, ops/2))
+		b = c.batch(cancelled, now, max(4, ops/2))
 		b.note = true
 	}
 	if len(b.tx.Changes) == 0 {
@@ -152,17 +152,17 @@
 			}
 			size += len(value)
 			key := ledger.PieceKey(j.uid, p.n)
-			b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: p.stamp})
+			b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: p.modRevision})
 			b.tx.Changes = append(b.tx.Changes, wire.Change{Set: key, Value: value})
 			b.pieces = append(b.pieces, w)
-			needsJob = needsJob || len(w.planned) > 0 || p.stamp == 0
+			needsJob = needsJob || len(w.planned) > 0 || p.modRevision == 0
 		}
 		if needsJob {
 			// A withdrawal changes this stamp: nothing is launched after it. And a
 			// piece is written for the first time only while its job has a record:
 			// a commit that is carried out late would bring it back after the job
 			// and all its pieces were dropped, and its absence is no guard then.
-			b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: ledger.JobKey(j.uid), ModRevision: j.stamp})
+			b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: ledger.JobKey(j.uid), ModRevision: j.modRevision})
 		}
 	}
 	return b
@@ -198,12 +198,12 @@
 // archiveWhole adds to a batch all that is left to do for a job that is over.
 func (c *Controller) archiveWhole(b *batch, j *job) {
 	status := j.outcome()
-	jobGuard := wire.Compare{Key: ledger.JobKey(j.uid), ModRevision: j.stamp}
+	jobGuard := wire.Compare{Key: ledger.JobKey(j.uid), ModRevision: j.modRevision}
 	b.tx.Compares = append(b.tx.Compares, jobGuard, wire.Compare{Key: ledger.FinalKey(j.uid), ModRevision: 0})
 	b.tx.Changes = append(b.tx.Changes, wire.Change{Drop: jobGuard.Key},
 		wire.Change{Set: ledger.FinalKey(j.uid), Value: ledger.Encode(ledger.Final{Status: status})})
 	for _, p := range j.pieces {
-		if p.stamp != 0 {
+		if p.modRevision != 0 {
 			b.drop(p)
 		}
 	}
@@ -225,13 +225,13 @@
 		rec := *j.rec
 		rec.Finish(status, c.Config.ValueBytes())
 		key := ledger.JobKey(j.uid)
-		b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: j.stamp})
+		b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: j.modRevision})
 		b.tx.Changes = append(b.tx.Changes, wire.Change{Set: key, Value: ledger.Encode(rec)})
 		b.jobs = append(b.jobs, jobWrite{j, status, false})
 		return
 	}
 	for _, p := range j.pieces {
-		if p.stamp != 0 && hasRoom() {
+		if p.modRevision != 0 && hasRoom() {
 			b.drop(p)
 		}
 	}
@@ -243,7 +243,7 @@
 
 func (b *batch) drop(p *piece) {
 	key := ledger.PieceKey(p.job.uid, p.n)
-	b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: p.stamp})
+	b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: p.modRevision})
 	b.tx.Changes = append(b.tx.Changes, wire.Change{Drop: key})
 	b.pieces = append(b.pieces, pieceWrite{p: p, seq: p.seq, dropped: true})
 }
@@ -255,12 +255,12 @@
 	if b.note {
 		sctx = store.Note(ctx)
 	}
-	epoch, err := c.Store.Commit(sctx, b.tx)
+	revision, err := c.Store.Commit(sctx, b.tx)
 	var conflict *store.ConflictError
 	var rejected *store.RejectedError
 	switch {
 	case err == nil:
-		c.committed(b, epoch)
+		c.committed(b, revision)
 		return true
 	case errors.As(err, &conflict):
 		slog.Info("commit conflicts", "term", c.term, "failed", conflict.Failed)
@@ -286,14 +286,14 @@
 	}
 }
 
-func (c *Controller) committed(b *batch, epoch uint64) {
+func (c *Controller) committed(b *batch, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	for _, w := range b.pieces {
-		w.p.stamp = epoch
+		w.p.modRevision = revision
 		if w.dropped {
-			w.p.stamp = 0
+			w.p.modRevision = 0
 			continue
 		}
 		for _, a := range w.planned {
@@ -321,7 +321,7 @@
 		}
 		rec := *j.rec
 		rec.Status = w.status
-		j.rec, j.stamp = &rec, epoch
+		j.rec, j.modRevision = &rec, revision
 		c.recordEnds(j, now) // the record says that it is over: nothing of it is launched again
 	}
 }
@@ -346,7 +346,7 @@
 			if err == nil {
 				return item, found, true
 			}
-			if !sleep(ctx, c.Config.ReportEvery()/4) {
+			if !sleep(ctx, c.Config.HeartbeatInterval()/4) {
 				return wire.KeyValue{}, false, false
 			}
 		}
@@ -360,7 +360,7 @@
 		if !found {
 			item.ModRevision = 0
 		}
-		w.p.stamp, w.p.unsure = item.ModRevision, false
+		w.p.modRevision, w.p.unsure = item.ModRevision, false
 		w.p.setDirty(true)
 		c.mu.Unlock()
 	}
@@ -373,7 +373,7 @@
 		j.unsure = false
 		c.mu.Unlock()
 		if !found {
-			c.jobEvent(j.uid, ledger.Entry{Stamp: ^uint64(0)})
+			c.jobEvent(j.uid, ledger.Entry{ModRevision: ^uint64(0)})
 			continue
 		}
 		c.refresh(j.uid, item)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -37,9 +37,9 @@
 	ledger.Reader
 	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
 	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
-	OpenHold(ctx context.Context, ttl time.Duration) (uint64, error)
-	TouchHold(ctx context.Context, permit uint64) error
-	CloseHold(ctx context.Context, permit uint64) error
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, leaseID uint64) error
+	RevokeLease(ctx context.Context, leaseID uint64) error
 }
 
 // deferShare is the part of the hold's time by which a node lets one go first that is
@@ -64,36 +64,36 @@
 
 // Elector runs the election at one node.
 type Elector struct {
-	store    Store
-	label    string
-	ttl      time.Duration
-	handicap func() int
-	grid     tick.Grid
-	better   func() bool
+	store  Store
+	label  string
+	ttl    time.Duration
+	delay  func() int
+	grid   tick.Grid
+	better func() bool
 	// deferring reports whether another node is better prepared to lead.
 	deferring func() bool
 	lead      func(ctx context.Context, term uint64)
 
-	mu      sync.Mutex
-	state   State
-	view    View
-	term    uint64 // our term while we lead
-	stop    context.CancelFunc
-	vacant  time.Time // when it was last seen that nobody leads
-	changed chan struct{}
+	mu              sync.Mutex
+	state           State
+	view            View
+	term            uint64 // our term while we lead
+	stop            context.CancelFunc
+	leaderlessSince time.Time // when it was last seen that nobody leads
+	changed         chan struct{}
 }
 
 // New makes an elector. lead is called for each term that this node leads; its
 // context ends with the term.
 func New(s Store, label string, ttl time.Duration, lead func(ctx context.Context, term uint64)) *Elector {
-	return &Elector{store: s, label: label, ttl: ttl, lead: lead, handicap: func() int { return 0 }, better: func() bool { return false }, deferring: func() bool { return false }, changed: make(chan struct{}, 1)}
+	return &Elector{store: s, label: label, ttl: ttl, lead: lead, delay: func() int { return 0 }, better: func() bool { return false }, deferring: func() bool { return false }, changed: make(chan struct{}, 1)}
 }
 
 // Prefer lets others go first: this node waits a little for each point of its
 // handicap, as it is when nobody leads, before it campaigns, and hands its leadership over once better says
 // that a node with a lower one is well. It is called before Run.
-func (e *Elector) Prefer(handicap func() int, better func() bool) {
-	e.handicap, e.better = handicap, better
+func (e *Elector) Prefer(delay func() int, better func() bool) {
+	e.delay, e.better = delay, better
 }
 
 // DeferTo lets another node go first while first says so: it is better prepared to lead.
@@ -134,7 +134,7 @@
 
 // Saw notes that a term was seen elsewhere: in a worker's report or at another
 // node. A leader of an older term steps down.
-func (e *Elector) Saw(term uint64, leader string) {
+func (e *Elector) ObserveTerm(term uint64, leader string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if leader != "" {
@@ -195,22 +195,22 @@
 
 // vacate notes that nobody leads. e.mu is held.
 func (e *Elector) vacate() {
-	if e.view.Leader != "" || e.vacant.IsZero() {
-		e.vacant = time.Now()
+	if e.view.Leader != "" || e.leaderlessSince.IsZero() {
+		e.leaderlessSince = time.Now()
 	}
 	e.view.Leader = ""
 }
 
-// VacantSince is when this node last saw, by the state service's word, that nobody leads.
-func (e *Elector) VacantSince() time.Time {
+// LeaderlessSince is when this node last saw, by the state service's word, that nobody leads.
+func (e *Elector) LeaderlessSince() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.vacant
+	return e.leaderlessSince
 }
 
 // learn takes a key of the election into the view. e.mu is held.
-func (e *Elector) learn(key string, value json.RawMessage, stamp uint64) {
-	if stamp < e.view.Term {
+func (e *Elector) learn(key string, value json.RawMessage, modRevision uint64) {
+	if modRevision < e.view.Term {
 		return
 	}
 	var l ledger.Leader
@@ -218,11 +218,11 @@
 		slog.Error("leader record cannot be read", "key", key, "err", err)
 		return
 	}
-	e.view.Term, e.view.Known = stamp, max(e.view.Known, stamp)
+	e.view.Term, e.view.Known = modRevision, max(e.view.Known, modRevision)
 	if key == ledger.LeaderKey {
 		e.view.Leader = l.Node
 	}
-	if e.stop != nil && stamp > e.term {
+	if e.stop != nil && modRevision > e.term {
 		e.stop()
 	}
 }
@@ -241,7 +241,7 @@
 			continue
 		}
 		// A little chance keeps nodes from colliding at every try.
-		wait := time.Duration(rand.Int64N(int64(e.ttl/40))) + time.Duration(e.handicap())*e.ttl/8
+		wait := time.Duration(rand.Int64N(int64(e.ttl/40))) + time.Duration(e.delay())*e.ttl/8
 		if e.deferring() {
 			wait += e.ttl / deferShare
 		}
@@ -250,8 +250,8 @@
 			continue
 		}
 		e.move(Campaigning, "nobody leads")
-		if term, permit, ok := e.campaign(ctx); ok {
-			e.serve(ctx, term, permit)
+		if term, leaseID, ok := e.campaign(ctx); ok {
+			e.serve(ctx, term, leaseID)
 		} else {
 			e.move(Following, "not elected")
 			time.Sleep(time.Duration(rand.Int64N(int64(e.ttl / 8))))
@@ -261,9 +261,9 @@
 }
 
 // campaign tries once to become leader.
-func (e *Elector) campaign(ctx context.Context) (term, permit uint64, ok bool) {
+func (e *Elector) campaign(ctx context.Context) (term, leaseID uint64, ok bool) {
 	ctx = store.Urgent(ctx)
-	permit, err := e.store.OpenHold(ctx, e.ttl)
+	leaseID, err := e.store.GrantLease(ctx, e.ttl)
 	if err != nil {
 		slog.Debug("no hold", "err", err)
 		return 0, 0, false
@@ -271,20 +271,20 @@
 	rec := ledger.Encode(ledger.Leader{Node: e.label})
 	term, err = e.store.Commit(ctx, wire.Transaction{
 		Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: 0}},
-		Changes:  []wire.Change{{Set: ledger.LeaderKey, Value: rec, LeaseID: permit}, {Set: ledger.TermKey, Value: rec}},
+		Changes:  []wire.Change{{Set: ledger.LeaderKey, Value: rec, LeaseID: leaseID}, {Set: ledger.TermKey, Value: rec}},
 	})
 	if err == nil {
-		return term, permit, true
+		return term, leaseID, true
 	}
 	slog.Debug("not elected", "err", err)
 	var conflict *store.ConflictError
 	if !errors.As(err, &conflict) && errors.Is(err, store.ErrUnknown) {
 		// The commit may have been applied: the key then hangs on our hold.
-		if item, found, err := e.store.Get(ctx, ledger.LeaderKey); err == nil && found && item.LeaseID == permit {
-			return item.ModRevision, permit, true
+		if item, found, err := e.store.Get(ctx, ledger.LeaderKey); err == nil && found && item.LeaseID == leaseID {
+			return item.ModRevision, leaseID, true
 		}
 	}
-	if err := e.store.CloseHold(ctx, permit); err != nil {
+	if err := e.store.RevokeLease(ctx, leaseID); err != nil {
 		slog.Debug("hold not closed", "err", err)
 	}
 	if item, found, err := e.store.Get(ctx, ledger.LeaderKey); err == nil {
@@ -300,7 +300,7 @@
 // serve leads a term until the hold ends or a newer term is seen. While the
 // hold cannot be renewed the term goes on unproven: it may outlive an outage
 // of the state service, and every commit is guarded by the leader's key.
-func (e *Elector) serve(ctx context.Context, term, permit uint64) {
+func (e *Elector) serve(ctx context.Context, term, leaseID uint64) {
 	tctx, stop := context.WithCancel(ctx)
 	defer stop()
 	e.mu.Lock()
@@ -326,7 +326,7 @@
 		}
 		begun := time.Now()
 		rctx, cancel := context.WithTimeout(store.Urgent(tctx), e.ttl/2)
-		err := e.store.TouchHold(rctx, permit)
+		err := e.store.RenewLease(rctx, leaseID)
 		cancel()
 		next = e.grid.Next(time.Now(), e.ttl/renewals)
 		switch {
@@ -336,7 +336,7 @@
 		case err == nil:
 			renewed = begun
 			e.move(Leading, "hold renewed")
-		case errors.Is(err, store.ErrNoHold):
+		case errors.Is(err, store.ErrLeaseNotFound):
 			slog.Info("hold has ended", "term", term)
 			stop()
 		}
@@ -346,7 +346,7 @@
 		if err == nil && e.better() {
 			slog.Info("handing over to a node that is better placed", "term", term)
 			stop()
-			if err := e.store.CloseHold(store.Urgent(ctx), permit); err != nil {
+			if err := e.store.RevokeLease(store.Urgent(ctx), leaseID); err != nil {
 				slog.Warn("hold not closed", "err", err) // it ends by itself
 			}
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -84,17 +84,17 @@
 func Need(w *wire.JobSpec) Res { return Res{w.Cores, w.Gpus, w.RAMGb} }
 
 type attemptKey struct {
-	task string
-	try  uint64
+	task    string
+	attempt uint64
 }
 
 // Attempt is one try of one task on one machine.
 type Attempt struct {
 	UID          string
 	Task         int
-	Try          uint64
+	Number       uint64
 	Serial       int    // tells the attempts of a term apart; set when it is placed
-	Session      uint64 // session of the machine that it was decided for
+	Incarnation  uint64 // session of the machine that it was decided for
 	Need         Res
 	Image        string
 	Machine      *Machine
@@ -117,43 +117,43 @@
 
 // orphan is a task that a machine reports and no record knows.
 type orphan struct {
-	task  string
-	try   uint64
-	ended bool
+	task    string
+	attempt uint64
+	ended   bool
 }
 
 // Machine is one machine.
 type Machine struct {
-	ID             string
-	Address        string
-	Type           string
-	Zone           string
-	Spot           bool
-	State          MachineState
-	Cap            Res
-	Session        uint64
-	Sequence       uint64
-	SessionHint    uint64    // session that an earlier leader knew: only for whom to announce to
-	Heard          time.Time // last report, here or at another node
-	Reported       time.Time // last report here
-	Relayed        time.Time // last report that another node relayed here
-	Via            string    // follower that keeps it and relays its reports; "": none
-	Since          time.Time // of the last change of state
-	Born           time.Time // when it was first known
-	Listed         bool
-	Failed         bool // the cloud lists it as failed
-	Warned         bool // spot notice
-	IdleAt         time.Time
-	AvoidUntil     time.Time            // takes no launches until then
-	MissedLaunches int                  // launches in a row that it did not take
-	Blamed         bool                 // it is passed over for tasks that failed on it
-	Images         map[string]time.Time // images seen on it, by last use
-
-	answered time.Time // last report here, whatever time was given again since
-	attempts map[attemptKey]*Attempt
-	orphans  []orphan
-	used     Res
-	live     int
+	ID                   string
+	Address              string
+	Type                 string
+	Zone                 string
+	Spot                 bool
+	State                MachineState
+	Cap                  Res
+	Incarnation          uint64
+	Sequence             uint64
+	IncarnationHint      uint64    // session that an earlier leader knew: only for whom to announce to
+	LastHeartbeat        time.Time // last report, here or at another node
+	LastHeartbeatHere    time.Time // last report here
+	LastRelayedHeartbeat time.Time // last report that another node relayed here
+	RelayedBy            string    // follower that keeps it and relays its reports; "": none
+	Since                time.Time // of the last change of state
+	Born                 time.Time // when it was first known
+	Listed               bool
+	Failed               bool // the cloud lists it as failed
+	Warned               bool // spot notice
+	IdleAt               time.Time
+	AvoidUntil           time.Time            // takes no launches until then
+	MissedLaunches       int                  // launches in a row that it did not take
+	Quarantined          bool                 // it is passed over for tasks that failed on it
+	Images               map[string]time.Time // images seen on it, by last use
+
+	lastAnswered time.Time // last report here, whatever time was given again since
+	attempts     map[attemptKey]*Attempt
+	orphans      []orphan
+	used         Res
+	live         int
 }
 
 // Free is what is left for new attempts.
@@ -278,7 +278,7 @@
 func (f *Fleet) Know(id string, now time.Time) *Machine {
 	m := f.machines[id]
 	if m == nil {
-		m = &Machine{ID: id, State: Booting, Heard: now, Reported: now, Since: now, Born: now, IdleAt: now,
+		m = &Machine{ID: id, State: Booting, LastHeartbeat: now, LastHeartbeatHere: now, Since: now, Born: now, IdleAt: now,
 			attempts: map[attemptKey]*Attempt{}, Images: map[string]time.Time{}}
 		f.machines[id] = m
 		f.Touch(m)
@@ -323,7 +323,7 @@
 		}
 	}
 	if to == Off {
-		delete(m.attempts, attemptKey{a.Name(), a.Try})
+		delete(m.attempts, attemptKey{a.Name(), a.Number})
 	}
 	f.watcher.AttemptChanged(a, from, why)
 }
@@ -337,9 +337,9 @@
 		a.State = Committed
 	} else {
 		a.State = Planned
-		a.Session = m.Session
+		a.Incarnation = m.Incarnation
 	}
-	m.attempts[attemptKey{a.Name(), a.Try}] = a
+	m.attempts[attemptKey{a.Name(), a.Number}] = a
 	m.used = m.used.Add(a.Need)
 	m.live++
 	f.watcher.AttemptChanged(a, a.State, "placed")
@@ -387,12 +387,12 @@
 	}
 }
 
-// Silence marks machines that nobody has heard for longer than a lease: those that
+// SuspectSilent marks machines that nobody has heard for longer than a lease: those that
 // a new leader knows to have tasks by the records only had their last answer
 // before it began.
-func (f *Fleet) Silence(now time.Time) {
+func (f *Fleet) SuspectSilent(now time.Time) {
 	for _, m := range f.machines {
-		if (m.State == Ready || m.State == Confirming || m.State == Booting && m.live > 0) && now.Sub(m.Heard) > f.lease {
+		if (m.State == Ready || m.State == Confirming || m.State == Booting && m.live > 0) && now.Sub(m.LastHeartbeat) > f.lease {
 			f.setMachine(m, Silent, now, "not heard")
 		}
 	}
@@ -400,18 +400,18 @@
 
 // Heartbeat takes a check-in into the picture. fresh is false for a copy that is no newer than what is known: it
 // changes nothing and gets no orders.
-func (f *Fleet) Report(r *wire.Heartbeat, now time.Time) (m *Machine, fresh bool) {
+func (f *Fleet) ApplyHeartbeat(r *wire.Heartbeat, now time.Time) (m *Machine, fresh bool) {
 	m = f.Know(r.Host, now)
-	if m.State == Gone || r.Incarnation < m.Session || (r.Incarnation == m.Session && r.Sequence <= m.Sequence) {
+	if m.State == Gone || r.Incarnation < m.Incarnation || (r.Incarnation == m.Incarnation && r.Sequence <= m.Sequence) {
 		return m, false
 	}
 	f.Touch(m)
-	newSession := f.noteReport(m, r, now)
+	newIncarnation := f.applyMachineReport(m, r, now)
 	reported := reportedAttempts(m, r)
 	confirmed := r.FencingToken == f.term
 	for k, a := range m.attempts {
 		switch l := reported[k]; {
-		case a.Session < r.Incarnation:
+		case a.Incarnation < r.Incarnation:
 			// The worker killed and forgot everything of earlier sessions, and
 			// drops every answer to a report of an earlier session.
 			f.setAttempt(a, Off, now, "machine has a new session")
@@ -423,22 +423,22 @@
 	}
 	if confirmed {
 		f.setMachine(m, Ready, now, "reports with this term's token")
-	} else if m.State != Ready || newSession {
+	} else if m.State != Ready || newIncarnation {
 		f.setMachine(m, Confirming, now, "reports with an older token")
 	}
 	return m, true
 }
 
-// noteReport takes what a fresh report says of its machine, and reports whether the machine
+// applyMachineReport takes what a fresh report says of its machine, and reports whether the machine
 // has begun a new session.
-func (f *Fleet) noteReport(m *Machine, r *wire.Heartbeat, now time.Time) (newSession bool) {
-	newSession, answeredAgo := r.Incarnation > m.Session && m.Session != 0, now.Sub(m.answered)
-	m.Session, m.Sequence, m.Heard, m.Reported, m.answered = r.Incarnation, r.Sequence, now, now, now
+func (f *Fleet) applyMachineReport(m *Machine, r *wire.Heartbeat, now time.Time) (newIncarnation bool) {
+	newIncarnation, answeredAgo := r.Incarnation > m.Incarnation && m.Incarnation != 0, now.Sub(m.lastAnswered)
+	m.Incarnation, m.Sequence, m.LastHeartbeat, m.LastHeartbeatHere, m.lastAnswered = r.Incarnation, r.Sequence, now, now, now
 	m.Address, m.Type, m.Zone, m.Spot = r.Address, r.MachineType, r.Zone, r.Spot
 	if r.SpotNoticeS != nil {
 		m.Warned = true
 	}
-	if newSession && answeredAgo < f.lease && m.State == Ready {
+	if newIncarnation && answeredAgo < f.lease && m.State == Ready {
 		// It reported all the time and yet its lease ended: answers do not
 		// reach it. Launches would be lost, so it gets none for a while. That it
 		// reported is only known if it had this term's token: copies of reports of
@@ -447,7 +447,7 @@
 		// given again after an outage: their leases ended for want of an answer.
 		m.AvoidUntil = now.Add(2 * f.lease)
 	}
-	return newSession
+	return newIncarnation
 }
 
 // reportedAttempts finds the attempts of a report, and notes those that no record knows as
@@ -535,26 +535,26 @@
 
 // Commands makes the answer to a fresh report. Launches go only to a machine
 // that is ready, and only for attempts that are committed.
-func (f *Fleet) Orders(m *Machine, now time.Time, launches bool) []wire.Command {
+func (f *Fleet) Commands(m *Machine, now time.Time, launches bool) []wire.Command {
 	orders := []wire.Command{}
 	for _, s := range m.orphans {
 		if s.ended {
-			orders = append(orders, wire.Command{Verb: wire.Acknowledge, Task: s.task, Attempt: s.try})
+			orders = append(orders, wire.Command{Verb: wire.Acknowledge, Task: s.task, Attempt: s.attempt})
 		} else {
-			orders = append(orders, wire.Command{Verb: wire.Stop, Task: s.task, Attempt: s.try})
+			orders = append(orders, wire.Command{Verb: wire.Stop, Task: s.task, Attempt: s.attempt})
 		}
 	}
 	for _, a := range m.attempts {
 		switch a.State {
 		case Recorded:
-			orders = append(orders, wire.Command{Verb: wire.Acknowledge, Task: a.Name(), Attempt: a.Try})
+			orders = append(orders, wire.Command{Verb: wire.Acknowledge, Task: a.Name(), Attempt: a.Number})
 		case Sent, Fetching, Running:
 			if a.Stopping {
-				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Try, GracePeriodS: a.LeewayS})
+				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Number, GracePeriodS: a.LeewayS})
 			}
 		case Saving:
 			if a.Stopping && a.LeewayS == 0 {
-				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Try})
+				orders = append(orders, wire.Command{Verb: wire.Stop, Task: a.Name(), Attempt: a.Number})
 			}
 		}
 	}
@@ -562,10 +562,10 @@
 		return orders
 	}
 	for _, a := range m.attempts {
-		if a.State == Committed && !a.Inherited && !a.Stopping && a.Session == m.Session {
+		if a.State == Committed && !a.Inherited && !a.Stopping && a.Incarnation == m.Incarnation {
 			a.SentSequence = m.Sequence
 			f.setAttempt(a, Sent, now, "launch given")
-			orders = append(orders, wire.Command{Verb: wire.Launch, Task: a.Name(), Attempt: a.Try})
+			orders = append(orders, wire.Command{Verb: wire.Launch, Task: a.Name(), Attempt: a.Number})
 		}
 	}
 	return orders
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -26,20 +26,20 @@
 
 // Key prefixes and fixed keys.
 const (
-	ElectionPrefix = "e/"
-	LeaderKey      = "e/leader"
-	TermKey        = "e/term"
-	JobPrefix      = "j/"
-	PiecePrefix    = "p/"
-	FinalPrefix    = "f/"
-	ReturnsPrefix  = "r/"
-	ImagesPrefix   = "i/"
-	KeptPrefix     = "k/"
-	TakeoverKey    = "t/last"
-	SettingsPrefix = "o/"
-	SettingsKey    = "o/settings"
-	VersionKey     = "o/version"
-	ReleasePrefix  = "o/release/"
+	ElectionPrefix      = "e/"
+	LeaderKey           = "e/leader"
+	TermKey             = "e/term"
+	JobPrefix           = "j/"
+	PiecePrefix         = "p/"
+	FinalPrefix         = "f/"
+	ReturnsPrefix       = "r/"
+	ImagesPrefix        = "i/"
+	RenewedLeasesPrefix = "k/"
+	TakeoverKey         = "t/last"
+	SettingsPrefix      = "o/"
+	SettingsKey         = "o/settings"
+	VersionKey          = "o/version"
+	ReleasePrefix       = "o/release/"
 )
 
 // Leader is the value of LeaderKey and TermKey.
@@ -87,9 +87,9 @@
 	Names []string `json:"Names"`
 }
 
-// Kept lists machines that a node answers in the place of a leader that it
+// RenewedLeases lists machines that a node answers in the place of a leader that it
 // cannot reach. The state service carries the word where the mesh does not.
-type Kept struct {
+type RenewedLeases struct {
 	Hosts []string `json:"Hosts"`
 }
 
@@ -122,10 +122,10 @@
 
 // Placed is an attempt that was decided and is not yet recorded as ended.
 type Placed struct {
-	Task    int    `json:"L"`
-	Try     uint64 `json:"T"`
-	Host    string `json:"H"`
-	Session uint64 `json:"S"`
+	Task        int    `json:"L"`
+	Attempt     uint64 `json:"T"`
+	Host        string `json:"H"`
+	Incarnation uint64 `json:"S"`
 }
 
 // FitNames is as many of the names as a record with one list of names holds in a value
--- a/internal/ledger/mirror.go
+++ b/internal/ledger/mirror.go
@@ -18,21 +18,21 @@
 // Reader is what a mirror needs of the state service.
 type Reader interface {
 	List(ctx context.Context, under string) ([]wire.KeyValue, uint64, error)
-	Changes(ctx context.Context, under string, after uint64, hold time.Duration) (wire.WatchResponse, error)
+	Changes(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error)
 }
 
 // Follower is what a prefix is followed for. begun is when the read that an
 // update stems from began: whatever was committed before is part of it.
 type Follower interface {
 	// Reset takes a whole listing, made at epoch.
-	Reset(rows []wire.KeyValue, epoch uint64, begun time.Time)
+	Reset(rows []wire.KeyValue, revision uint64, begun time.Time)
 	// Apply takes what changed after the epoch after.
 	Apply(ch wire.WatchResponse, after uint64, begun time.Time)
 }
 
 // Follow keeps f up to date with the keys under a prefix: it lists them, then
 // watches. It returns when ctx ends.
-func Follow(ctx context.Context, r Reader, under string, hold, pause time.Duration, f Follower) {
+func Follow(ctx context.Context, r Reader, under string, wait, pause time.Duration, f Follower) {
 	sleep := func() {
 		select {
 		case <-ctx.Done():
@@ -41,16 +41,16 @@
 	}
 	for ctx.Err() == nil {
 		begun := time.Now()
-		rows, epoch, err := r.List(ctx, under)
+		rows, revision, err := r.List(ctx, under)
 		if err != nil {
 			slog.Debug("cannot list", "under", under, "err", err)
 			sleep()
 			continue
 		}
-		f.Reset(rows, epoch, begun)
+		f.Reset(rows, revision, begun)
 		for ctx.Err() == nil {
 			begun := time.Now()
-			ch, err := r.Changes(ctx, under, epoch, hold)
+			ch, err := r.Changes(ctx, under, revision, wait)
 			if errors.Is(err, store.ErrTooOld) {
 				break
 			}
@@ -59,8 +59,8 @@
 				sleep()
 				continue
 			}
-			f.Apply(ch, epoch, begun)
-			epoch = max(epoch, ch.Revision)
+			f.Apply(ch, revision, begun)
+			revision = max(revision, ch.Revision)
 		}
 	}
 }
@@ -97,8 +97,8 @@
 
 // Entry is a job and the stamp of its record.
 type Entry struct {
-	Job   *Job
-	Stamp uint64
+	Job         *Job
+	ModRevision uint64
 }
 
 // Listener is told of every change of a job's record; e.Job is nil when the
@@ -116,7 +116,7 @@
 type Mirror struct {
 	mu       sync.Mutex
 	jobs     map[string]Entry
-	epoch    uint64                    // all changes up to here are taken
+	revision uint64                    // all changes up to here are taken
 	fresh    atomic.Pointer[time.Time] // all that was committed before is taken; nil before the first listing
 	listener Listener
 }
@@ -125,8 +125,8 @@
 func NewMirror() *Mirror { return &Mirror{jobs: map[string]Entry{}} }
 
 // Run keeps the mirror up to date until ctx ends.
-func (m *Mirror) Run(ctx context.Context, r Reader, hold, pause time.Duration) {
-	Follow(ctx, r, JobPrefix, hold, pause, m)
+func (m *Mirror) Run(ctx context.Context, r Reader, wait, pause time.Duration) {
+	Follow(ctx, r, JobPrefix, wait, pause, m)
 }
 
 // ErrNotListed means that the mirror has to be listed before it can be refreshed.
@@ -137,7 +137,7 @@
 // does nothing.
 func (m *Mirror) Refresh(ctx context.Context, r Reader) error {
 	m.mu.Lock()
-	after := m.epoch
+	after := m.revision
 	m.mu.Unlock()
 	if !m.Synced() {
 		return ErrNotListed
@@ -157,7 +157,7 @@
 // Reset takes a listing. It was made over a while: only what was committed
 // before it began is sure to be in it, and later changes are taken once more
 // from its epoch on.
-func (m *Mirror) Reset(rows []wire.KeyValue, epoch uint64, begun time.Time) {
+func (m *Mirror) Reset(rows []wire.KeyValue, revision uint64, begun time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	seen := make(map[string]bool, len(rows))
@@ -168,13 +168,13 @@
 	}
 	for uid := range m.jobs {
 		if !seen[uid] {
-			m.drop(uid, epoch)
+			m.drop(uid, revision)
 		}
 	}
 	// A listing may be older than what is known: what came between is then
 	// gone through again, or a job that was listed and has been archived since
 	// would stay for ever.
-	m.epoch = epoch
+	m.revision = revision
 	m.renew(begun)
 }
 
@@ -184,11 +184,11 @@
 func (m *Mirror) Apply(ch wire.WatchResponse, after uint64, begun time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if after > m.epoch {
+	if after > m.revision {
 		return // a listing went back behind it
 	}
 	for _, n := range ch.Events {
-		if n.ModRevision <= m.epoch {
+		if n.ModRevision <= m.revision {
 			continue
 		}
 		if n.Drop != "" {
@@ -197,7 +197,7 @@
 			m.put(strings.TrimPrefix(n.Set, JobPrefix), n.Value, n.ModRevision)
 		}
 	}
-	m.epoch = max(m.epoch, ch.Revision)
+	m.revision = max(m.revision, ch.Revision)
 	m.renew(begun)
 }
 
@@ -211,16 +211,16 @@
 // Hint takes a job's record that another node tells of, ahead of the state
 // service. It changes nothing about how old the mirror's knowledge is. A job
 // that is not known may be archived already and is left alone.
-func (m *Mirror) Hint(uid string, rec Job, stamp uint64) {
+func (m *Mirror) Hint(uid string, rec Job, modRevision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if old, ok := m.jobs[uid]; ok && old.Stamp < stamp {
-		m.take(uid, Entry{&rec, stamp})
+	if old, ok := m.jobs[uid]; ok && old.ModRevision < modRevision {
+		m.take(uid, Entry{&rec, modRevision})
 	}
 }
 
-func (m *Mirror) put(uid string, value json.RawMessage, stamp uint64) {
-	if old, ok := m.jobs[uid]; ok && old.Stamp >= stamp {
+func (m *Mirror) put(uid string, value json.RawMessage, modRevision uint64) {
+	if old, ok := m.jobs[uid]; ok && old.ModRevision >= modRevision {
 		return
 	}
 	var j Job
@@ -228,7 +228,7 @@
 		slog.Error("job record cannot be read", "uid", uid, "err", err)
 		return
 	}
-	m.take(uid, Entry{&j, stamp})
+	m.take(uid, Entry{&j, modRevision})
 }
 
 func (m *Mirror) take(uid string, e Entry) {
@@ -238,13 +238,13 @@
 	}
 }
 
-func (m *Mirror) drop(uid string, stamp uint64) {
-	if old, ok := m.jobs[uid]; ok && old.Stamp > stamp {
+func (m *Mirror) drop(uid string, modRevision uint64) {
+	if old, ok := m.jobs[uid]; ok && old.ModRevision > modRevision {
 		return
 	}
 	delete(m.jobs, uid)
 	if m.listener != nil {
-		m.listener(uid, Entry{nil, stamp})
+		m.listener(uid, Entry{nil, modRevision})
 	}
 }
 
@@ -281,20 +281,20 @@
 	return ok
 }
 
-// Withdrawn tells which of the jobs are withdrawn, as far as is known, and up to
+// Cancelled tells which of the jobs are withdrawn, as far as is known, and up to
 // which time every withdrawal is known.
-func (m *Mirror) Withdrawn(uids []string) (withdrawn map[string]bool, fresh time.Time) {
+func (m *Mirror) Cancelled(uids []string) (cancelled map[string]bool, fresh time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, uid := range uids {
 		if e, ok := m.jobs[uid]; ok && e.Job.Status == wire.JobAborted {
-			if withdrawn == nil {
-				withdrawn = map[string]bool{}
+			if cancelled == nil {
+				cancelled = map[string]bool{}
 			}
-			withdrawn[uid] = true
+			cancelled[uid] = true
 		}
 	}
-	return withdrawn, m.Fresh()
+	return cancelled, m.Fresh()
 }
 
 // Listen hands every known job and then every change to l, one at a time, or
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -29,10 +29,10 @@
 
 // Job is what the graph needs to know of a job.
 type Job struct {
-	Awaits []string // the jobs that have to be done first
-	Level  int      // its own priority
-	DueMs  float64  // its own due time; +Inf if it has none
-	RunMs  float64  // how long it is expected to take once nothing holds it up
+	Dependencies []string // the jobs that have to be done first
+	Level        int      // its own priority
+	DueMs        float64  // its own due time; +Inf if it has none
+	RunMs        float64  // how long it is expected to take once nothing holds it up
 }
 
 // Effects is what a change of the graph means for other jobs.
@@ -76,7 +76,7 @@
 	}
 	delete(g.unresolved, uid)
 	n.Job, n.state, n.archived = job, Open, false
-	for _, name := range job.Awaits {
+	for _, name := range job.Dependencies {
 		predecessor := g.nodes[name]
 		if predecessor == nil {
 			predecessor = g.make(name)
