--- a/internal/api/admin.go
+++ b/internal/api/admin.go
@@ -61,7 +61,7 @@
 		}
 		return 0
 	})
-	gauge("lotusstile_knowledge_seconds", func() float64 { return min(time.Since(n.mirror.Fresh()), time.Hour).Seconds() })
+	gauge("lotusstile_knowledge_seconds", func() float64 { return min(time.Since(n.jobCache.Fresh()), time.Hour).Seconds() })
 }
 
 func (n *Node) rounded(took time.Duration) { n.rounds.Update(took.Seconds()) }
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -90,5 +90,5 @@
 // Cancelled takes word of a committed withdrawal.
 func (n *Node) Cancelled(a peer.Cancellation) {
 	n.finals.put(a.UID, a.Record.Status)
-	n.mirror.Hint(a.UID, a.Record, a.ModRevision)
+	n.jobCache.Hint(a.UID, a.Record, a.ModRevision)
 }
--- a/internal/api/crowding.go
+++ b/internal/api/crowding.go
@@ -56,8 +56,8 @@
 	switch l := n.connections.Load(); {
 	case connlimit.OnReserve(ctx):
 		return relay.Full
-	case l != nil && l.Crowded():
-		return relay.Crowded
+	case l != nil && l.UnderPressure():
+		return relay.UnderPressure
 	}
 	return relay.Relaxed
 }
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -65,7 +65,7 @@
 	if uid == dependency {
 		return &dependencyError{dependency, "which is the job itself"}
 	}
-	if entry, ok := n.mirror.Job(dependency); ok {
+	if entry, ok := n.jobCache.Job(dependency); ok {
 		if entry.Job.Spec.Kind == wire.Service {
 			return &dependencyError{dependency, "which is a service and never done"}
 		}
@@ -114,7 +114,7 @@
 	if status, ok := n.finals.get(uid); ok {
 		return status, nil, nil
 	}
-	if entry, ok := n.mirror.Job(uid); ok {
+	if entry, ok := n.jobCache.Job(uid); ok {
 		return entry.Job.Status, entry.Job.Spec.Dependencies, nil
 	}
 	// Its record is gone, and its final status was written with that.
--- a/internal/api/node.go
+++ b/internal/api/node.go
@@ -33,7 +33,7 @@
 	store     *store.Client
 	cloud     *cloud.Client
 	refresher *ledger.Refresher // brings mirror up to date for polls
-	mirror    *ledger.Mirror
+	jobCache  *ledger.Cache
 	elector   *election.Elector
 	peers     []*peer.Peer
 	workers   *http.Client
@@ -46,7 +46,7 @@
 	requests       sync.Map // *metrics.Counter by requestKind
 
 	lead        atomic.Pointer[controller.Controller]
-	cat         atomic.Pointer[wire.Catalog]
+	catalog     atomic.Pointer[wire.Catalog]
 	settings    atomic.Pointer[wire.Settings]
 	finals      finals
 	counts      taskCounts
@@ -92,14 +92,14 @@
 		cfg:           cfg,
 		store:         store.New(cfg.Services.State, store.Limits{Rps: st.Rps, WriteRps: st.WriteRps, Nodes: len(cfg.Members) + 1}, timeout, nw.State),
 		cloud:         cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, timeout, nw.Cloud),
-		mirror:        ledger.NewMirror(),
+		jobCache:      ledger.NewCache(),
 		peers:         peer.Peers(cfg, cfg.LeaderLeaseTTL()/4, nw.DialPeer),
 		contacts:      map[string]contact{},
 		renewedLeases: map[string]time.Time{},
 		version:       clusterversion.NewTracker(),
 		workers:       &http.Client{Timeout: cfg.HeartbeatInterval(), Transport: nw.Workers},
 	}
-	n.refresher = ledger.NewRefresher(n.mirror, n.store, n.store.SharedReads(), timeout)
+	n.refresher = ledger.NewRefresher(n.jobCache, n.store, n.store.SharedReads(), timeout)
 	n.finals = newFinals(cfg.Cluster.Limits.MemMb)
 	defaults := ledger.DefaultSettings(cfg.Cluster.Workers.ReportS)
 	n.settings.Store(&defaults)
@@ -150,7 +150,7 @@
 // Start begins all that a node does beside answering. It ends with ctx.
 func (n *Node) Start(ctx context.Context) {
 	watchFor, pause := n.cfg.WorkerLease(), n.cfg.LeaderLeaseTTL()/8
-	go n.mirror.Run(ctx, n.store, watchFor, pause)
+	go n.jobCache.Run(ctx, n.store, watchFor, pause)
 	go ledger.Follow(ctx, n.store, ledger.SettingsPrefix, 3*watchFor, pause, ledger.Funcs{Listed: n.takeOption, Changed: n.takeOption})
 	go n.elector.Run(ctx)
 	go n.version.Announce(ctx, n.store, n.cfg.Label, 2*n.cfg.LeaderLeaseTTL())
@@ -174,7 +174,7 @@
 func (n *Node) leadTerm(ctx context.Context, term uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	deps := controller.Deps{Config: n.cfg, Store: n.store, Cloud: n.cloud, Worker: n, Mirror: n.mirror,
+	deps := controller.Deps{Config: n.cfg, Store: n.store, Cloud: n.cloud, Worker: n, JobCache: n.jobCache,
 		Settings: func() wire.Settings { return *n.settings.Load() }, Rounded: n.rounded,
 		Version:     n.version,
 		ObserveTerm: func(t uint64) { n.elector.ObserveTerm(t, "") }, RenewedByPeers: n.renewedByPeers, Reached: n.reached, RelayReached: n.relayReached,
@@ -218,9 +218,9 @@
 func (n *Node) readCatalog(ctx context.Context) {
 	pause := n.cfg.LeaderLeaseTTL() / 4
 	for ctx.Err() == nil {
-		cat, err := n.cloud.Catalog(ctx)
-		if err == nil && len(cat.MachineTypes) > 0 {
-			n.cat.Store(&cat)
+		catalog, err := n.cloud.Catalog(ctx)
+		if err == nil && len(catalog.MachineTypes) > 0 {
+			n.catalog.Store(&catalog)
 			return
 		}
 		slog.Warn("no catalog yet", "err", err)
@@ -239,7 +239,7 @@
 		if err != nil {
 			slog.Debug("peer not reached", "peer", p.Label, "err", err)
 		} else if r.Leading {
-			n.counts.update(p.Label, args, r, n.mirror)
+			n.counts.update(p.Label, args, r, n.jobCache)
 			for _, view := range r.Counts {
 				if view.Status.Final() {
 					n.finals.put(view.UID, view.Status)
@@ -304,9 +304,9 @@
 func (n *Node) keepCacheFresh(ctx context.Context) {
 	every := n.cfg.LeaderLeaseTTL() / 8
 	for ctx.Err() == nil {
-		if n.store.ProofAge() > every || time.Since(n.mirror.Fresh()) > n.cfg.WorkerLease()/10 {
+		if n.store.ProofAge() > every || time.Since(n.jobCache.Fresh()) > n.cfg.WorkerLease()/10 {
 			rctx, cancel := context.WithTimeout(store.Urgent(ctx), 2*every)
-			if err := n.mirror.Refresh(rctx, n.store); err != nil {
+			if err := n.jobCache.Refresh(rctx, n.store); err != nil {
 				slog.Debug("state service not reached", "err", err)
 			}
 			cancel()
--- a/internal/api/placement.go
+++ b/internal/api/placement.go
@@ -16,8 +16,8 @@
 // it hands over.
 const handoverLeases = 3
 
-// lostFor reports whether a node has not answered for a time. This node is never lost.
-func (n *Node) lostFor(label string, patience time.Duration) bool {
+// unreachableFor reports whether a node has not answered for a time. This node is never lost.
+func (n *Node) unreachableFor(label string, patience time.Duration) bool {
 	for _, p := range n.peers {
 		if p.Label == label {
 			_, reached := p.Last(patience)
@@ -28,19 +28,19 @@
 }
 
 // delay says how badly a node is placed to lead now: 0 for the best.
-func (n *Node) delay(label string, lost func(label string) bool) int {
-	return n.cfg.CampaignDelay(label) + n.cfg.LostSuccessors(label, lost)
+func (n *Node) delay(label string, unreachable func(label string) bool) int {
+	return n.cfg.CampaignDelay(label) + n.cfg.UnreachableSuccessors(label, unreachable)
 }
 
 // campaignDelay is this node's handicap when nobody leads.
 func (n *Node) campaignDelay() int {
-	return n.delay(n.cfg.Label, func(label string) bool { return n.lostFor(label, n.cfg.LeaderLeaseTTL()) })
+	return n.delay(n.cfg.Label, func(label string) bool { return n.unreachableFor(label, n.cfg.LeaderLeaseTTL()) })
 }
 
 // successorDelay is a node's handicap once this one, which leads, is lost.
 func (n *Node) successorDelay(label string) int {
 	return n.delay(label, func(other string) bool {
-		return other == n.cfg.Label || n.lostFor(other, n.cfg.LeaderLeaseTTL())
+		return other == n.cfg.Label || n.unreachableFor(other, n.cfg.LeaderLeaseTTL())
 	})
 }
 
@@ -53,9 +53,9 @@
 	if c == nil || time.Since(c.Begun()) < enough {
 		return false
 	}
-	lost := func(label string) bool { return !n.relayMode() && n.lostFor(label, n.cfg.WorkerLease()) }
-	own := n.delay(n.cfg.Label, lost)
+	unreachable := func(label string) bool { return !n.relayMode() && n.unreachableFor(label, n.cfg.WorkerLease()) }
+	own := n.delay(n.cfg.Label, unreachable)
 	return slices.ContainsFunc(n.peers, func(p *peer.Peer) bool {
-		return p.Well() > enough && n.delay(p.Label, lost) < own
+		return p.Well() > enough && n.delay(p.Label, unreachable) < own
 	})
 }
--- a/internal/api/reports.go
+++ b/internal/api/reports.go
@@ -95,7 +95,7 @@
 func (n *Node) decide(ctx context.Context, r *wire.Heartbeat, body []byte, from source) decision {
 	stale := decision{status: http.StatusServiceUnavailable, fault: &errStale}
 	// What could not be answered in the end is not taken into the picture.
-	if n.tooOld(n.mirror.Fresh()) {
+	if n.tooOld(n.jobCache.Fresh()) {
 		return stale
 	}
 	o, to := n.orders(ctx, r, body, from)
@@ -136,7 +136,7 @@
 		}
 	}
 	// Both are learned at once: a withdrawal that came between would be lost.
-	cancelled, fresh := n.mirror.Cancelled(uids)
+	cancelled, fresh := n.jobCache.Cancelled(uids)
 	if n.tooOld(fresh) {
 		return false
 	}
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -27,10 +27,10 @@
 	follower *standby.Follower
 	source   atomic.Pointer[standby.Source]
 
-	mu     sync.Mutex
-	chosen string // at the leader: the label of the node that is to follow it
-	told   string // at a follower: the label that the leader told last
-	tookMs int64  // from when nobody led to the first decision of the last term here
+	mu       sync.Mutex
+	chosen   string // at the leader: the label of the node that is to follow it
+	reported string // at a follower: the label that the leader told last
+	tookMs   int64  // from when nobody led to the first decision of the last term here
 }
 
 // newStandby makes the part that a node needs in any term.
@@ -113,7 +113,7 @@
 	n.standby.follower.Drop("this node's term is over")
 	n.standby.mu.Lock()
 	defer n.standby.mu.Unlock()
-	n.standby.chosen, n.standby.told = "", ""
+	n.standby.chosen, n.standby.reported = "", ""
 }
 
 // chooseStandby names the node that is to follow this leader: one that is reached, reads
@@ -159,7 +159,7 @@
 		leader, term, told := n.standbyOf()
 		n.standby.mu.Lock()
 		if leader != "" {
-			n.standby.told = told
+			n.standby.reported = told
 		}
 		n.standby.mu.Unlock()
 		switch {
@@ -193,7 +193,7 @@
 		return false
 	}
 	n.standby.mu.Lock()
-	told := n.standby.told
+	told := n.standby.reported
 	n.standby.mu.Unlock()
 	return slices.ContainsFunc(n.peers, func(p *peer.Peer) bool {
 		last, ok := p.Last(n.cfg.LeaderLeaseTTL())
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -26,7 +26,7 @@
 	case err != nil:
 		return wire.JobView{}, false, err
 	}
-	if e, ok := n.mirror.Job(uid); ok {
+	if e, ok := n.jobCache.Job(uid); ok {
 		view, err := n.viewOf(ctx, uid, e.Job)
 		return view, err == nil, err
 	}
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -30,7 +30,7 @@
 		}
 		return n.refuse(c, uid, http.StatusBadRequest, err.Error())
 	}
-	cat := n.cat.Load()
+	cat := n.catalog.Load()
 	if cat == nil {
 		return n.refuse(c, w.UID, http.StatusServiceUnavailable, "the machine types are not known yet")
 	}
@@ -43,7 +43,7 @@
 	if err != nil {
 		return n.refuseDependency(c, w.UID, err)
 	}
-	record := ledger.Job{Spec: w, Status: status, AtMs: time.Now().UnixMilli(), Per: ledger.TasksPerPiece(n.cfg.CurrentValueBytes(), n.cfg.ValueBytes())}
+	record := ledger.Job{Spec: w, Status: status, AtMs: time.Now().UnixMilli(), Per: ledger.TasksPerPlacement(n.cfg.CurrentValueBytes(), n.cfg.ValueBytes())}
 	value := ledger.Encode(record)
 	if len(value) > n.cfg.ValueBytes() {
 		return n.refuse(c, w.UID, http.StatusBadRequest, tooLong(&w, len(value), n.cfg.ValueBytes()))
--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -24,11 +24,11 @@
 // The model: how likely each cause is before anything is known, and how likely a task fails
 // with and without one.
 const (
-	priorMistaken = 0.02
-	priorIfWorks  = 1e-6 // of a job that has completed a task
-	priorFaulty   = 0.01
-	failIfCause   = 0.95
-	failIfNone    = 0.005
+	priorMistaken   = 0.02
+	priorIfSucceeds = 1e-6 // of a job that has completed a task
+	priorFaulty     = 0.01
+	failIfCause     = 0.95
+	failIfNone      = 0.005
 )
 
 // surely is the probability from which on somebody is acted upon.
@@ -76,7 +76,7 @@
 
 // Failed notes that a task of a job failed on a machine. works tells whether the job has
 // completed other tasks.
-func (e *Evidence) Failed(job, machine string, works bool, now time.Time) {
+func (e *Evidence) Failed(job, machine string, succeeds bool, now time.Time) {
 	e.forgetOld(now)
 	key := pair{job, machine}
 	f := e.failures[key]
@@ -88,8 +88,8 @@
 		e.failures[key], f.job.failures[machine], f.machine.failures[job] = f, f, f
 	}
 	f.at, f.excused = now, false
-	if works {
-		f.job.prior = logOdds(priorIfWorks)
+	if succeeds {
+		f.job.prior = logOdds(priorIfSucceeds)
 	}
 	e.stale = true
 }
@@ -115,7 +115,7 @@
 // Completed notes that a task of a job completed on a machine.
 func (e *Evidence) Completed(job, machine string) {
 	if p := e.jobs[job]; p != nil {
-		p.prior = logOdds(priorIfWorks)
+		p.prior = logOdds(priorIfSucceeds)
 		e.stale = true
 	}
 	for _, f := range failuresOf(e.machines, machine) {
@@ -219,11 +219,11 @@
 }
 
 // sumUp finds the odds of parties by what each of their failures tells them.
-func sumUp(parties map[string]*party, told func(*failure) float64) {
+func sumUp(parties map[string]*party, toldApart func(*failure) float64) {
 	for _, p := range parties {
 		p.odds = p.prior
 		for _, f := range p.failures {
-			p.odds += told(f)
+			p.odds += toldApart(f)
 		}
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -122,8 +122,8 @@
 	return cat, nil
 }
 
-// Rent asks for machines. The same Booking may be sent again: it rents once.
-func (c *Client) Rent(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
+// Provision asks for machines. The same Booking may be sent again: it rents once.
+func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
 	var names wire.HostNames
 	if err := c.must(ctx, http.MethodPost, "/machines", r, &names); err != nil {
 		return nil, fmt.Errorf("rent %s: %w", r.RequestID, err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -256,10 +256,10 @@
 	return hops(label) - best
 }
 
-// LostSuccessors is how many nodes in a row after one, in the order in which workers try them, are
+// UnreachableSuccessors is how many nodes in a row after one, in the order in which workers try them, are
 // lost. A worker whose controller ends or stands still loses half of its lease before it tries
 // the next one, and the rest if that is lost too.
-func (c *Config) LostSuccessors(label string, lost func(label string) bool) int {
+func (c *Config) UnreachableSuccessors(label string, unreachable func(label string) bool) int {
 	labels := []string{c.Label}
 	for _, m := range c.Members {
 		labels = append(labels, m.Label)
@@ -267,7 +267,7 @@
 	slices.Sort(labels)
 	at := slices.Index(labels, label)
 	for i := 1; i < len(labels); i++ {
-		if !lost(labels[(at+i)%len(labels)]) {
+		if !unreachable(labels[(at+i)%len(labels)]) {
 			return i - 1
 		}
 	}
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -25,8 +25,8 @@
 	Patience time.Duration
 }
 
-// crowdedShare is the share of the places from which on a listener is crowded.
-const crowdedShare = 0.875
+// pressureShare is the share of the places from which on a listener is crowded.
+const pressureShare = 0.875
 
 // Listener accepts so many connections at a time at most. Its Track has to be the server's
 // ConnState hook, and its Context the server's ConnContext hook.
@@ -176,10 +176,10 @@
 	return ok && c.reserve
 }
 
-// Crowded reports whether nearly all places are taken: a connection whose request is answered
+// UnderPressure reports whether nearly all places are taken: a connection whose request is answered
 // should then be closed, so that its place serves others in turn.
-func (l *Listener) Crowded() bool {
-	return float64(l.taken.Load()) >= crowdedShare*float64(l.limits.Places)
+func (l *Listener) UnderPressure() bool {
+	return float64(l.taken.Load()) >= pressureShare*float64(l.limits.Places)
 }
 
 // Open is the number of connections that have a place.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -36,7 +36,7 @@
 // Cloud is what it needs of the cloud.
 type Cloud interface {
 	Catalog(ctx context.Context) (wire.Catalog, error)
-	Rent(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
+	Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
 	Return(ctx context.Context, hosts []string) error
 	List(ctx context.Context) ([]wire.ListedHost, error)
 	// ListTakes is the least time that a list of so many machines takes.
@@ -61,7 +61,7 @@
 	Store          Store
 	Cloud          Cloud
 	Worker         Worker
-	Mirror         *ledger.Mirror
+	JobCache       *ledger.Cache
 	Version        VersionTracker
 	Settings       func() wire.Settings
 	ObserveTerm    func(term uint64)   // a newer term was seen
@@ -111,18 +111,18 @@
 	evidence       *blame.Evidence // who fails where: failures.go
 
 	// Rounds: round.go, picture.go, nodes.go, spare.go.
-	window        int
-	last          wire.RoundStatus
-	lastAt        time.Time
-	arrive        map[string]*arrivals
-	spareMachines map[string]bool // machines kept as spare room by the last round
-	nodes         keptNodes       // nodes.go
+	window           int
+	last             wire.RoundStatus
+	lastAt           time.Time
+	arrive           map[string]*arrivals
+	headroomMachines map[string]bool // machines kept as spare room by the last round
+	nodes            keptNodes       // nodes.go
 
 	// The cloud: rent.go.
-	cat     *wire.Catalog
-	rents   int // counter in booking names
-	pending map[string]*rental
-	refused map[provision.Group]refusal
+	catalog          *wire.Catalog
+	provisionCounter int // counter in booking names
+	pendingRequests  map[string]*provisionRequest
+	refused          map[provision.MachineGroup]refusal
 
 	// Returns: returns.go.
 	returns        map[string]*pendingReturn
@@ -130,18 +130,18 @@
 	returnKeys     int // counter in their keys
 
 	// Who is alive: lost.go.
-	steady        time.Time            // since when liveness is judged
-	cutOff        map[string]time.Time // by zone: when most of it was last silent
-	carrierLost   map[string]time.Time // while followers relay, by controller: when its links last seemed lost
-	answersPaused bool                 // no reports are answered: no machine is declared lost for its silence
+	steady                time.Time            // since when liveness is judged
+	cutOff                map[string]time.Time // by zone: when most of it was last silent
+	relayUnreachableSince map[string]time.Time // while followers relay, by controller: when its links last seemed lost
+	answersPaused         bool                 // no reports are answered: no machine is declared lost for its silence
 
 	// Answers to workers: checkin.go, announce.go.
 	waitingAnswers map[string]chan struct{} // check-ins that wait for commands, by machine
 	announced      map[string]time.Time     // when the token was last announced, by machine
 
 	// Records: writer.go, limits.go, images.go.
-	singlesUntil time.Time            // until when jobs are written one by one
-	noted        map[string]imageNote // which images of a machine are recorded
+	singlesUntil   time.Time            // until when jobs are written one by one
+	recordedImages map[string]imageNote // which images of a machine are recorded
 
 	// What a standby follows: views.go.
 	views viewChanges
@@ -151,8 +151,8 @@
 func New(d Deps, term uint64) *Controller {
 	c := &Controller{Deps: d, term: term, wake: make(chan struct{}, 1), placementWake: make(chan struct{}, 1), returnsWake: make(chan struct{}, 1),
 		resolveWake: make(chan struct{}, 1), now: time.Now,
-		jobs: map[string]*job{}, graph: pipeline.New(), pending: map[string]*rental{}, refused: map[provision.Group]refusal{},
-		arrive: map[string]*arrivals{}, cutOff: map[string]time.Time{}, noted: map[string]imageNote{}, announced: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}, carrierLost: map[string]time.Time{}}
+		jobs: map[string]*job{}, graph: pipeline.New(), pendingRequests: map[string]*provisionRequest{}, refused: map[provision.MachineGroup]refusal{},
+		arrive: map[string]*arrivals{}, cutOff: map[string]time.Time{}, recordedImages: map[string]imageNote{}, announced: map[string]time.Time{}, waitingAnswers: map[string]chan struct{}{}, relayUnreachableSince: map[string]time.Time{}}
 	c.fleet = fleet.New(term, d.Config.WorkerLease(), c)
 	c.evidence = blame.New(evidenceLeases * d.Config.WorkerLease())
 	c.returns = map[string]*pendingReturn{}
@@ -177,8 +177,8 @@
 	c.mu.Lock()
 	c.cancel = cancel
 	c.mu.Unlock()
-	c.Mirror.Listen(c.jobEvent)
-	defer c.Mirror.Listen(nil)
+	c.JobCache.Listen(c.jobEvent)
+	defer c.JobCache.Listen(nil)
 	pause := c.Config.LeaderLeaseTTL() / 10
 	for {
 		err := c.load(ctx)
@@ -249,24 +249,24 @@
 
 // capacity fills in what a machine of its type offers.
 func (c *Controller) capacity(m *fleet.Machine) {
-	if c.cat == nil || m.Type == "" {
+	if c.catalog == nil || m.Type == "" {
 		return
 	}
-	for i := range c.cat.MachineTypes {
-		if c.cat.MachineTypes[i].Name == m.Type {
-			m.Cap = provision.Cap(&c.cat.MachineTypes[i])
+	for i := range c.catalog.MachineTypes {
+		if c.catalog.MachineTypes[i].Name == m.Type {
+			m.Cap = provision.Capacity(&c.catalog.MachineTypes[i])
 			c.fleet.Touch(m)
 		}
 	}
 }
 
 func (c *Controller) machineType(name string) *wire.MachineType {
-	if c.cat == nil {
+	if c.catalog == nil {
 		return nil
 	}
-	for i := range c.cat.MachineTypes {
-		if c.cat.MachineTypes[i].Name == name {
-			return &c.cat.MachineTypes[i]
+	for i := range c.catalog.MachineTypes {
+		if c.catalog.MachineTypes[i].Name == name {
+			return &c.catalog.MachineTypes[i]
 		}
 	}
 	return nil
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -55,7 +55,7 @@
 
 // recordEnds lets workers reap all that has ended of a job which is over by its record.
 func (c *Controller) recordEnds(j *job, now time.Time) {
-	for _, p := range j.pieces {
+	for _, p := range j.placements {
 		for _, a := range p.ended {
 			c.fleet.Record(a, now)
 		}
@@ -82,13 +82,13 @@
 	}
 	j.begun = j.begun || a.State == fleet.Running
 	c.countsChanged(j)
-	p := j.piece(a.Task)
+	p := j.placement(a.Task)
 	if from < fleet.Ended && !a.Live() && p.live[a.Task] == a {
 		delete(p.live, a.Task)
 		j.live--
 		j.freed = append(j.freed, a.Task)
 		if a.Cause != wire.CauseDone {
-			j.lost++
+			j.failedAttempts++
 		}
 		if j.live == 0 {
 			j.waitFrom = c.now()
@@ -110,7 +110,7 @@
 func (c *Controller) endsWait() time.Duration { return 2 * c.Config.HeartbeatInterval() }
 
 // ended takes the end of an attempt into its job.
-func (c *Controller) ended(j *job, p *piece, a *fleet.Attempt) {
+func (c *Controller) ended(j *job, p *placement, a *fleet.Attempt) {
 	now := c.now()
 	i := a.Task % j.rec.Per
 	switch a.Cause {
@@ -122,7 +122,7 @@
 		c.evidence.Completed(j.uid, a.Machine.ID)
 		j.trust()
 	case wire.CauseError:
-		c.blame(j, a.Machine, now)
+		c.attributeFailure(j, a.Machine, now)
 	case wire.CauseNoRoom, wire.CauseInUse, wire.CauseNoSuch:
 		j.avoid[a.Machine.ID] = now
 	}
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -26,8 +26,8 @@
 	maxBackoffLeases  = 3
 )
 
-// blame takes the failure of a task into the evidence, and acts on what that says.
-func (c *Controller) blame(j *job, m *fleet.Machine, now time.Time) {
+// attributeFailure takes the failure of a task into the evidence, and acts on what that says.
+func (c *Controller) attributeFailure(j *job, m *fleet.Machine, now time.Time) {
 	c.evidence.Failed(j.uid, m.ID, j.done > 0, now)
 	maps.DeleteFunc(j.avoid, func(_ string, at time.Time) bool { return now.Sub(at) > evidenceLeases*c.Config.WorkerLease() })
 	j.avoid[m.ID] = now
@@ -123,7 +123,7 @@
 		return
 	}
 	attempts := -j.live
-	for _, p := range j.pieces {
+	for _, p := range j.placements {
 		attempts += int(p.next) - 1
 	}
 	if attempts >= max(2, j.rec.Spec.TaskCount) {
--- a/internal/controller/guarantees.go
+++ b/internal/controller/guarantees.go
@@ -2,16 +2,16 @@
 
 import "lotusstile.dev/lotusstile/internal/guarantee"
 
-// withinGuarantees finds the jobs that lie within the guarantees of their teams; nil if no team
+// withinQuotas finds the jobs that lie within the guarantees of their teams; nil if no team
 // has a guarantee.
-func (c *Controller) withinGuarantees() guarantee.Set {
-	guarantees := map[string]guarantee.Amount{}
+func (c *Controller) withinQuotas() guarantee.Set {
+	quotas := map[string]guarantee.Amount{}
 	for _, team := range c.Config.Cluster.Teams {
 		if team.Cpus > 0 || team.Gpus > 0 {
-			guarantees[team.Name] = guarantee.Amount{Cores: team.Cpus, Gpus: team.Gpus}
+			quotas[team.Name] = guarantee.Amount{Cores: team.Cpus, Gpus: team.Gpus}
 		}
 	}
-	if len(guarantees) == 0 {
+	if len(quotas) == 0 {
 		return nil
 	}
 	jobs := make([]guarantee.Job, 0, len(c.jobs))
@@ -23,5 +23,5 @@
 		jobs = append(jobs, guarantee.Job{UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, AtMs: j.rec.AtMs,
 			Needs: guarantee.Amount{Cores: unfinished * j.need.Cores, Gpus: unfinished * j.need.Gpus}})
 	}
-	return guarantee.Within(guarantees, jobs)
+	return guarantee.Within(quotas, jobs)
 }
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -41,7 +41,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	maps.Copy(c.noted, noted)
+	maps.Copy(c.recordedImages, noted)
 }
 
 // imagesToNote makes the next commit of machines' images.
@@ -56,7 +56,7 @@
 	most := min(max(1, int(c.Config.StateLimits().WriteRps/8)), c.batchOps())
 	size := 0
 	c.fleet.Each(func(m *fleet.Machine) {
-		known := c.noted[m.ID]
+		known := c.recordedImages[m.ID]
 		if m.State != fleet.Ready || len(m.Images) <= known.images || now.Sub(known.at) <= c.Config.WorkerLease() || len(tx.Changes) >= most || size > maxTx {
 			return
 		}
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -10,13 +10,13 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// piece is a part of a job's placement and the stamp of its record.
-type piece struct {
+// placement is a part of a job's placement and the stamp of its record.
+type placement struct {
 	job         *job
 	n           int
 	modRevision uint64
 	next        uint64
-	done        ledger.Piece // only Done is used
+	done        ledger.Placement // only Done is used
 	live        map[int]*fleet.Attempt
 	ended       []*fleet.Attempt // ended, not yet recorded so
 	seq         int              // counts changes
@@ -27,48 +27,48 @@
 
 // job is the leader's picture of a job.
 type job struct {
-	uid            string
-	rec            *ledger.Job
-	modRevision    uint64
-	level          int     // its own, or the highest of those that need it
-	dueMs          float64 // by its own deadline or theirs; +Inf if there is none
-	released       bool    // all that it needs is done
-	cancelled      bool    // a job that it needs is cancelled
-	fromMs         int64   // when it was accepted or, if later, released
-	need           fleet.Res
-	pieces         map[int]*piece
-	dirtyPieces    int // pieces that are to be written
-	done           int
-	live           int
-	freed          []int // tasks that wait again
-	cursor         int   // tasks from here on were never placed
-	begun          bool  // a task of it has run in this term
-	waitFrom       time.Time
-	avoid          map[string]time.Time // machines it failed on
-	fails          int                  // how often in a row it was held back
-	suspect        bool                 // it may be mistaken: failures.go
-	lost           int                  // tasks that ended against the job's will
-	countsRevision uint64               // of the last change of its counts of tasks
-	backoffUntil   time.Time            // not placed before
-	unsure         bool                 // the outcome of its archiving is unknown
-	asideUntil     time.Time            // nothing of it is written before: the state service rejected it
+	uid             string
+	rec             *ledger.Job
+	modRevision     uint64
+	level           int     // its own, or the highest of those that need it
+	dueMs           float64 // by its own deadline or theirs; +Inf if there is none
+	released        bool    // all that it needs is done
+	cancelled       bool    // a job that it needs is cancelled
+	fromMs          int64   // when it was accepted or, if later, released
+	need            fleet.Res
+	placements      map[int]*placement
+	dirtyPlacements int // pieces that are to be written
+	done            int
+	live            int
+	freed           []int // tasks that wait again
+	cursor          int   // tasks from here on were never placed
+	begun           bool  // a task of it has run in this term
+	waitFrom        time.Time
+	avoid           map[string]time.Time // machines it failed on
+	fails           int                  // how often in a row it was held back
+	suspect         bool                 // it may be mistaken: failures.go
+	failedAttempts  int                  // tasks that ended against the job's will
+	countsRevision  uint64               // of the last change of its counts of tasks
+	backoffUntil    time.Time            // not placed before
+	unsure          bool                 // the outcome of its archiving is unknown
+	asideUntil      time.Time            // nothing of it is written before: the state service rejected it
 }
 
 func newJob(uid string, e ledger.Entry, now time.Time) *job {
 	return &job{uid: uid, rec: e.Job, modRevision: e.ModRevision, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), fromMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
-		pieces: map[int]*piece{}, waitFrom: now, avoid: map[string]time.Time{}}
+		placements: map[int]*placement{}, waitFrom: now, avoid: map[string]time.Time{}}
 }
 
 // load takes a record of a piece into the job.
 func (j *job) load(n int, row wire.KeyValue) []ledger.Placed {
-	rec, err := ledger.DecodePiece(row.Value)
+	rec, err := ledger.DecodePlacement(row.Value)
 	if err != nil {
 		slog.Error("placement record cannot be read", "key", row.Key, "err", err)
 		return nil
 	}
-	p := &piece{job: j, n: n, modRevision: row.ModRevision, next: rec.Next, live: map[int]*fleet.Attempt{}}
+	p := &placement{job: j, n: n, modRevision: row.ModRevision, next: rec.Next, live: map[int]*fleet.Attempt{}}
 	p.done.Done = rec.Done
-	j.pieces[n] = p
+	j.placements[n] = p
 	for i := range j.rec.Per {
 		if n*j.rec.Per+i < j.rec.Spec.TaskCount && rec.DoneBit(i) {
 			j.done++
@@ -88,10 +88,10 @@
 	return wire.JobDone
 }
 
-// storedPieces is how many pieces of the job have a record.
-func (j *job) storedPieces() int {
+// storedPlacements is how many pieces of the job have a record.
+func (j *job) storedPlacements() int {
 	stored := 0
-	for _, p := range j.pieces {
+	for _, p := range j.placements {
 		if p.modRevision != 0 {
 			stored++
 		}
@@ -99,9 +99,9 @@
 	return stored
 }
 
-// hasUnsurePiece reports whether the record of some piece has to be read again first.
-func (j *job) hasUnsurePiece() bool {
-	for _, p := range j.pieces {
+// hasUnsurePlacement reports whether the record of some piece has to be read again first.
+func (j *job) hasUnsurePlacement() bool {
+	for _, p := range j.placements {
 		if p.unsure {
 			return true
 		}
@@ -109,24 +109,24 @@
 	return false
 }
 
-// piece finds or makes the piece that a task belongs to.
-func (j *job) piece(task int) *piece {
+// placement finds or makes the placement that a task belongs to.
+func (j *job) placement(task int) *placement {
 	n := task / j.rec.Per
-	p := j.pieces[n]
+	p := j.placements[n]
 	if p == nil {
-		p = &piece{job: j, n: n, next: 1, live: map[int]*fleet.Attempt{}}
-		j.pieces[n] = p
+		p = &placement{job: j, n: n, next: 1, live: map[int]*fleet.Attempt{}}
+		j.placements[n] = p
 	}
 	return p
 }
 
 func (j *job) isDone(task int) bool {
-	p := j.pieces[task/j.rec.Per]
+	p := j.placements[task/j.rec.Per]
 	return p != nil && p.done.DoneBit(task%j.rec.Per)
 }
 
 func (j *job) attempt(task int) *fleet.Attempt {
-	if p := j.pieces[task/j.rec.Per]; p != nil {
+	if p := j.placements[task/j.rec.Per]; p != nil {
 		return p.live[task]
 	}
 	return nil
@@ -165,7 +165,7 @@
 // which are placed already, else one that none of them has used.
 func (j *job) gangAttempt() uint64 {
 	next := uint64(1)
-	for _, p := range j.pieces {
+	for _, p := range j.placements {
 		for _, a := range p.live {
 			return a.Number
 		}
@@ -176,7 +176,7 @@
 
 // each calls f for every attempt of the job that may be on its machine.
 func (j *job) each(f func(a *fleet.Attempt)) {
-	for _, p := range j.pieces {
+	for _, p := range j.placements {
 		for _, a := range p.live {
 			f(a)
 		}
@@ -205,8 +205,8 @@
 }
 
 // record makes the record of the piece as it stands.
-func (p *piece) record() ledger.Piece {
-	rec := ledger.Piece{Next: p.next, Done: p.done.Done}
+func (p *placement) record() ledger.Placement {
+	rec := ledger.Placement{Next: p.next, Done: p.done.Done}
 	for _, a := range p.live {
 		rec.Live = append(rec.Live, ledger.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation})
 	}
@@ -215,7 +215,7 @@
 
 // hasRoom reports whether the record of the piece still fits a value with one more
 // attempt of a task on a machine.
-func (p *piece) hasRoom(task int, m *fleet.Machine, valueBytes int) bool {
+func (p *placement) hasRoom(task int, m *fleet.Machine, valueBytes int) bool {
 	tasks := p.job.rec.Per
 	if ledger.FitsPlain(tasks, valueBytes) {
 		return true
@@ -228,7 +228,7 @@
 }
 
 // touch notes a change that is to be recorded at due or before.
-func (p *piece) touch(due time.Time) {
+func (p *placement) touch(due time.Time) {
 	p.seq++
 	if !p.dirty || due.Before(p.due) {
 		p.due = due
@@ -238,18 +238,18 @@
 
 // setDirty notes whether a piece is to be written. Most jobs have no such piece, and rounds
 // and the writer pass them over.
-func (p *piece) setDirty(dirty bool) {
+func (p *placement) setDirty(dirty bool) {
 	switch {
 	case dirty && !p.dirty:
-		p.job.dirtyPieces++
+		p.job.dirtyPlacements++
 	case !dirty && p.dirty:
-		p.job.dirtyPieces--
+		p.job.dirtyPlacements--
 	}
 	p.dirty = dirty
 }
 
 // planned lists the attempts whose launch is decided and not recorded yet.
-func (p *piece) planned() []*fleet.Attempt {
+func (p *placement) planned() []*fleet.Attempt {
 	var as []*fleet.Attempt
 	for _, a := range p.live {
 		if a.State == fleet.Planned {
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -13,20 +13,20 @@
 // mayWriteDense reports whether all nodes can read densely listed placements.
 func (c *Controller) mayWriteDense() bool { return c.Version.InForce() >= clusterversion.Pipelines }
 
-// pieceBytes is how large the record of a piece may be. The announced limit holds from
+// placementBytes is how large the record of a piece may be. The announced limit holds from
 // when records can be written that fit it; the service does not lower its own before.
-func (c *Controller) pieceBytes() int {
+func (c *Controller) placementBytes() int {
 	if c.mayWriteDense() {
 		return c.Config.ValueBytes()
 	}
 	return c.Config.CurrentValueBytes()
 }
 
-// encodePiece makes the record of a piece, or nil if it fits no value: one that was
+// encodePlacement makes the record of a piece, or nil if it fits no value: one that was
 // written under a higher limit is written again once enough of its tasks have ended.
-func (c *Controller) encodePiece(p *piece, now time.Time) json.RawMessage {
-	value := ledger.EncodePiece(p.record(), c.pieceBytes(), c.mayWriteDense())
-	if len(value) > c.pieceBytes() {
+func (c *Controller) encodePlacement(p *placement, now time.Time) json.RawMessage {
+	value := ledger.EncodePlacement(p.record(), c.placementBytes(), c.mayWriteDense())
+	if len(value) > c.placementBytes() {
 		slog.Warn("placement does not fit a record yet", "uid", p.job.uid, "piece", p.n, "bytes", len(value))
 		p.due = now.Add(c.endsWait())
 		return nil
@@ -55,7 +55,7 @@
 // touched is the jobs that a batch writes anything of.
 func (b *batch) touched() map[*job]bool {
 	jobs := map[*job]bool{}
-	for _, write := range b.pieces {
+	for _, write := range b.placements {
 		jobs[write.p.job] = true
 	}
 	for _, write := range b.jobs {
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -21,8 +21,8 @@
 
 // records is what a term begins with.
 type records struct {
-	jobs, pieces, returns, images []wire.KeyValue
-	hints                         *standby.Proven // nil if all records were listed
+	jobs, placements, returns, images []wire.KeyValue
+	hints                             *standby.Proven // nil if all records were listed
 }
 
 // load rebuilds the picture from the records. Until it is loaded, reports keep
@@ -47,7 +47,7 @@
 	}
 	c.takeImages(recs.images, now)
 	c.hintMachines(recs.hints, now)
-	inherited := c.takePieces(recs.pieces, now)
+	inherited := c.takePlacements(recs.placements, now)
 	c.hintJobs(recs.hints, now)
 	for _, j := range c.jobs {
 		c.countsChanged(j)
@@ -57,7 +57,7 @@
 		}
 	}
 	if c.Source != nil {
-		c.Source.Seed(c, recs.pieces, recs.returns, recs.images)
+		c.Source.Seed(c, recs.placements, recs.returns, recs.images)
 	}
 	c.loaded = true
 	c.listings = nil
@@ -88,7 +88,7 @@
 	if c.listings == nil {
 		c.listings = map[string][]wire.KeyValue{}
 	}
-	for _, under := range []string{ledger.JobPrefix, ledger.PiecePrefix, ledger.ReturnsPrefix, ledger.ImagesPrefix} {
+	for _, under := range []string{ledger.JobPrefix, ledger.PlacementPrefix, ledger.ReturnsPrefix, ledger.ImagesPrefix} {
 		if _, known := c.listings[under]; known {
 			continue
 		}
@@ -98,7 +98,7 @@
 		}
 		c.listings[under] = rows
 	}
-	recs := &records{jobs: c.listings[ledger.JobPrefix], pieces: c.listings[ledger.PiecePrefix],
+	recs := &records{jobs: c.listings[ledger.JobPrefix], placements: c.listings[ledger.PlacementPrefix],
 		returns: c.listings[ledger.ReturnsPrefix], images: c.listings[ledger.ImagesPrefix]}
 	return recs, nil
 }
@@ -120,11 +120,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.Mirror.Refresh(ctx, c.Store); err != nil {
+	if err := c.JobCache.Refresh(ctx, c.Store); err != nil {
 		return nil, err
 	}
 	c.takeover.proven(proven)
-	return &records{pieces: proven.Pieces, returns: proven.Returns, images: proven.Images, hints: proven}, nil
+	return &records{placements: proven.Placements, returns: proven.Returns, images: proven.Images, hints: proven}, nil
 }
 
 // takeReturns takes records of returns that an earlier term has attempted. c.mu is held.
@@ -159,28 +159,28 @@
 			m.Images[name] = now
 		}
 		c.fleet.Touch(m)
-		c.noted[id] = imageNote{len(rec.Names), now}
+		c.recordedImages[id] = imageNote{len(rec.Names), now}
 	}
 }
 
-// takePieces takes records of placements and returns how many attempts they list. c.mu is
+// takePlacements takes records of placements and returns how many attempts they list. c.mu is
 // held.
-func (c *Controller) takePieces(rows []wire.KeyValue, now time.Time) (inherited int) {
+func (c *Controller) takePlacements(rows []wire.KeyValue, now time.Time) (inherited int) {
 	for _, row := range rows {
-		uid, n, ok := ledger.SplitPieceKey(row.Key)
+		uid, n, ok := ledger.SplitPlacementKey(row.Key)
 		j := c.jobs[uid]
 		if !ok || j == nil {
 			slog.Warn("placement without a job", "key", row.Key)
 			continue
 		}
-		if j.pieces[n] != nil {
+		if j.placements[n] != nil {
 			continue // an earlier try at loading got this far
 		}
 		for _, pl := range j.load(n, row) {
 			m := c.fleet.Know(pl.Host, now)
 			a := &fleet.Attempt{UID: uid, Task: pl.Task, Number: pl.Attempt, Incarnation: pl.Incarnation, Need: j.need,
 				Image: j.rec.Spec.Image, Inherited: true}
-			j.pieces[n].live[pl.Task] = a
+			j.placements[n].live[pl.Task] = a
 			j.live++
 			c.fleet.Place(m, a, now)
 			inherited++
--- a/internal/controller/lost.go
+++ b/internal/controller/lost.go
@@ -57,7 +57,7 @@
 // again the workers come back one after the other. After an outage of a minute a
 // leader had given up 550 of 700 machines.
 func (c *Controller) pauseLiveness(now time.Time) {
-	paused := now.Sub(c.Mirror.Fresh()) > c.Config.KnowledgeLimit()
+	paused := now.Sub(c.JobCache.Fresh()) > c.Config.KnowledgeLimit()
 	if paused != c.answersPaused {
 		slog.Warn("reports are not answered on old knowledge", "term", c.term, "paused", paused)
 	}
@@ -155,20 +155,20 @@
 	return here && len(byCarrier) == 1
 }
 
-// noteLostCarriers notes, while followers relay reports, which controllers seem to have lost
+// noteUnreachableRelays notes, while followers relay reports, which controllers seem to have lost
 // their links: followers that are not reached, and every controller, this one included as
 // "", none of whose machines has reported for half of a report's interval. Pings tell of the
 // loss only after the first of its machines have been silent for three intervals, and
 // counting who is silent does not always tell by then: with 18 machines of its own, a leader
 // that had lost them gave up the first one in 7 % of the runs, since just under half of the
 // others had been silent for two intervals.
-func (c *Controller) noteLostCarriers(l *liveness, now time.Time) {
+func (c *Controller) noteUnreachableRelays(l *liveness, now time.Time) {
 	if onlyHere(l.newest) {
 		return
 	}
 	for via, reported := range l.newest {
 		if now.Sub(reported) > c.Config.HeartbeatInterval()/2 || via != "" && !c.RelayReached(via) {
-			c.carrierLost[via] = now
+			c.relayUnreachableSince[via] = now
 		}
 	}
 }
@@ -177,14 +177,14 @@
 // has it: it waits 4 s for the answer and tries the next node 1 s later.
 const workerAttempt = 5 * time.Second
 
-// declareLost decides which machines to return because they are lost.
-func (c *Controller) declareLost(now time.Time) {
+// declareDead decides which machines to return because they are lost.
+func (c *Controller) declareDead(now time.Time) {
 	around := c.lookAround(now)
 	c.noteCutOffZones(around, now)
-	c.noteLostCarriers(around, now)
+	c.noteUnreachableRelays(around, now)
 	d := c.doubtsOf(around, now)
 	c.fleet.Each(func(m *fleet.Machine) {
-		if why := d.lostBecause(m); why != "" {
+		if why := d.causeOfDeath(m); why != "" {
 			c.startReturn(m, now, why)
 		}
 		if m.Warned {
@@ -245,7 +245,7 @@
 
 // patienceWith is for how long a machine may be silent.
 func (d *doubts) patienceWith(m *fleet.Machine) time.Duration {
-	if at, ok := d.c.carrierLost[m.RelayedBy]; ok && d.now.Sub(at) < d.c.Config.WorkerLease() {
+	if at, ok := d.c.relayUnreachableSince[m.RelayedBy]; ok && d.now.Sub(at) < d.c.Config.WorkerLease() {
 		// It looks for another node; its last answer may have waited for
 		// commands, and for the next batch.
 		return max(d.patience, d.search+3*d.c.Config.HeartbeatInterval()/2)
@@ -262,8 +262,8 @@
 	return !d.cutOff(m) && !d.around.zones[m.Zone].most(d.part)
 }
 
-// lostBecause is why a machine is given up; "" if it is not.
-func (d *doubts) lostBecause(m *fleet.Machine) string {
+// causeOfDeath is why a machine is given up; "" if it is not.
+func (d *doubts) causeOfDeath(m *fleet.Machine) string {
 	silent := d.now.Sub(m.LastHeartbeat)
 	switch {
 	case m.State == fleet.Returning || m.State == fleet.Gone:
--- a/internal/controller/nodes.go
+++ b/internal/controller/nodes.go
@@ -105,7 +105,7 @@
 func (c *Controller) fillPresent(n *sched.Node, m *fleet.Machine) {
 	n.Free, n.Soon, n.Present, n.Pulling = m.Free(), m.Free(), true, m.Pulling()
 	n.Images = slices.AppendSeq(make([]string, 0, len(m.Images)), maps.Keys(m.Images))
-	n.Leaving = !m.Spot && !c.spareMachines[m.ID]
+	n.Leaving = !m.Spot && !c.headroomMachines[m.ID]
 	m.Each(func(a *fleet.Attempt) {
 		if !a.Live() {
 			return
@@ -149,16 +149,16 @@
 	j.each(func(a *fleet.Attempt) { c.fleet.Touch(a.Machine) })
 }
 
-// keepAsSpare takes which machines are kept as spare room.
-func (c *Controller) keepAsSpare(kept map[string]bool) {
-	for _, lists := range [...][2]map[string]bool{{kept, c.spareMachines}, {c.spareMachines, kept}} {
+// keepAsHeadroom takes which machines are kept as spare room.
+func (c *Controller) keepAsHeadroom(kept map[string]bool) {
+	for _, lists := range [...][2]map[string]bool{{kept, c.headroomMachines}, {c.headroomMachines, kept}} {
 		for id := range lists[0] {
 			if m := c.fleet.Get(id); m != nil && !lists[1][id] {
 				c.fleet.Touch(m)
 			}
 		}
 	}
-	c.spareMachines = kept
+	c.headroomMachines = kept
 }
 
 // comes reports whether a machine is expected to take launches soon. One that
--- a/internal/controller/picture.go
+++ b/internal/controller/picture.go
@@ -11,15 +11,15 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// picture is what a round decides on.
-type picture struct {
+// snapshot is what a round decides on.
+type snapshot struct {
 	in *sched.Input
 	c  *Controller
 }
 
 // machine is the machine that a node of the round stands for; nil for a rental that is not
 // answered yet.
-func (p *picture) machine(node int) *fleet.Machine {
+func (p *snapshot) machine(node int) *fleet.Machine {
 	if node >= p.in.View.Len() {
 		return nil
 	}
@@ -27,7 +27,7 @@
 }
 
 // victim is the attempt that a round stops; nil if there is none.
-func (p *picture) victim(s sched.Stop) (found *fleet.Attempt) {
+func (p *snapshot) victim(s sched.Stop) (found *fleet.Attempt) {
 	if m := p.machine(s.Node); m != nil {
 		m.Each(func(a *fleet.Attempt) {
 			if a.Serial == s.ID {
@@ -38,29 +38,29 @@
 	return found
 }
 
-// picture makes the picture of a round.
-func (c *Controller) picture(now time.Time, interval time.Duration) *picture {
+// snapshot makes the snapshot of a round.
+func (c *Controller) snapshot(now time.Time, interval time.Duration) *snapshot {
 	c.refreshNodes(now)
 	in := &sched.Input{Now: now, View: c.nodes.view, Window: c.window, ReserveS: 10 * interval.Seconds(), Priorities: sched.DefaultPriorities, Teams: map[string]*sched.Team{}}
 	for _, t := range c.Config.Cluster.Teams {
 		team := &sched.Team{}
 		team.Limit.Cores, team.Limit.Gpus = t.CpusMax, t.GpusMax
-		team.Guarantee.Cores, team.Guarantee.Gpus = t.Cpus, t.Gpus
+		team.Quota.Cores, team.Quota.Gpus = t.Cpus, t.Gpus
 		in.Teams[t.Name] = team
 	}
-	in.Guaranteed = c.withinGuarantees()
+	in.WithinQuota = c.withinQuotas()
 	in.VictimsBelow = 1 // nothing is displaced while nothing waits
 	for _, j := range c.jobs {
 		if t := in.Teams[j.rec.Spec.Team]; t != nil {
 			t.Used.Cores += float64(j.live) * j.need.Cores
 			t.Used.Gpus += float64(j.live) * j.need.Gpus
-			if in.Guaranteed != nil {
+			if in.WithinQuota != nil {
 				stopping := float64(j.stopping())
 				t.Stopping.Cores += stopping * j.need.Cores
 				t.Stopping.Gpus += stopping * j.need.Gpus
 			}
 		}
-		if sj := c.waitingJob(j, in.Guaranteed[j.uid], now); sj != nil {
+		if sj := c.waitingJob(j, in.WithinQuota[j.uid], now); sj != nil {
 			in.VictimsBelow = max(in.VictimsBelow, sj.Level)
 			if c.overdueToBegin(j, now) {
 				// It begins; the rest of its tasks wait their turn.
@@ -74,15 +74,15 @@
 			in.Jobs = append(in.Jobs, sj)
 		}
 	}
-	in.Nodes = c.rentalNodes()
-	return &picture{in, c}
+	in.Nodes = c.requestedNodes()
+	return &snapshot{in, c}
 }
 
-// rentalNodes is what is rented and not answered yet, as a round sees it.
-func (c *Controller) rentalNodes() []sched.Node {
+// requestedNodes is what is rented and not answered yet, as a round sees it.
+func (c *Controller) requestedNodes() []sched.Node {
 	var nodes []sched.Node
-	for _, r := range c.pending {
-		room := provision.Cap(c.machineType(r.req.MachineType))
+	for _, r := range c.pendingRequests {
+		room := provision.Capacity(c.machineType(r.req.MachineType))
 		n := sched.Node{ID: r.req.RequestID, Type: r.req.MachineType, Zone: r.req.Zone, Spot: r.req.Spot,
 			Cap: room, Later: room, Price: c.price(r.req.MachineType, r.req.Spot)}
 		for range r.req.Count {
@@ -94,7 +94,7 @@
 
 // waitingJob is a job as a round sees it, or nil if nothing of it can be placed
 // now. guaranteed tells whether it lies within its team's guarantee.
-func (c *Controller) waitingJob(j *job, guaranteed bool, now time.Time) *sched.Job {
+func (c *Controller) waitingJob(j *job, withinQuota bool, now time.Time) *sched.Job {
 	spec := &j.rec.Spec
 	waiting := c.mayPlace(j, now)
 	if waiting == 0 {
@@ -117,14 +117,14 @@
 	if !known {
 		return nil // a zone that a task may be in is not known yet
 	}
-	sj := &sched.Job{Spec: spec, Guaranteed: guaranteed, Level: c.levelNow(j, now), AtMs: j.fromMs, Waiting: waiting, Live: j.live, ByZone: byZone,
+	sj := &sched.Job{Spec: spec, WithinQuota: withinQuota, Level: c.levelNow(j, now), AtMs: j.fromMs, Waiting: waiting, Live: j.live, ByZone: byZone,
 		WaitedS: now.Sub(j.waitFrom).Seconds(), SlackS: c.slackS(spec), LaxS: c.laxS(j, now), Avoid: c.avoids(j, now)}
 	// What a service has lost is down until it has its image again.
-	sj.Fetch = sj.SlackS < 0 || j.lost > 0 && spec.Kind == wire.Service
+	sj.Fetch = sj.SlackS < 0 || j.failedAttempts > 0 && spec.Kind == wire.Service
 	sj.Dear = spec.AllowSpot && c.spotSpent(spec, now)
 	boot := c.bootS(spec)
-	sj.Tired = sj.WaitedS > boot
-	sj.Overdue = sj.Tired || sj.LaxS < boot
+	sj.WaitedPastBoot = sj.WaitedS > boot
+	sj.Overdue = sj.WaitedPastBoot || sj.LaxS < boot
 	return sj
 }
 
@@ -180,13 +180,13 @@
 // job when it was last asked: work that waited for one was only late. From time
 // to time the refusals run out, and it is asked again.
 func (c *Controller) spotSpent(w *wire.JobSpec, now time.Time) bool {
-	for i := range c.cat.MachineTypes {
-		r := &c.cat.MachineTypes[i]
-		if !provision.Cap(r).Holds(fleet.Need(w)) {
+	for i := range c.catalog.MachineTypes {
+		r := &c.catalog.MachineTypes[i]
+		if !provision.Capacity(r).Holds(fleet.Need(w)) {
 			continue
 		}
 		for _, zone := range r.Zones {
-			if sched.Allowed(w, r.Name, zone, true) && !now.Before(c.refused[provision.Group{Type: r.Name, Zone: zone, Spot: true}].until) {
+			if sched.Allowed(w, r.Name, zone, true) && !now.Before(c.refused[provision.MachineGroup{Type: r.Name, Zone: zone, Spot: true}].until) {
 				return false
 			}
 		}
@@ -225,8 +225,8 @@
 		return 4*c.bootS(s) - now.Sub(j.waitFrom).Seconds()
 	}
 	fetch := 0.0
-	for i := range c.cat.MachineTypes {
-		if r := &c.cat.MachineTypes[i]; r.FetchGbPerS > 0 {
+	for i := range c.catalog.MachineTypes {
+		if r := &c.catalog.MachineTypes[i]; r.FetchGbPerS > 0 {
 			fetch = max(fetch, s.ImageGb/r.FetchGbPerS)
 		}
 	}
@@ -236,8 +236,8 @@
 // bootS is how long the quickest machine that may run a task of the job boots.
 func (c *Controller) bootS(w *wire.JobSpec) float64 {
 	boot := math.Inf(1)
-	for i := range c.cat.MachineTypes {
-		if r := &c.cat.MachineTypes[i]; provision.Cap(r).Holds(fleet.Need(w)) && (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, r.Name)) {
+	for i := range c.catalog.MachineTypes {
+		if r := &c.catalog.MachineTypes[i]; provision.Capacity(r).Holds(fleet.Need(w)) && (len(w.MachineTypes) == 0 || slices.Contains(w.MachineTypes, r.Name)) {
 			boot = min(boot, r.BootS)
 		}
 	}
@@ -253,9 +253,9 @@
 		if o.Kind != "wait" || o.Class != w.JobClass {
 			continue
 		}
-		for i := range c.cat.MachineTypes {
-			r := &c.cat.MachineTypes[i]
-			if provision.Cap(r).Holds(fleet.Need(w)) && r.FetchGbPerS > 0 {
+		for i := range c.catalog.MachineTypes {
+			r := &c.catalog.MachineTypes[i]
+			if provision.Capacity(r).Holds(fleet.Need(w)) && r.FetchGbPerS > 0 {
 				slack = min(slack, o.WithinS-w.ImageGb/r.FetchGbPerS*4/3-c.Config.Cluster.Workers.ReportS)
 			}
 		}
--- a/internal/controller/rent.go
+++ b/internal/controller/rent.go
@@ -13,8 +13,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// rental is a request to the cloud that is not answered yet.
-type rental struct{ req wire.ProvisionRequest }
+// provisionRequest is a request to the cloud that is not answered yet.
+type provisionRequest struct{ req wire.ProvisionRequest }
 
 // refusal remembers that the cloud had no capacity for a group.
 type refusal struct {
@@ -24,25 +24,25 @@
 
 // book names a rental: the term and a counter make names that no node uses
 // again.
-func (c *Controller) book(r provision.Rent) *rental {
-	c.rents++
-	req := wire.ProvisionRequest{RequestID: fmt.Sprintf("lt-%d-%d", c.term, c.rents), MachineType: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
-	out := &rental{req}
-	c.pending[req.RequestID] = out
+func (c *Controller) book(r provision.Request) *provisionRequest {
+	c.provisionCounter++
+	req := wire.ProvisionRequest{RequestID: fmt.Sprintf("lt-%d-%d", c.term, c.provisionCounter), MachineType: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
+	out := &provisionRequest{req}
+	c.pendingRequests[req.RequestID] = out
 	return out
 }
 
-// rent asks the cloud until it answers, for a while.
-func (c *Controller) rent(ctx context.Context, r *rental) {
+// provisionMachines asks the cloud until it answers, for a while.
+func (c *Controller) provisionMachines(ctx context.Context, r *provisionRequest) {
 	pause := c.Config.ListLag() / 4
-	group := provision.Group{Type: r.req.MachineType, Zone: r.req.Zone, Spot: r.req.Spot}
+	group := provision.MachineGroup{Type: r.req.MachineType, Zone: r.req.Zone, Spot: r.req.Spot}
 	for attempt := 0; attempt < 4 && ctx.Err() == nil; attempt++ {
-		hosts, err := c.Cloud.Rent(ctx, r.req)
+		hosts, err := c.Cloud.Provision(ctx, r.req)
 		if err == nil {
 			slog.Info("rented", "booking", r.req.RequestID, "rig", r.req.MachineType, "yard", r.req.Zone, "standby", r.req.Spot, "asked", r.req.Count, "hosts", hosts)
 			c.mu.Lock()
 			now := c.now()
-			delete(c.pending, r.req.RequestID)
+			delete(c.pendingRequests, r.req.RequestID)
 			delete(c.refused, group)
 			if len(hosts) < r.req.Count {
 				c.refuse(group, now)
@@ -67,12 +67,12 @@
 		pause *= 2
 	}
 	c.mu.Lock()
-	delete(c.pending, r.req.RequestID)
+	delete(c.pendingRequests, r.req.RequestID)
 	c.mu.Unlock()
 }
 
 // refuse passes a group over for a while, longer each time.
-func (c *Controller) refuse(g provision.Group, now time.Time) {
+func (c *Controller) refuse(g provision.MachineGroup, now time.Time) {
 	pause := min(max(c.refused[g].pause*2, c.Config.WorkerLease()/2), 3*c.Config.WorkerLease())
 	c.refused[g] = refusal{now.Add(pause), pause}
 }
@@ -90,7 +90,7 @@
 			} else if len(cat.MachineTypes) > 0 {
 				priced = now
 				c.mu.Lock()
-				c.cat = &cat
+				c.catalog = &cat
 				c.fleet.Each(c.capacity)
 				c.fleet.Each(c.fleet.Touch) // prices
 				c.mu.Unlock()
--- a/internal/controller/returns.go
+++ b/internal/controller/returns.go
@@ -149,7 +149,7 @@
 		}
 		left := false
 		for _, id := range rec.hosts {
-			if c.noted[id].images == 0 {
+			if c.recordedImages[id].images == 0 {
 				continue
 			}
 			if left = len(tx.Changes) >= ops; left {
@@ -176,7 +176,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range plain {
-		delete(c.noted, id)
+		delete(c.recordedImages, id)
 	}
 	c.returnsRecords = slices.DeleteFunc(c.returnsRecords, func(rec returnsRecord) bool {
 		if !slices.Contains(done, rec.key) {
--- a/internal/controller/round.go
+++ b/internal/controller/round.go
@@ -27,13 +27,13 @@
 			}
 		}
 		for _, r := range c.round(interval) {
-			go c.rent(ctx, r)
+			go c.provisionMachines(ctx, r)
 		}
 	}
 }
 
 // round looks over the window once. It returns the rentals to ask for.
-func (c *Controller) round(interval time.Duration) []*rental {
+func (c *Controller) round(interval time.Duration) []*provisionRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -44,12 +44,12 @@
 	c.pauseLiveness(now)
 	c.noteRenewedByPeers(now)
 	c.fleet.SuspectSilent(now)
-	c.declareLost(now)
-	if c.cat == nil {
+	c.declareDead(now)
+	if c.catalog == nil {
 		return nil
 	}
 	c.lastAt = now
-	p := c.picture(now, interval)
+	p := c.snapshot(now, interval)
 	plan := sched.Run(p.in)
 	info := wire.RoundStatus{Waiting: len(p.in.Jobs), Objective: plan.Objective, Reserved: plan.Reserved, Short: len(plan.Shorts)}
 	took := c.now().Sub(now)
@@ -113,13 +113,13 @@
 // written counts against it: pieces of withdrawn jobs are not written again, and
 // those called off at the end of an outage kept 400 other jobs waiting, with nothing
 // placed for 12 s. What a piece that is to be written anyway takes on costs nothing.
-func (c *Controller) start(plan *sched.Plan, picture *picture, now time.Time) int {
+func (c *Controller) start(plan *sched.Plan, snapshot *snapshot, now time.Time) int {
 	budget := max(1, int(c.Config.StateLimits().WriteRps))
 	for _, j := range c.jobs {
-		if j.dirtyPieces == 0 || j.rec.Status.Final() {
+		if j.dirtyPlacements == 0 || j.rec.Status.Final() {
 			continue
 		}
-		for _, p := range j.pieces {
+		for _, p := range j.placements {
 			if p.dirty && !p.due.After(now) {
 				budget--
 			}
@@ -128,13 +128,13 @@
 	started := 0
 	for _, pl := range plan.Places {
 		j := c.jobs[pl.Job.Spec.UID]
-		m := picture.machine(pl.Node)
+		m := snapshot.machine(pl.Node)
 		if m == nil || budget <= 0 && !j.writes(now) {
 			continue
 		}
 		for _, task := range j.pick(reportableTasks(m, pl)) {
-			p := j.piece(task)
-			if !p.hasRoom(task, m, c.pieceBytes()) {
+			p := j.placement(task)
+			if !p.hasRoom(task, m, c.placementBytes()) {
 				j.freed = append(j.freed, task)
 				continue // until others of its piece have ended
 			}
--- a/internal/controller/spare.go
+++ b/internal/controller/spare.go
@@ -47,9 +47,9 @@
 	a.count++
 }
 
-// spare makes phantom tasks of the classes that must start at once: the room
+// headroom makes phantom tasks of the classes that must start at once: the room
 // they need is kept, or rented, beyond what waits.
-func (c *Controller) spare(now time.Time) []*sched.Job {
+func (c *Controller) headroom(now time.Time) []*sched.Job {
 	var jobs []*sched.Job
 	factor := c.Settings().Headroom
 	for _, a := range c.arrive {
@@ -58,7 +58,7 @@
 		}
 		a.fade(now, c.fadeS())
 		perS := a.count / c.fadeS()
-		n := int(math.Ceil(factor * float64(provision.Spare(perS, a.tasksSquared, c.bootS(a.spec)))))
+		n := int(math.Ceil(factor * float64(provision.Headroom(perS, a.tasksSquared, c.bootS(a.spec)))))
 		spec := *a.spec // of all phantoms of the class
 		spec.UID, spec.TaskCount, spec.Kind, spec.SingleZone, spec.SpreadZones = "", 1, wire.JobArray, false, false
 		fetch := c.slackS(a.spec) < 0
@@ -70,21 +70,21 @@
 }
 
 // provision rents for what has no room and marks idle machines for return.
-func (c *Controller) provision(p *picture, plan *sched.Plan, now time.Time) []*rental {
+func (c *Controller) provision(p *snapshot, plan *sched.Plan, now time.Time) []*provisionRequest {
 	settled := now.Sub(c.steady) > c.Config.WorkerLease()
-	spare := c.planSpare(p, plan, now)
+	headroom := c.planHeadroom(p, plan, now)
 	// A new leader waits until the machines have reported before it decides
 	// that there are too few or too many.
-	if !settled && len(c.pending) == 0 && c.fleet.Len() > 0 && c.unheard() {
+	if !settled && len(c.pendingRequests) == 0 && c.fleet.Len() > 0 && c.unheard() {
 		return nil
 	}
 	population := map[string]int{}
 	c.fleet.Each(func(m *fleet.Machine) { population[m.Zone]++ })
-	shorts := append(append([]sched.Short{}, plan.Shorts...), spare.Shorts...)
-	rents := provision.Rents(c.cat, provision.Demand{Shorts: shorts, Population: population, Calls: c.rentCalls(),
-		Refused: func(g provision.Group) bool { return now.Before(c.refused[g].until) }})
-	var out []*rental
-	for _, r := range rents {
+	shorts := append(append([]sched.Short{}, plan.Shorts...), headroom.Shorts...)
+	provisionRequests := provision.Plan(c.catalog, provision.Demand{Shorts: shorts, Population: population, Calls: c.provisionCalls(),
+		Refused: func(g provision.MachineGroup) bool { return now.Before(c.refused[g].until) }})
+	var out []*provisionRequest
+	for _, r := range provisionRequests {
 		out = append(out, c.book(r))
 	}
 	if settled {
@@ -93,33 +93,33 @@
 	return out
 }
 
-// planSpare plans for the work that must start at once when it comes, with the room that a
+// planHeadroom plans for the work that must start at once when it comes, with the room that a
 // round has left, and keeps the machines that it would use.
-func (c *Controller) planSpare(p *picture, plan *sched.Plan, now time.Time) *sched.Plan {
+func (c *Controller) planHeadroom(p *snapshot, plan *sched.Plan, now time.Time) *sched.Plan {
 	in := &sched.Input{Now: now, View: p.in.View, Nodes: p.in.Nodes, After: plan, VictimsBelow: p.in.VictimsBelow,
-		Window: math.MaxInt, ReserveS: math.Inf(1), Jobs: c.spare(now), Teams: map[string]*sched.Team{}}
+		Window: math.MaxInt, ReserveS: math.Inf(1), Jobs: c.headroom(now), Teams: map[string]*sched.Team{}}
 	for name := range p.in.Teams {
 		in.Teams[name] = &sched.Team{}
 	}
-	spare, kept := &sched.Plan{}, map[string]bool{}
+	headroom, kept := &sched.Plan{}, map[string]bool{}
 	if len(in.Jobs) > 0 {
-		spare = sched.Run(in)
+		headroom = sched.Run(in)
 	}
-	for _, place := range spare.Places {
+	for _, place := range headroom.Places {
 		if m := p.machine(place.Node); m != nil {
 			kept[m.ID] = true
 		}
 	}
-	c.keepAsSpare(kept)
-	return spare
+	c.keepAsHeadroom(kept)
+	return headroom
 }
 
-// rentShare is the share of the cloud's calls of a round's interval that rentals may take.
-const rentShare = 0.25
+// provisionShare is the share of the cloud's calls of a round's interval that rentals may take.
+const provisionShare = 0.25
 
-// rentCalls is how many rentals a round may ask for.
-func (c *Controller) rentCalls() int {
-	return int(rentShare * c.Config.Cluster.Cloud.Rps * c.Settings().IntervalS)
+// provisionCalls is how many rentals a round may ask for.
+func (c *Controller) provisionCalls() int {
+	return int(provisionShare * c.Config.Cluster.Cloud.Rps * c.Settings().IntervalS)
 }
 
 // unheard reports whether machines that may run tasks have not reported yet.
@@ -146,7 +146,7 @@
 	var idle []*fleet.Machine
 	c.fleet.Each(func(m *fleet.Machine) {
 		r := c.machineType(m.Type)
-		if m.State != fleet.Ready || m.LiveCount() > 0 || c.spareMachines[m.ID] || r == nil || wanted(m) {
+		if m.State != fleet.Ready || m.LiveCount() > 0 || c.headroomMachines[m.ID] || r == nil || wanted(m) {
 			return
 		}
 		// A machine costs at least a minute; what comes back within a
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -171,7 +171,7 @@
 		c.capacity(m)
 	}
 	for _, r := range p.Leader.Refusals {
-		c.refused[provision.Group{Type: r.Type, Zone: r.Zone, Spot: r.Spot}] = refusal{fromMilliseconds(r.UntilMs), time.Duration(r.PauseMs) * time.Millisecond}
+		c.refused[provision.MachineGroup{Type: r.Type, Zone: r.Zone, Spot: r.Spot}] = refusal{fromMilliseconds(r.UntilMs), time.Duration(r.PauseMs) * time.Millisecond}
 	}
 	for _, a := range p.Leader.Arrivals {
 		job := a.Job
--- a/internal/controller/writer.go
+++ b/internal/controller/writer.go
@@ -16,10 +16,10 @@
 
 // batch is one commit of the writer and what follows from it.
 type batch struct {
-	tx     wire.Transaction
-	note   bool // nothing waits for it
-	pieces []pieceWrite
-	jobs   []jobWrite
+	tx         wire.Transaction
+	note       bool // nothing waits for it
+	placements []placementWrite
+	jobs       []jobWrite
 }
 
 // jobWrite is a job's final status in a batch.
@@ -29,8 +29,8 @@
 	archived bool // its record is dropped as well
 }
 
-type pieceWrite struct {
-	p       *piece
+type placementWrite struct {
+	p       *placement
 	seq     int
 	planned []*fleet.Attempt
 	ended   []*fleet.Attempt
@@ -105,10 +105,10 @@
 
 // writes reports whether a piece of the job is to be written now.
 func (j *job) writes(now time.Time) bool {
-	if j.dirtyPieces == 0 {
+	if j.dirtyPlacements == 0 {
 		return false
 	}
-	for _, p := range j.pieces {
+	for _, p := range j.placements {
 		if p.dirty && !p.unsure && !p.due.After(now) {
 			return true
 		}
@@ -141,20 +141,20 @@
 			continue
 		}
 		needsJob := false
-		for _, p := range j.pieces {
+		for _, p := range j.placements {
 			if !p.dirty || p.unsure || p.due.After(now) || len(b.tx.Changes) >= ops || size > maxTx || len(b.tx.Compares)+2 > maxGuards(ops) {
 				continue
 			}
-			w := pieceWrite{p: p, seq: p.seq, planned: p.planned(), ended: slices.Clone(p.ended)}
-			value := c.encodePiece(p, now)
+			w := placementWrite{p: p, seq: p.seq, planned: p.planned(), ended: slices.Clone(p.ended)}
+			value := c.encodePlacement(p, now)
 			if value == nil {
 				continue
 			}
 			size += len(value)
-			key := ledger.PieceKey(j.uid, p.n)
+			key := ledger.PlacementKey(j.uid, p.n)
 			b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: p.modRevision})
 			b.tx.Changes = append(b.tx.Changes, wire.Change{Set: key, Value: value})
-			b.pieces = append(b.pieces, w)
+			b.placements = append(b.placements, w)
 			needsJob = needsJob || len(w.planned) > 0 || p.modRevision == 0
 		}
 		if needsJob {
@@ -181,11 +181,11 @@
 // its final status takes the place of its record, in one commit if a commit holds that, else
 // over several.
 func (c *Controller) archive(b *batch, j *job, ops int) {
-	if j.hasUnsurePiece() {
+	if j.hasUnsurePlacement() {
 		return
 	}
 	const recordChanges = 2 // the record is dropped, the final status set
-	changes := j.storedPieces() + recordChanges
+	changes := j.storedPlacements() + recordChanges
 	room := ops - len(b.tx.Changes)
 	switch {
 	case changes > ops:
@@ -202,7 +202,7 @@
 	b.tx.Compares = append(b.tx.Compares, jobGuard, wire.Compare{Key: ledger.FinalKey(j.uid), ModRevision: 0})
 	b.tx.Changes = append(b.tx.Changes, wire.Change{Drop: jobGuard.Key},
 		wire.Change{Set: ledger.FinalKey(j.uid), Value: ledger.Encode(ledger.Final{Status: status})})
-	for _, p := range j.pieces {
+	for _, p := range j.placements {
 		if p.modRevision != 0 {
 			b.drop(p)
 		}
@@ -230,7 +230,7 @@
 		b.jobs = append(b.jobs, jobWrite{j, status, false})
 		return
 	}
-	for _, p := range j.pieces {
+	for _, p := range j.placements {
 		if p.modRevision != 0 && hasRoom() {
 			b.drop(p)
 		}
@@ -241,11 +241,11 @@
 // takes four times as many as changes.
 func maxGuards(ops int) int { return 4 * ops }
 
-func (b *batch) drop(p *piece) {
-	key := ledger.PieceKey(p.job.uid, p.n)
+func (b *batch) drop(p *placement) {
+	key := ledger.PlacementKey(p.job.uid, p.n)
 	b.tx.Compares = append(b.tx.Compares, wire.Compare{Key: key, ModRevision: p.modRevision})
 	b.tx.Changes = append(b.tx.Changes, wire.Change{Drop: key})
-	b.pieces = append(b.pieces, pieceWrite{p: p, seq: p.seq, dropped: true})
+	b.placements = append(b.placements, placementWrite{p: p, seq: p.seq, dropped: true})
 }
 
 // commit sends a batch and takes its outcome into the picture. It returns
@@ -290,7 +290,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	for _, w := range b.pieces {
+	for _, w := range b.placements {
 		w.p.modRevision = revision
 		if w.dropped {
 			w.p.modRevision = 0
@@ -332,7 +332,7 @@
 // of this term may still do, the stamps guard against.
 func (c *Controller) reread(ctx context.Context, b *batch) {
 	c.mu.Lock()
-	for _, w := range b.pieces {
+	for _, w := range b.placements {
 		w.p.unsure = true
 	}
 	jobs := b.touched()
@@ -351,8 +351,8 @@
 			}
 		}
 	}
-	for _, w := range b.pieces {
-		item, found, ok := get(ledger.PieceKey(w.p.job.uid, w.p.n))
+	for _, w := range b.placements {
+		item, found, ok := get(ledger.PlacementKey(w.p.job.uid, w.p.n))
 		if !ok {
 			return
 		}
--- a/internal/guarantee/guarantee.go
+++ b/internal/guarantee/guarantee.go
@@ -35,9 +35,9 @@
 // Within finds the jobs that lie within the guarantees of their teams: of each team those of the
 // highest ranks, and of a rank the oldest, as far as they fit together. If all unfinished jobs of
 // a team fit, all of them are within. One that does not fit leaves what is left to others.
-func Within(guarantees map[string]Amount, jobs []Job) Set {
+func Within(quotas map[string]Amount, jobs []Job) Set {
 	left := map[string]Amount{}
-	for team, amount := range guarantees {
+	for team, amount := range quotas {
 		if amount != (Amount{}) {
 			left[team] = amount
 		}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -30,7 +30,7 @@
 	LeaderKey           = "e/leader"
 	TermKey             = "e/term"
 	JobPrefix           = "j/"
-	PiecePrefix         = "p/"
+	PlacementPrefix     = "p/"
 	FinalPrefix         = "f/"
 	ReturnsPrefix       = "r/"
 	ImagesPrefix        = "i/"
@@ -152,12 +152,12 @@
 // ImagesKey is the key of a machine's images.
 func ImagesKey(host string) string { return ImagesPrefix + host }
 
-// PieceKey is the key of a piece of a job's placement.
-func PieceKey(uid string, n int) string { return fmt.Sprintf("%s%s/%06d", PiecePrefix, uid, n) }
+// PlacementKey is the key of a piece of a job's placement.
+func PlacementKey(uid string, n int) string { return fmt.Sprintf("%s%s/%06d", PlacementPrefix, uid, n) }
 
-// SplitPieceKey takes a piece's key apart.
-func SplitPieceKey(key string) (uid string, n int, ok bool) {
-	rest, found := strings.CutPrefix(key, PiecePrefix)
+// SplitPlacementKey takes a piece's key apart.
+func SplitPlacementKey(key string) (uid string, n int, ok bool) {
+	rest, found := strings.CutPrefix(key, PlacementPrefix)
 	if !found {
 		return "", 0, false
 	}
--- a/internal/ledger/mirror.go
+++ b/internal/ledger/mirror.go
@@ -105,7 +105,7 @@
 // record was dropped (the job is archived).
 type Listener func(uid string, e Entry)
 
-// Mirror is a node's copy of the jobs that are not archived. Every node keeps
+// Cache is a node's copy of the jobs that are not archived. Every node keeps
 // one, so that a follower knows which jobs are withdrawn and a new leader
 // starts warm.
 //
@@ -113,7 +113,7 @@
 // answered: a watch may wait through a refusal, hang on a dead connection or
 // sleep after an error while other requests of the node succeed. It is when the
 // read began that it was last brought up to date by.
-type Mirror struct {
+type Cache struct {
 	mu       sync.Mutex
 	jobs     map[string]Entry
 	revision uint64                    // all changes up to here are taken
@@ -121,11 +121,11 @@
 	listener Listener
 }
 
-// NewMirror makes an empty mirror.
-func NewMirror() *Mirror { return &Mirror{jobs: map[string]Entry{}} }
+// NewCache makes an empty mirror.
+func NewCache() *Cache { return &Cache{jobs: map[string]Entry{}} }
 
 // Run keeps the mirror up to date until ctx ends.
-func (m *Mirror) Run(ctx context.Context, r Reader, wait, pause time.Duration) {
+func (m *Cache) Run(ctx context.Context, r Reader, wait, pause time.Duration) {
 	Follow(ctx, r, JobPrefix, wait, pause, m)
 }
 
@@ -135,7 +135,7 @@
 // Refresh brings the mirror up to date with now, past the watch: it asks for
 // what has changed, without waiting for a change. Before the first listing it
 // does nothing.
-func (m *Mirror) Refresh(ctx context.Context, r Reader) error {
+func (m *Cache) Refresh(ctx context.Context, r Reader) error {
 	m.mu.Lock()
 	after := m.revision
 	m.mu.Unlock()
@@ -157,7 +157,7 @@
 // Reset takes a listing. It was made over a while: only what was committed
 // before it began is sure to be in it, and later changes are taken once more
 // from its epoch on.
-func (m *Mirror) Reset(rows []wire.KeyValue, revision uint64, begun time.Time) {
+func (m *Cache) Reset(rows []wire.KeyValue, revision uint64, begun time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	seen := make(map[string]bool, len(rows))
@@ -181,7 +181,7 @@
 // Apply takes what changed after an epoch. Two reads may overlap, a watch and a
 // Refresh: what is known already is passed over, and changes that do not
 // follow on what is known are not taken at all.
-func (m *Mirror) Apply(ch wire.WatchResponse, after uint64, begun time.Time) {
+func (m *Cache) Apply(ch wire.WatchResponse, after uint64, begun time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if after > m.revision {
@@ -202,7 +202,7 @@
 }
 
 // renew notes that all that was committed before begun is known. m.mu is held.
-func (m *Mirror) renew(begun time.Time) {
+func (m *Cache) renew(begun time.Time) {
 	if begun.After(m.Fresh()) {
 		m.fresh.Store(&begun)
 	}
@@ -211,7 +211,7 @@
 // Hint takes a job's record that another node tells of, ahead of the state
 // service. It changes nothing about how old the mirror's knowledge is. A job
 // that is not known may be archived already and is left alone.
-func (m *Mirror) Hint(uid string, rec Job, modRevision uint64) {
+func (m *Cache) Hint(uid string, rec Job, modRevision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if old, ok := m.jobs[uid]; ok && old.ModRevision < modRevision {
@@ -219,7 +219,7 @@
 	}
 }
 
-func (m *Mirror) put(uid string, value json.RawMessage, modRevision uint64) {
+func (m *Cache) put(uid string, value json.RawMessage, modRevision uint64) {
 	if old, ok := m.jobs[uid]; ok && old.ModRevision >= modRevision {
 		return
 	}
@@ -231,14 +231,14 @@
 	m.take(uid, Entry{&j, modRevision})
 }
 
-func (m *Mirror) take(uid string, e Entry) {
+func (m *Cache) take(uid string, e Entry) {
 	m.jobs[uid] = e
 	if m.listener != nil {
 		m.listener(uid, e)
 	}
 }
 
-func (m *Mirror) drop(uid string, modRevision uint64) {
+func (m *Cache) drop(uid string, modRevision uint64) {
 	if old, ok := m.jobs[uid]; ok && old.ModRevision > modRevision {
 		return
 	}
@@ -250,7 +250,7 @@
 
 // Fresh is the time up to which every commit is known: the zero time before the
 // first listing. It takes no lock: a Listener's locks may be held by the caller.
-func (m *Mirror) Fresh() time.Time {
+func (m *Cache) Fresh() time.Time {
 	if at := m.fresh.Load(); at != nil {
 		return *at
 	}
@@ -258,17 +258,17 @@
 }
 
 // Synced reports whether the mirror has caught up once.
-func (m *Mirror) Synced() bool { return !m.Fresh().IsZero() }
+func (m *Cache) Synced() bool { return !m.Fresh().IsZero() }
 
 // Len is the number of jobs.
-func (m *Mirror) Len() int {
+func (m *Cache) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.jobs)
 }
 
 // Job finds a job that is not archived, as far as is known.
-func (m *Mirror) Job(uid string) (Entry, bool) {
+func (m *Cache) Job(uid string) (Entry, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e, ok := m.jobs[uid]
@@ -276,14 +276,14 @@
 }
 
 // Has reports whether a job is known and not archived.
-func (m *Mirror) Has(uid string) bool {
+func (m *Cache) Has(uid string) bool {
 	_, ok := m.Job(uid)
 	return ok
 }
 
 // Cancelled tells which of the jobs are withdrawn, as far as is known, and up to
 // which time every withdrawal is known.
-func (m *Mirror) Cancelled(uids []string) (cancelled map[string]bool, fresh time.Time) {
+func (m *Cache) Cancelled(uids []string) (cancelled map[string]bool, fresh time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, uid := range uids {
@@ -299,7 +299,7 @@
 
 // Listen hands every known job and then every change to l, one at a time, or
 // ends that if l is nil. l must not call back into the mirror.
-func (m *Mirror) Listen(l Listener) {
+func (m *Cache) Listen(l Listener) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.listener = l
--- a/internal/ledger/refresher.go
+++ b/internal/ledger/refresher.go
@@ -19,7 +19,7 @@
 // answers which question. So however many ask, the state service gets no more reads
 // than the pace allows.
 type Refresher struct {
-	mirror   *Mirror
+	cache    *Cache
 	reader   Reader
 	pace     Pace
 	timeout  time.Duration // of one read
@@ -38,9 +38,9 @@
 }
 
 // NewRefresher makes a Refresher whose reads keep to a pace.
-func NewRefresher(m *Mirror, r Reader, pace Pace, timeout time.Duration) *Refresher {
+func NewRefresher(m *Cache, r Reader, pace Pace, timeout time.Duration) *Refresher {
 	const patienceShare = 20
-	return &Refresher{mirror: m, reader: r, pace: pace, timeout: timeout, patience: timeout / patienceShare}
+	return &Refresher{cache: m, reader: r, pace: pace, timeout: timeout, patience: timeout / patienceShare}
 }
 
 // Refresh returns nil once the mirror knows all that was committed before the call.
@@ -74,7 +74,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), r.timeout)
 		defer cancel()
-		read.err = r.mirror.Refresh(store.SharedRead(ctx), r.reader)
+		read.err = r.cache.Refresh(store.SharedRead(ctx), r.reader)
 		r.mu.Lock()
 		if r.running == read {
 			r.running = nil
--- a/internal/provision/provision.go
+++ b/internal/provision/provision.go
@@ -14,31 +14,33 @@
 )
 
 // Gang is what a rental asks for.
-type Group struct {
+type MachineGroup struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Rent asks for machines of one group.
-type Rent struct {
-	Group
+// Provision asks for machines of one group.
+type Request struct {
+	MachineGroup
 	Count int
 }
 
 type bin struct {
-	group Group
+	group MachineGroup
 	room  fleet.Res
 }
 
 // Cap is what a machine of a type offers.
-func Cap(r *wire.MachineType) fleet.Res { return fleet.Res{Cores: r.Cores, Gpus: r.Gpus, RAM: r.RAMGb} }
+func Capacity(r *wire.MachineType) fleet.Res {
+	return fleet.Res{Cores: r.Cores, Gpus: r.Gpus, RAM: r.RAMGb}
+}
 
 // Fits reports whether a task of the job fits some machine that it may use.
 func Fits(cat *wire.Catalog, w *wire.JobSpec) bool {
 	for i := range cat.MachineTypes {
 		r := &cat.MachineTypes[i]
-		if !Cap(r).Holds(fleet.Need(w)) {
+		if !Capacity(r).Holds(fleet.Need(w)) {
 			continue
 		}
 		for _, y := range r.Zones {
@@ -53,16 +55,16 @@
 // Demand is what is to be rented for, and what bounds it.
 type Demand struct {
 	Shorts     []sched.Short
-	Population map[string]int   // machines of each zone
-	Refused    func(Group) bool // groups that are passed over
+	Population map[string]int          // machines of each zone
+	Refused    func(MachineGroup) bool // groups that are passed over
 	// Calls is how many rentals may be asked for at once, of wire.MaxProvision machines each at
 	// most. Every group gets one at least.
 	Calls int
 }
 
-// Rents decides what to rent for demand that no machine has room for, cheapest
+// Plan decides what to rent for demand that no machine has room for, cheapest
 // for the room it brings first.
-func Rents(cat *wire.Catalog, demand Demand) []Rent {
+func Plan(cat *wire.Catalog, demand Demand) []Request {
 	p := packing{cat: cat, population: maps.Clone(demand.Population), refused: demand.Refused}
 	if p.population == nil {
 		p.population = map[string]int{}
@@ -71,46 +73,46 @@
 	for _, s := range demand.Shorts {
 		p.pack(s)
 	}
-	counts := map[Group]int{}
+	counts := map[MachineGroup]int{}
 	for _, b := range p.bins {
 		counts[b.group]++
 	}
-	rents := make([]Rent, 0, len(counts))
+	requests := make([]Request, 0, len(counts))
 	for g, n := range counts {
-		rents = append(rents, Rent{g, n})
+		requests = append(requests, Request{g, n})
 	}
-	slices.SortFunc(rents, func(a, b Rent) int {
+	slices.SortFunc(requests, func(a, b Request) int {
 		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(b2i(b.Spot), b2i(a.Spot)))
 	})
-	return inCalls(rents, demand.Calls)
+	return inCalls(requests, demand.Calls)
 }
 
 // inCalls splits rents into as many as the cloud takes in one call each: one of each group
 // first, and what is left of the calls in turn. What no call is left for waits for the next
 // round.
-func inCalls(wanted []Rent, calls int) []Rent {
-	var rents []Rent
+func inCalls(wanted []Request, calls int) []Request {
+	var requests []Request
 	left := len(wanted)
-	for first := true; left > 0 && (first || len(rents) < calls); first = false {
+	for first := true; left > 0 && (first || len(requests) < calls); first = false {
 		left = 0
 		for i := range wanted {
 			n := min(wanted[i].Count, wire.MaxProvision)
-			if n == 0 || !first && len(rents) >= calls {
+			if n == 0 || !first && len(requests) >= calls {
 				continue
 			}
-			rents = append(rents, Rent{wanted[i].Group, n})
+			requests = append(requests, Request{wanted[i].MachineGroup, n})
 			wanted[i].Count -= n
 			left += wanted[i].Count
 		}
 	}
-	return rents
+	return requests
 }
 
 // packing fits what is short into machines that would be rented.
 type packing struct {
 	cat        *wire.Catalog
 	population map[string]int
-	refused    func(Group) bool
+	refused    func(MachineGroup) bool
 	least      fleet.Res // nothing that is short needs less of anything
 	bins       []bin
 	open       []int // bins that have room for the least
@@ -187,13 +189,13 @@
 
 // cheapest picks the group with the lowest price for each task that it would
 // hold; among equals, the zone with the fewest machines.
-func cheapest(cat *wire.Catalog, j *sched.Job, zones map[string]int, left int, pop map[string]int, refused func(Group) bool) (Group, fleet.Res, bool) {
-	best, bestCost, bestPop := Group{}, math.Inf(1), 0
+func cheapest(cat *wire.Catalog, j *sched.Job, zones map[string]int, left int, pop map[string]int, refused func(MachineGroup) bool) (MachineGroup, fleet.Res, bool) {
+	best, bestCost, bestPop := MachineGroup{}, math.Inf(1), 0
 	var room fleet.Res
 	need := fleet.Need(j.Spec)
 	for i := range cat.MachineTypes {
 		r := &cat.MachineTypes[i]
-		n := Cap(r).Count(need, left)
+		n := Capacity(r).Count(need, left)
 		if n == 0 {
 			continue
 		}
@@ -202,11 +204,11 @@
 				continue
 			}
 			for _, spot := range []bool{true, false} {
-				g := Group{r.Name, y, spot}
+				g := MachineGroup{r.Name, y, spot}
 				if !sched.Allowed(j.Spec, r.Name, y, spot) || refused(g) {
 					continue
 				}
-				if j.Spec.AllowSpot && !spot && !j.Tired && !j.Dear {
+				if j.Spec.AllowSpot && !spot && !j.WaitedPastBoot && !j.Dear {
 					continue // spot machines are many times cheaper: worth a wait
 				}
 				price := r.Hourly
@@ -215,7 +217,7 @@
 				}
 				cost := price / float64(n)
 				if cost < bestCost || (cost == bestCost && pop[y] < bestPop) {
-					best, bestCost, bestPop, room = g, cost, pop[y], Cap(r)
+					best, bestCost, bestPop, room = g, cost, pop[y], Capacity(r)
 				}
 			}
 		}
@@ -223,9 +225,9 @@
 	return best, room, !math.IsInf(bestCost, 1)
 }
 
-// Spare is how many tasks of a class to keep room for: a standard deviation of
+// Headroom is how many tasks of a class to keep room for: a standard deviation of
 // what arrives while a machine boots. Jobs come by chance, and legs2 is the mean
 // of their tasks squared: a few large jobs vary more than many small ones.
-func Spare(jobsPerS, tasks2, bootS float64) int {
+func Headroom(jobsPerS, tasks2, bootS float64) int {
 	return int(math.Ceil(math.Sqrt(jobsPerS * bootS * tasks2)))
 }
--- a/internal/relay/pressure.go
+++ b/internal/relay/pressure.go
@@ -5,9 +5,9 @@
 
 // The degrees of pressure.
 const (
-	Relaxed Pressure = iota
-	Crowded          // nearly all places are taken: answers do not wait, and close their connection
-	Full             // the report has come on a connection of the reserve: the worker has to go
+	Relaxed       Pressure = iota
+	UnderPressure          // nearly all places are taken: answers do not wait, and close their connection
+	Full                   // the report has come on a connection of the reserve: the worker has to go
 )
 
 var pressureNames = [...]string{"relaxed", "crowded", "full"}
--- a/internal/sched/bounds.go
+++ b/internal/sched/bounds.go
@@ -6,20 +6,20 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// displaced stands for the room that a job finds by displacing others.
-const displaced = layers
+// preempted stands for the room that a job finds by displacing others.
+const preempted = layers
 
 // bound names a kind of job and a layer. Room only shrinks in a round, but for
 // what is stopped: of a kind that fitted so many times, no more fit later.
 type bound struct {
-	layer          layer
-	displacer      displacer // of a job that displaces
-	need           fleet.Res
-	types, zone    string
-	spot           bool
-	overdue, tired bool
-	dear           bool
-	image          string // if only nodes that have it will do
+	layer                   layer
+	preemptor               preemptor // of a job that displaces
+	need                    fleet.Res
+	types, zone             string
+	spot                    bool
+	overdue, waitedPastBoot bool
+	dear                    bool
+	image                   string // if only nodes that have it will do
 }
 
 // consider prepares the round for a job: which kinds of machines it may use, and what kind
@@ -35,7 +35,7 @@
 	r.holders = r.view.images[s.Image]
 	r.imageKnown = r.holders != nil || len(r.in.Nodes) > 0
 	r.bounded = !s.SingleZone && !s.SpreadZones && j.Avoid == ""
-	r.jobBound = bound{need: fleet.Need(s), types: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.Overdue, tired: j.Tired, dear: j.Dear}
+	r.jobBound = bound{need: fleet.Need(s), types: strings.Join(s.MachineTypes, " "), zone: s.Zone, spot: s.AllowSpot, overdue: j.Overdue, waitedPastBoot: j.WaitedPastBoot, dear: j.Dear}
 }
 
 // boundIn names the kind of the job that is looked at, in a layer.
@@ -45,8 +45,8 @@
 	if r.warm {
 		b.image = r.job.Spec.Image
 	}
-	if l == displaced {
-		b.displacer = r.displacerOf(r.job)
+	if l == preempted {
+		b.preemptor = r.preemptorOf(r.job)
 	}
 	return b
 }
--- a/internal/sched/classes.go
+++ b/internal/sched/classes.go
@@ -44,7 +44,7 @@
 	groups    []group
 	choices   []choice
 	allowed   []bool
-	displaced []displaceable
+	preempted []preemptible
 	victims   []Victim           // copies that are put in order
 	ordered   map[int32][]Victim // by slot: parts of victims
 	bounds    map[bound]int
@@ -67,7 +67,7 @@
 	m.kind, m.pulling, m.class, m.reserved = resized(m.kind, n), resized(m.pulling, n), resized(m.class, n), resized(m.reserved, n)
 	m.room[now] = resized(m.room[now], n)
 	m.room[soon], m.room[later] = make([]fleet.Res, n), make([]fleet.Res, n) // the plan keeps these
-	m.displaced, m.victims = m.displaced[:0], m.victims[:0]
+	m.preempted, m.victims = m.preempted[:0], m.victims[:0]
 	if m.ordered == nil {
 		m.ordered, m.bounds = map[int32][]Victim{}, map[bound]int{}
 	}
@@ -190,14 +190,14 @@
 
 // group is the nodes of a class that a job weighs alike.
 type group struct {
-	class   int32
-	count   int // tasks that fit on each, at most as many as are wanted
-	pulling int32
-	split   bool // only the nodes that have the image, or only those that do not
-	image   bool // they have the job's image
-	fixed   bool
-	price   float64
-	spare   float64
+	class    int32
+	count    int // tasks that fit on each, at most as many as are wanted
+	pulling  int32
+	split    bool // only the nodes that have the image, or only those that do not
+	image    bool // they have the job's image
+	fixed    bool
+	price    float64
+	headroom float64
 }
 
 // weigh lists the groups of nodes on which tasks of a job fit. The list is good until the
@@ -220,9 +220,9 @@
 			continue
 		}
 		g := group{class: c, count: n, pulling: class.pulling, fixed: k.fixed, price: r.price(j, k, need)}
-		g.spare = free.Gpus - float64(n)*need.Gpus + (free.Cores-float64(n)*need.Cores)/max(k.capacity.Cores, 1)
+		g.headroom = free.Gpus - float64(n)*need.Gpus + (free.Cores-float64(n)*need.Cores)/max(k.capacity.Cores, 1)
 		if need.Gpus == 0 {
-			g.spare = free.Gpus
+			g.headroom = free.Gpus
 		}
 		g.split = r.imageKnown && k.present
 		if !r.warm {
@@ -253,14 +253,14 @@
 		if order := cmp.Compare(a.price, b.price); order != 0 {
 			return order
 		}
-		return cmp.Or(cmp.Compare(b.count, a.count), cmp.Compare(b2i(b.fixed), b2i(a.fixed)), cmp.Compare(a.spare, b.spare),
+		return cmp.Or(cmp.Compare(b.count, a.count), cmp.Compare(b2i(b.fixed), b2i(a.fixed)), cmp.Compare(a.headroom, b.headroom),
 			cmp.Compare(b2i(b.image), b2i(a.image)), cmp.Compare(a.pulling, b.pulling))
 	}
 	price, image := cmp.Compare(a.price, b.price), cmp.Compare(b2i(b.image), b2i(a.image))
 	if j.Fetch {
 		price, image = image, price
 	}
-	return cmp.Or(price, image, cmp.Compare(a.pulling, b.pulling), cmp.Compare(b.count, a.count), cmp.Compare(a.spare, b.spare))
+	return cmp.Or(price, image, cmp.Compare(a.pulling, b.pulling), cmp.Compare(b.count, a.count), cmp.Compare(a.headroom, b.headroom))
 }
 
 // choose picks nodes for up to want tasks, the best first.
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -25,14 +25,14 @@
 // whole gets all its room or none. Replicas are only displaced for a job that
 // waited as long as a new machine takes.
 func (r *round) preempt(j *Job, want int) int {
-	if r.lowest >= r.displacesBelow(j) && !j.Guaranteed {
+	if r.lowest >= r.preemptsBelow(j) && !j.WithinQuota {
 		return 0
 	}
-	b := r.boundIn(displaced)
+	b := r.boundIn(preempted)
 	if r.foundNoRoom(j, b) {
 		return 0
 	}
-	places, chosen := r.leastHarm(j, want, r.displacements(j, want))
+	places, chosen := r.leastHarm(j, want, r.preemptions(j, want))
 	if r.bounded && len(places) < want {
 		r.bounds[b] = len(places)
 	}
@@ -44,71 +44,71 @@
 	return len(places)
 }
 
-// displacesBelow is the level below which a job may displace work.
-func (r *round) displacesBelow(j *Job) int {
+// preemptsBelow is the level below which a job may displace work.
+func (r *round) preemptsBelow(j *Job) int {
 	if most := r.in.VictimsBelow; most > 0 {
 		return min(j.Level, most)
 	}
 	return j.Level
 }
 
-// displacer is what decides which running work a job may displace.
-type displacer struct {
+// preemptor is what decides which running work a job may displace.
+type preemptor struct {
 	below    int    // work of lower levels
 	overdue  bool   // replicas too
 	team     string // of the job, where teams have guarantees
 	reclaims bool   // the job is within its team's guarantee
 }
 
-func (r *round) displacerOf(j *Job) displacer {
-	d := displacer{below: r.displacesBelow(j), overdue: j.Overdue}
-	if r.in.Guaranteed != nil {
-		d.team, d.reclaims = j.Spec.Team, j.Guaranteed
+func (r *round) preemptorOf(j *Job) preemptor {
+	d := preemptor{below: r.preemptsBelow(j), overdue: j.Overdue}
+	if r.in.WithinQuota != nil {
+		d.team, d.reclaims = j.Spec.Team, j.WithinQuota
 	}
 	return d
 }
 
-// displaces reports whether running work may be displaced. What another team runs within its
+// preempts reports whether running work may be displaced. What another team runs within its
 // guarantee stays, whatever its rank: displaced, it would be taken back in the next round. What
 // it runs beyond may be taken back, and who does need not wait for a machine to boot.
-func (d displacer) displaces(v *Victim, guaranteed map[string]bool) bool {
-	if d.team != "" && v.Team != d.team && guaranteed[v.UID] {
+func (d preemptor) preempts(v *Victim, withinQuota map[string]bool) bool {
+	if d.team != "" && v.Team != d.team && withinQuota[v.UID] {
 		return false
 	}
 	return d.byPriority(v) || d.reclaims && v.Team != d.team
 }
 
 // byPriority reports whether running work may be displaced for its rank alone.
-func (d displacer) byPriority(v *Victim) bool { return v.Level < d.below && (!v.Serve || d.overdue) }
+func (d preemptor) byPriority(v *Victim) bool { return v.Level < d.below && (!v.Serve || d.overdue) }
 
-// mayDisplace reports whether a job may displace running work.
-func (r *round) mayDisplace(j *Job, v *Victim) bool {
-	return r.displacerOf(j).displaces(v, r.in.Guaranteed)
+// mayPreempt reports whether a job may displace running work.
+func (r *round) mayPreempt(j *Job, v *Victim) bool {
+	return r.preemptorOf(j).preempts(v, r.in.WithinQuota)
 }
 
-// displaceable is what jobs of one kind may displace on each node: how much room that
+// preemptible is what jobs of one kind may displace on each node: how much room that
 // gives, and the least that any of it loses. With that, most nodes need no closer look.
-type displaceable struct {
-	by   displacer
+type preemptible struct {
+	by   preemptor
 	gain []fleet.Res
 	loss []float64
 }
 
-// displaceableBy finds or makes what a job may displace.
-func (r *round) displaceableBy(j *Job) *displaceable {
-	by, m := r.displacerOf(j), r.memory
-	for i := range m.displaced {
-		if d := &m.displaced[i]; d.by == by {
+// preemptibleBy finds or makes what a job may displace.
+func (r *round) preemptibleBy(j *Job) *preemptible {
+	by, m := r.preemptorOf(j), r.memory
+	for i := range m.preempted {
+		if d := &m.preempted[i]; d.by == by {
 			return d
 		}
 	}
 	// A list that an earlier round has made is used again.
-	if len(m.displaced) < cap(m.displaced) {
-		m.displaced = m.displaced[:len(m.displaced)+1]
+	if len(m.preempted) < cap(m.preempted) {
+		m.preempted = m.preempted[:len(m.preempted)+1]
 	} else {
-		m.displaced = append(m.displaced, displaceable{})
+		m.preempted = append(m.preempted, preemptible{})
 	}
-	d := &m.displaced[len(m.displaced)-1]
+	d := &m.preempted[len(m.preempted)-1]
 	d.by = by
 	d.gain, d.loss = resized(d.gain, len(m.kind)), resized(d.loss, len(m.kind))
 	for slot := range m.kind {
@@ -118,12 +118,12 @@
 }
 
 // sum adds up what may be displaced on a node.
-func (d *displaceable) sum(r *round, slot int32) {
+func (d *preemptible) sum(r *round, slot int32) {
 	gain, loss := fleet.Res{}, math.Inf(1)
 	victims := r.running(slot)
 	for i := range victims {
 		v := &victims[i]
-		if d.by.displaces(v, r.in.Guaranteed) {
+		if d.by.preempts(v, r.in.WithinQuota) {
 			gain = gain.Add(v.Need)
 			loss = min(loss, v.lossAt(r.in.Now)+1)
 		}
@@ -142,8 +142,8 @@
 	return r.view.nodes[slot].victims
 }
 
-// leastLost gives the victims of a node in the order in which they are stopped.
-func (r *round) leastLost(slot int32) []Victim {
+// leastDisruption gives the victims of a node in the order in which they are stopped.
+func (r *round) leastDisruption(slot int32) []Victim {
 	sorted, known := r.victims[slot]
 	if !known {
 		now := r.in.Now
@@ -159,11 +159,11 @@
 	return sorted
 }
 
-// displacements lists room that there is for tasks of a job, and that there would be if work
+// preemptions lists room that there is for tasks of a job, and that there would be if work
 // that it may displace were stopped, what loses least first on each node. If the job's tasks
 // may be in any zone, no more than it wants are listed: those with the least loss.
-func (r *round) displacements(j *Job, want int) []choice {
-	need, d, m := fleet.Need(j.Spec), r.displaceableBy(j), r.memory
+func (r *round) preemptions(j *Job, want int) []choice {
+	need, d, m := fleet.Need(j.Spec), r.preemptibleBy(j), r.memory
 	most := math.MaxInt
 	if !j.Spec.SingleZone && !j.Spec.SpreadZones {
 		most = want
@@ -201,11 +201,11 @@
 		add(choice{node: slot})
 		room = room.Sub(need)
 	}
-	victims := r.leastLost(slot)
+	victims := r.leastDisruption(slot)
 	c := choice{node: slot}
 	for k := range victims {
 		v := &victims[k]
-		if !r.mayDisplace(j, v) {
+		if !r.mayPreempt(j, v) {
 			continue
 		}
 		room = room.Add(v.Need)
@@ -239,7 +239,7 @@
 		if j.Spec.SingleZone {
 			zone = z
 		}
-		if !r.leavesGuarantees(j, &c, reclaimed) {
+		if !r.leavesQuotas(j, &c, reclaimed) {
 			continue
 		}
 		taken[z]++
@@ -249,11 +249,11 @@
 	return places, chosen
 }
 
-// leavesGuarantees reports whether what a choice takes back from other teams leaves each of them
+// leavesQuotas reports whether what a choice takes back from other teams leaves each of them
 // what it is guaranteed itself, beside what was taken back from it for the job already. If so, it
 // counts as taken back.
-func (r *round) leavesGuarantees(j *Job, c *choice, reclaimed map[string]fleet.Res) bool {
-	d := r.displacerOf(j)
+func (r *round) leavesQuotas(j *Job, c *choice, reclaimed map[string]fleet.Res) bool {
+	d := r.preemptorOf(j)
 	if !d.reclaims || c.to == 0 {
 		return true
 	}
@@ -261,7 +261,7 @@
 	victims := r.victims[c.node]
 	for k := c.from; k < c.to; k++ {
 		v := &victims[k]
-		if d.byPriority(v) || !d.displaces(v, r.in.Guaranteed) {
+		if d.byPriority(v) || !d.preempts(v, r.in.WithinQuota) {
 			continue
 		}
 		taken, known := after[v.Team]
@@ -294,7 +294,7 @@
 	for _, c := range chosen {
 		victims := r.victims[c.node]
 		for k := c.from; k < c.to; k++ {
-			if v := &victims[k]; r.mayDisplace(j, v) {
+			if v := &victims[k]; r.mayPreempt(j, v) {
 				stopped[v.ID] = true
 				if t := r.in.Teams[v.Team]; t != nil {
 					t.Stopping.Cores += v.Need.Cores
@@ -310,8 +310,8 @@
 			continue
 		}
 		r.victims[c.node] = slices.DeleteFunc(r.victims[c.node], func(v Victim) bool { return stopped[v.ID] })
-		for i := range r.memory.displaced {
-			r.memory.displaced[i].sum(r, c.node)
+		for i := range r.memory.preempted {
+			r.memory.preempted[i].sum(r, c.node)
 		}
 	}
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -64,25 +64,25 @@
 	Spec  *wire.JobSpec
 	Level int
 	// Guaranteed: it lies within its team's guarantee, and does not wait for other teams.
-	Guaranteed bool
-	AtMs       int64
-	Waiting    int            // tasks without an attempt
-	Live       int            // attempts that are not provably off
-	ByZone     map[string]int // the same by zone
-	WaitedS    float64
-	Fetch      bool    // the fetch of its image may make a start late
-	SlackS     float64 // what is left of the time to start after fetch and delivery
-	LaxS       float64 // how long it can still wait and be in time
-	Overdue    bool    // could not wait for a new machine: dearer ones that stay anyway will do
-	Tired      bool    // waited as long as a new machine takes: any machine will do
-	Dear       bool    // no cheaper machine can be had: waiting for one is in vain
-	First      bool    // the first task of a job that should have begun by now
-	Avoid      string  // a machine that it is not placed on
+	WithinQuota    bool
+	AtMs           int64
+	Waiting        int            // tasks without an attempt
+	Live           int            // attempts that are not provably off
+	ByZone         map[string]int // the same by zone
+	WaitedS        float64
+	Fetch          bool    // the fetch of its image may make a start late
+	SlackS         float64 // what is left of the time to start after fetch and delivery
+	LaxS           float64 // how long it can still wait and be in time
+	Overdue        bool    // could not wait for a new machine: dearer ones that stay anyway will do
+	WaitedPastBoot bool    // waited as long as a new machine takes: any machine will do
+	Dear           bool    // no cheaper machine can be had: waiting for one is in vain
+	First          bool    // the first task of a job that should have begun by now
+	Avoid          string  // a machine that it is not placed on
 }
 
 // Team is what a team uses, may use and is guaranteed; a limit or a guarantee of 0 is none.
 type Team struct {
-	Used, Limit, Guarantee struct{ Cores, Gpus float64 }
+	Used, Limit, Quota struct{ Cores, Gpus float64 }
 	// Stopping is what of Used is being stopped. It counts against the limit until it is off,
 	// and toward the guarantee no more.
 	Stopping struct{ Cores, Gpus float64 }
@@ -90,7 +90,7 @@
 
 // beyond is how much a team would have beyond its guarantee if some more of it were stopped.
 func (t *Team) beyond(more fleet.Res) fleet.Res {
-	return fleet.Res{Cores: t.Used.Cores - t.Stopping.Cores - t.Guarantee.Cores - more.Cores, Gpus: t.Used.Gpus - t.Stopping.Gpus - t.Guarantee.Gpus - more.Gpus}
+	return fleet.Res{Cores: t.Used.Cores - t.Stopping.Cores - t.Quota.Cores - more.Cores, Gpus: t.Used.Gpus - t.Stopping.Gpus - t.Quota.Gpus - more.Gpus}
 }
 
 // Input is the picture of one round. Its nodes are the machines of View, by slot, and then
@@ -107,7 +107,7 @@
 	After      *Plan // if set, the round begins with the room that this plan has left
 	// Guaranteed is the jobs within the guarantees of their teams, by id, those that wait for
 	// nothing included; nil if no team has a guarantee.
-	Guaranteed map[string]bool
+	WithinQuota map[string]bool
 	// VictimsBelow: work of this level or above is not displaced by any job; 0 leaves it to
 	// the levels of the jobs.
 	VictimsBelow int
@@ -157,9 +157,9 @@
 	late := func(j *Job) int { return b2i(j.LaxS < 0 && j.Spec.Kind == wire.JobArray && j.WaitedS < patienceS) }
 	slices.SortFunc(jobs, func(a, b *Job) int {
 		if a.First && b.First {
-			return cmp.Or(cmp.Compare(b2i(b.Guaranteed), b2i(a.Guaranteed)), cmp.Compare(b.Level, a.Level), cmp.Compare(a.AtMs, b.AtMs), cmp.Compare(a.Spec.UID, b.Spec.UID))
+			return cmp.Or(cmp.Compare(b2i(b.WithinQuota), b2i(a.WithinQuota)), cmp.Compare(b.Level, a.Level), cmp.Compare(a.AtMs, b.AtMs), cmp.Compare(a.Spec.UID, b.Spec.UID))
 		}
-		return cmp.Or(cmp.Compare(b2i(b.Guaranteed), b2i(a.Guaranteed)), cmp.Compare(b.Level, a.Level), cmp.Compare(b2i(b.First), b2i(a.First)),
+		return cmp.Or(cmp.Compare(b2i(b.WithinQuota), b2i(a.WithinQuota)), cmp.Compare(b.Level, a.Level), cmp.Compare(b2i(b.First), b2i(a.First)),
 			cmp.Compare(late(a), late(b)), cmp.Compare(a.LaxS, b.LaxS),
 			cmp.Compare(a.AtMs, b.AtMs), cmp.Compare(a.Spec.UID, b.Spec.UID))
 	})
@@ -385,7 +385,7 @@
 
 // mayUse reports whether a job may use machines of a kind.
 func mayUse(j *Job, k *kind) bool {
-	if !k.spot && !k.fixed && j.Spec.AllowSpot && !j.Dear && (!j.Overdue || k.leaving && !j.Tired) {
+	if !k.spot && !k.fixed && j.Spec.AllowSpot && !j.Dear && (!j.Overdue || k.leaving && !j.WaitedPastBoot) {
 		return false
 	}
 	return Allowed(j.Spec, k.machineType, k.zone, k.spot)
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -15,7 +15,7 @@
 // Proven is a copy that agrees with the state service: its records are those that a
 // listing begun after the election would show.
 type Proven struct {
-	Pieces, Returns, Images []wire.KeyValue
+	Placements, Returns, Images []wire.KeyValue
 	// Hints are the views of the leader before: nothing is proven about them.
 	Machines []MachineView
 	Jobs     []JobView
@@ -116,7 +116,7 @@
 		edit.take(&Entry{Key: n.Set + n.Drop, Value: n.Value, ModRevision: n.ModRevision, Dropped: n.Drop != ""})
 	}
 	now := edit.contents()
-	p := &Proven{Pieces: now.items(ledger.PiecePrefix), Returns: now.items(ledger.ReturnsPrefix), Images: now.items(ledger.ImagesPrefix),
+	p := &Proven{Placements: now.items(ledger.PlacementPrefix), Returns: now.items(ledger.ReturnsPrefix), Images: now.items(ledger.ImagesPrefix),
 		FollowedTerm: h.term, Position: h.position, Digest: h.digest, Changes: len(events)}
 	if err := now.views(p); err != nil {
 		return nil, err
--- a/internal/standin/dependencies.go
+++ b/internal/standin/dependencies.go
@@ -6,9 +6,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// judgeReleased checks, at the start of a task, that all that its job needs is done.
+// checkReleased checks, at the start of a task, that all that its job needs is done.
 // w.mu is held.
-func (w *World) judgeReleased(task string, spec *wire.JobSpec) {
+func (w *Cluster) checkReleased(task string, spec *wire.JobSpec) {
 	for _, uid := range spec.Dependencies {
 		if len(w.done[uid]) < w.specs[uid].TaskCount {
 			w.breach("too_early", "%s starts before %s is done", task, uid)
@@ -18,7 +18,7 @@
 
 // ancestors calls f for every job that a job needs, directly or through others, until
 // f returns false. w.mu is held.
-func (w *World) ancestors(uid string, f func(uid string) bool) bool {
+func (w *Cluster) ancestors(uid string, f func(uid string) bool) bool {
 	for _, name := range w.specs[uid].Dependencies {
 		if !f(name) || !w.ancestors(name, f) {
 			return false
@@ -29,13 +29,13 @@
 
 // askedToCancel reports whether a user has asked to cancel a job or one that it needs.
 // w.mu is held.
-func (w *World) askedToCancel(uid string) bool {
+func (w *Cluster) askedToCancel(uid string) bool {
 	return w.asked[uid] || !w.ancestors(uid, func(name string) bool { return !w.asked[name] })
 }
 
-// judgeOrphan checks that a job that is called queued or running needs no job that its
+// checkOrphan checks that a job that is called queued or running needs no job that its
 // user was told is cancelled longer than cancel_s before asking. w.mu is held.
-func (w *World) judgeOrphan(uid string, asked time.Time, status wire.JobStatus) {
+func (w *Cluster) checkOrphan(uid string, asked time.Time, status wire.JobStatus) {
 	if status.Final() {
 		return
 	}
--- a/internal/standin/loopback.go
+++ b/internal/standin/loopback.go
@@ -91,7 +91,7 @@
 }
 
 // CloudHandler answers the protocol of the cloud.
-func (w *World) CloudHandler() http.Handler { return http.HandlerFunc(w.cloud) }
+func (w *Cluster) CloudHandler() http.Handler { return http.HandlerFunc(w.cloud) }
 
 // Delayed answers after a delay, as a service across a network does.
 func Delayed(h http.Handler, delay time.Duration) http.Handler {
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -137,13 +137,13 @@
 	n.lateDirect = share
 }
 
-// StandStill lets a party stand still, or go on. To others it is a process that
+// PauseProcess lets a party stand still, or go on. To others it is a process that
 // gets no processor while its clocks run on: what it has asked for is carried out,
 // and it learns so when it goes on, late or as a time-out; what it was about to
 // send goes out then, and what others asked of it is answered then, though they
 // have given up. Its own timers are not stopped, as they would be: what it decides
 // meanwhile on what it has not heard goes out as well, which is the harder trial.
-func (n *Network) StandStill(name string, on bool) {
+func (n *Network) PauseProcess(name string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.setStill(name, on)
@@ -159,9 +159,9 @@
 	}
 }
 
-// await waits while a party stands still. A party's ends all belong to the part of
+// waitFor waits while a party stands still. A party's ends all belong to the part of
 // their names before the port.
-func (n *Network) await(name string) {
+func (n *Network) waitFor(name string) {
 	host, _, _ := strings.Cut(name, ":")
 	n.mu.Lock()
 	ch := n.still[host]
@@ -225,7 +225,7 @@
 		}
 	}
 	link := [2]string{p.from, to}
-	p.n.await(p.from)
+	p.n.waitFor(p.from)
 	p.n.mu.Lock()
 	h, cut, mute, refuse := p.n.hosts[to], p.n.cut[link], p.n.mute[link], p.n.refuse[link]
 	block, held := p.n.block[link], p.n.lateWrites > 0 && strings.HasSuffix(req.URL.Path, "/commit") && p.n.rng.Float64() < p.n.lateWrites
@@ -299,9 +299,9 @@
 	}
 	done := make(chan *httptest.ResponseRecorder, 1)
 	go func() {
-		p.n.await(to)
+		p.n.waitFor(to)
 		p.n.tripped(p.from, to, req.URL.Path, false)
-		p.n.await(to)
+		p.n.waitFor(to)
 		p.n.mu.Lock()
 		h := p.n.hosts[to]
 		p.n.mu.Unlock()
@@ -310,14 +310,14 @@
 		}
 		rec := serve(ctx, h)
 		p.n.tripped(p.from, to, req.URL.Path, true)
-		p.n.await(to)
+		p.n.waitFor(to)
 		done <- rec
 	}()
 	select {
 	case <-ctx.Done():
 		// Whoever stands still sees his time-out only when he goes on: he may then
 		// see the answer first.
-		p.n.await(p.from)
+		p.n.waitFor(p.from)
 		select {
 		case rec := <-done:
 			if p.n.Chance(2) == 0 {
@@ -327,7 +327,7 @@
 		}
 		return nil, ctx.Err()
 	case rec := <-done:
-		p.n.await(p.from)
+		p.n.waitFor(p.from)
 		// The open watches of a node that is refused wait as in an outage.
 		for req.URL.Path == "/changes" && p.n.refused(link) {
 			if !wait(50 * time.Millisecond) {
@@ -381,8 +381,8 @@
 	sent := make(chan []byte, 1<<12)
 	go func() {
 		for data := range sent {
-			n.await(from)
-			n.await(to)
+			n.waitFor(from)
+			n.waitFor(to)
 			if _, err := dst.Write(data); err != nil {
 				break
 			}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -19,7 +19,7 @@
 	Address                 string // for direct commands
 	Spot                    bool
 
-	w    *World
+	w    *Cluster
 	born time.Time
 	boot time.Duration
 	died atomic.Int64 // when, after born; 0 while it lives
@@ -52,7 +52,7 @@
 	due    time.Time // of the next change
 }
 
-func newWorker(w *World, host, machineType, zone string, standby bool, boot time.Duration) *Worker {
+func newWorker(w *Cluster, host, machineType, zone string, standby bool, boot time.Duration) *Worker {
 	return &Worker{Host: host, MachineType: machineType, Zone: zone, Spot: standby, w: w, born: time.Now(), boot: boot, session: 1,
 		tasks: map[taskKey]*workerTask{}, images: map[string]bool{}, poke: make(chan struct{}, 1), stop: make(chan struct{})}
 }
@@ -239,7 +239,7 @@
 }
 
 // post sends a report to a node. The answer is dropped after 4 s.
-func (w *World) post(from, node string, data []byte) (int, []byte) {
+func (w *Cluster) post(from, node string, data []byte) (int, []byte) {
 	client := http.Client{Transport: w.Net.Port(from), Timeout: 4 * time.Second}
 	resp, err := client.Post("http://"+node+"/checkin", "application/json", bytes.NewReader(data))
 	if err != nil {
@@ -263,7 +263,7 @@
 			if l != nil {
 				continue
 			}
-			k.w.judgeLaunch(o.Task, o.Attempt, k.Host)
+			k.w.checkLaunch(o.Task, o.Attempt, k.Host)
 			l = &workerTask{status: wire.TaskFetching, due: time.Now().Add(time.Duration(1+k.w.Net.Chance(4)) * time.Second)}
 			for other, ol := range k.tasks {
 				if other.name == o.Task && ol.status != wire.TaskEnded {
@@ -287,7 +287,7 @@
 			}
 		case wire.Acknowledge:
 			if l != nil && l.status == wire.TaskEnded {
-				k.w.judgeReap(o.Task, o.Attempt, k.Host)
+				k.w.checkReap(o.Task, o.Attempt, k.Host)
 				delete(k.tasks, key)
 			}
 		}
