--- a/cmd/lotusstile/main.go
+++ b/cmd/lotusstile/main.go
@@ -14,9 +14,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"lotusstile.dev/lotusstile/internal/api"
 	"lotusstile.dev/lotusstile/internal/capacity"
 	"lotusstile.dev/lotusstile/internal/config"
+	"lotusstile.dev/lotusstile/internal/node"
 )
 
 var version = "0.1.0"
@@ -71,7 +71,7 @@
 	// the processor time of collections.
 	debug.SetMemoryLimit(int64(cfg.Cluster.Limits.MemMb * (1 << 20) / 2))
 	debug.SetGCPercent(400)
-	return api.New(cfg, api.TCP(cfg)).Run(context.Background())
+	return node.New(cfg, node.TCP(cfg)).Run(context.Background())
 }
 
 // otherDescriptors is how many descriptors the process has beside its connections.
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -11,8 +11,8 @@
 
 	"lotusstile.dev/lotusstile/internal/cloud"
 	"lotusstile.dev/lotusstile/internal/config"
-	"lotusstile.dev/lotusstile/internal/ledger"
 	"lotusstile.dev/lotusstile/internal/relay"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 )
 
 // Limit is what one part of the settings carries.
@@ -67,7 +67,7 @@
 // leases last: each has one of its images, and is in some piece of a placement.
 func takeoverListing(cfg *config.Config) Limit {
 	const recordsOfMachine, leaseShare = 2, 0.5
-	keys := ledger.ListedWithin(cfg.StateLimits().Rps, time.Duration(leaseShare*float64(cfg.WorkerLease())))
+	keys := watchcache.ListedWithin(cfg.StateLimits().Rps, time.Duration(leaseShare*float64(cfg.WorkerLease())))
 	return Limit{Setting: "cluster.state.rps", Machines: keys / recordsOfMachine,
 		Beyond: "a new leader without a warm standby lists records for over half of a lease, and launches nothing meanwhile"}
 }
--- a/internal/clusterversion/clusterversion.go
+++ b/internal/clusterversion/clusterversion.go
@@ -14,7 +14,7 @@
 	"log/slog"
 	"sync"
 
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -56,10 +56,10 @@
 
 // Take learns from a change of a record; others than that of the version are passed over.
 func (t *Tracker) Take(event wire.WatchEvent) {
-	if event.Set != ledger.VersionKey {
+	if event.Set != records.VersionKey {
 		return
 	}
-	var record ledger.ClusterVersion
+	var record records.ClusterVersion
 	if err := wire.Decode(event.Value, &record); err != nil {
 		slog.Error("cluster version cannot be read", "err", err)
 		return
@@ -93,8 +93,8 @@
 		return nil
 	}
 	revision, err := store.Commit(ctx, wire.Transaction{
-		Compares: append([]wire.Compare{{Key: ledger.LeaderKey, ModRevision: term}, {Key: ledger.VersionKey, ModRevision: modRevision}}, read...),
-		Changes:  []wire.Change{{Set: ledger.VersionKey, Value: ledger.Encode(ledger.ClusterVersion{Version: int(to)})}},
+		Compares: append([]wire.Compare{{Key: records.LeaderKey, ModRevision: term}, {Key: records.VersionKey, ModRevision: modRevision}}, read...),
+		Changes:  []wire.Change{{Set: records.VersionKey, Value: records.Encode(records.ClusterVersion{Version: int(to)})}},
 	})
 	if err != nil {
 		return fmt.Errorf("raise the cluster version: %w", err)
--- a/internal/clusterversion/presence.go
+++ b/internal/clusterversion/presence.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -42,7 +42,7 @@
 // the lease is lost.
 func (t *Tracker) keepAnnounced(ctx context.Context, leases LeaseStore, label string, leaseID uint64, ttl time.Duration) error {
 	_, err := leases.Commit(ctx, wire.Transaction{Changes: []wire.Change{{
-		Set: ledger.ReleaseKey(label), Value: ledger.Encode(ledger.ClusterVersion{Version: int(Latest)}), LeaseID: leaseID,
+		Set: records.ReleaseKey(label), Value: records.Encode(records.ClusterVersion{Version: int(Latest)}), LeaseID: leaseID,
 	}}})
 	for err == nil && t.waitForce(ctx, ttl/announceShare) {
 		err = leases.RenewLease(ctx, leaseID)
@@ -69,13 +69,13 @@
 // Announced reads which version a node announces, and the guard that it still does. A
 // node without an announcement is at First.
 func Announced(ctx context.Context, reader Reader, label string) (Version, wire.Compare, error) {
-	guard := wire.Compare{Key: ledger.ReleaseKey(label)}
+	guard := wire.Compare{Key: records.ReleaseKey(label)}
 	item, found, err := reader.Get(ctx, guard.Key)
 	if err != nil || !found {
 		return First, guard, err
 	}
 	guard.ModRevision = item.ModRevision
-	var record ledger.ClusterVersion
+	var record records.ClusterVersion
 	if err := wire.Decode(item.Value, &record); err != nil {
 		return First, guard, err
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"lotusstile.dev/lotusstile/internal/tick"
+	"lotusstile.dev/lotusstile/internal/timeralign"
 )
 
 // Member is another controller.
@@ -217,7 +217,9 @@
 const gridShare = 12
 
 // Grid is what the process's periodic work is aligned to.
-func (c *Config) Grid() tick.Grid { return tick.Grid{Unit: c.HeartbeatInterval() / gridShare} }
+func (c *Config) Grid() timeralign.Grid {
+	return timeralign.Grid{Unit: c.HeartbeatInterval() / gridShare}
+}
 
 // KnowledgeLimit is how old a node's knowledge of withdrawals may be for it to
 // go on renewing leases. A task that was withdrawn right after the read that the
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -6,8 +6,8 @@
 	"math"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/ledger"
-	"lotusstile.dev/lotusstile/internal/pipeline"
+	"lotusstile.dev/lotusstile/internal/jobdag"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -22,7 +22,7 @@
 // nothing.
 func (c *Controller) addToGraph(j *job, now time.Time) {
 	spec := &j.rec.Spec
-	vertex := pipeline.Job{Dependencies: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageMs(spec)}
+	vertex := jobdag.Job{Dependencies: spec.Dependencies, Level: j.level, DueMs: math.Inf(1), RunMs: c.stageMs(spec)}
 	if spec.DeadlineS != nil {
 		vertex.DueMs = float64(j.rec.AtMs) + *spec.DeadlineS*1000
 	}
@@ -45,9 +45,9 @@
 // finished notes that a job's final status is committed.
 func (c *Controller) finished(uid string, status wire.JobStatus, now time.Time) {
 	c.noteFinal(uid, status)
-	state := pipeline.Done
+	state := jobdag.Done
 	if status == wire.JobAborted {
-		state = pipeline.Cancelled
+		state = jobdag.Cancelled
 	}
 	c.applyEffects(c.graph.Finish(uid, state), now)
 }
@@ -66,7 +66,7 @@
 }
 
 // applyEffects takes what a change of the graph means into the jobs.
-func (c *Controller) applyEffects(effects pipeline.Effects, now time.Time) {
+func (c *Controller) applyEffects(effects jobdag.Effects, now time.Time) {
 	for _, uid := range effects.Urgency {
 		if j := c.jobs[uid]; j != nil {
 			j.level, j.dueMs = c.graph.Urgency(uid)
@@ -128,13 +128,13 @@
 	c.mu.Unlock()
 	complete := true
 	for _, uid := range uids {
-		item, found, err := c.Store.Get(ctx, ledger.FinalKey(uid))
+		item, found, err := c.Store.Get(ctx, records.FinalKey(uid))
 		if err != nil || !found {
 			slog.Debug("final status not read", "uid", uid, "err", err)
 			complete = false
 			continue
 		}
-		var record ledger.Final
+		var record records.Final
 		if err := wire.Decode(item.Value, &record); err != nil {
 			slog.Error("final status cannot be read", "uid", uid, "err", err)
 			continue
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -5,18 +5,18 @@
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
 // jobEvent takes a change of a job's record into the picture.
-func (c *Controller) jobEvent(uid string, e ledger.Entry) {
+func (c *Controller) jobEvent(uid string, e watchcache.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.takeJob(uid, e)
 }
 
-func (c *Controller) takeJob(uid string, e ledger.Entry) {
+func (c *Controller) takeJob(uid string, e watchcache.Entry) {
 	now := c.now()
 	j := c.jobs[uid]
 	switch {
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -10,7 +10,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// What follows from tasks that fail. Who is at fault is a matter of evidence (package blame). A
+// What follows from tasks that fail. Who is at fault is a matter of evidence (package faultattribution). A
 // job that is mistaken is held back ever longer, and then tried with one task; a machine that is
 // faulty is passed over for a while.
 
--- a/internal/controller/guarantees.go
+++ b/internal/controller/guarantees.go
@@ -1,27 +1,27 @@
 package controller
 
-import "lotusstile.dev/lotusstile/internal/guarantee"
+import "lotusstile.dev/lotusstile/internal/quota"
 
 // withinQuotas finds the jobs that lie within the guarantees of their teams; nil if no team
 // has a guarantee.
-func (c *Controller) withinQuotas() guarantee.Set {
-	quotas := map[string]guarantee.Amount{}
+func (c *Controller) withinQuotas() quota.Set {
+	quotas := map[string]quota.Amount{}
 	for _, team := range c.Config.Cluster.Teams {
 		if team.Cpus > 0 || team.Gpus > 0 {
-			quotas[team.Name] = guarantee.Amount{Cores: team.Cpus, Gpus: team.Gpus}
+			quotas[team.Name] = quota.Amount{Cores: team.Cpus, Gpus: team.Gpus}
 		}
 	}
 	if len(quotas) == 0 {
 		return nil
 	}
-	jobs := make([]guarantee.Job, 0, len(c.jobs))
+	jobs := make([]quota.Job, 0, len(c.jobs))
 	for _, j := range c.jobs {
 		if j.rec.Status.Final() || !j.released {
 			continue
 		}
 		unfinished := float64(j.rec.Spec.TaskCount - j.done)
-		jobs = append(jobs, guarantee.Job{UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, AtMs: j.rec.AtMs,
-			Needs: guarantee.Amount{Cores: unfinished * j.need.Cores, Gpus: unfinished * j.need.Gpus}})
+		jobs = append(jobs, quota.Job{UID: j.uid, Team: j.rec.Spec.Team, Level: j.level, AtMs: j.rec.AtMs,
+			Needs: quota.Amount{Cores: unfinished * j.need.Cores, Gpus: unfinished * j.need.Gpus}})
 	}
-	return guarantee.Within(quotas, jobs)
+	return quota.Within(quotas, jobs)
 }
--- a/internal/controller/images.go
+++ b/internal/controller/images.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -49,7 +49,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	tx.Compares = []wire.Compare{{Key: ledger.LeaderKey, ModRevision: c.term}}
+	tx.Compares = []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}
 	noted = map[string]imageNote{}
 	// A commit that is larger than the state service takes would be rejected, and nothing
 	// ever be noted.
@@ -62,10 +62,10 @@
 		}
 		noted[m.ID] = imageNote{len(m.Images), now}
 		names := slices.Sorted(maps.Keys(m.Images))
-		names = ledger.FitNames(names[:min(len(names), maxNotedImages)], c.Config.ValueBytes())
-		value := ledger.Encode(ledger.Images{Names: names})
+		names = records.FitNames(names[:min(len(names), maxNotedImages)], c.Config.ValueBytes())
+		value := records.Encode(records.Images{Names: names})
 		size += len(value)
-		tx.Changes = append(tx.Changes, wire.Change{Set: ledger.ImagesKey(m.ID), Value: value})
+		tx.Changes = append(tx.Changes, wire.Change{Set: records.ImagesKey(m.ID), Value: value})
 	})
 	return tx, noted
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -6,7 +6,8 @@
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -16,7 +17,7 @@
 	n           int
 	modRevision uint64
 	next        uint64
-	done        ledger.Placement // only Done is used
+	done        records.Placement // only Done is used
 	live        map[int]*fleet.Attempt
 	ended       []*fleet.Attempt // ended, not yet recorded so
 	seq         int              // counts changes
@@ -28,7 +29,7 @@
 // job is the leader's picture of a job.
 type job struct {
 	uid             string
-	rec             *ledger.Job
+	rec             *records.Job
 	modRevision     uint64
 	level           int     // its own, or the highest of those that need it
 	dueMs           float64 // by its own deadline or theirs; +Inf if there is none
@@ -54,14 +55,14 @@
 	asideUntil      time.Time            // nothing of it is written before: the state service rejected it
 }
 
-func newJob(uid string, e ledger.Entry, now time.Time) *job {
+func newJob(uid string, e watchcache.Entry, now time.Time) *job {
 	return &job{uid: uid, rec: e.Job, modRevision: e.ModRevision, level: e.Job.Spec.Priority.Level(), dueMs: math.Inf(1), fromMs: e.Job.AtMs, need: fleet.Need(&e.Job.Spec),
 		placements: map[int]*placement{}, waitFrom: now, avoid: map[string]time.Time{}}
 }
 
 // load takes a record of a piece into the job.
-func (j *job) load(n int, row wire.KeyValue) []ledger.Placed {
-	rec, err := ledger.DecodePlacement(row.Value)
+func (j *job) load(n int, row wire.KeyValue) []records.Placed {
+	rec, err := records.DecodePlacement(row.Value)
 	if err != nil {
 		slog.Error("placement record cannot be read", "key", row.Key, "err", err)
 		return nil
@@ -205,10 +206,10 @@
 }
 
 // record makes the record of the piece as it stands.
-func (p *placement) record() ledger.Placement {
-	rec := ledger.Placement{Next: p.next, Done: p.done.Done}
+func (p *placement) record() records.Placement {
+	rec := records.Placement{Next: p.next, Done: p.done.Done}
 	for _, a := range p.live {
-		rec.Live = append(rec.Live, ledger.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation})
+		rec.Live = append(rec.Live, records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation})
 	}
 	return rec
 }
@@ -217,14 +218,14 @@
 // attempt of a task on a machine.
 func (p *placement) hasRoom(task int, m *fleet.Machine, valueBytes int) bool {
 	tasks := p.job.rec.Per
-	if ledger.FitsPlain(tasks, valueBytes) {
+	if records.FitsPlain(tasks, valueBytes) {
 		return true
 	}
-	bytes := ledger.DenseBytes(ledger.Placed{Task: task, Attempt: p.next, Host: m.ID, Incarnation: m.Incarnation}, tasks)
+	bytes := records.DenseBytes(records.Placed{Task: task, Attempt: p.next, Host: m.ID, Incarnation: m.Incarnation}, tasks)
 	for _, a := range p.live {
-		bytes += ledger.DenseBytes(ledger.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}, tasks)
+		bytes += records.DenseBytes(records.Placed{Task: a.Task, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}, tasks)
 	}
-	return bytes <= ledger.DenseRoom(valueBytes, tasks)
+	return bytes <= records.DenseRoom(valueBytes, tasks)
 }
 
 // touch notes a change that is to be recorded at due or before.
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/clusterversion"
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 )
 
@@ -25,7 +25,7 @@
 // encodePlacement makes the record of a piece, or nil if it fits no value: one that was
 // written under a higher limit is written again once enough of its tasks have ended.
 func (c *Controller) encodePlacement(p *placement, now time.Time) json.RawMessage {
-	value := ledger.EncodePlacement(p.record(), c.placementBytes(), c.mayWriteDense())
+	value := records.EncodePlacement(p.record(), c.placementBytes(), c.mayWriteDense())
 	if len(value) > c.placementBytes() {
 		slog.Warn("placement does not fit a record yet", "uid", p.job.uid, "piece", p.n, "bytes", len(value))
 		p.due = now.Add(c.endsWait())
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -10,8 +10,9 @@
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/standby"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -19,8 +20,8 @@
 // instead, if the state service does not answer.
 const warmAttempts = 3
 
-// records is what a term begins with.
-type records struct {
+// termRecords is what a term begins with.
+type termRecords struct {
 	jobs, placements, returns, images []wire.KeyValue
 	hints                             *standby.Proven // nil if all records were listed
 }
@@ -33,11 +34,11 @@
 		return err
 	}
 	for _, row := range recs.jobs {
-		var rec ledger.Job
+		var rec records.Job
 		if err := wire.Decode(row.Value, &rec); err != nil {
 			return fmt.Errorf("job record %s: %w", row.Key, err)
 		}
-		c.jobEvent(strings.TrimPrefix(row.Key, ledger.JobPrefix), ledger.Entry{Job: &rec, ModRevision: row.ModRevision})
+		c.jobEvent(strings.TrimPrefix(row.Key, records.JobPrefix), watchcache.Entry{Job: &rec, ModRevision: row.ModRevision})
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +72,7 @@
 // or lists them. A listing of this term stays valid while others are tried again: only this
 // term changes what it lists, but for jobs, whose changes the mirror tells. When a service that
 // got too many requests refused one of four listings in turn, all four were read anew for 12 s.
-func (c *Controller) readRecords(ctx context.Context) (*records, error) {
+func (c *Controller) readRecords(ctx context.Context) (*termRecords, error) {
 	if c.Prove != nil && c.warmAttempts < warmAttempts {
 		recs, err := c.provenRecords(ctx)
 		if err == nil {
@@ -88,7 +89,7 @@
 	if c.listings == nil {
 		c.listings = map[string][]wire.KeyValue{}
 	}
-	for _, under := range []string{ledger.JobPrefix, ledger.PlacementPrefix, ledger.ReturnsPrefix, ledger.ImagesPrefix} {
+	for _, under := range []string{records.JobPrefix, records.PlacementPrefix, records.ReturnsPrefix, records.ImagesPrefix} {
 		if _, known := c.listings[under]; known {
 			continue
 		}
@@ -98,8 +99,8 @@
 		}
 		c.listings[under] = rows
 	}
-	recs := &records{jobs: c.listings[ledger.JobPrefix], placements: c.listings[ledger.PlacementPrefix],
-		returns: c.listings[ledger.ReturnsPrefix], images: c.listings[ledger.ImagesPrefix]}
+	recs := &termRecords{jobs: c.listings[records.JobPrefix], placements: c.listings[records.PlacementPrefix],
+		returns: c.listings[records.ReturnsPrefix], images: c.listings[records.ImagesPrefix]}
 	return recs, nil
 }
 
@@ -115,7 +116,7 @@
 
 // provenRecords takes what this node has followed, once it is proven, and brings the
 // mirror of jobs, whose every entry the picture has, up to date by a read of this term.
-func (c *Controller) provenRecords(ctx context.Context) (*records, error) {
+func (c *Controller) provenRecords(ctx context.Context) (*termRecords, error) {
 	proven, err := c.Prove(ctx, c.term)
 	if err != nil {
 		return nil, err
@@ -124,13 +125,13 @@
 		return nil, err
 	}
 	c.takeover.proven(proven)
-	return &records{placements: proven.Placements, returns: proven.Returns, images: proven.Images, hints: proven}, nil
+	return &termRecords{placements: proven.Placements, returns: proven.Returns, images: proven.Images, hints: proven}, nil
 }
 
 // takeReturns takes records of returns that an earlier term has attempted. c.mu is held.
 func (c *Controller) takeReturns(rows []wire.KeyValue, now time.Time) error {
 	for _, row := range rows {
-		var rec ledger.Returns
+		var rec records.Returns
 		if err := wire.Decode(row.Value, &rec); err != nil {
 			return fmt.Errorf("record of returns %s: %w", row.Key, err)
 		}
@@ -148,8 +149,8 @@
 // takeImages takes records of machines' images. c.mu is held.
 func (c *Controller) takeImages(rows []wire.KeyValue, now time.Time) {
 	for _, row := range rows {
-		id := strings.TrimPrefix(row.Key, ledger.ImagesPrefix)
-		var rec ledger.Images
+		id := strings.TrimPrefix(row.Key, records.ImagesPrefix)
+		var rec records.Images
 		if err := wire.Decode(row.Value, &rec); err != nil {
 			slog.Warn("images cannot be read", "host", id, "err", err)
 			continue
@@ -167,7 +168,7 @@
 // held.
 func (c *Controller) takePlacements(rows []wire.KeyValue, now time.Time) (inherited int) {
 	for _, row := range rows {
-		uid, n, ok := ledger.SplitPlacementKey(row.Key)
+		uid, n, ok := records.SplitPlacementKey(row.Key)
 		j := c.jobs[uid]
 		if !ok || j == nil {
 			slog.Warn("placement without a job", "key", row.Key)
--- a/internal/controller/lost.go
+++ b/internal/controller/lost.go
@@ -7,7 +7,8 @@
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -25,8 +26,8 @@
 // every machine behind a cut between zones was returned with all it served.
 func (c *Controller) followRenewedLeases(ctx context.Context) {
 	wait, pause := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
-	ledger.Follow(ctx, c.Store, ledger.RenewedLeasesPrefix, wait, pause, ledger.Funcs{Changed: func(n wire.WatchEvent) {
-		var kept ledger.RenewedLeases
+	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, pause, watchcache.Funcs{Changed: func(n wire.WatchEvent) {
+		var kept records.RenewedLeases
 		if n.Set == "" {
 			return
 		}
--- a/internal/controller/returns.go
+++ b/internal/controller/returns.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/fleet"
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -71,15 +71,15 @@
 		return false
 	}
 	slices.Sort(hosts)
-	hosts = ledger.FitNames(hosts, c.Config.ValueBytes())
+	hosts = records.FitNames(hosts, c.Config.ValueBytes())
 	// A key is used once: were it written again, a late transaction could put
 	// an older list in the place of a newer one.
 	c.returnKeys++
-	rec := returnsRecord{fmt.Sprintf("%s%d-%d", ledger.ReturnsPrefix, c.term, c.returnKeys), hosts}
+	rec := returnsRecord{fmt.Sprintf("%s%d-%d", records.ReturnsPrefix, c.term, c.returnKeys), hosts}
 	c.mu.Unlock()
 	_, err := c.Store.Commit(ctx, wire.Transaction{
-		Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: c.term}, {Key: rec.key}},
-		Changes:  []wire.Change{{Set: rec.key, Value: ledger.Encode(ledger.Returns{Hosts: hosts})}},
+		Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}, {Key: rec.key}},
+		Changes:  []wire.Change{{Set: rec.key, Value: records.Encode(records.Returns{Hosts: hosts})}},
 	})
 	if err != nil {
 		slog.Warn("returns not recorded", "hosts", hosts, "err", err)
@@ -141,7 +141,7 @@
 		r := c.returns[id]
 		return r == nil || !r.goneAt.IsZero() && now.Sub(r.goneAt) > keep
 	}
-	tx := wire.Transaction{Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: c.term}}}
+	tx := wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}
 	var plain, done []string // machines whose images, and records, this drops
 	for _, rec := range c.returnsRecords {
 		if slices.ContainsFunc(rec.hosts, func(id string) bool { return !over(id) }) {
@@ -155,7 +155,7 @@
 			if left = len(tx.Changes) >= ops; left {
 				break
 			}
-			tx.Changes = append(tx.Changes, wire.Change{Drop: ledger.ImagesKey(id)})
+			tx.Changes = append(tx.Changes, wire.Change{Drop: records.ImagesKey(id)})
 			plain = append(plain, id)
 		}
 		if left || len(tx.Changes) >= ops {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -11,9 +11,10 @@
 	"sync"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
-	"lotusstile.dev/lotusstile/internal/tick"
+	"lotusstile.dev/lotusstile/internal/timeralign"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -34,7 +35,7 @@
 
 // Store is what an election needs of the state service.
 type Store interface {
-	ledger.Reader
+	watchcache.Reader
 	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
 	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
@@ -68,7 +69,7 @@
 	label  string
 	ttl    time.Duration
 	delay  func() int
-	grid   tick.Grid
+	grid   timeralign.Grid
 	better func() bool
 	// deferring reports whether another node is better prepared to lead.
 	deferring func() bool
@@ -101,7 +102,7 @@
 func (e *Elector) DeferTo(first func() bool) { e.deferring = first }
 
 // Align lets the renewals of the hold fall on a grid. It is called before Run.
-func (e *Elector) Align(grid tick.Grid) { e.grid = grid }
+func (e *Elector) Align(grid timeralign.Grid) { e.grid = grid }
 
 // set is the one function that changes the state. e.mu is held.
 func (e *Elector) set(to State, why string) {
@@ -169,7 +170,7 @@
 	e.view.Synced = true
 	leading := false
 	for _, row := range rows {
-		leading = leading || row.Key == ledger.LeaderKey
+		leading = leading || row.Key == records.LeaderKey
 		e.learn(row.Key, row.Value, row.ModRevision)
 	}
 	if !leading {
@@ -183,7 +184,7 @@
 func (e *Elector) Apply(ch wire.WatchResponse, _ uint64, _ time.Time) {
 	e.mu.Lock()
 	for _, n := range ch.Events {
-		if n.Drop == ledger.LeaderKey && n.ModRevision > e.view.Term {
+		if n.Drop == records.LeaderKey && n.ModRevision > e.view.Term {
 			e.vacate()
 		} else if n.Set != "" {
 			e.learn(n.Set, n.Value, n.ModRevision)
@@ -213,13 +214,13 @@
 	if modRevision < e.view.Term {
 		return
 	}
-	var l ledger.Leader
+	var l records.Leader
 	if err := json.Unmarshal(value, &l); err != nil {
 		slog.Error("leader record cannot be read", "key", key, "err", err)
 		return
 	}
 	e.view.Term, e.view.Known = modRevision, max(e.view.Known, modRevision)
-	if key == ledger.LeaderKey {
+	if key == records.LeaderKey {
 		e.view.Leader = l.Node
 	}
 	if e.stop != nil && modRevision > e.term {
@@ -229,7 +230,7 @@
 
 // Run takes part in elections until ctx ends.
 func (e *Elector) Run(ctx context.Context) {
-	go ledger.Follow(ctx, e.store, ledger.ElectionPrefix, 2*e.ttl, e.ttl/8, e)
+	go watchcache.Follow(ctx, e.store, records.ElectionPrefix, 2*e.ttl, e.ttl/8, e)
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -268,10 +269,10 @@
 		slog.Debug("no hold", "err", err)
 		return 0, 0, false
 	}
-	rec := ledger.Encode(ledger.Leader{Node: e.label})
+	rec := records.Encode(records.Leader{Node: e.label})
 	term, err = e.store.Commit(ctx, wire.Transaction{
-		Compares: []wire.Compare{{Key: ledger.LeaderKey, ModRevision: 0}},
-		Changes:  []wire.Change{{Set: ledger.LeaderKey, Value: rec, LeaseID: leaseID}, {Set: ledger.TermKey, Value: rec}},
+		Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: 0}},
+		Changes:  []wire.Change{{Set: records.LeaderKey, Value: rec, LeaseID: leaseID}, {Set: records.TermKey, Value: rec}},
 	})
 	if err == nil {
 		return term, leaseID, true
@@ -280,14 +281,14 @@
 	var conflict *store.ConflictError
 	if !errors.As(err, &conflict) && errors.Is(err, store.ErrUnknown) {
 		// The commit may have been applied: the key then hangs on our hold.
-		if item, found, err := e.store.Get(ctx, ledger.LeaderKey); err == nil && found && item.LeaseID == leaseID {
+		if item, found, err := e.store.Get(ctx, records.LeaderKey); err == nil && found && item.LeaseID == leaseID {
 			return item.ModRevision, leaseID, true
 		}
 	}
 	if err := e.store.RevokeLease(ctx, leaseID); err != nil {
 		slog.Debug("hold not closed", "err", err)
 	}
-	if item, found, err := e.store.Get(ctx, ledger.LeaderKey); err == nil {
+	if item, found, err := e.store.Get(ctx, records.LeaderKey); err == nil {
 		e.mu.Lock()
 		if found {
 			e.learn(item.Key, item.Value, item.ModRevision)
--- a/internal/blame/blame.go
+++ b/internal/faultattribution/evidence.go
@@ -1,4 +1,4 @@
-// Package blame tells jobs that were submitted with a mistake from machines that are faulty. A
+// Package faultattribution tells jobs that were submitted with a mistake from machines that are faulty. A
 // mistaken job fails on machine after machine, a faulty machine fails job after job, and each
 // failure alone could be either's fault.
 //
@@ -12,7 +12,7 @@
 // its failures are then the machines' fault. And it shows that its machine works now. A machine can become faulty at any time, so successes do not speak
 // for it later: its evidence begins anew at each, as in a cumulative sum test (E. S. Page,
 // "Continuous inspection schemes", 1954).
-package blame
+package faultattribution
 
 import (
 	"maps"
--- a/internal/blame/blame_test.go
+++ b/internal/faultattribution/evidence_test.go
@@ -1,4 +1,4 @@
-package blame
+package faultattribution
 
 import (
 	"flag"
--- a/internal/pipeline/graph.go
+++ b/internal/jobdag/graph.go
@@ -1,7 +1,7 @@
-// Package pipeline keeps the dependencies between jobs: which job waits for which,
+// Package jobdag keeps the dependencies between jobs: which job waits for which,
 // what a job's end or cancellation means for those that need it, and which priority
 // and due time a job has from them. It is pure: it knows no records and no clock.
-package pipeline
+package jobdag
 
 import (
 	"maps"
--- a/internal/pipeline/graph_test.go
+++ b/internal/jobdag/graph_test.go
@@ -1,4 +1,4 @@
-package pipeline
+package jobdag
 
 import (
 	"flag"
--- a/internal/api/admin.go
+++ b/internal/node/admin.go
@@ -1,4 +1,4 @@
-package api
+package node
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 
 	"lotusstile.dev/lotusstile/internal/controller"
 	"lotusstile.dev/lotusstile/internal/election"
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/relay"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
@@ -174,13 +174,13 @@
 	if err := dec.Decode(&next); err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
-	if err := ledger.CheckSettings(next); err != nil {
+	if err := records.CheckSettings(next); err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
-	value := ledger.Encode(next)
+	value := records.Encode(next)
 	modRevision, err := n.store.Commit(c.Request().Context(), wire.Transaction{
-		Compares: []wire.Compare{{Key: ledger.SettingsKey, ModRevision: now.ModRevision}},
-		Changes:  []wire.Change{{Set: ledger.SettingsKey, Value: value}},
+		Compares: []wire.Compare{{Key: records.SettingsKey, ModRevision: now.ModRevision}},
+		Changes:  []wire.Change{{Set: records.SettingsKey, Value: value}},
 	})
 	var conflict *store.ConflictError
 	switch {
@@ -189,6 +189,6 @@
 	case err != nil:
 		return retryLater(c, "cannot be recorded now")
 	}
-	n.takeSettings(wire.WatchEvent{Set: ledger.SettingsKey, Value: value, ModRevision: modRevision})
+	n.takeSettings(wire.WatchEvent{Set: records.SettingsKey, Value: value, ModRevision: modRevision})
 	return c.JSON(http.StatusOK, n.settings.Load())
 }
--- a/internal/api/admission_test.go
+++ b/internal/node/admission_test.go
@@ -1,4 +1,4 @@
-package api
+package node
 
 import (
 	"testing"
--- a/internal/api/cancel.go
+++ b/internal/node/cancel.go
@@ -1,4 +1,4 @@
-package api
+package node
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"lotusstile.dev/lotusstile/internal/ledger"
 	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -26,7 +26,7 @@
 		if s, ok := n.finals.get(uid); ok {
 			return c.JSON(http.StatusOK, wire.JobView{UID: uid, Status: s})
 		}
-		item, found, err := n.store.Get(ctx, ledger.JobKey(uid))
+		item, found, err := n.store.Get(ctx, records.JobKey(uid))
 		if err != nil {
 			return errElsewhere
 		}
@@ -43,7 +43,7 @@
 			}
 			continue
 		}
-		var rec ledger.Job
+		var rec records.Job
 		if err := json.Unmarshal(item.Value, &rec); err != nil {
 			return err
 		}
@@ -54,7 +54,7 @@
 		rec.Finish(wire.JobAborted, n.cfg.ValueBytes())
 		modRevision, err := n.store.Commit(ctx, wire.Transaction{
 			Compares: []wire.Compare{{Key: item.Key, ModRevision: item.ModRevision}},
-			Changes:  []wire.Change{{Set: item.Key, Value: ledger.Encode(rec)}},
+			Changes:  []wire.Change{{Set: item.Key, Value: records.Encode(rec)}},
 		})
 		var conflict *store.ConflictError
 		switch {
--- a/internal/api/dependencies.go
+++ b/internal/node/dependencies.go
@@ -1,4 +1,4 @@
-package api
+package node
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"github.com/labstack/echo/v4"
 
 	"lotusstile.dev/lotusstile/internal/clusterversion"
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -42,7 +42,7 @@
 	if n.version.InForce() < clusterversion.Pipelines {
 		return "", errOlderRelease // it would start the job at once
 	}
-	if err := n.refresher.Refresh(ctx); err != nil {
+	if err := n.jobReader.Refresh(ctx); err != nil {
 		return "", err
 	}
 	for _, uid := range work.Dependencies {
@@ -156,7 +156,7 @@
 	}
 	without := *work
 	without.Dependencies = nil
-	perID := len(ledger.Encode(work.Dependencies[0])) + 1
-	room := max(0, (most-size+len(ledger.Encode(work))-len(ledger.Encode(without)))/perID)
+	perID := len(records.Encode(work.Dependencies[0])) + 1
+	room := max(0, (most-size+len(records.Encode(work))-len(records.Encode(without)))/perID)
 	return fmt.Sprintf("the description is too long: it takes %d bytes of at most %d; Awaits may name about %d jobs beside the rest", size, most, room)
 }
--- a/internal/api/http.go
+++ b/internal/node/http.go
@@ -1,4 +1,4 @@
-package api
+package node
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 
 	"github.com/labstack/echo/v4"
 	"lotusstile.dev/lotusstile/internal/connlimit"
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -141,4 +141,4 @@
 	return len(n.peers) > 0
 }
 
-func encode(v any) []byte { return ledger.Encode(v) }
+func encode(v any) []byte { return records.Encode(v) }
--- a/internal/api/load.go
+++ b/internal/node/load.go
@@ -1,4 +1,4 @@
-package api
+package node
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/tick"
+	"lotusstile.dev/lotusstile/internal/timeralign"
 )
 
 // load watches how far this node falls behind. Reports of workers are always
@@ -24,7 +24,7 @@
 const lagSmoothing = 3
 
 // watch measures until ctx ends.
-func (l *load) watch(ctx context.Context, grid tick.Grid, period time.Duration) {
+func (l *load) watch(ctx context.Context, grid timeralign.Grid, period time.Duration) {
 	for ctx.Err() == nil {
 		began := time.Now()
 		wait := grid.Next(began, period)
--- a/internal/api/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package api is one controller node as users, workers and peers meet it.
-package api
+// Package node is one controller node as users, workers and peers meet it.
+package node
 
 import (
 	"context"
@@ -21,9 +21,10 @@
 	"lotusstile.dev/lotusstile/internal/connlimit"
 	"lotusstile.dev/lotusstile/internal/controller"
 	"lotusstile.dev/lotusstile/internal/election"
-	"lotusstile.dev/lotusstile/internal/ledger"
 	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -32,8 +33,8 @@
 	cfg       *config.Config
 	store     *store.Client
 	cloud     *cloud.Client
-	refresher *ledger.Refresher // brings mirror up to date for polls
-	jobCache  *ledger.Cache
+	jobReader *watchcache.LinearizableReader // brings mirror up to date for polls
+	jobCache  *watchcache.Cache
 	elector   *election.Elector
 	peers     []*peer.Peer
 	workers   *http.Client
@@ -92,16 +93,16 @@
 		cfg:           cfg,
 		store:         store.New(cfg.Services.State, store.Limits{Rps: st.Rps, WriteRps: st.WriteRps, Nodes: len(cfg.Members) + 1}, timeout, nw.State),
 		cloud:         cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, timeout, nw.Cloud),
-		jobCache:      ledger.NewCache(),
+		jobCache:      watchcache.New(),
 		peers:         peer.Peers(cfg, cfg.LeaderLeaseTTL()/4, nw.DialPeer),
 		contacts:      map[string]contact{},
 		renewedLeases: map[string]time.Time{},
 		version:       clusterversion.NewTracker(),
 		workers:       &http.Client{Timeout: cfg.HeartbeatInterval(), Transport: nw.Workers},
 	}
-	n.refresher = ledger.NewRefresher(n.jobCache, n.store, n.store.SharedReads(), timeout)
+	n.jobReader = watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReads(), timeout)
 	n.finals = newFinals(cfg.Cluster.Limits.MemMb)
-	defaults := ledger.DefaultSettings(cfg.Cluster.Workers.ReportS)
+	defaults := records.DefaultSettings(cfg.Cluster.Workers.ReportS)
 	n.settings.Store(&defaults)
 	n.measure()
 	n.newRelays()
@@ -151,7 +152,7 @@
 func (n *Node) Start(ctx context.Context) {
 	watchFor, pause := n.cfg.WorkerLease(), n.cfg.LeaderLeaseTTL()/8
 	go n.jobCache.Run(ctx, n.store, watchFor, pause)
-	go ledger.Follow(ctx, n.store, ledger.SettingsPrefix, 3*watchFor, pause, ledger.Funcs{Listed: n.takeOption, Changed: n.takeOption})
+	go watchcache.Follow(ctx, n.store, records.SettingsPrefix, 3*watchFor, pause, watchcache.Funcs{Listed: n.takeOption, Changed: n.takeOption})
 	go n.elector.Run(ctx)
 	go n.version.Announce(ctx, n.store, n.cfg.Label, 2*n.cfg.LeaderLeaseTTL())
 	go n.readCatalog(ctx)
@@ -197,15 +198,15 @@
 
 // takeSettings takes the operators' own settings from the state service.
 func (n *Node) takeSettings(ch wire.WatchEvent) {
-	if ch.Set != ledger.SettingsKey || ch.ModRevision <= n.settings.Load().ModRevision {
+	if ch.Set != records.SettingsKey || ch.ModRevision <= n.settings.Load().ModRevision {
 		return
 	}
-	s := ledger.DefaultSettings(n.cfg.Cluster.Workers.ReportS)
+	s := records.DefaultSettings(n.cfg.Cluster.Workers.ReportS)
 	if err := json.Unmarshal(ch.Value, &s); err != nil {
 		slog.Error("stored settings cannot be read", "err", err)
 		return
 	}
-	if err := ledger.CheckSettings(s); err != nil {
+	if err := records.CheckSettings(s); err != nil {
 		slog.Error("stored settings are not valid", "err", err)
 		return
 	}
--- a/internal/api/reports.go
+++ b/internal/node/reports.go
@@ -1,4 +1,4 @@
-package api
+package node
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"github.com/labstack/echo/v4"
 
 	"lotusstile.dev/lotusstile/internal/controller"
-	"lotusstile.dev/lotusstile/internal/ledger"
 	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/relay"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
@@ -274,10 +274,10 @@
 			continue
 		}
 		for i := 0; len(ids) > 0; i++ {
-			part := ledger.FitNames(ids, n.cfg.ValueBytes())
+			part := records.FitNames(ids, n.cfg.ValueBytes())
 			ids = ids[len(part):]
-			key := fmt.Sprintf("%s%s/%d", ledger.RenewedLeasesPrefix, n.cfg.Label, i)
-			if _, err := n.store.Commit(store.User(ctx, 0), wire.Transaction{Changes: []wire.Change{{Set: key, Value: ledger.Encode(ledger.RenewedLeases{Hosts: part})}}}); err != nil {
+			key := fmt.Sprintf("%s%s/%d", records.RenewedLeasesPrefix, n.cfg.Label, i)
+			if _, err := n.store.Commit(store.User(ctx, 0), wire.Transaction{Changes: []wire.Change{{Set: key, Value: records.Encode(records.RenewedLeases{Hosts: part})}}}); err != nil {
 				slog.Debug("kept machines not published", "err", err)
 			}
 		}
--- a/internal/api/standby.go
+++ b/internal/node/standby.go
@@ -1,4 +1,4 @@
-package api
+package node
 
 import (
 	"cmp"
@@ -15,8 +15,8 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"lotusstile.dev/lotusstile/internal/controller"
-	"lotusstile.dev/lotusstile/internal/ledger"
 	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/standby"
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -95,7 +95,7 @@
 }
 
 // promoted takes how the takeover went.
-func (n *Node) promoted(rec ledger.Takeover) {
+func (n *Node) promoted(rec records.Takeover) {
 	if rec.Warm {
 		n.standby.follower.Promote(fmt.Sprintf("decides after %d ms", rec.DecidedMs))
 	}
--- a/internal/api/status.go
+++ b/internal/node/status.go
@@ -1,4 +1,4 @@
-package api
+package node
 
 import (
 	"context"
@@ -7,9 +7,10 @@
 
 	lru "github.com/hashicorp/golang-lru/v2"
 
-	"lotusstile.dev/lotusstile/internal/ledger"
 	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -20,8 +21,8 @@
 	if s, ok := n.finals.get(uid); ok {
 		return wire.JobView{UID: uid, Status: s}, true, nil
 	}
-	switch err := n.refresher.Refresh(ctx); {
-	case errors.Is(err, ledger.ErrNotListed) || errors.Is(err, store.ErrTooOld):
+	switch err := n.jobReader.Refresh(ctx); {
+	case errors.Is(err, watchcache.ErrNotListed) || errors.Is(err, store.ErrTooOld):
 		return n.lookup(ctx, uid)
 	case err != nil:
 		return wire.JobView{}, false, err
@@ -47,7 +48,7 @@
 // reads could miss a job that is archived between them, and take one request more for each
 // question about a job that nobody has submitted.
 func (n *Node) neverAccepted(ctx context.Context, uid string) (bool, error) {
-	_, err := n.store.Commit(ctx, wire.Transaction{Compares: []wire.Compare{{Key: ledger.JobKey(uid)}, {Key: ledger.FinalKey(uid)}}})
+	_, err := n.store.Commit(ctx, wire.Transaction{Compares: []wire.Compare{{Key: records.JobKey(uid)}, {Key: records.FinalKey(uid)}}})
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
 		return false, nil
@@ -62,7 +63,7 @@
 		view.Status = s
 		return view, true, nil
 	}
-	item, found, err := n.store.Get(ctx, ledger.JobKey(uid))
+	item, found, err := n.store.Get(ctx, records.JobKey(uid))
 	if err != nil {
 		return view, false, err
 	}
@@ -71,13 +72,13 @@
 		// record: a job without a record has one, or never was.
 		return n.readFinal(ctx, uid)
 	}
-	var rec ledger.Job
+	var rec records.Job
 	if err := wire.Decode(item.Value, &rec); err != nil {
 		return view, false, err
 	}
 	if len(rec.Spec.Dependencies) > 0 && !rec.Status.Final() {
 		// The jobs that it needs are looked up in this node's copy.
-		if err := n.refresher.Refresh(ctx); err != nil {
+		if err := n.jobReader.Refresh(ctx); err != nil {
 			return view, false, err
 		}
 	}
@@ -89,7 +90,7 @@
 // this node's copy of the jobs if it waits for others. A job that needs a cancelled one
 // is cancelled from then on, and stays so: it has no task, and its record can only
 // become that of a cancelled job.
-func (n *Node) viewOf(ctx context.Context, uid string, rec *ledger.Job) (wire.JobView, error) {
+func (n *Node) viewOf(ctx context.Context, uid string, rec *records.Job) (wire.JobView, error) {
 	view := wire.JobView{UID: uid, Status: rec.Status}
 	if !rec.Status.Final() {
 		cancelled, err := n.dependencyCancelled(ctx, rec.Spec.Dependencies, map[string]bool{})
@@ -116,11 +117,11 @@
 // readFinal reads the final status of an archived job.
 func (n *Node) readFinal(ctx context.Context, uid string) (wire.JobView, bool, error) {
 	view := wire.JobView{UID: uid}
-	item, found, err := n.store.Get(ctx, ledger.FinalKey(uid))
+	item, found, err := n.store.Get(ctx, records.FinalKey(uid))
 	if err != nil || !found {
 		return view, false, err
 	}
-	var rec ledger.Final
+	var rec records.Final
 	if err := wire.Decode(item.Value, &rec); err != nil {
 		return view, false, err
 	}
--- a/internal/api/submit.go
+++ b/internal/node/submit.go
@@ -1,4 +1,4 @@
-package api
+package node
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"lotusstile.dev/lotusstile/internal/ledger"
 	"lotusstile.dev/lotusstile/internal/provision"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -43,8 +43,8 @@
 	if err != nil {
 		return n.refuseDependency(c, w.UID, err)
 	}
-	record := ledger.Job{Spec: w, Status: status, AtMs: time.Now().UnixMilli(), Per: ledger.TasksPerPlacement(n.cfg.CurrentValueBytes(), n.cfg.ValueBytes())}
-	value := ledger.Encode(record)
+	record := records.Job{Spec: w, Status: status, AtMs: time.Now().UnixMilli(), Per: records.TasksPerPlacement(n.cfg.CurrentValueBytes(), n.cfg.ValueBytes())}
+	value := records.Encode(record)
 	if len(value) > n.cfg.ValueBytes() {
 		return n.refuse(c, w.UID, http.StatusBadRequest, tooLong(&w, len(value), n.cfg.ValueBytes()))
 	}
@@ -70,8 +70,8 @@
 	// leaves a quarter of the budget to each rank above it.
 	leave := float64(wire.Critical.Level()-admissionPriority(work).Level()) / float64(wire.Critical.Level())
 	tx := wire.Transaction{
-		Compares: []wire.Compare{{Key: ledger.JobKey(work.UID)}, {Key: ledger.FinalKey(work.UID)}},
-		Changes:  []wire.Change{{Set: ledger.JobKey(work.UID), Value: value}},
+		Compares: []wire.Compare{{Key: records.JobKey(work.UID)}, {Key: records.FinalKey(work.UID)}},
+		Changes:  []wire.Change{{Set: records.JobKey(work.UID), Value: value}},
 	}
 	_, err := n.store.Commit(store.User(ctx, leave), tx)
 	for errors.Is(err, store.ErrUnknown) && ctx.Err() == nil {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -1,7 +1,7 @@
 package peer
 
 import (
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -196,7 +196,7 @@
 // WithdrawnReply is empty.
 type WithdrawnReply struct{}
 
-// JobMessage is the message form of ledger.Job.
+// JobMessage is the message form of records.Job.
 type JobMessage struct {
 	Spec   WorkMessage
 	Status wire.JobStatus
@@ -232,7 +232,7 @@
 }
 
 func (m *WithdrawnArgs) cancellation() Cancellation {
-	record := ledger.Job{
+	record := records.Job{
 		Spec:   m.Rec.Spec.work(),
 		Status: m.Rec.Status,
 		AtMs:   m.Rec.AtMs,
--- a/internal/peer/types.go
+++ b/internal/peer/types.go
@@ -1,7 +1,7 @@
 package peer
 
 import (
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -28,7 +28,7 @@
 // Cancellation tells that the cancellation of a job is committed.
 type Cancellation struct {
 	UID         string
-	Record      ledger.Job
+	Record      records.Job
 	ModRevision uint64 // of the record
 }
 
--- a/internal/guarantee/guarantee.go
+++ b/internal/quota/quota.go
@@ -1,7 +1,7 @@
-// Package guarantee decides which jobs lie within the guarantees of their teams. Such a job does
+// Package quota decides which jobs lie within the guarantees of their teams. Such a job does
 // not wait for work of other teams: that is stopped for it if it is beyond the guarantee of its own
 // team, whatever its rank. It is pure and does no I/O.
-package guarantee
+package quota
 
 import (
 	"cmp"
--- a/internal/guarantee/guarantee_test.go
+++ b/internal/quota/quota_test.go
@@ -1,4 +1,4 @@
-package guarantee
+package quota
 
 import (
 	"flag"
--- a/internal/ledger/golden_test.go
+++ b/internal/records/golden_test.go
@@ -1,4 +1,4 @@
-package ledger
+package records
 
 import (
 	"encoding/json"
--- a/internal/ledger/ledger.go
+++ b/internal/records/records.go
@@ -13,7 +13,7 @@
 //	o/settings    the operators' own settings
 //	o/version     the cluster version: which formats of records are in use
 //	o/release/<node>  the version that a node understands, on a lease, until it is in force
-package ledger
+package records
 
 import (
 	"encoding/json"
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lotusstile.dev/lotusstile/internal/peer"
-	"lotusstile.dev/lotusstile/internal/tick"
+	"lotusstile.dev/lotusstile/internal/timeralign"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -42,11 +42,11 @@
 
 // SenderConfig is what a Sender is made with.
 type SenderConfig struct {
-	Label    string        // of this node
-	Exchange ExchangeFunc  // passes a batch on
-	Grid     tick.Grid     // batches fall on its moments
-	Period   time.Duration // from batch to batch
-	Patience time.Duration // how long a report waits for its answer
+	Label    string          // of this node
+	Exchange ExchangeFunc    // passes a batch on
+	Grid     timeralign.Grid // batches fall on its moments
+	Period   time.Duration   // from batch to batch
+	Patience time.Duration   // how long a report waits for its answer
 	Observe  func(kind ReportKind, n int)
 }
 
--- a/internal/standin/main_test.go
+++ b/internal/simcluster/main_test.go
@@ -1,4 +1,4 @@
-package standin_test
+package simcluster_test
 
 import (
 	"io"
--- a/internal/standin/occupancy.go
+++ b/internal/simcluster/occupancy.go
@@ -1,4 +1,4 @@
-package standin
+package simcluster
 
 import "lotusstile.dev/lotusstile/wire"
 
--- a/internal/standin/state.go
+++ b/internal/simcluster/state.go
@@ -1,8 +1,8 @@
-// Package standin holds stand-ins of the outside systems, written from their
+// Package simcluster holds stand-ins of the outside systems, written from their
 // published protocol: the state service, the cloud, workers and users, and a
 // network between them that cuts, delays and loses. Tests play whole days on
 // them, in the time of a synctest bubble, and check the rules.
-package standin
+package simcluster
 
 import (
 	"encoding/json"
--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -22,7 +22,7 @@
 
 // recordPrefixes are the keys of the records that only the leader writes and that a new
 // leader needs. Jobs are not among them: every node keeps a mirror of these.
-var recordPrefixes = []string{ledger.PlacementPrefix, ledger.ReturnsPrefix, ledger.ImagesPrefix}
+var recordPrefixes = []string{records.PlacementPrefix, records.ReturnsPrefix, records.ImagesPrefix}
 
 // isRecord reports whether a key is that of a followed record.
 func isRecord(key string) bool {
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -7,8 +7,9 @@
 	"sync"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/ledger"
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -34,7 +35,7 @@
 //
 // An error that wraps ErrNothingHeld, ErrDigest, ErrTooFarBehind or ErrUndecodable is final:
 // all records have to be listed. After any other the check can be tried again.
-func (f *Follower) Prove(ctx context.Context, r ledger.Reader, term uint64) (*Proven, error) {
+func (f *Follower) Prove(ctx context.Context, r watchcache.Reader, term uint64) (*Proven, error) {
 	h, err := f.verify(term)
 	if err != nil {
 		return nil, err
@@ -90,7 +91,7 @@
 }
 
 // changesSince reads what has changed of the followed records, all prefixes at once.
-func changesSince(ctx context.Context, r ledger.Reader, position uint64) ([]wire.WatchEvent, error) {
+func changesSince(ctx context.Context, r watchcache.Reader, position uint64) ([]wire.WatchEvent, error) {
 	var wg sync.WaitGroup
 	changes := make([]wire.WatchResponse, len(recordPrefixes))
 	errs := make([]error, len(recordPrefixes))
@@ -116,7 +117,7 @@
 		edit.take(&Entry{Key: n.Set + n.Drop, Value: n.Value, ModRevision: n.ModRevision, Dropped: n.Drop != ""})
 	}
 	now := edit.contents()
-	p := &Proven{Placements: now.items(ledger.PlacementPrefix), Returns: now.items(ledger.ReturnsPrefix), Images: now.items(ledger.ImagesPrefix),
+	p := &Proven{Placements: now.items(records.PlacementPrefix), Returns: now.items(records.ReturnsPrefix), Images: now.items(records.ImagesPrefix),
 		FollowedTerm: h.term, Position: h.position, Digest: h.digest, Changes: len(events)}
 	if err := now.views(p); err != nil {
 		return nil, err
--- a/internal/standby/source.go
+++ b/internal/standby/source.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"lotusstile.dev/lotusstile/internal/ledger"
 	"lotusstile.dev/lotusstile/internal/peer"
 	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/watchcache"
 	"lotusstile.dev/lotusstile/wire"
 )
 
@@ -251,7 +251,7 @@
 
 // Store is what a controller needs of the state service.
 type Store interface {
-	ledger.Reader
+	watchcache.Reader
 	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
 	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 }
--- a/internal/tick/tick.go
+++ b/internal/timeralign/grid.go
@@ -1,7 +1,7 @@
-// Package tick lets periodic work of a process fall on common moments. Every
+// Package timeralign lets periodic work of a process fall on common moments. Every
 // wake-up of an idle process costs processor time of its own, whatever is done
 // then: what wakes it together costs one.
-package tick
+package timeralign
 
 import "time"
 
--- a/internal/tick/tick_test.go
+++ b/internal/timeralign/grid_test.go
@@ -1,4 +1,4 @@
-package tick
+package timeralign
 
 import (
 	"flag"
--- a/internal/ledger/mirror.go
+++ b/internal/watchcache/cache.go
@@ -1,4 +1,4 @@
-package ledger
+package watchcache
 
 import (
 	"context"
@@ -11,6 +11,7 @@
 	"sync/atomic"
 	"time"
 
+	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/wire"
 )
@@ -97,7 +98,7 @@
 
 // Entry is a job and the stamp of its record.
 type Entry struct {
-	Job         *Job
+	Job         *records.Job
 	ModRevision uint64
 }
 
@@ -121,12 +122,12 @@
 	listener Listener
 }
 
-// NewCache makes an empty mirror.
-func NewCache() *Cache { return &Cache{jobs: map[string]Entry{}} }
+// New makes an empty mirror.
+func New() *Cache { return &Cache{jobs: map[string]Entry{}} }
 
 // Run keeps the mirror up to date until ctx ends.
 func (m *Cache) Run(ctx context.Context, r Reader, wait, pause time.Duration) {
-	Follow(ctx, r, JobPrefix, wait, pause, m)
+	Follow(ctx, r, records.JobPrefix, wait, pause, m)
 }
 
 // ErrNotListed means that the mirror has to be listed before it can be refreshed.
@@ -143,7 +144,7 @@
 		return ErrNotListed
 	}
 	begun := time.Now()
-	ch, err := r.Changes(ctx, JobPrefix, after, 0)
+	ch, err := r.Changes(ctx, records.JobPrefix, after, 0)
 	if err != nil {
 		return fmt.Errorf("refresh jobs: %w", err)
 	}
@@ -162,7 +163,7 @@
 	defer m.mu.Unlock()
 	seen := make(map[string]bool, len(rows))
 	for _, row := range rows {
-		uid := strings.TrimPrefix(row.Key, JobPrefix)
+		uid := strings.TrimPrefix(row.Key, records.JobPrefix)
 		seen[uid] = true
 		m.put(uid, row.Value, row.ModRevision)
 	}
@@ -192,9 +193,9 @@
 			continue
 		}
 		if n.Drop != "" {
-			m.drop(strings.TrimPrefix(n.Drop, JobPrefix), n.ModRevision)
+			m.drop(strings.TrimPrefix(n.Drop, records.JobPrefix), n.ModRevision)
 		} else {
-			m.put(strings.TrimPrefix(n.Set, JobPrefix), n.Value, n.ModRevision)
+			m.put(strings.TrimPrefix(n.Set, records.JobPrefix), n.Value, n.ModRevision)
 		}
 	}
 	m.revision = max(m.revision, ch.Revision)
@@ -211,7 +212,7 @@
 // Hint takes a job's record that another node tells of, ahead of the state
 // service. It changes nothing about how old the mirror's knowledge is. A job
 // that is not known may be archived already and is left alone.
-func (m *Cache) Hint(uid string, rec Job, modRevision uint64) {
+func (m *Cache) Hint(uid string, rec records.Job, modRevision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if old, ok := m.jobs[uid]; ok && old.ModRevision < modRevision {
@@ -223,7 +224,7 @@
 	if old, ok := m.jobs[uid]; ok && old.ModRevision >= modRevision {
 		return
 	}
-	var j Job
+	var j records.Job
 	if err := wire.Decode(value, &j); err != nil {
 		slog.Error("job record cannot be read", "uid", uid, "err", err)
 		return
--- a/internal/ledger/refresher.go
+++ b/internal/watchcache/linearizable.go
@@ -1,4 +1,4 @@
-package ledger
+package watchcache
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 	Wait(ctx context.Context) error
 }
 
-// Refresher brings a mirror up to date for many callers at once. Every caller gets
+// LinearizableReader brings a mirror up to date for many callers at once. Every caller gets
 // a read that began after it called; callers that come while one read is under way, or
 // waits for its turn, share the next. This is the one place that decides which read
 // answers which question. So however many ask, the state service gets no more reads
 // than the pace allows.
-type Refresher struct {
+type LinearizableReader struct {
 	cache    *Cache
 	reader   Reader
 	pace     Pace
@@ -37,14 +37,14 @@
 	err   error         // set before done is closed
 }
 
-// NewRefresher makes a Refresher whose reads keep to a pace.
-func NewRefresher(m *Cache, r Reader, pace Pace, timeout time.Duration) *Refresher {
+// NewLinearizableReader makes a Refresher whose reads keep to a pace.
+func NewLinearizableReader(m *Cache, r Reader, pace Pace, timeout time.Duration) *LinearizableReader {
 	const patienceShare = 20
-	return &Refresher{cache: m, reader: r, pace: pace, timeout: timeout, patience: timeout / patienceShare}
+	return &LinearizableReader{cache: m, reader: r, pace: pace, timeout: timeout, patience: timeout / patienceShare}
 }
 
 // Refresh returns nil once the mirror knows all that was committed before the call.
-func (r *Refresher) Refresh(ctx context.Context) error {
+func (r *LinearizableReader) Refresh(ctx context.Context) error {
 	read := r.join()
 	select {
 	case <-read.done:
@@ -55,7 +55,7 @@
 }
 
 // join finds a read that has not begun yet, or makes one.
-func (r *Refresher) join() *sharedRead {
+func (r *LinearizableReader) join() *sharedRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.waiting != nil {
@@ -68,7 +68,7 @@
 }
 
 // begin starts a read. r.mu is held.
-func (r *Refresher) begin(read *sharedRead) {
+func (r *LinearizableReader) begin(read *sharedRead) {
 	read.begun = time.Now()
 	r.running = read
 	go func() {
@@ -86,7 +86,7 @@
 
 // beginAfter starts the next read in its turn, when the one before, if there is any, has ended
 // or has taken too long.
-func (r *Refresher) beginAfter(before, next *sharedRead) {
+func (r *LinearizableReader) beginAfter(before, next *sharedRead) {
 	if before != nil {
 		patience := time.NewTimer(r.patience - time.Since(before.begun))
 		select {
