--- a/internal/simcluster/dependencies.go
+++ b/internal/simcluster/dependencies.go
@@ -41,7 +41,7 @@
 	}
 	w.ancestors(uid, func(name string) bool {
 		announced, cancelled := w.aborted[name]
-		late := cancelled && asked.Sub(announced).Seconds() > w.Cfg.Cluster.Workers.CancelS
+		late := cancelled && asked.Sub(announced).Seconds() > w.Config.Cluster.Workers.CancelS
 		if late {
 			w.breach("orphaned", "%s is called %s, %.1f s after %s was called cancelled", uid, status, asked.Sub(announced).Seconds(), name)
 		}
