--- /dev/null
+++ b/internal/simcluster/checker_records.go
@@ -0,0 +1,116 @@
+package simcluster
+
+import (
+	"bytes"
+	"strings"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// comparesPerChange is how many compares a transaction may have for each change that it may.
+const comparesPerChange = 4
+
+// checkCommit checks what every commit of a leader must be guarded by, and its size.
+func (c *Checker) checkCommit(tx wire.Transaction) {
+	stateLimits := c.config.StateLimits()
+	if len(tx.Changes) > stateLimits.TxnOps || len(tx.Compares) > comparesPerChange*stateLimits.TxnOps {
+		c.report(ruleLimits, "%d changes and %d compares in a commit", len(tx.Changes), len(tx.Compares))
+	}
+	compared := map[string]uint64{}
+	comparedJobs := map[string]bool{} // whose records are compared, as existing
+	for _, compare := range tx.Compares {
+		compared[compare.Key] = compare.ModRevision
+		if compare.ModRevision != 0 {
+			comparedJobs[strings.TrimPrefix(compare.Key, records.JobPrefix)] = true
+		}
+	}
+	term := compared[records.LeaderKey]
+	for _, change := range tx.Changes {
+		key := change.Set + change.Drop
+		if uid, _, ok := records.SplitPlacementKey(change.Set); ok {
+			if comparedJobs[uid] {
+				c.notePlacement(term) // only launches are guarded by their job
+			} else if compared[change.Set] == 0 {
+				c.report(ruleUnguarded, "%s is made without a compare of its job: %v", key, tx.Compares)
+			}
+		}
+		if float64(len(change.Value)) > stateLimits.ValueKb*1024 {
+			c.report(ruleLimits, "the value of %s has %d bytes", key, len(change.Value))
+		}
+		_, isKeyCompared := compared[key]
+		switch {
+		case strings.HasPrefix(key, records.PlacementPrefix) && (term == 0 || !isKeyCompared),
+			strings.HasPrefix(key, records.ReturnsPrefix) && term == 0,
+			strings.HasPrefix(key, records.JobPrefix) && !isKeyCompared:
+			c.report(ruleUnguarded, "%s is written with compares %v", key, tx.Compares)
+		}
+	}
+}
+
+// notePlacement notes that a term has committed a placement.
+func (c *Checker) notePlacement(term uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, known := c.firstPlacements[term]; !known {
+		c.firstPlacements[term] = time.Now()
+	}
+}
+
+// FirstPlacement is when the first placement of a term newer than the given one was committed; ok
+// is false if there was none yet.
+func (c *Checker) FirstPlacement(after uint64) (at time.Time, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for term, placedAt := range c.firstPlacements {
+		if term > after && (!ok || placedAt.Before(at)) {
+			at, ok = placedAt, true
+		}
+	}
+	return at, ok
+}
+
+// checkLaunch checks that a launch was recorded before it was sent.
+func (c *Checker) checkLaunch(task string, attempt uint64, host string) {
+	if !c.isRecorded(task, attempt, host) {
+		c.report(ruleUnrecorded, "%s try %d is launched on %s without a record", task, attempt, host)
+	}
+}
+
+// checkReturn checks that a machine's return was recorded before the machine is returned.
+func (c *Checker) checkReturn(host string) {
+	for _, item := range c.store.Items(records.ReturnsPrefix) {
+		if bytes.Contains(item.Value, []byte(`"`+host+`"`)) {
+			return
+		}
+	}
+	c.report(ruleUnrecorded, "%s is returned without a record", host)
+}
+
+// checkAcknowledge checks that an end was recorded before the task is forgotten. What is cancelled
+// is never launched again and needs no such record.
+func (c *Checker) checkAcknowledge(task string, attempt uint64, host string) {
+	uid, _, _ := wire.SplitTaskName(task)
+	item, ok := c.store.Get(records.JobKey(uid))
+	if ok && !bytes.Contains(item.Value, []byte(wire.JobAborted)) && c.isRecorded(task, attempt, host) {
+		c.report(ruleReaped, "%s try %d is acknowledged on %s, but its record says it may run", task, attempt, host)
+	}
+}
+
+// isRecorded reports whether a placement record says that an attempt may run on a machine.
+func (c *Checker) isRecorded(task string, attempt uint64, host string) bool {
+	uid, index, _ := wire.SplitTaskName(task)
+	for _, item := range c.store.Items(records.PlacementPrefix + uid + "/") {
+		placement, err := records.DecodePlacement(item.Value)
+		if err != nil {
+			panic(err)
+		}
+		for _, live := range placement.Live {
+			if live.Task == index && live.Attempt == attempt && live.Host == host {
+				return true
+			}
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/simcluster/checker_service.go
@@ -0,0 +1,131 @@
+package simcluster
+
+import (
+	"slices"
+	"time"
+
+	"lotusstile.dev/lotusstile/wire"
+)
+
+const (
+	// maxBegin is how long the largest jobs of a class may take to begin.
+	maxBegin = 4 * time.Minute
+	// maxWait is how long a job may wait, once the faults are over, while a machine that fits has
+	// room and its team is under its limit.
+	maxWait = 90 * time.Second
+)
+
+// FaultsOver says that all faults are over: from now on no job may wait for long while there is
+// room for it.
+func (c *Checker) FaultsOver() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.faultsOverAt = time.Now()
+	for _, job := range c.jobs {
+		job.waitingSince = time.Time{}
+	}
+}
+
+func (c *Checker) areFaultsOver() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.faultsOverAt.IsZero()
+}
+
+// CheckJobsServed checks, at the end of a scenario, who was served of those that were accepted and
+// not cancelled by their users before they could be: at least half of each class, of each team and
+// of the largest jobs of each class, and these within four minutes.
+func (c *Checker) CheckJobsServed() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	largest := map[string]int{}
+	for _, job := range c.jobs {
+		largest[job.spec.JobClass] = max(largest[job.spec.JobClass], job.spec.TaskCount)
+	}
+	accepted, served := map[string]int{}, map[string]int{}
+	for uid, job := range c.jobs {
+		hasBegun := !job.firstStart.IsZero()
+		if job.acceptedAt.IsZero() || c.isCancelRequested(uid) && !hasBegun {
+			continue
+		}
+		groups := []string{"class " + job.spec.JobClass, "team " + job.spec.Team}
+		if job.spec.TaskCount == largest[job.spec.JobClass] {
+			groups = append(groups, "largest of "+job.spec.JobClass)
+			if !hasBegun || job.firstStart.Sub(job.acceptedAt) > maxBegin {
+				c.violated(ruleLateBegin, "%s, among the largest of its class, had not begun after four minutes", uid)
+			}
+		}
+		isService := job.spec.Kind == wire.Service
+		for _, group := range groups {
+			if isService || !job.cancelRequested { // else it was half done when it was cancelled
+				accepted[group]++
+			}
+			if isService && hasBegun || job.finalStatus == wire.JobDone {
+				served[group]++
+			}
+		}
+	}
+	for group, count := range accepted {
+		if count > 0 && 2*served[group] < count {
+			c.violated(ruleUnserved, "%s: %d of %d", group, served[group], count)
+		}
+	}
+}
+
+// machineLoad is a machine's room and the tasks that it has, as its worker knows.
+type machineLoad struct {
+	Machine
+	freeCores, freeGpus float64
+	tasks               []string
+}
+
+// hasRoomFor reports whether a task of a job may and can run on a machine.
+func (l *machineLoad) hasRoomFor(spec *wire.JobSpec) bool {
+	return l.freeCores >= spec.Cores && l.freeGpus >= spec.Gpus &&
+		(len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, l.MachineType)) &&
+		(spec.Zone == "" || spec.Zone == l.Zone) && (spec.AllowSpot || !l.Spot)
+}
+
+// checkWaitingJobs looks for jobs that wait although there is room for them on the machines with
+// the given loads. Jobs of the faulty class may wait.
+func (c *Checker) checkWaitingJobs(loads []machineLoad, faultyClass string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	placed, teamGpus := c.subtractTasks(loads)
+	now := time.Now()
+	for uid, job := range c.jobs {
+		spec := &job.spec
+		team, _ := c.config.Team(spec.Team)
+		mayWait := job.acceptedAt.IsZero() || job.finalStatus != "" || job.cancelRequested ||
+			spec.SingleZone || spec.SpreadZones || spec.JobClass == faultyClass
+		hasRoom := slices.ContainsFunc(loads, func(l machineLoad) bool { return l.hasRoomFor(spec) })
+		isUnderLimit := team.GpusMax == 0 || teamGpus[spec.Team]+spec.Gpus <= team.GpusMax
+		isIncomplete := len(job.completedTasks)+placed[uid] < spec.TaskCount
+		switch {
+		case mayWait || !isIncomplete || !hasRoom || !isUnderLimit:
+			job.waitingSince = time.Time{}
+		case job.waitingSince.IsZero():
+			job.waitingSince = now
+		case now.Sub(job.waitingSince) > maxWait:
+			c.violated(ruleLeftWaiting, "%s waits although there is room", uid)
+			job.waitingSince = now
+		}
+	}
+}
+
+// subtractTasks takes what their tasks use off the machines' room. It returns how many tasks of
+// each job are placed and how many GPUs each team uses. c.mu is held.
+func (c *Checker) subtractTasks(loads []machineLoad) (placed map[string]int, teamGpus map[string]float64) {
+	placed, teamGpus = map[string]int{}, map[string]float64{}
+	for i := range loads {
+		for _, task := range loads[i].tasks {
+			uid, _, _ := wire.SplitTaskName(task)
+			spec := &c.job(uid).spec
+			placed[uid]++
+			teamGpus[spec.Team] += spec.Gpus
+			loads[i].freeCores -= spec.Cores
+			loads[i].freeGpus -= spec.Gpus
+		}
+	}
+	return placed, teamGpus
+}
--- /dev/null
+++ b/internal/simcluster/cloud.go
@@ -0,0 +1,249 @@
+package simcluster
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/simcluster/jsonhttp"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// Cloud is a fake of the cloud, and owns the machines that it has provisioned. It is an
+// http.Handler.
+type Cloud struct {
+	// Capacity is how many machines there may be at once; a request for more is filled in part.
+	Capacity int
+	// BootTime is how long provisioned machines take to boot; 0: by chance.
+	BootTime time.Duration
+	// ListenWorker, if set, lets a worker listen for direct commands and returns its address.
+	// Without it, workers are reached over the simulated network by their names.
+	ListenWorker func(handler http.Handler) (address string)
+
+	cluster *Cluster
+	catalog wire.Catalog
+
+	mu         sync.Mutex
+	workers    map[string]*Worker  // by host name, also those that are gone
+	bookings   map[string][]string // by request: the hosts that were provisioned for it
+	nextSerial int
+}
+
+const (
+	defaultCapacity = 12
+	// maxListed is how many machines a page of the list has at most.
+	maxListed = 500
+	// minBootS and bootSpreadS bound the boot times that are drawn, in seconds.
+	minBootS, bootSpreadS = 5, 15
+)
+
+func newCloud(cluster *Cluster, catalog wire.Catalog) *Cloud {
+	return &Cloud{
+		Capacity: defaultCapacity,
+		cluster:  cluster,
+		catalog:  catalog,
+		workers:  map[string]*Worker{},
+		bookings: map[string][]string{},
+	}
+}
+
+// ServeHTTP answers the protocol of the cloud.
+func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	switch {
+	case r.URL.Path == "/catalog":
+		jsonhttp.Reply(w, http.StatusOK, c.catalog)
+	case r.URL.Path == "/machines" && r.Method == http.MethodPost:
+		c.serveProvision(w, r)
+	case r.URL.Path == "/machines/return":
+		c.serveReturn(w, r)
+	case r.URL.Path == "/machines":
+		c.serveList(w, r)
+	}
+}
+
+func replyMalformed(w http.ResponseWriter) {
+	jsonhttp.Reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
+}
+
+// serveProvision answers a request for machines. A repeated request gets the same machines.
+func (c *Cloud) serveProvision(w http.ResponseWriter, r *http.Request) {
+	var request wire.ProvisionRequest
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
+		replyMalformed(w)
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if hosts, ok := c.bookings[request.RequestID]; ok {
+		jsonhttp.Reply(w, http.StatusOK, wire.HostNames{Hosts: hosts})
+		return
+	}
+	count := min(request.Count, c.Capacity-len(c.liveWorkers()))
+	if count <= 0 {
+		jsonhttp.Reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
+		return
+	}
+	var hosts []string
+	for range count {
+		boot := c.BootTime
+		if boot == 0 {
+			boot = time.Duration(minBootS+c.cluster.Net.RandIntN(bootSpreadS)) * time.Second
+		}
+		hosts = append(hosts, c.addMachine(request.MachineType, request.Zone, request.Spot, boot))
+	}
+	c.bookings[request.RequestID] = hosts
+	jsonhttp.Reply(w, http.StatusOK, wire.HostNames{Hosts: hosts})
+}
+
+// serveReturn ends machines. Unknown names are ignored.
+func (c *Cloud) serveReturn(w http.ResponseWriter, r *http.Request) {
+	var request wire.HostNames
+	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Hosts) > wire.MaxReturn {
+		replyMalformed(w)
+		return
+	}
+	for _, host := range request.Hosts {
+		if worker := c.worker(host); worker != nil {
+			if !worker.isDead() { // else it is a repeat
+				c.cluster.Checker.checkReturn(host)
+			}
+			worker.Die()
+		}
+	}
+	jsonhttp.Reply(w, http.StatusOK, struct{}{})
+}
+
+// serveList answers a page of the machine list, as old as the settings say.
+func (c *Cloud) serveList(w http.ResponseWriter, r *http.Request) {
+	most, err := strconv.Atoi(r.URL.Query().Get("Most"))
+	if err != nil || most < 1 || most > maxListed {
+		replyMalformed(w)
+		return
+	}
+	after := r.URL.Query().Get("After")
+	lag := c.cluster.Config.ListLag()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := wire.HostList{Hosts: []wire.ListedHost{}}
+	for _, worker := range c.workers {
+		age := worker.age()
+		if age < lag || worker.sinceDeath() > lag || worker.Host <= after {
+			continue
+		}
+		out.Hosts = append(out.Hosts, worker.listed(age))
+	}
+	slices.SortFunc(out.Hosts, func(a, b wire.ListedHost) int { return strings.Compare(a.UID, b.UID) })
+	if out.More = len(out.Hosts) > most; out.More {
+		out.Hosts = out.Hosts[:most]
+	}
+	jsonhttp.Reply(w, http.StatusOK, out)
+}
+
+// AddMachines makes machines that are up at once.
+func (c *Cloud) AddMachines(machineType, zone string, count int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for range count {
+		c.addMachine(machineType, zone, false, 0)
+	}
+}
+
+// addMachine makes a machine, starts its worker and returns its name. c.mu is held.
+func (c *Cloud) addMachine(machineType, zone string, spot bool, boot time.Duration) (host string) {
+	host = fmt.Sprintf("m-%06d", c.nextSerial)
+	c.nextSerial++
+	worker := newWorker(c.cluster, Machine{Host: host, MachineType: machineType, Zone: zone, Spot: spot}, boot)
+	c.workers[host] = worker
+	worker.Address = host
+	if c.ListenWorker != nil {
+		worker.Address = c.ListenWorker(http.HandlerFunc(worker.serve))
+	}
+	c.cluster.Net.Attach(host, http.HandlerFunc(worker.serve), nil)
+	go worker.run()
+	return host
+}
+
+// MachinesProvisioned counts the machines that controllers have provisioned.
+func (c *Cloud) MachinesProvisioned() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	count := 0
+	for _, hosts := range c.bookings {
+		count += len(hosts)
+	}
+	return count
+}
+
+// ZoneOf is the zone of a machine, "" if there is none of that name.
+func (c *Cloud) ZoneOf(host string) string {
+	if worker := c.worker(host); worker != nil {
+		return worker.Zone
+	}
+	return ""
+}
+
+// RandomWorker picks a machine that is up or booting, by chance; nil if there is none.
+func (c *Cloud) RandomWorker() *Worker {
+	c.mu.Lock()
+	live := c.liveWorkers()
+	c.mu.Unlock()
+	if len(live) == 0 {
+		return nil
+	}
+	slices.SortFunc(live, func(a, b *Worker) int { return strings.Compare(a.Host, b.Host) })
+	return live[c.cluster.Net.RandIntN(len(live))]
+}
+
+func (c *Cloud) worker(host string) *Worker {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.workers[host]
+}
+
+// allWorkers lists the workers of all machines, also of those that are gone, in no order.
+func (c *Cloud) allWorkers() []*Worker {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	all := make([]*Worker, 0, len(c.workers))
+	for _, worker := range c.workers {
+		all = append(all, worker)
+	}
+	return all
+}
+
+// liveWorkers lists the workers of the machines that are not gone, in no order. c.mu is held.
+func (c *Cloud) liveWorkers() []*Worker {
+	var live []*Worker
+	for _, worker := range c.workers {
+		if !worker.isDead() {
+			live = append(live, worker)
+		}
+	}
+	return live
+}
+
+// loads is what the machines that are up and well have to do.
+func (c *Cloud) loads() []machineLoad {
+	var loads []machineLoad
+	for _, worker := range c.allWorkers() {
+		if load, isUp := worker.load(); isUp {
+			loads = append(loads, load)
+		}
+	}
+	return loads
+}
+
+// machineTypeOf looks a machine type up in the catalog.
+func (c *Cloud) machineTypeOf(name string) (machineType wire.MachineType, ok bool) {
+	for _, machineType := range c.catalog.MachineTypes {
+		if machineType.Name == name {
+			return machineType, true
+		}
+	}
+	return wire.MachineType{}, false
+}
--- /dev/null
+++ b/internal/simcluster/fakestore/limits.go
@@ -0,0 +1,77 @@
+package fakestore
+
+import (
+	"slices"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// comparesPerChange is how many compares a transaction may have for each change that it may.
+const comparesPerChange = 4
+
+// Limits is what the state service takes. Zero fields are no limit.
+type Limits struct {
+	ValueBytes int
+	TxnOps     int
+	WriteRps   float64 // changes a second
+	Rps        float64 // requests a second
+}
+
+// limiter is the limits in force and what came of them. The store's lock guards it.
+type limiter struct {
+	Limits
+	writes   *rate.Limiter
+	requests *rate.Limiter
+	rejected []string // keys of transactions that were answered 400
+}
+
+// SetLimits brings limits into force, without notice.
+func (s *Store) SetLimits(limits Limits) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.limits.Limits = limits
+	s.limits.writes = newRateLimiter(limits.WriteRps)
+	s.limits.requests = newRateLimiter(limits.Rps)
+}
+
+// RejectedKeys lists the keys of transactions that were over the limits.
+func (s *Store) RejectedKeys() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.limits.rejected)
+}
+
+// newRateLimiter allows bursts of one second's worth; without a limit there is none.
+func newRateLimiter(perSecond float64) *rate.Limiter {
+	if perSecond <= 0 {
+		return nil
+	}
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
+}
+
+// isOverRequestRate reports whether a request is over the rate of requests, and counts it.
+func (l *limiter) isOverRequestRate() bool { return l.requests != nil && !l.requests.Allow() }
+
+// isOverWriteRate reports whether a transaction is over the rate of changes, and counts them.
+func (l *limiter) isOverWriteRate(tx wire.Transaction) bool {
+	return l.writes != nil && len(tx.Changes) > 0 && !l.writes.AllowN(time.Now(), len(tx.Changes))
+}
+
+// rejectOversized reports whether a transaction is over a limit of size, and notes its keys
+// if so.
+func (l *limiter) rejectOversized(tx wire.Transaction) bool {
+	over := l.TxnOps > 0 && (len(tx.Changes) > l.TxnOps || len(tx.Compares) > comparesPerChange*l.TxnOps)
+	for _, change := range tx.Changes {
+		over = over || l.ValueBytes > 0 && len(change.Value) > l.ValueBytes
+	}
+	if !over {
+		return false
+	}
+	for _, change := range tx.Changes {
+		l.rejected = append(l.rejected, change.Set+change.Drop)
+	}
+	return true
+}
--- /dev/null
+++ b/internal/simcluster/faultnet/network.go
@@ -0,0 +1,97 @@
+// Package faultnet is a simulated network that carries requests and connections between named
+// parties, and plays its faults: partitions, lost requests and responses, refusals, latency, late
+// delivery and paused processes. What happens by chance is drawn from one source, so that a seed
+// gives the same faults.
+package faultnet
+
+import (
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"net/rpc"
+	"sync"
+	"time"
+)
+
+// Network carries requests between parties by their names. It is safe for concurrent use.
+type Network struct {
+	mu          sync.Mutex
+	rng         *rand.Rand
+	handlers    map[string]http.Handler
+	peerServers map[string]*rpc.Server
+	conns       map[string][]net.Conn // by party: its ends of the connections between controllers
+	faults      faults
+	paused      map[string]chan struct{} // by party; closed when it goes on
+	observer    func(from, to, path string, carriedOut bool)
+}
+
+// faults is what goes wrong on the network now. Heal ends all but lateDelivery.
+type faults struct {
+	partitioned     map[link]bool // requests hang
+	dropResponses   map[link]bool
+	refuse          map[link]bool // answered 503
+	dropRequests    map[link]bool
+	lateDelivery    float64       // share of the requests lost to a partition that are delivered later
+	extraLatency    time.Duration // at most, each way
+	delayedCommits  float64       // share of commits that get no response
+	commitsAtOnce   bool          // delayed commits are carried out at once, else after newer ones
+	delayedCommands float64       // share of direct commands that are delivered late
+}
+
+// link is the way from one party to another.
+type link struct{ from, to string }
+
+// defaultLateDelivery is the share of the requests lost to a partition that are delivered later.
+const defaultLateDelivery = 0.5
+
+// New makes a network without faults, whose chances are drawn from rng.
+func New(rng *rand.Rand) *Network {
+	return &Network{
+		rng:         rng,
+		handlers:    map[string]http.Handler{},
+		peerServers: map[string]*rpc.Server{},
+		conns:       map[string][]net.Conn{},
+		paused:      map[string]chan struct{}{},
+		faults: faults{
+			partitioned:   map[link]bool{},
+			dropResponses: map[link]bool{},
+			refuse:        map[link]bool{},
+			dropRequests:  map[link]bool{},
+			lateDelivery:  defaultLateDelivery,
+		},
+	}
+}
+
+// RandIntN draws a number from 0 to limit-1 from the network's source of chance.
+func (n *Network) RandIntN(limit int) int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.rng.IntN(limit)
+}
+
+// Attach lets a party answer under a name: requests go to handler, connections between
+// controllers to peerServer. A nil handler takes the party off the network and closes its
+// connections.
+func (n *Network) Attach(name string, handler http.Handler, peerServer *rpc.Server) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.handlers[name], n.peerServers[name] = handler, peerServer
+	if handler == nil {
+		n.closeConns(name)
+	}
+}
+
+// handler is what answers under a name now, nil if nothing does.
+func (n *Network) handler(name string) http.Handler {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.handlers[name]
+}
+
+// closeConns closes the connections of a party. n.mu is held.
+func (n *Network) closeConns(name string) {
+	for _, conn := range n.conns[name] {
+		conn.Close()
+	}
+	delete(n.conns, name)
+}
--- /dev/null
+++ b/internal/simcluster/faultnet/transport.go
@@ -0,0 +1,247 @@
+package faultnet
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"time"
+)
+
+const (
+	// maxLateness is how much later than they were sent lost requests are delivered at most.
+	maxLateness = 40 * time.Second
+	// minDelayOfDelayed is by how much delayed commits and commands are late at least, and
+	// maxExtraOfCommit and maxExtraOfCommand by how much more at most.
+	minDelayOfDelayed = 2 * time.Second
+	maxExtraOfCommit  = 10 * time.Second
+	maxExtraOfCommand = 14 * time.Second
+	// minLatency and maxLatency bound what a request or a response takes.
+	minLatency = 500 * time.Microsecond
+	maxLatency = 3000 * time.Microsecond
+	// lateDeliveryTimeout is how long a request that is delivered late may take.
+	lateDeliveryTimeout = time.Second
+	// refusedWatchPoll is how often the open watch of a refused node looks whether it still is.
+	refusedWatchPoll = 50 * time.Millisecond
+)
+
+var errNoResponse = errors.New("no response")
+
+// Transport is the network as one party sees it.
+func (n *Network) Transport(from string) http.RoundTripper { return transport{n, from} }
+
+type transport struct {
+	network *Network
+	from    string
+}
+
+// RoundTrip carries one request.
+func (t transport) RoundTrip(req *http.Request) (*http.Response, error) {
+	var body []byte
+	if req.Body != nil {
+		var err error
+		if body, err = io.ReadAll(req.Body); err != nil {
+			return nil, err
+		}
+	}
+	t.network.waitWhilePaused(t.from)
+	e := &exchange{network: t.network, link: link{t.from, req.URL.Host}, req: req, body: body}
+	e.fate = t.network.drawFate(e.link, req.URL.Path)
+	return e.run()
+}
+
+// fate is what happens to one request: the faults of its link when it is sent, and what is drawn
+// for it.
+type fate struct {
+	reachable     bool // something answers under the name
+	partitioned   bool
+	dropRequest   bool
+	dropResponse  bool
+	refused       bool
+	commitDelayed bool
+	commitAtOnce  bool // a delayed commit is carried out at once
+	commandHeldUp bool
+	deliverLate   bool          // if it is lost to a partition
+	lateness      time.Duration // up to maxLateness
+	latency       time.Duration // each way
+}
+
+// drawFate draws the fate of a request. The order of the draws is part of what a seed stands for.
+func (n *Network) drawFate(l link, path string) fate {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	f := fate{
+		reachable:    n.handlers[l.to] != nil,
+		partitioned:  n.faults.partitioned[l],
+		dropRequest:  n.faults.dropRequests[l],
+		dropResponse: n.faults.dropResponses[l],
+		refused:      n.faults.refuse[l],
+		commitAtOnce: n.faults.commitsAtOnce,
+	}
+	f.commitDelayed = n.faults.delayedCommits > 0 && strings.HasSuffix(path, "/commit") && n.rng.Float64() < n.faults.delayedCommits
+	f.commandHeldUp = n.faults.delayedCommands > 0 && path == "/do" && n.rng.Float64() < n.faults.delayedCommands
+	f.deliverLate = n.rng.Float64() < n.faults.lateDelivery
+	f.lateness = time.Duration(n.rng.Int64N(int64(maxLateness)))
+	f.latency = minLatency + time.Duration(n.rng.IntN(int((maxLatency-minLatency)/time.Microsecond)))*time.Microsecond
+	if n.faults.extraLatency > 0 {
+		f.latency += time.Duration(n.rng.Int64N(int64(n.faults.extraLatency)))
+	}
+	return f
+}
+
+// latenessUpTo scales the drawn lateness to another maximum.
+func (f fate) latenessUpTo(most time.Duration) time.Duration {
+	return f.lateness * (most / time.Second) / (maxLateness / time.Second)
+}
+
+// loss tells whether the sender gets no response because of a fault before the request arrives,
+// and whether and how much later it is carried out all the same.
+func (f fate) loss() (lost, delivered bool, after time.Duration) {
+	switch {
+	case f.commitDelayed && !f.partitioned && !f.refused && f.reachable:
+		if f.commitAtOnce {
+			return true, true, 0
+		}
+		return true, true, minDelayOfDelayed + f.latenessUpTo(maxExtraOfCommit)
+	case f.commandHeldUp && !f.partitioned && f.reachable:
+		return true, true, minDelayOfDelayed + f.latenessUpTo(maxExtraOfCommand)
+	case f.partitioned || f.dropRequest:
+		return true, f.deliverLate && !f.dropRequest, f.lateness
+	}
+	return false, false, 0
+}
+
+// exchange is one request and its response.
+type exchange struct {
+	network *Network
+	link    link
+	req     *http.Request
+	body    []byte
+	fate    fate
+}
+
+// run carries the request to its receiver and the response back.
+func (e *exchange) run() (*http.Response, error) {
+	ctx := e.req.Context()
+	if lost, delivered, after := e.fate.loss(); lost {
+		if delivered {
+			go e.deliverLate(after) // the packets are held back and delivered after all
+		}
+		return e.waitForTimeout()
+	}
+	if !e.wait(e.fate.latency) {
+		return nil, ctx.Err()
+	}
+	if !e.fate.reachable {
+		return nil, errNoResponse
+	}
+	if e.fate.refused {
+		rec := httptest.NewRecorder()
+		rec.WriteHeader(http.StatusServiceUnavailable)
+		return rec.Result(), nil
+	}
+	responses := make(chan *httptest.ResponseRecorder, 1)
+	go e.deliver(responses)
+	select {
+	case <-ctx.Done():
+		return e.timedOut(responses)
+	case rec := <-responses:
+		return e.returnResponse(rec)
+	}
+}
+
+// wait waits for a time. It returns false if the sender gives up meanwhile.
+func (e *exchange) wait(d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-e.req.Context().Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+// waitForTimeout lets the sender wait until it gives up.
+func (e *exchange) waitForTimeout() (*http.Response, error) {
+	<-e.req.Context().Done()
+	return nil, e.req.Context().Err()
+}
+
+// serve carries the request out.
+func (e *exchange) serve(ctx context.Context, handler http.Handler) *httptest.ResponseRecorder {
+	rec := httptest.NewRecorder()
+	handler.ServeHTTP(rec, httptest.NewRequestWithContext(ctx, e.req.Method, e.req.URL.String(), bytes.NewReader(e.body)))
+	return rec
+}
+
+// deliverLate carries the request out after a time, whether its sender still waits or not.
+func (e *exchange) deliverLate(after time.Duration) {
+	time.Sleep(after)
+	if handler := e.network.handler(e.link.to); handler != nil {
+		ctx, cancel := context.WithTimeout(context.Background(), lateDeliveryTimeout)
+		defer cancel()
+		e.serve(ctx, handler)
+	}
+}
+
+// deliver carries the request out once its receiver is not paused, and sends the response when the
+// receiver is not paused again. There is none if the receiver has ended meanwhile.
+func (e *exchange) deliver(responses chan<- *httptest.ResponseRecorder) {
+	n := e.network
+	n.waitWhilePaused(e.link.to)
+	n.notifyObserver(e.link, e.req.URL.Path, false)
+	n.waitWhilePaused(e.link.to)
+	handler := n.handler(e.link.to)
+	if handler == nil {
+		return
+	}
+	rec := e.serve(e.req.Context(), handler)
+	n.notifyObserver(e.link, e.req.URL.Path, true)
+	n.waitWhilePaused(e.link.to)
+	responses <- rec
+}
+
+// timedOut ends the exchange when its sender has given up. A paused sender sees its time-out only
+// when it goes on: it may then see the response first.
+func (e *exchange) timedOut(responses <-chan *httptest.ResponseRecorder) (*http.Response, error) {
+	e.network.waitWhilePaused(e.link.from)
+	select {
+	case rec := <-responses:
+		if e.network.RandIntN(2) == 0 {
+			return rec.Result(), nil
+		}
+	default:
+	}
+	return nil, e.req.Context().Err()
+}
+
+// returnResponse carries a response back to the sender.
+func (e *exchange) returnResponse(rec *httptest.ResponseRecorder) (*http.Response, error) {
+	e.network.waitWhilePaused(e.link.from)
+	// The open watches of a node that is refused wait as in an outage.
+	for e.req.URL.Path == "/changes" && e.network.isRefused(e.link) {
+		if !e.wait(refusedWatchPoll) {
+			return nil, e.req.Context().Err()
+		}
+	}
+	receiverEnded, partitioned := e.network.linkState(e.link)
+	// A response that meets a partition is lost: the connection is dead, and nobody says so.
+	if e.fate.dropResponse || partitioned {
+		return e.waitForTimeout()
+	}
+	if receiverEnded || !e.wait(e.fate.latency) {
+		return nil, errNoResponse
+	}
+	return rec.Result(), nil
+}
+
+// linkState tells whether the receiver of a link has ended, and whether the link is cut.
+func (n *Network) linkState(l link) (receiverEnded, partitioned bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.handlers[l.to] == nil, n.faults.partitioned[l]
+}
--- /dev/null
+++ b/internal/simcluster/worker_heartbeats.go
@@ -0,0 +1,161 @@
+package simcluster
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"slices"
+	"time"
+
+	"lotusstile.dev/lotusstile/wire"
+)
+
+const (
+	// changeDelay is how long after a change a worker sends its heartbeat.
+	changeDelay = 200 * time.Millisecond
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// copiedHeartbeat is the how manieth heartbeat each time arrives once more, much later:
+	// after minCopyDelayS and up to copyDelaySpreadS more, in seconds.
+	copiedHeartbeat                 = 7
+	minCopyDelayS, copyDelaySpreadS = 2, 25
+)
+
+// waitForHeartbeat waits until a heartbeat is due. It returns false if the machine has died.
+func (w *Worker) waitForHeartbeat() bool {
+	interval := w.cluster.Config.HeartbeatInterval()
+	next := interval*3/4 + time.Duration(w.cluster.Net.RandIntN(int(interval/2)))
+	select {
+	case <-w.stop:
+		return false
+	case <-time.After(next):
+		return true
+	case <-w.wake:
+		return w.sleep(changeDelay)
+	}
+}
+
+// nextHeartbeat makes the heartbeat as the worker stands. w.mu is held.
+func (w *Worker) nextHeartbeat() []byte {
+	w.sequence++
+	heartbeat := wire.Heartbeat{
+		Host:         w.Host,
+		Address:      w.Address,
+		MachineType:  w.MachineType,
+		Zone:         w.Zone,
+		Spot:         w.Spot,
+		Incarnation:  w.incarnation,
+		Sequence:     w.sequence,
+		FencingToken: w.token,
+		Tasks:        []wire.TaskReport{},
+	}
+	for key, task := range w.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{
+			Task:         key.name,
+			Attempt:      key.attempt,
+			Status:       task.status,
+			Cause:        task.cause,
+			Checkpointed: task.checkpointed,
+		})
+	}
+	data, err := json.Marshal(heartbeat)
+	if err != nil {
+		panic(err)
+	}
+	return data
+}
+
+// sendHeartbeat sends one heartbeat; false means that the next node is to be tried.
+func (w *Worker) sendHeartbeat() bool {
+	w.mu.Lock()
+	sent := time.Now()
+	w.expireLease(sent)
+	incarnation := w.incarnation
+	data := w.nextHeartbeat()
+	node := w.cluster.Nodes[w.node]
+	if w.sequence%copiedHeartbeat == 0 {
+		go w.sendLateCopy(data)
+	}
+	w.mu.Unlock()
+	w.cluster.copies.add(data)
+	status, body := w.cluster.postHeartbeat(w.Host, node, data)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	switch status {
+	case http.StatusOK:
+		w.acceptResponse(body, incarnation, sent)
+		return true
+	case http.StatusMisdirectedRequest:
+		if w.followRedirect(body) {
+			return true
+		}
+	}
+	w.node = (w.node + 1) % len(w.cluster.Nodes)
+	return false
+}
+
+// sendLateCopy sends a copy of a heartbeat much later, to any node.
+func (w *Worker) sendLateCopy(data []byte) {
+	if w.sleep(time.Duration(minCopyDelayS+w.cluster.Net.RandIntN(copyDelaySpreadS)) * time.Second) {
+		node := w.cluster.Nodes[w.cluster.Net.RandIntN(len(w.cluster.Nodes))]
+		w.cluster.postHeartbeat(w.Host, node, data)
+	}
+}
+
+// acceptResponse renews the lease and executes the commands, or drops a response with a lower
+// token or to a heartbeat of an earlier incarnation. w.mu is held.
+func (w *Worker) acceptResponse(body []byte, incarnation uint64, sent time.Time) {
+	var response wire.Commands
+	if json.Unmarshal(body, &response) != nil || response.FencingToken < w.token || w.incarnation != incarnation {
+		return
+	}
+	w.raiseToken(response.FencingToken)
+	w.leaseFrom = sent
+	w.execute(response.Commands)
+}
+
+// raiseToken takes a token that may be higher than the highest seen. w.mu is held.
+func (w *Worker) raiseToken(token uint64) {
+	if token > w.token {
+		w.token = token
+		w.notifyChange()
+	}
+}
+
+// followRedirect turns to the node that a 421 names, and reports whether it names another one that
+// is known. w.mu is held.
+func (w *Worker) followRedirect(body []byte) bool {
+	var redirect wire.Redirect
+	if json.Unmarshal(body, &redirect) != nil {
+		return false
+	}
+	leader := slices.Index(w.cluster.Nodes, redirect.Leader)
+	if leader < 0 || leader == w.node {
+		return false
+	}
+	w.node = leader
+	w.notifyChange()
+	return true
+}
+
+// postHeartbeat sends a heartbeat to a node. It returns status 0 if no response comes in time.
+func (c *Cluster) postHeartbeat(from, node string, data []byte) (status int, body []byte) {
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+node+"/checkin", bytes.NewReader(data))
+	if err != nil {
+		panic(err)
+	}
+	req.Header.Set("Content-Type", "application/json")
+	client := http.Client{Transport: c.Net.Transport(from), Timeout: heartbeatTimeout}
+	resp, err := client.Do(req)
+	if err != nil {
+		return 0, nil
+	}
+	defer resp.Body.Close()
+	body, err = io.ReadAll(resp.Body)
+	if err != nil {
+		return 0, nil
+	}
+	return resp.StatusCode, body
+}
