--- /dev/null
+++ b/internal/httpapi/cancel.go
@@ -0,0 +1,80 @@
+package httpapi
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"net/http"
+
+	"github.com/labstack/echo/v4"
+
+	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// cancel cancels a job, or says that it is done.
+func (s *Server) cancel(c echo.Context) error {
+	uid, err := jobID(c)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := userContext(c, submitWait)
+	defer cancel()
+	for ctx.Err() == nil {
+		if status, ok := s.Statuses.Final(uid); ok {
+			return c.JSON(http.StatusOK, wire.JobView{UID: uid, Status: status})
+		}
+		item, found, err := s.Store.Get(ctx, records.JobKey(uid))
+		if err != nil {
+			return errElsewhere
+		}
+		if found {
+			if err := s.cancelRecord(ctx, uid, item); err != nil {
+				return err
+			}
+			continue
+		}
+		view, known, err := s.Statuses.Lookup(ctx, uid)
+		switch {
+		case err != nil:
+			return errElsewhere
+		case !known:
+			return errNoSuchJob()
+		case view.Status.Final():
+			return c.JSON(http.StatusOK, view)
+		}
+	}
+	return retryLater("cannot be decided now")
+}
+
+// cancelRecord commits a job's record as cancelled, unless its status is final already.
+// Whichever it is, the status is recorded as final then. Without an error and without a
+// final status the record has changed meanwhile, and has to be read again.
+func (s *Server) cancelRecord(ctx context.Context, uid string, item wire.KeyValue) error {
+	var job records.Job
+	if err := json.Unmarshal(item.Value, &job); err != nil {
+		return err
+	}
+	if job.Status.Final() {
+		s.Statuses.RecordFinal(uid, job.Status)
+		return nil
+	}
+	job.Finish(wire.JobAborted, s.Config.ValueBytes())
+	modRevision, err := s.Store.Commit(ctx, wire.Transaction{
+		Compares: []wire.Compare{{Key: item.Key, ModRevision: item.ModRevision}},
+		Changes:  []wire.Change{{Set: item.Key, Value: records.Encode(job)}},
+	})
+	var conflict *store.ConflictError
+	switch {
+	case err == nil:
+		s.AnnounceCancelled(peer.Cancellation{UID: uid, Record: job, ModRevision: modRevision})
+	case errors.As(err, &conflict):
+	default:
+		slog.Info("cancellation could not be recorded", "uid", uid, "err", err)
+		return changeError(err)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/httpapi/errors_test.go
@@ -0,0 +1,80 @@
+package httpapi
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/labstack/echo/v4"
+
+	"lotusstile.dev/lotusstile/internal/aimd"
+	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/workerlease"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// Users, operators and health checks get the status, the text and the Retry-After of an error.
+func TestErrorsAreMappedToAnswers(t *testing.T) {
+	for _, tc := range []struct {
+		name       string
+		err        error
+		status     int
+		retryAfter string
+		body       string
+	}{
+		{"elsewhere", errElsewhere, http.StatusServiceUnavailable, "1", "cannot be served from here now"},
+		{"older release", errOlderRelease, http.StatusServiceUnavailable, "1",
+			"not all controllers are known to understand Awaits yet: cannot be served from here now"},
+		{"overload", errOverloaded, http.StatusServiceUnavailable, "1", "too much to do"},
+		{"no connection", errNoUserConnection, http.StatusServiceUnavailable, "1", "no connection is free"},
+		{"changes", changeError(&store.BusyError{After: 2100 * time.Millisecond}), http.StatusServiceUnavailable, "3", "too many changes at once"},
+		{"lost answer", changeError(store.ErrUnknown), http.StatusServiceUnavailable, "1", "cannot be served from here now"},
+		{"polls", pollError(&aimd.BusyError{After: time.Millisecond}), http.StatusServiceUnavailable, "1", "too many questions at once"},
+		{"throttled", pollError(fmt.Errorf("read: %w", store.ErrThrottled)), http.StatusServiceUnavailable, "1", "too many requests at once"},
+		{"unread", pollError(errors.New("down")), http.StatusServiceUnavailable, "1", "cannot be served from here now"},
+		{"unknown job", errNoSuchJob(), http.StatusNotFound, "", "no such job"},
+		{"no route", echo.ErrNotFound, http.StatusNotFound, "", "Not Found"},
+		{"fault", errors.New("cannot decode"), http.StatusInternalServerError, "", "internal error"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			recorder := httptest.NewRecorder()
+			handleError(tc.err, echo.New().NewContext(httptest.NewRequest(http.MethodGet, "/", nil), recorder))
+			var answer wire.ErrorResponse
+			if err := wire.Decode(recorder.Body.Bytes(), &answer); err != nil {
+				t.Fatal(err)
+			}
+			if got := recorder.Header().Get(echo.HeaderRetryAfter); recorder.Code != tc.status || got != tc.retryAfter || answer.Error != tc.body {
+				t.Errorf("answered %d %q, Retry-After %q; want %d %q, %q", recorder.Code, answer.Error, got, tc.status, tc.body, tc.retryAfter)
+			}
+		})
+	}
+}
+
+// Workers get their commands, or the status and the body of an error.
+func TestHeartbeatErrorsAreMappedToAnswers(t *testing.T) {
+	for _, tc := range []struct {
+		name     string
+		commands *wire.Commands
+		err      error
+		status   int
+		body     string
+	}{
+		{"commands", &wire.Commands{FencingToken: 7, Commands: []wire.Command{}}, nil, http.StatusOK, `{"Baton":7,"Orders":[]}`},
+		{"leader known", nil, &RedirectError{Leader: "b"}, http.StatusMisdirectedRequest, `{"Dispatcher":"b"}`},
+		{"no room", nil, errNoRoom, http.StatusMisdirectedRequest, `{}`},
+		{"stale", nil, workerlease.ErrStale, http.StatusServiceUnavailable,
+			`{"error":"what is known of withdrawals is too old to renew a lease on"}`},
+		{"no term", nil, ErrNoTerm, http.StatusServiceUnavailable, `{"error":"no answer can be given yet"}`},
+		{"malformed", nil, &MalformedError{Err: errors.New("no Host")}, http.StatusBadRequest, `{"error":"no Host"}`},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			status, body := EncodeHeartbeatAnswer(tc.commands, tc.err)
+			if status != tc.status || string(body) != tc.body {
+				t.Errorf("answered %d %s, want %d %s", status, body, tc.status, tc.body)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/httpapi/health.go
@@ -0,0 +1,41 @@
+package httpapi
+
+import (
+	"net/http"
+
+	"github.com/labstack/echo/v4"
+)
+
+// ready answers health checks. A node is out only while it cannot serve and
+// another can: in an outage that all share, leaving would help nobody.
+func (s *Server) ready(c echo.Context) error {
+	if !s.JobCache.Synced() || s.Catalog() == nil {
+		return retryLater("still catching up")
+	}
+	if s.Store.ProofAge() > s.Config.LeaderLeaseTTL()*3/2 && (s.peerServes() || s.isIsolated()) {
+		return errElsewhere
+	}
+	return c.NoContent(http.StatusOK)
+}
+
+// peerServes reports whether a peer reaches the state service.
+func (s *Server) peerServes() bool {
+	for _, p := range s.Peers {
+		if r, ok := p.Last(s.Config.LeaderLeaseTTL()); ok && r.Serving {
+			return true
+		}
+	}
+	return false
+}
+
+// isIsolated reports whether no peer has answered lately. With the state service not
+// reached either, it is this node that is cut off: in an outage that all share, peers
+// answer.
+func (s *Server) isIsolated() bool {
+	for _, p := range s.Peers {
+		if _, ok := p.Last(s.Config.LeaderLeaseTTL() * 3 / 2); ok {
+			return false
+		}
+	}
+	return len(s.Peers) > 0
+}
--- /dev/null
+++ b/internal/httpapi/operators.go
@@ -0,0 +1,64 @@
+package httpapi
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"net/http"
+
+	"github.com/labstack/echo/v4"
+
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/store"
+)
+
+// metrics writes the metrics in the Prometheus text format.
+func (s *Server) metrics(c echo.Context) error {
+	var out bytes.Buffer
+	s.Operations.WriteMetrics(&out)
+	return c.Blob(http.StatusOK, "text/plain; version=0.0.4", out.Bytes())
+}
+
+// status answers how this node stands and, if the leader is reached, how
+// the whole service does.
+func (s *Server) status(c echo.Context) error { return c.JSON(http.StatusOK, s.Operations.Status()) }
+
+// settings answers the operators' settings in force.
+func (s *Server) settings(c echo.Context) error {
+	return c.JSON(http.StatusOK, s.Settings.Current())
+}
+
+// changeSettings changes the operators' settings. Fields that are left out stay
+// as they are; Stamp must be the version that the change was made from.
+func (s *Server) changeSettings(c echo.Context) error {
+	body, err := readBody(c)
+	if err != nil {
+		return err
+	}
+	var version struct {
+		ModRevision *uint64 `json:"Stamp"`
+	}
+	if err := json.Unmarshal(body, &version); err != nil || version.ModRevision == nil {
+		return echo.NewHTTPError(http.StatusBadRequest, "the body must be a JSON object with the Stamp of the settings that it changes")
+	}
+	next := *s.Settings.Current()
+	if next.ModRevision != *version.ModRevision {
+		return c.JSON(http.StatusConflict, next)
+	}
+	dec := json.NewDecoder(bytes.NewReader(body))
+	dec.DisallowUnknownFields()
+	if err := dec.Decode(&next); err != nil {
+		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
+	}
+	if err := records.CheckSettings(next); err != nil {
+		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
+	}
+	var conflict *store.ConflictError
+	switch err := s.Settings.Change(c.Request().Context(), next); {
+	case errors.As(err, &conflict):
+		return c.JSON(http.StatusConflict, s.Settings.Current())
+	case err != nil:
+		return retryLater("cannot be recorded now")
+	}
+	return c.JSON(http.StatusOK, s.Settings.Current())
+}
--- a/internal/node/profile.go
+++ b/internal/httpapi/profile.go
@@ -1,4 +1,4 @@
-package node
+package httpapi
 
 import (
 	"net/http"
@@ -8,10 +8,10 @@
 	"github.com/labstack/echo/v4"
 )
 
-// adminProfile serves the profiles of net/http/pprof while the operators' settings
+// profile serves the profiles of net/http/pprof while the operators' settings
 // allow it: taking one costs processor time.
-func (n *Node) adminProfile(c echo.Context) error {
-	if !n.settings.Load().Profiling {
+func (s *Server) profile(c echo.Context) error {
+	if !s.Settings.Current().Profiling {
 		return echo.NewHTTPError(http.StatusForbidden, "profiling is off: set Profiling in /admin/settings")
 	}
 	var handler http.Handler
--- /dev/null
+++ b/internal/httpapi/server.go
@@ -0,0 +1,131 @@
+// Package httpapi is what users, workers and operators reach over HTTP: routes, parsing,
+// status codes and Retry-After. What is answered is decided behind the interfaces of
+// Options.
+package httpapi
+
+import (
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+
+	"github.com/labstack/echo/v4"
+
+	"lotusstile.dev/lotusstile/internal/admission"
+	"lotusstile.dev/lotusstile/internal/clusterversion"
+	"lotusstile.dev/lotusstile/internal/config"
+	"lotusstile.dev/lotusstile/internal/jobstatus"
+	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/relay"
+	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/watchcache"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// Heartbeats answers workers.
+type Heartbeats interface {
+	// Answer decides the answer to the body of a heartbeat that a worker has sent here.
+	// Its error is of the kinds that EncodeHeartbeatAnswer maps.
+	Answer(ctx context.Context, body []byte, pressure relay.Pressure) (*wire.Commands, error)
+}
+
+// Settings are the operators' own settings.
+type Settings interface {
+	// Current returns the settings in force, which must not be changed.
+	Current() *wire.Settings
+	// Change commits settings made from Current. A *store.ConflictError means that others
+	// were committed meanwhile.
+	Change(ctx context.Context, next wire.Settings) error
+}
+
+// Operations is what operators are shown.
+type Operations interface {
+	Status() wire.Status
+	// WriteMetrics writes the metrics in the Prometheus text format.
+	WriteMetrics(out io.Writer)
+	// CountRequest counts an answered request of a kind by its status.
+	CountRequest(kind string, status int)
+}
+
+// Options are what a Server answers from.
+type Options struct {
+	Config      *config.Config
+	Store       *store.Client
+	Statuses    *jobstatus.Reader
+	JobCache    *watchcache.Cache
+	Version     *clusterversion.Tracker
+	Load        *admission.LoadMonitor
+	Connections *admission.Connections
+	Peers       []*peer.Peer
+	Heartbeats  Heartbeats
+	Settings    Settings
+	Operations  Operations
+	// Catalog returns the machine types, or nil before they are known.
+	Catalog func() *wire.Catalog
+	// Serving reports whether this node has read the state service lately.
+	Serving func() bool
+	// AnnounceCancelled tells this node and its peers of a committed cancellation.
+	AnnounceCancelled func(peer.Cancellation)
+}
+
+// Server answers users, workers, operators and health checks.
+type Server struct {
+	Options
+	echo *echo.Echo
+}
+
+// New returns a server.
+func New(o Options) *Server {
+	s := &Server{Options: o, echo: echo.New()}
+	s.echo.HideBanner, s.echo.HidePort = true, true
+	s.echo.HTTPErrorHandler = handleError
+	s.echo.POST("/checkin", s.heartbeat)
+	s.echo.POST(submitPath, s.user(s.submit))
+	s.echo.GET("/work/:id", s.user(s.poll))
+	s.echo.POST("/work/:id/withdraw", s.user(s.cancel))
+	s.echo.GET("/ready", s.ready)
+	s.echo.GET("/admin/status", s.status)
+	s.echo.GET("/admin/metrics", s.metrics)
+	s.echo.GET("/admin/pprof/:name", s.profile)
+	s.echo.GET("/admin/settings", s.settings)
+	s.echo.PUT("/admin/settings", s.changeSettings)
+	return s
+}
+
+// submitPath is where jobs are submitted.
+const submitPath = "/work"
+
+// Handler answers all routes.
+func (s *Server) Handler() http.Handler { return s.echo }
+
+// Serve answers on l until it closes.
+func (s *Server) Serve(l net.Listener) error {
+	limited := s.Connections.Listen(l)
+	srv := &http.Server{
+		ConnState:         limited.Track,
+		ConnContext:       limited.Context,
+		Handler:           s.Connections.CloseUnderPressure(s.Handler()),
+		ReadHeaderTimeout: s.Config.WorkerLease() / 2,
+		ReadTimeout:       s.Config.WorkerLease() / 2,
+		WriteTimeout:      s.Config.WorkerLease(),
+		IdleTimeout:       3 * s.Config.WorkerLease(),
+		MaxHeaderBytes:    8 << 10,
+	}
+	err := srv.Serve(limited)
+	if errors.Is(err, net.ErrClosed) {
+		return nil
+	}
+	return err
+}
+
+// handleError answers a request whose handler has failed.
+func handleError(err error, c echo.Context) {
+	if c.Response().Committed {
+		return
+	}
+	if err := respondError(c, err); err != nil {
+		slog.Debug("answer could not be written", "err", err)
+	}
+}
--- /dev/null
+++ b/internal/node/campaigndelay.go
@@ -0,0 +1,63 @@
+package node
+
+import (
+	"slices"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/peer"
+)
+
+// Which node should lead: one whose workers find another controller in time if it ends. That is
+// a matter of zones, which do not change, and of who is unreachable, which does. After a controller had
+// been unreachable for over a minute the leader before it in the workers' order stood still for 5 s:
+// its workers tried the unreachable one next, and the leases of all 112 machines ended.
+
+// transferLeases is for how many worker leases a leader has led, and a peer with a shorter
+// campaign delay has been well, before the leadership is transferred.
+const transferLeases = 3
+
+// campaign is this node's priority in elections.
+type campaign struct {
+	*leadership
+	// isRelaying reports whether this node leads and wants followers to relay heartbeats.
+	isRelaying func() bool
+}
+
+// isUnreachable reports whether a node has not answered for a time. This node never is.
+func (c *campaign) isUnreachable(label string, patience time.Duration) bool {
+	return c.peer(label) != nil && !c.isReached(label, patience)
+}
+
+// delayOf is how long a node should wait before it campaigns, in units of the elector: 0 for the
+// node that is placed best to lead.
+func (c *campaign) delayOf(label string, unreachable func(label string) bool) int {
+	return c.cfg.CampaignDelay(label) + c.cfg.UnreachableSuccessors(label, unreachable)
+}
+
+// ownDelay is this node's campaign delay when nobody leads.
+func (c *campaign) ownDelay() int {
+	return c.delayOf(c.cfg.Label, func(label string) bool { return c.isUnreachable(label, c.cfg.LeaderLeaseTTL()) })
+}
+
+// successorDelay is a node's campaign delay once this one, which leads, is unreachable.
+func (c *campaign) successorDelay(label string) int {
+	return c.delayOf(label, func(other string) bool {
+		return other == c.cfg.Label || c.isUnreachable(other, c.cfg.LeaderLeaseTTL())
+	})
+}
+
+// shouldTransfer reports whether a peer with a shorter campaign delay has been well for so long
+// that it is worth a change of leader. Who is unreachable counts once it has been for a lease, so
+// that restarts do not, and only while all workers report to the leader.
+func (c *campaign) shouldTransfer() bool {
+	own := c.controller()
+	enough := transferLeases * c.cfg.WorkerLease()
+	if own == nil || time.Since(own.Begun()) < enough {
+		return false
+	}
+	unreachable := func(label string) bool { return !c.isRelaying() && c.isUnreachable(label, c.cfg.WorkerLease()) }
+	delay := c.delayOf(c.cfg.Label, unreachable)
+	return slices.ContainsFunc(c.peers, func(p *peer.Peer) bool {
+		return p.Well() > enough && c.delayOf(p.Label, unreachable) < delay
+	})
+}
--- /dev/null
+++ b/internal/node/heartbeats_test.go
@@ -0,0 +1,87 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/config"
+	"lotusstile.dev/lotusstile/internal/httpapi"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/relay"
+	"lotusstile.dev/lotusstile/internal/workerlease"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// Every answer that renews a lease stops what is cancelled, and none is given on
+// knowledge that is too old, whatever path it comes from: a leader that had not
+// loaded its records renewed leases without stopping anything, and a node whose
+// watch of the jobs hung renewed them because other requests were answered.
+func TestLeasesAreRenewedOnKnowledge(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cfg := &config.Config{}
+		cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.CancelS = 10, 1, 40
+		cfg.Cluster.State.Rps, cfg.Cluster.State.WriteRps, cfg.Cluster.Cloud.Rps = 100, 100, 1
+		state := always(http.StatusOK)
+		n := New(cfg, Network{State: &state})
+		leases := n.heartbeats.leases
+		time.Sleep(time.Second)
+		report := wire.Heartbeat{Host: "m", Tasks: []wire.TaskReport{
+			{Task: "run-000001/0", Attempt: 2, Status: wire.TaskRunning},
+			{Task: "run-000001/1", Attempt: 1, Status: wire.TaskSaving},
+			{Task: "run-000001/2", Attempt: 1, Status: wire.TaskEnded},
+			{Task: "run-000002/0", Attempt: 1, Status: wire.TaskRunning},
+		}}
+		ordered := []wire.Command{
+			{Verb: wire.Launch, Task: "run-000001/3", Attempt: 1},
+			{Verb: wire.Stop, Task: "run-000001/1", Attempt: 1, GracePeriodS: 9},
+			{Verb: wire.Stop, Task: "run-000001/4", Attempt: 1},
+			{Verb: wire.Acknowledge, Task: "run-000001/2", Attempt: 1},
+			{Verb: wire.Launch, Task: "run-000002/1", Attempt: 1},
+		}
+		if err := leases.Renew(&report, &wire.Commands{}); !errors.Is(err, workerlease.ErrStale) {
+			t.Error("a lease is renewed before the jobs are listed:", err)
+		}
+		rows := []wire.KeyValue{
+			{Key: "j/run-000001", Value: records.Encode(records.Job{Status: wire.JobAborted}), ModRevision: 1},
+			{Key: "j/run-000002", Value: records.Encode(records.Job{Status: wire.JobQueued}), ModRevision: 2},
+		}
+		n.jobCache.Reset(rows, 2, time.Now())
+		answer := wire.Commands{Commands: slices.Clone(ordered)}
+		if err := leases.Renew(&report, &answer); err != nil {
+			t.Error("not renewed on fresh knowledge:", err)
+		}
+		var got []string
+		for _, w := range answer.Commands {
+			got = append(got, fmt.Sprintf("%s %s %d %g", w.Verb, w.Task, w.Attempt, w.GracePeriodS))
+		}
+		slices.Sort(got)
+		want := "launch run-000002/1 1 0, reap run-000001/2 1 0, stop run-000001/0 2 0, stop run-000001/1 1 0, stop run-000001/4 1 0"
+		if text := strings.Join(got, ", "); text != want {
+			t.Errorf("orders are %s\nexpected %s", text, want)
+		}
+		// Other requests are answered all the time, but nothing is learned of the jobs.
+		for age := time.Duration(0); age <= 29*time.Second; age += time.Second {
+			if err := leases.Renew(&report, &wire.Commands{}); err != nil {
+				t.Errorf("not renewed on knowledge of %s: %v", age, err)
+			}
+			if _, _, err := n.store.Get(t.Context(), records.TermKey); err != nil {
+				t.Fatal(err)
+			}
+			time.Sleep(time.Second)
+		}
+		// 30 s + a lease would be over before 40 s by nothing.
+		if err := leases.Renew(&report, &wire.Commands{}); !errors.Is(err, workerlease.ErrStale) {
+			t.Error("renewed on knowledge of 30 s:", err)
+		}
+		const body = `{"Host":"m","Address":"m:1","Rig":"g","Yard":"a","Shift":1,"Tick":1,"Legs":[]}`
+		if status, _ := httpapi.EncodeHeartbeatAnswer(n.heartbeats.Answer(t.Context(), []byte(body), relay.Relaxed)); status != http.StatusServiceUnavailable {
+			t.Errorf("answered %d", status)
+		}
+	})
+}
--- /dev/null
+++ b/internal/node/metrics.go
@@ -0,0 +1,140 @@
+package node
+
+import (
+	"fmt"
+	"io"
+	"sync"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"lotusstile.dev/lotusstile/internal/controller"
+	"lotusstile.dev/lotusstile/internal/relay"
+	"lotusstile.dev/lotusstile/internal/standby"
+)
+
+// nodeMetrics are the metrics of a node. Their names are an interface to operators.
+type nodeMetrics struct {
+	set              *metrics.Set
+	cycles           *metrics.Histogram
+	malformedBatches *metrics.Counter
+	requests         sync.Map // *metrics.Counter by requestKind
+}
+
+func newNodeMetrics() *nodeMetrics {
+	set := metrics.NewSet()
+	return &nodeMetrics{
+		set:              set,
+		cycles:           set.NewHistogram("lotusstile_round_seconds"),
+		malformedBatches: set.NewCounter("lotusstile_refused_batches_total"),
+	}
+}
+
+// gauge adds a metric that is read from f on demand.
+func (m *nodeMetrics) gauge(name string, f func() float64) { m.set.NewGauge(name, f) }
+
+// observeCycle records how long a scheduling cycle took.
+func (m *nodeMetrics) observeCycle(took time.Duration) { m.cycles.Update(took.Seconds()) }
+
+// requestKind is what answered requests are counted by.
+type requestKind struct {
+	kind   string
+	status int
+}
+
+// countRequest counts an answered request.
+func (m *nodeMetrics) countRequest(kind string, status int) {
+	key := requestKind{kind, status}
+	counter, ok := m.requests.Load(key)
+	if !ok {
+		name := fmt.Sprintf(`lotusstile_requests_total{kind=%q,status="%d"}`, kind, status)
+		counter, _ = m.requests.LoadOrStore(key, m.set.GetOrCreateCounter(name))
+	}
+	counter.(*metrics.Counter).Inc()
+}
+
+// countRelayed counts heartbeats by how they were relayed.
+func (m *nodeMetrics) countRelayed(kind relay.ReportKind, count int) {
+	if count > 0 {
+		m.set.GetOrCreateCounter(fmt.Sprintf(`lotusstile_relayed_reports_total{kind=%q}`, string(kind))).Add(count)
+	}
+}
+
+// registerGauges adds the metrics that are read from the parts of a node.
+func (n *Node) registerGauges() {
+	gauge := n.metrics.gauge
+	gauge("lotusstile_leading", func() float64 {
+		if n.controller() != nil {
+			return 1
+		}
+		return 0
+	})
+	gauge("lotusstile_term", func() float64 { return float64(n.elector.View().Term) })
+	gauge("lotusstile_lag_seconds", func() float64 { return n.load.Lag().Seconds() })
+	gauge("lotusstile_state_proof_seconds", func() float64 { return min(n.store.ProofAge(), time.Hour).Seconds() })
+	gauge("lotusstile_cluster_version", func() float64 { return float64(n.version.InForce()) })
+	gauge("lotusstile_rejected_commits_total", func() float64 { return float64(n.store.Rejections()) })
+	gauge("lotusstile_state_throttled_total", func() float64 { return float64(n.store.Throttled()) })
+	gauge(`lotusstile_question_rate{kind="shared"}`, func() float64 { return n.store.SharedReads().Allowed() })
+	gauge(`lotusstile_question_rate{kind="lookup"}`, func() float64 { return n.store.Lookups().Allowed() })
+	gauge(`lotusstile_question_cuts_total{kind="shared"}`, func() float64 { return float64(n.store.SharedReads().Cuts()) })
+	gauge(`lotusstile_question_cuts_total{kind="lookup"}`, func() float64 { return float64(n.store.Lookups().Cuts()) })
+	gauge(`lotusstile_refused_pages_total{from="state"}`, func() float64 { return float64(n.store.RefusedPages()) })
+	gauge(`lotusstile_refused_pages_total{from="cloud"}`, func() float64 { return float64(n.cloud.RefusedPages()) })
+	gauge("lotusstile_connections", func() float64 { return float64(n.connections.Open()) })
+	gauge("lotusstile_reserve_connections", func() float64 { return float64(n.connections.Reserved()) })
+	gauge("lotusstile_evicted_connections_total", func() float64 { return float64(n.connections.Evicted()) })
+	gauge("lotusstile_knowledge_seconds", func() float64 { return min(time.Since(n.jobCache.Fresh()), time.Hour).Seconds() })
+	if n.standby.enabled() {
+		n.registerStandbyGauges()
+	}
+}
+
+// registerStandbyGauges adds the metrics of the warm standby.
+func (n *Node) registerStandbyGauges() {
+	gauge := n.metrics.gauge
+	for _, name := range standby.StateNames() {
+		gauge(fmt.Sprintf(`lotusstile_standby_state{state=%q}`, name), func() float64 {
+			if n.standby.follower.Status().State.String() == name {
+				return 1
+			}
+			return 0
+		})
+	}
+	gauge("lotusstile_standby_position", func() float64 { return float64(n.standby.status().Position) })
+	gauge("lotusstile_standby_lag_seconds", func() float64 { return n.standby.status().LagS })
+	gauge("lotusstile_standby_moved_bytes_total", func() float64 { return float64(n.standby.status().Moved) })
+	gauge("lotusstile_takeover_seconds", func() float64 { return n.standby.lastFailover().Seconds() })
+}
+
+// WriteMetrics writes the metrics in the Prometheus text format.
+func (n *Node) WriteMetrics(out io.Writer) {
+	n.metrics.set.WritePrometheus(out)
+	if n.standby.enabled() {
+		for cause, count := range n.standby.follower.Status().Refused {
+			metrics.WriteCounterUint64(out, fmt.Sprintf(`lotusstile_standby_refused_total{cause=%q}`, cause), count)
+		}
+	}
+	if c := n.controller(); c != nil {
+		writeLeaderMetrics(out, c)
+	}
+}
+
+// CountRequest counts an answered request of a kind by its status.
+func (n *Node) CountRequest(kind string, status int) { n.metrics.countRequest(kind, status) }
+
+// writeLeaderMetrics writes what only the leader knows.
+func writeLeaderMetrics(out io.Writer, c *controller.Controller) {
+	status := c.Status()
+	for state, count := range status.Machines {
+		metrics.WriteGaugeUint64(out, fmt.Sprintf(`lotusstile_machines{state=%q}`, state), uint64(count))
+	}
+	for name, class := range status.Classes {
+		metrics.WriteGaugeUint64(out, fmt.Sprintf(`lotusstile_tasks{class=%q,state="waiting"}`, name), uint64(class.Waiting))
+		metrics.WriteGaugeUint64(out, fmt.Sprintf(`lotusstile_tasks{class=%q,state="placed"}`, name), uint64(class.Placed))
+	}
+	metrics.WriteGaugeUint64(out, "lotusstile_window", uint64(status.Window))
+	metrics.WriteGaugeUint64(out, "lotusstile_suspected_jobs", uint64(status.SuspectJobs))
+	metrics.WriteGaugeUint64(out, "lotusstile_blamed_machines", uint64(status.QuarantinedMachines))
+	metrics.WriteCounterUint64(out, "lotusstile_stale_nodes_total", c.StaleNodes())
+}
--- /dev/null
+++ b/internal/node/network.go
@@ -0,0 +1,47 @@
+package node
+
+import (
+	"net"
+	"net/http"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/config"
+	"lotusstile.dev/lotusstile/internal/peer"
+)
+
+// Network is how a node reaches others.
+type Network struct {
+	State, Cloud, Workers http.RoundTripper
+	DialPeer              peer.Dialer
+}
+
+// connectionLimits bound the connections to one service.
+type connectionLimits struct {
+	dialTimeout time.Duration
+	perHost     int
+	idlePerHost int
+	idleTimeout time.Duration
+}
+
+func (l connectionLimits) transport() http.RoundTripper {
+	return &http.Transport{
+		DialContext:         (&net.Dialer{Timeout: l.dialTimeout}).DialContext,
+		MaxConnsPerHost:     l.perHost,
+		MaxIdleConnsPerHost: l.idlePerHost,
+		IdleConnTimeout:     l.idleTimeout,
+		DisableCompression:  true,
+	}
+}
+
+// TCP is the network of a node that runs as a process of its own.
+func TCP(cfg *config.Config) Network {
+	lease, interval := cfg.WorkerLease(), cfg.HeartbeatInterval()
+	return Network{
+		State:   connectionLimits{dialTimeout: lease / 5, perHost: 24, idlePerHost: 8, idleTimeout: 3 * lease}.transport(),
+		Cloud:   connectionLimits{dialTimeout: lease / 5, perHost: 6, idlePerHost: 3, idleTimeout: 3 * lease}.transport(),
+		Workers: connectionLimits{dialTimeout: interval / 2, perHost: 1, idlePerHost: 1, idleTimeout: interval}.transport(),
+		DialPeer: func(addr string, timeout time.Duration) (net.Conn, error) {
+			return net.DialTimeout("tcp", addr, timeout)
+		},
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,9 @@
-// Package node is one controller node as users, workers and peers meet it.
+// Package node assembles one controller node: it makes its parts, starts them, and owns
+// the goroutines that they run in.
 package node
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"net"
@@ -12,306 +12,236 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/VictoriaMetrics/metrics"
-	"github.com/labstack/echo/v4"
-
+	"lotusstile.dev/lotusstile/internal/admission"
 	"lotusstile.dev/lotusstile/internal/cloud"
 	"lotusstile.dev/lotusstile/internal/clusterversion"
 	"lotusstile.dev/lotusstile/internal/config"
-	"lotusstile.dev/lotusstile/internal/connlimit"
 	"lotusstile.dev/lotusstile/internal/controller"
 	"lotusstile.dev/lotusstile/internal/election"
+	"lotusstile.dev/lotusstile/internal/httpapi"
+	"lotusstile.dev/lotusstile/internal/jobstatus"
 	"lotusstile.dev/lotusstile/internal/peer"
-	"lotusstile.dev/lotusstile/internal/records"
 	"lotusstile.dev/lotusstile/internal/store"
 	"lotusstile.dev/lotusstile/internal/watchcache"
+	"lotusstile.dev/lotusstile/internal/workerlease"
 	"lotusstile.dev/lotusstile/wire"
 )
 
 // Node is one controller node.
 type Node struct {
-	cfg       *config.Config
-	store     *store.Client
-	cloud     *cloud.Client
-	jobReader *watchcache.LinearizableReader // brings mirror up to date for polls
-	jobCache  *watchcache.Cache
-	elector   *election.Elector
-	peers     []*peer.Peer
-	workers   *http.Client
-	echo      *echo.Echo
-	load      load
-	meters    *metrics.Set
-	rounds    *metrics.Histogram
-	// refusedBatches counts batches of relayed reports that could not be taken apart.
-	refusedBatches *metrics.Counter
-	requests       sync.Map // *metrics.Counter by requestKind
-
-	lead        atomic.Pointer[controller.Controller]
-	catalog     atomic.Pointer[wire.Catalog]
-	settings    atomic.Pointer[wire.Settings]
-	finals      finals
-	counts      taskCounts
-	version     *clusterversion.Tracker
-	relays      relays
-	standby     warmStandby
-	reserve     *reserve
-	connections atomic.Pointer[connlimit.Listener] // of users, workers and operators; nil before it listens
-
-	mu            sync.Mutex
-	contacts      map[string]contact   // by machine: how it was answered in the leader's place
-	renewedLeases map[string]time.Time // by machine: when this node kept its lease
-}
-
-// Network is how a node reaches others.
-type Network struct {
-	State, Cloud, Workers http.RoundTripper
-	DialPeer              peer.Dialer
-}
-
-// TCP is the network of a node that runs as a process of its own.
-func TCP(cfg *config.Config) Network {
-	transport := func(dial time.Duration, conns, idle int, idleFor time.Duration) http.RoundTripper {
-		return &http.Transport{DialContext: (&net.Dialer{Timeout: dial}).DialContext, MaxConnsPerHost: conns,
-			MaxIdleConnsPerHost: idle, IdleConnTimeout: idleFor, DisableCompression: true}
-	}
-	lease, every := cfg.WorkerLease(), cfg.HeartbeatInterval()
-	return Network{
-		State:   transport(lease/5, 24, 8, 3*lease),
-		Cloud:   transport(lease/5, 6, 3, 3*lease),
-		Workers: transport(every/2, 1, 1, every),
-		DialPeer: func(addr string, timeout time.Duration) (net.Conn, error) {
-			return net.DialTimeout("tcp", addr, timeout)
-		},
-	}
+	*leadership
+	store   *store.Client
+	cloud   *cloud.Client
+	workers *workerClient
+	metrics *nodeMetrics
+
+	// What the node knows.
+	jobCache *watchcache.Cache
+	catalog  atomic.Pointer[wire.Catalog] // nil before it has been read
+	settings *settings
+	version  *clusterversion.Tracker
+	counts   jobstatus.TaskCounts
+	statuses *jobstatus.Reader
+
+	// Who is answered, and how.
+	load        *admission.LoadMonitor
+	connections *admission.Connections
+	heartbeats  *heartbeats
+	renewals    *renewals
+	relays      *relays
+	standby     *warmStandby
+	api         *httpapi.Server
+
+	background sync.WaitGroup // all goroutines of the node
 }
 
 // New makes a node.
-func New(cfg *config.Config, nw Network) *Node {
+func New(cfg *config.Config, network Network) *Node {
 	timeout := cfg.WorkerLease() / 5
-	st := cfg.StateLimits()
+	limits := cfg.StateLimits()
 	n := &Node{
-		cfg:           cfg,
-		store:         store.New(cfg.Services.State, store.Limits{Rps: st.Rps, WriteRps: st.WriteRps, Nodes: len(cfg.Members) + 1}, timeout, nw.State),
-		cloud:         cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, timeout, nw.Cloud),
-		jobCache:      watchcache.New(),
-		peers:         peer.Peers(cfg, cfg.LeaderLeaseTTL()/4, nw.DialPeer),
-		contacts:      map[string]contact{},
-		renewedLeases: map[string]time.Time{},
-		version:       clusterversion.NewTracker(),
-		workers:       &http.Client{Timeout: cfg.HeartbeatInterval(), Transport: nw.Workers},
-	}
-	n.jobReader = watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReads(), timeout)
-	n.finals = newFinals(cfg.Cluster.Limits.MemMb)
-	defaults := records.DefaultSettings(cfg.Cluster.Workers.ReportS)
-	n.settings.Store(&defaults)
-	n.measure()
-	n.newRelays()
-	n.newStandby()
-	n.reserve = newReserve(cfg.Cluster.Limits.MaxConnections)
-	n.load.limit, n.load.most = cfg.HeartbeatInterval()/2, int64(cfg.Cluster.Limits.MaxConnections/8)
-	n.echo = n.routes()
+		leadership: &leadership{cfg: cfg, peers: peer.Peers(cfg, cfg.LeaderLeaseTTL()/4, network.DialPeer)},
+		store: store.New(
+			cfg.Services.State,
+			store.Limits{Rps: limits.Rps, WriteRps: limits.WriteRps, Nodes: len(cfg.Members) + 1},
+			timeout,
+			network.State,
+		),
+		cloud:       cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, timeout, network.Cloud),
+		workers:     &workerClient{&http.Client{Timeout: cfg.HeartbeatInterval(), Transport: network.Workers}},
+		metrics:     newNodeMetrics(),
+		jobCache:    watchcache.New(),
+		version:     clusterversion.NewTracker(),
+		load:        admission.NewLoadMonitor(cfg.HeartbeatInterval()/2, int64(cfg.Cluster.Limits.MaxConnections/8)),
+		connections: admission.NewConnections(cfg.Cluster.Limits.MaxConnections, cfg.HeartbeatInterval()),
+	}
+	n.settings = newSettings(n.store, cfg.Cluster.Workers.ReportS)
+	n.statuses = jobstatus.NewReader(jobstatus.Options{
+		Store:     n.store,
+		Jobs:      n.jobCache,
+		Refresher: watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReads(), timeout),
+		MemoryMb:  cfg.Cluster.Limits.MemMb,
+		Counts:    n.taskCounts,
+	})
 	n.elector = election.New(n.store, cfg.Label, cfg.LeaderLeaseTTL(), n.leadTerm)
+	n.relays = newRelays(n.leadership, n.metrics)
+	campaign := &campaign{leadership: n.leadership, isRelaying: n.relays.isRelaying}
+	n.standby = newWarmStandby(n.leadership, n.store, campaign)
 	n.elector.Align(cfg.Grid())
-	n.elector.Prefer(n.campaignDelay, n.better)
-	n.elector.DeferTo(n.otherStandsBy)
+	n.elector.Prefer(campaign.ownDelay, campaign.shouldTransfer)
+	n.elector.DeferTo(n.standby.peerIsPreferred)
+	n.renewals = &renewals{leadership: n.leadership, store: n.store, serving: n.isServing, renewed: map[string]time.Time{}}
+	n.heartbeats = &heartbeats{
+		leadership: n.leadership,
+		leases:     workerlease.NewRenewer(n.jobCache, cfg.KnowledgeLimit()),
+		load:       n.load,
+		relays:     n.relays,
+		renewals:   n.renewals,
+		contacts:   map[string]contact{},
+	}
+	n.api = n.newAPI()
+	n.registerGauges()
 	return n
 }
 
-// Run listens and serves until ctx ends.
+// newAPI makes the HTTP server of the node.
+func (n *Node) newAPI() *httpapi.Server {
+	return httpapi.New(httpapi.Options{
+		Config:            n.cfg,
+		Store:             n.store,
+		Statuses:          n.statuses,
+		JobCache:          n.jobCache,
+		Version:           n.version,
+		Load:              n.load,
+		Connections:       n.connections,
+		Peers:             n.peers,
+		Heartbeats:        n.heartbeats,
+		Settings:          n.settings,
+		Operations:        n,
+		Catalog:           n.catalog.Load,
+		Serving:           n.isServing,
+		AnnounceCancelled: n.announceCancelled,
+	})
+}
+
+// Handler answers users, workers, operators and health checks.
+func (n *Node) Handler() http.Handler { return n.api.Handler() }
+
+// Run listens and serves until ctx ends or a listener fails. It returns once the parts of the
+// node have stopped, or after the time-out of a request to the services: the process ends then.
 func (n *Node) Run(ctx context.Context) error {
-	peerListener, err := net.Listen("tcp", n.cfg.PeerAddr)
+	srv, err := peer.NewServer(n)
+	if err != nil {
+		return err
+	}
+	peers, err := net.Listen("tcp", n.cfg.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("listen on mesh_addr: %w", err)
 	}
 	// Idle connections are closed by time limits: probes on each would only cost
 	// system calls.
-	listen := net.ListenConfig{KeepAlive: -1}
-	users, err := listen.Listen(ctx, "tcp", n.cfg.Listen)
+	withoutProbes := net.ListenConfig{KeepAlive: -1}
+	clients, err := withoutProbes.Listen(ctx, "tcp", n.cfg.Listen)
 	if err != nil {
+		peers.Close()
 		return fmt.Errorf("listen: %w", err)
 	}
-	srv, err := peer.NewServer(n)
-	if err != nil {
-		return err
-	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	errs := make(chan error, 2)
-	go func() { errs <- peer.Serve(peerListener, srv) }()
-	go func() { errs <- n.serve(users) }()
+	n.background.Go(func() { errs <- peer.Serve(peers, srv) })
+	n.background.Go(func() { errs <- n.api.Serve(clients) })
 	n.Start(ctx)
-	slog.Info("serving", "label", n.cfg.Label, "listen", n.cfg.Listen, "mesh", n.cfg.PeerAddr)
+	slog.Info("node is serving", "label", n.cfg.Label, "listen", n.cfg.Listen, "mesh", n.cfg.PeerAddr)
 	select {
 	case <-ctx.Done():
 	case err = <-errs:
 	}
-	peerListener.Close()
-	users.Close()
+	cancel()
+	peers.Close()
+	clients.Close()
+	if !n.waitFor(n.cfg.WorkerLease() / 5) {
+		slog.Warn("parts of the node have not stopped in time")
+	}
 	return err
 }
 
-// Start begins all that a node does beside answering. It ends with ctx.
+// Start begins all that a node does beside answering. It ends with ctx; Wait waits for that.
 func (n *Node) Start(ctx context.Context) {
 	watchFor, pause := n.cfg.WorkerLease(), n.cfg.LeaderLeaseTTL()/8
-	go n.jobCache.Run(ctx, n.store, watchFor, pause)
-	go watchcache.Follow(ctx, n.store, records.SettingsPrefix, 3*watchFor, pause, watchcache.Funcs{Listed: n.takeOption, Changed: n.takeOption})
-	go n.elector.Run(ctx)
-	go n.version.Announce(ctx, n.store, n.cfg.Label, 2*n.cfg.LeaderLeaseTTL())
-	go n.readCatalog(ctx)
-	go n.keepCacheFresh(ctx)
-	go n.load.watch(ctx, n.cfg.Grid(), n.cfg.LeaderLeaseTTL()/8)
-	go n.publishRenewedLeases(ctx)
-	go n.relays.sender.Run(ctx)
-	go n.followLeader(ctx)
+	for _, part := range []func(){
+		func() { n.jobCache.Run(ctx, n.store, watchFor, pause) },
+		func() { n.followSettings(ctx, 3*watchFor, pause) },
+		func() { n.elector.Run(ctx) },
+		func() { n.version.Announce(ctx, n.store, n.cfg.Label, 2*n.cfg.LeaderLeaseTTL()) },
+		func() { n.readCatalog(ctx) },
+		func() { n.keepCacheFresh(ctx) },
+		func() { n.load.Run(ctx, n.cfg.Grid(), n.cfg.LeaderLeaseTTL()/8) },
+		func() { n.renewals.publish(ctx) },
+		func() { n.relays.sender.Run(ctx) },
+		func() { n.standby.followLeader(ctx) },
+	} {
+		n.background.Go(part)
+	}
 	for _, p := range n.peers {
-		go n.ping(ctx, p)
+		n.background.Go(func() { n.ping(ctx, p) })
 	}
-	go func() {
+	n.background.Go(func() {
 		<-ctx.Done()
 		for _, p := range n.peers {
 			p.Close()
 		}
+	})
+}
+
+// Wait returns once all goroutines of the node have ended. They do after the end of the
+// context that Start was given, once their last request has been answered or given up.
+func (n *Node) Wait() { n.background.Wait() }
+
+// waitFor waits for at most d, and reports whether all goroutines have ended.
+func (n *Node) waitFor(d time.Duration) bool {
+	ended := make(chan struct{})
+	go func() {
+		n.Wait()
+		close(ended)
 	}()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ended:
+		return true
+	case <-timer.C:
+		return false
+	}
 }
 
+// leadTerm leads one term, until ctx ends or another leader is seen.
 func (n *Node) leadTerm(ctx context.Context, term uint64) {
 	ctx, cancel := context.WithCancel(ctx)
+	defer n.relays.watch.Wait()
 	defer cancel()
-	deps := controller.Deps{Config: n.cfg, Store: n.store, Cloud: n.cloud, Worker: n, JobCache: n.jobCache,
-		Settings: func() wire.Settings { return *n.settings.Load() }, Rounded: n.rounded,
-		Version:     n.version,
-		ObserveTerm: func(t uint64) { n.elector.ObserveTerm(t, "") }, RenewedByPeers: n.renewedByPeers, Reached: n.reached, RelayReached: n.relayReached,
-		LeaderlessSince: n.elector.LeaderlessSince(), Final: n.finals.put}
-	n.beginStandby(&deps, term)
-	defer n.endStandby()
+	deps := controller.Deps{
+		Config:          n.cfg,
+		Store:           n.store,
+		Cloud:           n.cloud,
+		Worker:          n.workers,
+		JobCache:        n.jobCache,
+		Settings:        func() wire.Settings { return *n.settings.Current() },
+		Rounded:         n.metrics.observeCycle,
+		Version:         n.version,
+		ObserveTerm:     func(t uint64) { n.elector.ObserveTerm(t, "") },
+		RenewedByPeers:  n.renewedByPeers,
+		Reached:         n.reachedZones,
+		RelayReached:    n.answersPings,
+		LeaderlessSince: n.elector.LeaderlessSince(),
+		Final:           n.statuses.RecordFinal,
+	}
+	n.standby.beginTerm(&deps, term)
+	defer n.standby.endTerm()
 	c := controller.New(deps, term)
-	n.lead.Store(c)
-	defer n.lead.Store(nil)
-	n.beginRelays(ctx, term)
-	defer n.endRelays()
+	n.own.Store(c)
+	defer n.own.Store(nil)
+	n.relays.beginTerm(ctx, term, n.heartbeats.answerBatched)
+	defer n.relays.endTerm()
 	c.Run(ctx)
 }
-
-// takeOption takes a record of what holds for all nodes.
-func (n *Node) takeOption(event wire.WatchEvent) {
-	n.version.Take(event)
-	n.takeSettings(event)
-}
-
-// takeSettings takes the operators' own settings from the state service.
-func (n *Node) takeSettings(ch wire.WatchEvent) {
-	if ch.Set != records.SettingsKey || ch.ModRevision <= n.settings.Load().ModRevision {
-		return
-	}
-	s := records.DefaultSettings(n.cfg.Cluster.Workers.ReportS)
-	if err := json.Unmarshal(ch.Value, &s); err != nil {
-		slog.Error("stored settings cannot be read", "err", err)
-		return
-	}
-	if err := records.CheckSettings(s); err != nil {
-		slog.Error("stored settings are not valid", "err", err)
-		return
-	}
-	s.ModRevision = ch.ModRevision
-	slog.Info("settings in force", "settings", s)
-	n.settings.Store(&s)
-}
-
-// readCatalog learns the machine types, which submissions are checked against.
-func (n *Node) readCatalog(ctx context.Context) {
-	pause := n.cfg.LeaderLeaseTTL() / 4
-	for ctx.Err() == nil {
-		catalog, err := n.cloud.Catalog(ctx)
-		if err == nil && len(catalog.MachineTypes) > 0 {
-			n.catalog.Store(&catalog)
-			return
-		}
-		slog.Warn("no catalog yet", "err", err)
-		time.Sleep(pause)
-		pause = min(2*pause, n.cfg.WorkerLease())
-	}
-}
-
-// ping keeps in touch with a peer.
-func (n *Node) ping(ctx context.Context, p *peer.Peer) {
-	for ctx.Err() == nil {
-		args := peer.PingArgs{From: n.cfg.Label, Term: n.elector.View().Term, Version: int(clusterversion.Latest)}
-		args.CountsTerm, args.CountsRevision = n.counts.known(p.Label)
-		r, err := p.Ping(args)
-		n.notePeer(p.Label, r, err == nil)
-		if err != nil {
-			slog.Debug("peer not reached", "peer", p.Label, "err", err)
-		} else if r.Leading {
-			n.counts.update(p.Label, args, r, n.jobCache)
-			for _, view := range r.Counts {
-				if view.Status.Final() {
-					n.finals.put(view.UID, view.Status)
-				}
-			}
-			n.elector.ObserveTerm(r.Term, p.Label)
-		}
-		n.raiseVersion(ctx)
-		time.Sleep(n.cfg.Grid().Next(time.Now(), n.cfg.LeaderLeaseTTL()/4))
-	}
-}
-
-// Ping answers a peer.
-func (n *Node) Ping(a peer.PingArgs) peer.PingResult {
-	r := peer.PingResult{Term: n.elector.View().Term, Serving: n.serving(), RenewedHosts: n.renewedHosts(), Version: int(clusterversion.Latest),
-		CanRelay: n.cfg.RelayHeartbeats, CanFollow: n.cfg.WarmStandby}
-	if c := n.lead.Load(); c != nil {
-		r.Leading, r.Term, r.WantsRelays, r.Standby = true, c.Term(), n.relayMode(), n.chooseStandby()
-		if a.Term > c.Term() {
-			n.elector.ObserveTerm(a.Term, "")
-		}
-		since := a.CountsRevision
-		if a.CountsTerm != c.Term() {
-			since = 0
-		}
-		r.Counts, r.CountsRevision, r.CountsMore = c.CountsSince(since)
-	}
-	return r
-}
-
-// Counts answers a peer that wants to tell a user how a job stands.
-func (n *Node) Counts(a peer.CountsArgs) peer.CountsReply {
-	c := n.lead.Load()
-	if c == nil {
-		return peer.CountsReply{}
-	}
-	done, running, ok := c.Counts(a.UID)
-	return peer.CountsReply{Known: ok, Done: done, Running: running}
-}
-
-// leader is the peer that leads, if it answers pings.
-func (n *Node) leader() *peer.Peer {
-	v := n.elector.View()
-	for _, p := range n.peers {
-		if p.Label != v.Leader {
-			continue
-		}
-		if r, ok := p.Last(n.cfg.LeaderLeaseTTL() * 3 / 4); ok && r.Leading && r.Term >= v.Term {
-			return p
-		}
-	}
-	return nil
-}
-
-// serving reports whether this node has read the state service lately. The
-// heartbeat reads it often enough that an idle node is not taken for cut off.
-func (n *Node) serving() bool { return n.store.ProofAge() < n.cfg.LeaderLeaseTTL()/2 }
-
-// keepCacheFresh brings the mirror of jobs up to date past its watch: an idle node is
-// then not taken for cut off, and what it knows of withdrawals is never older
-// than a tenth of a lease while it reaches the state service.
-func (n *Node) keepCacheFresh(ctx context.Context) {
-	every := n.cfg.LeaderLeaseTTL() / 8
-	for ctx.Err() == nil {
-		if n.store.ProofAge() > every || time.Since(n.jobCache.Fresh()) > n.cfg.WorkerLease()/10 {
-			rctx, cancel := context.WithTimeout(store.Urgent(ctx), 2*every)
-			if err := n.jobCache.Refresh(rctx, n.store); err != nil {
-				slog.Debug("state service not reached", "err", err)
-			}
-			cancel()
-		}
-		time.Sleep(n.cfg.Grid().Next(time.Now(), every))
-	}
-}
--- /dev/null
+++ b/internal/node/pinging.go
@@ -0,0 +1,118 @@
+package node
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/clusterversion"
+	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/timeralign"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// ping keeps in touch with a peer until ctx ends.
+func (n *Node) ping(ctx context.Context, p *peer.Peer) {
+	for ctx.Err() == nil {
+		args := peer.PingArgs{From: n.cfg.Label, Term: n.elector.View().Term, Version: int(clusterversion.Latest)}
+		args.CountsTerm, args.CountsRevision = n.counts.Known(p.Label)
+		r, err := p.Ping(args)
+		n.relays.recordPing(p.Label, r, err == nil)
+		if err != nil {
+			slog.Debug("peer does not answer pings", "peer", p.Label, "err", err)
+		} else if r.Leading {
+			n.counts.Update(p.Label, args, r, n.jobCache)
+			for _, view := range r.Counts {
+				if view.Status.Final() {
+					n.statuses.RecordFinal(view.UID, view.Status)
+				}
+			}
+			n.elector.ObserveTerm(r.Term, p.Label)
+		}
+		n.raiseVersion(ctx)
+		timeralign.Sleep(ctx, n.cfg.Grid().Next(time.Now(), n.cfg.LeaderLeaseTTL()/4))
+	}
+}
+
+// Ping answers a peer.
+func (n *Node) Ping(a peer.PingArgs) peer.PingResult {
+	r := peer.PingResult{
+		Term:         n.elector.View().Term,
+		Serving:      n.isServing(),
+		RenewedHosts: n.renewals.hosts(),
+		Version:      int(clusterversion.Latest),
+		CanRelay:     n.cfg.RelayHeartbeats,
+		CanFollow:    n.cfg.WarmStandby,
+	}
+	if c := n.controller(); c != nil {
+		r.Leading, r.Term, r.WantsRelays, r.Standby = true, c.Term(), n.relays.isRelaying(), n.standby.choose()
+		if a.Term > c.Term() {
+			n.elector.ObserveTerm(a.Term, "")
+		}
+		since := a.CountsRevision
+		if a.CountsTerm != c.Term() {
+			since = 0
+		}
+		r.Counts, r.CountsRevision, r.CountsMore = c.CountsSince(since)
+	}
+	return r
+}
+
+// Counts answers a peer that wants to tell a user how a job stands.
+func (n *Node) Counts(a peer.CountsArgs) peer.CountsReply {
+	c := n.controller()
+	if c == nil {
+		return peer.CountsReply{}
+	}
+	done, running, ok := c.Counts(a.UID)
+	return peer.CountsReply{Known: ok, Done: done, Running: running}
+}
+
+// taskCounts returns how many tasks of a job are done and running, as far as the leader
+// tells: as it had them at the last ping. A leader that does not send them is asked.
+func (n *Node) taskCounts(uid string) (done, running int) {
+	if c := n.controller(); c != nil {
+		done, running, _ = c.Counts(uid)
+		return done, running
+	}
+	p := n.leader()
+	if p == nil {
+		return 0, 0
+	}
+	if done, running, ok := n.counts.Get(p.Label, n.elector.View().Term, uid); ok {
+		return done, running
+	}
+	r, err := p.Counts(uid)
+	if err != nil {
+		slog.Debug("leader does not answer for task counts", "uid", uid, "err", err)
+	}
+	return r.Done, r.Running
+}
+
+// raiseVersion raises the cluster version if this node leads and all members
+// understand a newer one. What counts is what each has said last: a node that is put
+// back to an older release says so with its next ping.
+func (n *Node) raiseVersion(ctx context.Context) {
+	c := n.controller()
+	if c == nil || n.version.InForce() == clusterversion.Latest {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, n.cfg.LeaderLeaseTTL())
+	defer cancel()
+	var understood []clusterversion.Version
+	var read []wire.Compare
+	for _, p := range n.peers {
+		version := p.Understands()
+		if _, reached := p.Last(n.cfg.LeaderLeaseTTL()); !reached && version < clusterversion.Latest {
+			announced, compare, err := clusterversion.Announced(ctx, n.store, p.Label)
+			if err != nil {
+				slog.Debug("announced version could not be read", "peer", p.Label, "err", err)
+			}
+			version, read = announced, append(read, compare)
+		}
+		understood = append(understood, version)
+	}
+	if err := n.version.Raise(ctx, n.store, c.Term(), understood, read...); err != nil {
+		slog.Info("cluster version could not be raised", "err", err)
+	}
+}
--- /dev/null
+++ b/internal/node/relaying.go
@@ -0,0 +1,162 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"lotusstile.dev/lotusstile/internal/controller"
+	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/relay"
+	"lotusstile.dev/lotusstile/internal/timeralign"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// batchesPerInterval is how many batches of relayed heartbeats a follower sends in a
+// heartbeat interval at most: one in each unit of the grid.
+const batchesPerInterval = 12
+
+// relays is a node's part in relaying heartbeats: the sender while it follows, router and
+// receiver while it leads.
+type relays struct {
+	*leadership
+	sender     *relay.Sender
+	malformed  *metrics.Counter // batches that could not be taken apart
+	router     atomic.Pointer[relay.Router]
+	receiver   atomic.Pointer[relay.Receiver]
+	leaderMode atomic.Int32   // the relay.Mode that a leader announced last
+	watch      sync.WaitGroup // watchFleetSize of the term that this node leads
+}
+
+// newRelays makes the parts that a node needs in any term.
+func newRelays(l *leadership, m *nodeMetrics) *relays {
+	interval := l.cfg.HeartbeatInterval()
+	callTimeout := l.cfg.LeaderLeaseTTL() / 4
+	r := &relays{leadership: l, malformed: m.malformedBatches}
+	r.sender = relay.NewSender(relay.SenderConfig{
+		Label:    l.cfg.Label,
+		Exchange: r.sendBatch,
+		Grid:     l.cfg.Grid(),
+		Period:   interval / batchesPerInterval,
+		Patience: min(interval/2+3*interval/batchesPerInterval+callTimeout, relay.WorkerPatience*7/8),
+		Observe:  m.countRelayed,
+	})
+	return r
+}
+
+// sendBatch sends a batch to the leader.
+func (r *relays) sendBatch(to relay.Leader, batch peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
+	if p := r.peer(to.Label); p != nil {
+		return p.RelayHeartbeats(batch)
+	}
+	return peer.HeartbeatBatchReply{}, relay.ErrLeaderNotReached
+}
+
+// beginTerm makes this node's router and receiver of a term that ends with ctx. endTerm
+// has to be called then.
+func (r *relays) beginTerm(ctx context.Context, term uint64, answer relay.AnswerFunc) {
+	if !r.cfg.RelayHeartbeats {
+		return
+	}
+	zones := map[string]string{r.cfg.Label: r.cfg.Location}
+	var members []string
+	for _, p := range r.peers {
+		zones[p.Label] = p.Location
+		members = append(members, p.Label)
+	}
+	r.router.Store(relay.NewRouter(relay.RouterConfig{
+		Self:        r.cfg.Label,
+		Zones:       zones,
+		Connections: r.cfg.Cluster.Limits.MaxConnections,
+		ReportEvery: r.cfg.HeartbeatInterval(),
+		Lease:       r.cfg.WorkerLease(),
+	}, relay.Mode(r.leaderMode.Load())))
+	r.receiver.Store(relay.NewReceiver(ctx, term, members, answer))
+	r.watch.Go(func() { r.watchFleetSize(ctx) })
+}
+
+// endTerm drops a term's router and receiver.
+func (r *relays) endTerm() {
+	r.router.Store(nil)
+	r.receiver.Store(nil)
+}
+
+// watchFleetSize tells the router how many machines there are, and lets the receiver
+// forget those that are gone, until the term ends.
+func (r *relays) watchFleetSize(ctx context.Context) {
+	forgotten := time.Now()
+	for ctx.Err() == nil {
+		if c := r.controller(); c != nil && r.resizeRouter(c) && time.Since(forgotten) > r.cfg.WorkerLease() {
+			forgotten = time.Now()
+			if receiver := r.receiver.Load(); receiver != nil {
+				receiver.Forget(c.HasMachine)
+			}
+		}
+		timeralign.Sleep(ctx, r.cfg.Grid().Next(time.Now(), r.cfg.LeaderLeaseTTL()/4))
+	}
+}
+
+// resizeRouter tells the router how many machines there are, and reports whether that is known.
+func (r *relays) resizeRouter(c *controller.Controller) bool {
+	router, receiver := r.router.Load(), r.receiver.Load()
+	if router == nil || receiver == nil {
+		return false
+	}
+	machines, known := c.Machines()
+	if known {
+		router.Resize(machines)
+	}
+	return known
+}
+
+// receiveBatch answers a batch of heartbeats that a follower relays.
+func (r *relays) receiveBatch(batch peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
+	receiver := r.receiver.Load()
+	if receiver == nil {
+		return peer.HeartbeatBatchReply{Term: r.elector.View().Term}, nil
+	}
+	reply, err := receiver.Exchange(batch)
+	if errors.Is(err, relay.ErrMalformedBatch) {
+		r.malformed.Inc()
+	}
+	return reply, err
+}
+
+// wantedBy reports whether a leader wants its followers to relay heartbeats.
+func (r *relays) wantedBy(leader *peer.Peer) bool {
+	last, ok := leader.Last(r.cfg.LeaderLeaseTTL())
+	return ok && last.WantsRelays && r.cfg.RelayHeartbeats
+}
+
+// route returns where a worker that reports at a controller has to go instead, or "".
+func (r *relays) route(heartbeat *wire.Heartbeat, at string, pressure relay.Pressure) string {
+	router := r.router.Load()
+	if router == nil {
+		return ""
+	}
+	return router.Route(heartbeat, at, pressure, time.Now())
+}
+
+// recordPing records what a ping says of a peer's part in relaying.
+func (r *relays) recordPing(label string, reply peer.PingResult, reached bool) {
+	if router := r.router.Load(); router != nil {
+		router.Usable(label, reached && reply.CanRelay)
+	}
+	if reached && reply.Leading {
+		mode := relay.Direct
+		if reply.WantsRelays {
+			mode = relay.Relayed
+		}
+		r.leaderMode.Store(int32(mode))
+	}
+}
+
+// isRelaying reports whether this node, as the leader, wants its followers to relay heartbeats.
+func (r *relays) isRelaying() bool {
+	router := r.router.Load()
+	return router != nil && router.Mode() == relay.Relayed
+}
--- /dev/null
+++ b/internal/node/renewals.go
@@ -0,0 +1,87 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"sync"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/httpapi"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/timeralign"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// renewals are the worker leases that this node renews on behalf of a leader that it
+// cannot reach.
+type renewals struct {
+	*leadership
+	store   *store.Client
+	serving func() bool
+
+	mu      sync.Mutex
+	renewed map[string]time.Time // by machine: when its lease was renewed last
+}
+
+// answer answers for a leader that this node cannot reach: the lease goes
+// on and nothing is launched. A worker that has seen a newer token than the state
+// service or a leader has told this node has been reached by that token's leader,
+// past this node: it is sent to look for it. The others keep the token that this node
+// knows. A deposed leader that had lost the state service and its peers gave all its
+// workers the new token as soon as the first of them had it, and so kept a whole
+// fleet from the new leader, which declared it dead.
+func (r *renewals) answer(heartbeat *wire.Heartbeat) (*wire.Commands, error) {
+	v := r.elector.View()
+	if !v.Synced || v.Known == 0 {
+		return nil, httpapi.ErrNoTerm
+	}
+	if heartbeat.FencingToken > v.Known {
+		r.elector.ObserveTerm(heartbeat.FencingToken, "")
+		return nil, &httpapi.RedirectError{}
+	}
+	r.mu.Lock()
+	if _, ok := r.renewed[heartbeat.Host]; !ok {
+		slog.Info("worker lease is renewed on the leader's behalf", "host", heartbeat.Host, "term", v.Known)
+	}
+	r.renewed[heartbeat.Host] = time.Now()
+	r.mu.Unlock()
+	return &wire.Commands{FencingToken: v.Known, Commands: []wire.Command{}}, nil
+}
+
+// hosts lists the machines whose leases were renewed within a leader's lease.
+func (r *renewals) hosts() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var hosts []string
+	now := time.Now()
+	for host, at := range r.renewed {
+		if now.Sub(at) < r.cfg.LeaderLeaseTTL() {
+			hosts = append(hosts, host)
+		} else {
+			delete(r.renewed, host)
+		}
+	}
+	return hosts
+}
+
+// publish writes which machines this node answers while it cannot reach
+// the leader, where the leader can read it, until ctx ends.
+func (r *renewals) publish(ctx context.Context) {
+	for timeralign.Sleep(ctx, r.cfg.WorkerLease()/5) {
+		hosts := r.hosts()
+		if len(hosts) == 0 || r.controller() != nil || r.leader() != nil || !r.serving() {
+			continue
+		}
+		for i := 0; len(hosts) > 0; i++ {
+			part := records.FitNames(hosts, r.cfg.ValueBytes())
+			hosts = hosts[len(part):]
+			value := records.Encode(records.RenewedLeases{Hosts: part})
+			key := fmt.Sprintf("%s%s/%d", records.RenewedLeasesPrefix, r.cfg.Label, i)
+			if _, err := r.store.Commit(store.User(ctx, 0), wire.Transaction{Changes: []wire.Change{{Set: key, Value: value}}}); err != nil {
+				slog.Debug("renewed worker leases could not be published", "err", err)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/warmstandby.go
@@ -0,0 +1,234 @@
+package node
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"log/slog"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/controller"
+	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/standby"
+	"lotusstile.dev/lotusstile/internal/store"
+	"lotusstile.dev/lotusstile/internal/timeralign"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// warmStandby is a node's part in keeping a warm standby: the follower in any term, and the
+// source while it leads. follower is nil, and nothing is done, unless the node may have one.
+type warmStandby struct {
+	*leadership
+	store    *store.Client
+	campaign *campaign
+	follower *standby.Follower
+	source   atomic.Pointer[standby.Source]
+
+	mu         sync.Mutex
+	chosen     string // at the leader: the label of the node that is to follow it
+	announced  string // at a follower: the label that the leader announced last
+	failoverMs int64  // from when nobody led to the first decision of the last term here
+}
+
+// newWarmStandby makes the part that a node needs in any term.
+func newWarmStandby(l *leadership, st *store.Client, c *campaign) *warmStandby {
+	w := &warmStandby{leadership: l, store: st, campaign: c}
+	if w.enabled() {
+		w.follower = standby.NewFollower(standby.FollowerConfig{
+			Label:       l.cfg.Label,
+			Fetch:       w.fetch,
+			BehindAfter: l.cfg.LeaderLeaseTTL(),
+		})
+	}
+	return w
+}
+
+// enabled reports whether this node takes part.
+func (w *warmStandby) enabled() bool { return w.cfg.WarmStandby }
+
+// fetch asks a peer for a part of its state.
+func (w *warmStandby) fetch(leader string, args peer.FollowArgs) (peer.FollowReply, error) {
+	if p := w.peer(leader); p != nil {
+		return p.FollowState(args)
+	}
+	return peer.FollowReply{}, fmt.Errorf("no peer is named %q", leader)
+}
+
+// answer answers a standby that follows this node.
+func (w *warmStandby) answer(args peer.FollowArgs) (peer.FollowReply, error) {
+	source := w.source.Load()
+	if source == nil {
+		return peer.FollowReply{Term: w.elector.View().Term}, nil
+	}
+	return source.Follow(args)
+}
+
+// beginTerm lets a term start from what this node has followed, and offer what it knows.
+// endTerm has to be called when the term is over.
+func (w *warmStandby) beginTerm(deps *controller.Deps, term uint64) {
+	if !w.enabled() {
+		return
+	}
+	var members []string
+	for _, p := range w.peers {
+		members = append(members, p.Label)
+	}
+	source := standby.NewSource(term, members, 2*w.cfg.LeaderLeaseTTL())
+	deps.Source, deps.Store = source, standby.NewRecorder(w.store, source)
+	deps.Prove = func(ctx context.Context, term uint64) (*standby.Proven, error) {
+		return w.follower.Prove(ctx, w.store, term)
+	}
+	deps.Promoted = w.recordFailover
+	w.source.Store(source)
+}
+
+// recordFailover records how the failover to this node went.
+func (w *warmStandby) recordFailover(failover records.Takeover) {
+	if failover.Warm {
+		w.follower.Promote(fmt.Sprintf("decides after %d ms", failover.DecidedMs))
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.failoverMs = failover.DecidedMs
+}
+
+// lastFailover is how long nobody led before the last term here decided.
+func (w *warmStandby) lastFailover() time.Duration {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return time.Duration(w.failoverMs) * time.Millisecond
+}
+
+// endTerm drops what a term offered.
+func (w *warmStandby) endTerm() {
+	if !w.enabled() {
+		return
+	}
+	w.source.Store(nil)
+	w.follower.Drop("this node's term is over")
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.chosen, w.announced = "", ""
+}
+
+// choose names the node that is to follow this leader: one that is reached, reads
+// the state service and has as short a campaign delay as any. It stays the same while that
+// holds.
+func (w *warmStandby) choose() string {
+	if w.source.Load() == nil {
+		return ""
+	}
+	var candidates []string
+	for _, p := range w.peers {
+		if w.canFollow(p) {
+			candidates = append(candidates, p.Label)
+		}
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	best := ""
+	if len(candidates) > 0 {
+		best = slices.MinFunc(candidates, func(a, b string) int {
+			return cmp.Or(cmp.Compare(w.campaign.successorDelay(a), w.campaign.successorDelay(b)), strings.Compare(a, b))
+		})
+	}
+	if !slices.Contains(candidates, w.chosen) || w.campaign.successorDelay(best) < w.campaign.successorDelay(w.chosen) {
+		if w.chosen != best {
+			slog.Info("warm standby chosen", "from", w.chosen, "to", best)
+		}
+		w.chosen = best
+	}
+	return w.chosen
+}
+
+// canFollow reports whether a peer is reached, reads the state service and understands
+// how to follow a leader.
+func (w *warmStandby) canFollow(p *peer.Peer) bool {
+	last, ok := p.Last(w.cfg.LeaderLeaseTTL())
+	return ok && last.Serving && last.CanFollow
+}
+
+// followLeader pulls the leader's state while it wants this node to, until ctx ends.
+func (w *warmStandby) followLeader(ctx context.Context) {
+	if !w.enabled() {
+		return
+	}
+	for timeralign.Sleep(ctx, w.cfg.Grid().Next(time.Now(), w.cfg.LeaderLeaseTTL()/4)) {
+		if w.controller() != nil {
+			continue
+		}
+		leader, term, announced := w.announcement()
+		w.mu.Lock()
+		if leader != "" {
+			w.announced = announced
+		}
+		w.mu.Unlock()
+		switch {
+		case leader == "":
+			w.follower.LeaderNotReached()
+		case announced == w.cfg.Label:
+			w.follower.Pull(leader, term)
+		case announced != "":
+			w.follower.Drop("another node follows the leader")
+		}
+	}
+}
+
+// announcement is the leader, its term and the node that it wants to follow it.
+func (w *warmStandby) announcement() (leader string, term uint64, follower string) {
+	p := w.leader()
+	if p == nil {
+		return "", 0, ""
+	}
+	last, ok := p.Last(w.cfg.LeaderLeaseTTL())
+	if !ok || !last.Leading {
+		return "", 0, ""
+	}
+	return p.Label, last.Term, last.Standby
+}
+
+// peerIsPreferred reports whether a peer that is reached follows the leader and this node
+// does not: it is the better successor.
+func (w *warmStandby) peerIsPreferred() bool {
+	if !w.enabled() || w.follower.Holds() {
+		return false
+	}
+	w.mu.Lock()
+	announced := w.announced
+	w.mu.Unlock()
+	return slices.ContainsFunc(w.peers, func(p *peer.Peer) bool {
+		return p.Label == announced && w.canFollow(p)
+	})
+}
+
+// status is how the node follows, or what it offers as the leader.
+func (w *warmStandby) status() *wire.StandbyStatus {
+	f := w.follower.Status()
+	status := &wire.StandbyStatus{
+		State:    f.State.String(),
+		Cause:    f.Cause,
+		Leader:   f.Leader,
+		Term:     f.Term,
+		Sequence: f.Sequence,
+		Position: f.Position,
+		LagS:     f.Lag.Seconds(),
+		Entries:  f.Entries,
+		Bytes:    f.Bytes,
+		Moved:    f.Taken,
+		Refused:  f.Refused,
+	}
+	if source := w.source.Load(); source != nil {
+		s := source.Status()
+		status.Sequence, status.Position, status.Entries, status.Bytes, status.Moved = s.Sequence, s.Position, s.Entries, s.Bytes, s.Sent
+		status.LagS = 0
+		w.mu.Lock()
+		status.Standby = w.chosen
+		w.mu.Unlock()
+	}
+	return status
+}
--- /dev/null
+++ b/internal/workerlease/workerlease.go
@@ -0,0 +1,109 @@
+// Package workerlease holds the one rule by which an answer to a worker's heartbeat may
+// renew the worker's lease. docs/safety.md ("Withdrawn work") argues why it suffices.
+package workerlease
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// ErrStale means that no lease may be renewed now: what this node knows of cancelled
+// jobs is too old. Its text is part of the answer to the worker.
+var ErrStale = errors.New("what is known of withdrawals is too old to renew a lease on")
+
+// CancelledJobs is what a node knows of cancelled jobs.
+type CancelledJobs interface {
+	// Fresh is the time up to which every cancellation is known; zero before the first read.
+	Fresh() time.Time
+	// Cancelled returns which of some jobs are cancelled, and Fresh of the same moment.
+	Cancelled(uids []string) (cancelled map[string]bool, fresh time.Time)
+}
+
+// Renewer decides whether worker leases may be renewed.
+type Renewer struct {
+	jobs   CancelledJobs
+	maxAge time.Duration
+}
+
+// NewRenewer returns the rule of a node whose knowledge of cancelled jobs may be maxAge
+// old: cancel_s less a worker lease and a margin (config.KnowledgeLimit).
+func NewRenewer(jobs CancelledJobs, maxAge time.Duration) *Renewer {
+	return &Renewer{jobs: jobs, maxAge: maxAge}
+}
+
+// CheckFresh returns ErrStale if no lease may be renewed now. It lets a heartbeat be
+// refused early; only Renew permits an answer.
+func (r *Renewer) CheckFresh() error { return r.check(r.jobs.Fresh()) }
+
+// check returns ErrStale if knowledge of all cancellations up to a time is too old to
+// renew a lease on.
+func (r *Renewer) check(fresh time.Time) error {
+	if time.Since(fresh) > r.maxAge {
+		return ErrStale
+	}
+	return nil
+}
+
+// Renew is passed by every answer that renews a lease, whichever node and path it comes
+// from: this is the one place that decides that it may, and that stops cancelled work.
+// A cancellation is either known here, and then the task is stopped by this answer, or
+// it came after the read that the knowledge stems from, and then that read is young
+// enough for the task to die by its lease within cancel_s. The lease counts from when
+// the heartbeat was sent, which was before this: how long the answer takes from here on
+// does not matter.
+//
+// It returns ErrStale if the lease may not be renewed. Otherwise it adds the stops to
+// the answer, and removes launches of cancelled work from it.
+func (r *Renewer) Renew(heartbeat *wire.Heartbeat, answer *wire.Commands) error {
+	// Both are learned at once: a cancellation that came between would be lost.
+	cancelled, fresh := r.jobs.Cancelled(concernedJobs(heartbeat, answer))
+	if err := r.check(fresh); err != nil {
+		return err
+	}
+	if len(cancelled) > 0 {
+		stopCancelled(heartbeat, answer, cancelled)
+	}
+	return nil
+}
+
+// concernedJobs lists the jobs whose tasks run by the heartbeat or are launched by the
+// answer.
+func concernedJobs(heartbeat *wire.Heartbeat, answer *wire.Commands) []string {
+	uids := make([]string, 0, len(heartbeat.Tasks)+len(answer.Commands))
+	for _, task := range heartbeat.Tasks {
+		if uid, _, ok := wire.SplitTaskName(task.Task); ok && task.Status != wire.TaskEnded {
+			uids = append(uids, uid)
+		}
+	}
+	for _, command := range answer.Commands {
+		if uid, _, ok := wire.SplitTaskName(command.Task); ok && command.Verb == wire.Launch {
+			uids = append(uids, uid)
+		}
+	}
+	return uids
+}
+
+// stopCancelled makes the answer stop every reported task of a cancelled job, without a
+// grace period, and launch none.
+func stopCancelled(heartbeat *wire.Heartbeat, answer *wire.Commands, cancelled map[string]bool) {
+	isCancelled := func(task string) bool {
+		uid, _, _ := wire.SplitTaskName(task)
+		return cancelled[uid]
+	}
+	stops := map[wire.Command]bool{}
+	for _, task := range heartbeat.Tasks {
+		if task.Status != wire.TaskEnded && isCancelled(task.Task) {
+			stops[wire.Command{Verb: wire.Stop, Task: task.Task, Attempt: task.Attempt}] = true
+		}
+	}
+	answer.Commands = slices.DeleteFunc(answer.Commands, func(command wire.Command) bool {
+		command.GracePeriodS = 0
+		return command.Verb == wire.Launch && isCancelled(command.Task) || stops[command]
+	})
+	for command := range stops {
+		answer.Commands = append(answer.Commands, command)
+	}
+}
