--- a/wire/admin.go
+++ b/wire/admin.go
@@ -1,12 +1,11 @@
 package wire
 
-// Settings are the operators' own settings, as the administration API shows
-// and takes them. Stamp is their version: 0 until they are first changed.
+// Settings are the operators' own settings, as the administration API shows and accepts them.
 type Settings struct {
-	ModRevision uint64  `json:"Stamp"`
-	IntervalS   float64 `json:"IntervalS"` // seconds from round to round
-	Window      int     `json:"Window"`    // most jobs that a round looks over
-	Headroom    float64 `json:"Spare"`     // times the usual spare room; 0 keeps none
+	ModRevision uint64  `json:"Stamp"`     // 0 until they are first changed
+	IntervalS   float64 `json:"IntervalS"` // from scheduling cycle to scheduling cycle
+	Window      int     `json:"Window"`    // most jobs that a cycle considers
+	Headroom    float64 `json:"Spare"`     // times the usual headroom; 0 keeps none
 	Profiling   bool    `json:"Profiling"` // profiles are served at /admin/pprof
 }
 
@@ -16,10 +15,10 @@
 	State  string      `json:"State"` // of the leadership, at this node
 	Leader string      `json:"Leader"`
 	Term   uint64      `json:"Term"`
-	Proof  float64     `json:"Proof"`          // seconds since the state service was last read from here
-	Lead   *LeadStatus `json:"Lead,omitempty"` // as the leader tells, if it is reached
-	// How this node follows the leader's state, or offers its own; only where warm
-	// standbys are switched on.
+	Proof  float64     `json:"Proof"`          // seconds since the state store was last read from here
+	Lead   *LeadStatus `json:"Lead,omitempty"` // from the leader, if it can be reached
+	// How this node follows the leader's state, or offers its own; only where warm standbys are
+	// switched on.
 	WarmStandby *StandbyStatus `json:"WarmStandby,omitempty"`
 }
 
@@ -30,43 +29,46 @@
 	Leader   string            `json:"Leader,omitempty"` // that the copy comes from
 	Term     uint64            `json:"Term,omitempty"`
 	Sequence uint64            `json:"Sequence"`          // changes in the copy, or offered by this node if it leads
-	Position uint64            `json:"Position"`          // revision of the state service up to which all records are part of it
+	Position uint64            `json:"Position"`          // revision of the state store up to which it has all records
 	LagS     float64           `json:"LagS"`              // age of the copy
 	Entries  int               `json:"Entries"`           // records and views
 	Bytes    int               `json:"Bytes"`             // of them
-	Moved    uint64            `json:"Moved"`             // bytes that this node has taken, or sent if it leads
-	Refused  map[string]uint64 `json:"Refused,omitempty"` // parts that were not taken, by cause
+	Moved    uint64            `json:"Moved"`             // bytes that this node has received, or sent if it leads
+	Refused  map[string]uint64 `json:"Refused,omitempty"` // parts that were not accepted, by cause
 	Standby  string            `json:"Standby,omitempty"` // at the leader: the node that is to follow it
 }
 
 // LeadStatus is what only the leader knows.
 type LeadStatus struct {
-	Term                uint64                 `json:"Term"`
-	Loaded              bool                   `json:"Loaded"`
-	Window              int                    `json:"Window"`
-	Round               RoundStatus            `json:"Round"`
-	Machines            map[string]int         `json:"Machines"`           // by state
-	Classes             map[string]ClassStatus `json:"Classes"`            // by class of jobs
-	HeartbeatRouting    string                 `json:"CheckIns,omitempty"` // "direct", or "relayed" by followers; only where relays are switched on
-	Workers             map[string]int         `json:"Workers,omitempty"`  // by the controller that they report to
-	SuspectJobs         int                    `json:"Suspects"`           // jobs that fail on machine after machine: tried with one task at a time
-	QuarantinedMachines int                    `json:"Blamed"`             // machines that are passed over for tasks that failed on them
+	Term     uint64                 `json:"Term"`
+	Loaded   bool                   `json:"Loaded"`
+	Window   int                    `json:"Window"`
+	Round    RoundStatus            `json:"Round"`
+	Machines map[string]int         `json:"Machines"` // by state
+	Classes  map[string]ClassStatus `json:"Classes"`  // by class of jobs
+	// HeartbeatRouting is "direct", or "relayed" by followers; only where relays are switched on.
+	HeartbeatRouting string         `json:"CheckIns,omitempty"`
+	Workers          map[string]int `json:"Workers,omitempty"` // by the controller that they report to
+	// SuspectJobs counts jobs that fail on machine after machine: one task at a time is tried.
+	SuspectJobs int `json:"Suspects"`
+	// QuarantinedMachines counts machines that are skipped for tasks that failed on them.
+	QuarantinedMachines int `json:"Blamed"`
 }
 
-// RoundStatus describes the last round.
+// RoundStatus describes the last scheduling cycle.
 type RoundStatus struct {
 	AgoS      float64 `json:"AgoS"`
 	TookMs    float64 `json:"TookMs"`
 	Waiting   int     `json:"Waiting"`
 	Started   int     `json:"Started"`
 	Stopped   int     `json:"Stopped"`
-	Short     int     `json:"Short"`
+	Short     int     `json:"Short"` // jobs with tasks that no machine has room for
 	Objective float64 `json:"Objective"`
 	Reserved  string  `json:"Reserved,omitempty"`
-	Overrun   bool    `json:"Overrun"`
+	Overrun   bool    `json:"Overrun"` // it took longer than the interval and started nothing
 }
 
-// ClassStatus counts the work of a class that is not over.
+// ClassStatus counts the unfinished work of a class of jobs.
 type ClassStatus struct {
 	Jobs    int `json:"Jobs"`
 	Waiting int `json:"Waiting"` // tasks without a machine
--- a/wire/awaits.go
+++ b/wire/dependencies.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// parseDependencies checks the ids of the jobs that a job waits for. An id that is
-// repeated counts once.
+// parseDependencies validates the ids of the jobs that a job depends on. An id that is repeated counts
+// once.
 func parseDependencies(ids []string) ([]string, error) {
 	var dependencies []string
 	for _, id := range ids {
@@ -21,8 +21,8 @@
 	return dependencies, nil
 }
 
-// HasDependencies reports whether a submission names jobs that it waits for. The body may
-// be malformed otherwise.
+// HasDependencies reports whether a submission names jobs that it depends on. The body may be malformed
+// otherwise.
 func HasDependencies(body []byte) bool {
 	var in struct {
 		Dependencies json.RawMessage `json:"Awaits"`
--- /dev/null
+++ b/wire/doc.go
@@ -0,0 +1,309 @@
+// Package wire holds the JSON bodies that lotusstile exchanges with users, workers, the cloud, the state
+// store and operators. Clients may import it. JSON tags keep the protocol's names, Go names are the
+// standard terms; only this package maps the one to the other. Controllers exchange messages by Go names
+// of their own, which internal/peer fixes.
+//
+// The tables below are complete: for each body the protocol's fields and their Go names, and for each
+// enumeration its values. Names that end in S are in seconds, those that end in Ms in milliseconds, those
+// that end in Gb in gigabytes.
+//
+// # Users
+//
+// JobSpec: POST /work
+//
+//	Uid          UID
+//	Berth        JobClass
+//	Crew         Team
+//	Shape        Kind
+//	Rank         Priority
+//	Legs         TaskCount
+//	Cores        Cores
+//	Gpus         Gpus
+//	RamGb        RAMGb
+//	Rollout      Image
+//	ImageGb      ImageGb
+//	Rigs         MachineTypes
+//	Yard         Zone
+//	Together     SingleZone
+//	Scatter      SpreadZones
+//	Standby      AllowSpot
+//	ExpectS      ExpectedRunS
+//	MarkS        CheckpointIntervalS
+//	StowS        CheckpointOnStopS
+//	DueS         DeadlineS
+//	Awaits       Dependencies
+//
+// JobKind: values
+//
+//	sweep        JobArray
+//	standing     Service
+//	group        Gang
+//
+// Priority: values
+//
+//	critical     Critical
+//	high         High
+//	standard     Standard
+//	best_effort  BestEffort
+//
+// JobStatus: values
+//
+//	queued       JobQueued
+//	running      JobRunning
+//	done         JobDone
+//	aborted      JobAborted
+//
+// JobView: answer of POST /work, GET /work/{id} and POST /work/{id}/withdraw
+//
+//	Uid          UID
+//	Status       Status
+//	done         Done
+//	running      Running
+//
+// ErrorResponse: body of refusals
+//
+//	error        Error
+//
+// # Workers
+//
+// TaskStatus: values
+//
+//	fetching     TaskFetching
+//	waiting      TaskWaiting
+//	running      TaskRunning
+//	saving       TaskSaving
+//	ended        TaskEnded
+//
+// Cause: values
+//
+//	done         CauseDone
+//	stopped      CauseStopped
+//	error        CauseError
+//	no_room      CauseNoRoom
+//	in_use       CauseInUse
+//	no_such      CauseNoSuch
+//
+// TaskReport: tasks of POST /checkin
+//
+//	Leg          Task
+//	Try          Attempt
+//	Status       Status
+//	Cause        Cause
+//	Kept         Checkpointed
+//
+// Heartbeat: POST /checkin, GET /show, answer of POST /do
+//
+//	Host         Host
+//	Address      Address
+//	Rig          MachineType
+//	Yard         Zone
+//	Standby      Spot
+//	Shift        Incarnation
+//	Tick         Sequence
+//	Baton        FencingToken
+//	WarningS     SpotNoticeS
+//	Legs         Tasks
+//
+// Verb: values
+//
+//	launch       Launch
+//	stop         Stop
+//	reap         Acknowledge
+//
+// Command: commands
+//
+//	Verb         Verb
+//	Leg          Task
+//	Try          Attempt
+//	LeewayS      GracePeriodS
+//
+// Commands: answer 200 of POST /checkin
+//
+//	Baton        FencingToken
+//	Orders       Commands
+//
+// DirectCommands: POST /do
+//
+//	Baton        FencingToken
+//	Shift        Incarnation
+//	Orders       Commands
+//
+// Redirect: answer 421 of POST /checkin
+//
+//	Dispatcher   Leader
+//
+// # Cloud
+//
+// MachineType: machine types of GET /catalog
+//
+//	Sku          Name
+//	Cores        Cores
+//	Gpus         Gpus
+//	RamGb        RAMGb
+//	LocalGb      ImageCacheGb
+//	PullGbPerS   FetchGbPerS
+//	Hourly       Hourly
+//	LowPrice     SpotHourly
+//	BootS        BootS
+//	Yards        Zones
+//
+// Catalog: answer of GET /catalog
+//
+//	Rigs         MachineTypes
+//
+// ProvisionRequest: POST /machines
+//
+//	Booking      RequestID
+//	Rig          MachineType
+//	Yard         Zone
+//	Standby      Spot
+//	HowMany      Count
+//
+// HostNames: answer of POST /machines, POST /machines/return
+//
+//	Hosts        Hosts
+//
+// HostStatus: values
+//
+//	booting      HostBooting
+//	running      HostRunning
+//	failed       HostFailed
+//
+// ListedHost: machines of GET /machines
+//
+//	Uid          UID
+//	Address      Address
+//	Rig          MachineType
+//	Yard         Zone
+//	Standby      Spot
+//	Status       Status
+//	AgeS         AgeS
+//
+// HostList: answer of GET /machines
+//
+//	Hosts        Hosts
+//	More         More
+//
+// # State store
+//
+// KeyValue: GET /kv/{key}, items of GET /kv
+//
+//	Key          Key
+//	Value        Value
+//	Stamp        ModRevision
+//	Permit       LeaseID
+//
+// KeyValueList: answer of GET /kv
+//
+//	Rows         KeyValues
+//	More         More
+//	Epoch        Revision
+//
+// Compare: conditions of POST /commit
+//
+//	Key          Key
+//	Stamp        ModRevision
+//
+// Change: changes of POST /commit
+//
+//	Set          Set
+//	Value        Value
+//	Permit       LeaseID
+//	Drop         Drop
+//
+// Transaction: POST /commit
+//
+//	Guards       Compares
+//	Apply        Changes
+//
+// TransactionResponse: answer of POST /commit
+//
+//	Epoch        Revision
+//	failed       Failed
+//
+// Lease: answer of POST /holds
+//
+//	Permit       LeaseID
+//
+// LeaseRequest: POST /holds
+//
+//	TtlMs        TTLMs
+//
+// WatchEvent: events of GET /changes
+//
+//	Set          Set
+//	Drop         Drop
+//	Value        Value
+//	Stamp        ModRevision
+//
+// WatchResponse: answer of GET /changes
+//
+//	Epoch        Revision
+//	News         Events
+//
+// # Administration API
+//
+// Settings: GET and PUT /admin/settings
+//
+//	Stamp        ModRevision
+//	IntervalS    IntervalS
+//	Window       Window
+//	Spare        Headroom
+//	Profiling    Profiling
+//
+// Status: GET /admin/status
+//
+//	Node         Node
+//	State        State
+//	Leader       Leader
+//	Term         Term
+//	Proof        Proof
+//	Lead         Lead
+//	WarmStandby  WarmStandby
+//
+// StandbyStatus: WarmStandby of Status
+//
+//	State        State
+//	Cause        Cause
+//	Leader       Leader
+//	Term         Term
+//	Sequence     Sequence
+//	Position     Position
+//	LagS         LagS
+//	Entries      Entries
+//	Bytes        Bytes
+//	Moved        Moved
+//	Refused      Refused
+//	Standby      Standby
+//
+// LeadStatus: Lead of Status
+//
+//	Term         Term
+//	Loaded       Loaded
+//	Window       Window
+//	Round        Round
+//	Machines     Machines
+//	Classes      Classes
+//	CheckIns     HeartbeatRouting
+//	Workers      Workers
+//	Suspects     SuspectJobs
+//	Blamed       QuarantinedMachines
+//
+// RoundStatus: Round of LeadStatus
+//
+//	AgoS         AgoS
+//	TookMs       TookMs
+//	Waiting      Waiting
+//	Started      Started
+//	Stopped      Stopped
+//	Short        Short
+//	Objective    Objective
+//	Reserved     Reserved
+//	Overrun      Overrun
+//
+// ClassStatus: Classes of LeadStatus
+//
+//	Jobs         Jobs
+//	Waiting      Waiting
+//	Placed       Placed
+package wire
--- /dev/null
+++ b/wire/workers.go
@@ -0,0 +1,108 @@
+package wire
+
+import (
+	"errors"
+	"fmt"
+)
+
+// TaskStatus is the state of a task on its machine.
+type TaskStatus string
+
+// The task states that workers report.
+const (
+	TaskFetching TaskStatus = "fetching" // waits for its image
+	TaskWaiting  TaskStatus = "waiting"  // has its image, waits for the rest of its gang
+	TaskRunning  TaskStatus = "running"
+	TaskSaving   TaskStatus = "saving" // was stopped and saves a checkpoint
+	TaskEnded    TaskStatus = "ended"  // see Cause
+)
+
+// Cause says why a task ended.
+type Cause string
+
+// The causes that workers report. The last three refuse a launch.
+const (
+	CauseDone    Cause = "done"
+	CauseStopped Cause = "stopped"
+	CauseError   Cause = "error"
+	CauseNoRoom  Cause = "no_room" // not enough free resources on the machine
+	CauseInUse   Cause = "in_use"  // the task is on the machine with another attempt
+	CauseNoSuch  Cause = "no_such" // no such job or task
+)
+
+// TaskReport is one task of a heartbeat.
+type TaskReport struct {
+	Task         string     `json:"Leg"`
+	Attempt      uint64     `json:"Try"` // number of the attempt
+	Status       TaskStatus `json:"Status"`
+	Cause        Cause      `json:"Cause,omitempty"`
+	Checkpointed bool       `json:"Kept,omitempty"` // its progress was saved
+}
+
+// Heartbeat is the body of POST /checkin: a worker's report of its machine and tasks.
+type Heartbeat struct {
+	Host         string       `json:"Host"`
+	Address      string       `json:"Address"`
+	MachineType  string       `json:"Rig"`
+	Zone         string       `json:"Yard"`
+	Spot         bool         `json:"Standby"`
+	Incarnation  uint64       `json:"Shift"`    // of the worker: grows each time its worker lease expires
+	Sequence     uint64       `json:"Tick"`     // of the report: the larger (Incarnation, Sequence) is newer
+	FencingToken uint64       `json:"Baton"`    // the highest that the worker has seen
+	SpotNoticeS  *float64     `json:"WarningS"` // seconds until the cloud takes the machine away; nil: no notice
+	Tasks        []TaskReport `json:"Legs"`
+}
+
+// ParseHeartbeat decodes and validates a heartbeat.
+func ParseHeartbeat(body []byte) (Heartbeat, error) {
+	var heartbeat Heartbeat
+	if err := Decode(body, &heartbeat); err != nil {
+		return Heartbeat{}, fmt.Errorf("report is not valid: %w", err)
+	}
+	if heartbeat.Host == "" || heartbeat.Incarnation == 0 {
+		return Heartbeat{}, errors.New("report lacks Host or Shift")
+	}
+	for _, name := range []string{heartbeat.Host, heartbeat.Address, heartbeat.MachineType, heartbeat.Zone} {
+		if len(name) > maxName {
+			return Heartbeat{}, errors.New("a name in the report is too long")
+		}
+	}
+	return heartbeat, nil
+}
+
+// Verb is what a command asks of a worker.
+type Verb string
+
+// The verbs of commands. Each can be repeated, but a launch after Acknowledge starts the attempt again.
+const (
+	Launch      Verb = "launch"
+	Stop        Verb = "stop"
+	Acknowledge Verb = "reap" // removes an ended task from the heartbeats
+)
+
+// Command is one command to a worker.
+type Command struct {
+	Verb         Verb    `json:"Verb"`
+	Task         string  `json:"Leg"`
+	Attempt      uint64  `json:"Try"`
+	GracePeriodS float64 `json:"LeewayS,omitempty"` // of a stop: the task saves if it is long enough
+}
+
+// Commands answers a heartbeat with 200. A worker drops it unless the token is the highest it has seen.
+type Commands struct {
+	FencingToken uint64    `json:"Baton"`
+	Commands     []Command `json:"Orders"`
+}
+
+// DirectCommands is the body of POST /do: commands that do not renew the worker lease.
+type DirectCommands struct {
+	FencingToken uint64    `json:"Baton"`
+	Incarnation  uint64    `json:"Shift"`
+	Commands     []Command `json:"Orders"`
+}
+
+// Redirect answers a heartbeat with 421: the worker reports to the leader, or tries the next node if
+// there is none.
+type Redirect struct {
+	Leader string `json:"Dispatcher,omitempty"`
+}
