--- /dev/null
+++ b/internal/simcluster/checker_test.go
@@ -0,0 +1,160 @@
+package simcluster_test
+
+import (
+	"encoding/json"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/simcluster"
+	"lotusstile.dev/lotusstile/internal/simcluster/faultnet"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// expectRules expects that violations name some rules.
+func expectRules(t testing.TB, violations []string, rules ...string) {
+	t.Helper()
+	all := strings.Join(violations, "\n")
+	for _, rule := range rules {
+		if !strings.Contains(all, rule) {
+			t.Errorf("%s is not seen in:\n%s", rule, all)
+		}
+	}
+}
+
+func TestCheckerReportsViolationsAtTaskStarts(t *testing.T) {
+	t.Parallel()
+	synctest.Test(t, func(t *testing.T) {
+		network := faultnet.New(rand.New(rand.NewPCG(1, 1)))
+		cluster := simcluster.NewCluster(nodeConfig(t, 0), network, nodeNames, catalog)
+		cluster.Cloud.AddMachines("g8", "a", 2)
+		cluster.Cloud.AddMachines("g8", "b", 1)
+		spec := wire.JobSpec{
+			UID:          "run-000001",
+			Team:         "crew",
+			Kind:         wire.Service,
+			TaskCount:    2,
+			Gpus:         21,
+			SpreadZones:  true,
+			MachineTypes: []string{"g8"},
+		}
+		deadline := time.Now().Add(time.Second)
+		cluster.Users.Run(spec, 0, deadline) // nobody answers: it is only made known
+		for _, start := range []struct {
+			task    string
+			machine simcluster.Machine
+		}{
+			{"run-000001/0", simcluster.Machine{Host: "m-000000", MachineType: "g8", Zone: "a"}},
+			{"run-000001/0", simcluster.Machine{Host: "m-000001", MachineType: "g8", Zone: "a"}},
+			{"run-000001/1", simcluster.Machine{Host: "m-000002", MachineType: "g4", Zone: "b", Spot: true}},
+			{"run-000009/0", simcluster.Machine{Host: "m-000002", MachineType: "g8", Zone: "b"}},
+		} {
+			cluster.Checker.TaskStarted(start.task, start.machine)
+		}
+		expectRules(t, cluster.Checker.Violations(), "ran_twice", "wrong_place", "quota", "invented")
+		cluster.StopMachines()
+		time.Sleep(time.Minute)
+	})
+}
+
+// The checker sees answers that break a rule, and jobs that are not served.
+func TestCheckerReportsViolationsInAnswers(t *testing.T) {
+	t.Parallel()
+	synctest.Test(t, func(t *testing.T) {
+		network := faultnet.New(rand.New(rand.NewPCG(1, 1)))
+		cluster := simcluster.NewCluster(nodeConfig(t, 0), network, nodeNames[:1], catalog)
+		cluster.Cloud.AddMachines("g8", "a", 1)
+		status, view := 0, wire.JobView{}
+		network.Attach("n0", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
+			rw.WriteHeader(status)
+			if err := json.NewEncoder(rw).Encode(view); err != nil {
+				t.Error(err)
+			}
+		}), nil)
+		go cluster.WatchInvariants(time.Now().Add(10 * time.Minute))
+		jobs := make([]wire.JobSpec, 4)
+		for i := range jobs {
+			jobs[i], _ = replicaJob(0)(i, rand.New(rand.NewPCG(1, 1)))
+			if i < 3 {
+				cluster.Users.UploadSpec(jobs[i])
+			}
+		}
+		users, checker := cluster.Users, cluster.Checker
+		poll := func(i int) func() { return func() { users.Poll("n0", jobs[i].UID); time.Sleep(time.Second) } }
+		submit := func(i int) func() { return func() { users.Submit("n0", jobs[i]); time.Sleep(time.Second) } }
+		cancel := func(i int) func() { return func() { users.Cancel("n0", jobs[i].UID); time.Sleep(time.Second) } }
+		for number, step := range []struct {
+			rule   string // that the step breaks; "": none
+			status int    // that the node answers
+			told   wire.JobStatus
+			act    func()
+		}{
+			{"", 404, "", poll(0)},
+			{"", 503, "", submit(0)},
+			{"", 201, wire.JobQueued, submit(0)},
+			{"forgotten", 404, "", poll(0)},
+			{"forgotten", 400, "", submit(0)},
+			{"forgotten", 422, "", func() { users.CrossCheck(jobs[0].UID) }},
+			{"invented", 200, wire.JobQueued, poll(3)},
+			{"not_done", 200, wire.JobDone, poll(0)},
+			{"went_back", 200, wire.JobQueued, poll(0)},
+			{"went_back", 200, wire.JobAborted, poll(1)}, // nobody cancelled it
+			{"went_back", 200, wire.JobRunning, func() { users.Cancel("n0", jobs[2].UID) }},
+			{"", 200, wire.JobAborted, cancel(2)},
+			{"went_back", 200, wire.JobRunning, func() { users.CrossCheck(jobs[2].UID) }},
+			{"", 201, wire.JobQueued, func() { users.UploadSpec(jobs[3]); submit(3)() }},
+			{"", 200, wire.JobQueued, func() { checker.FaultsOver(); time.Sleep(80 * time.Second) }},
+			{"left_waiting", 200, wire.JobQueued, func() { time.Sleep(20 * time.Second) }},
+			{"late_begin", 200, wire.JobQueued, checker.CheckJobsServed},
+			{"unserved", 200, wire.JobQueued, checker.CheckJobsServed},
+		} {
+			status, view.Status = step.status, step.told
+			before := len(checker.Violations())
+			step.act()
+			seen := strings.Join(checker.Violations()[before:], "\n")
+			if step.rule == "" && seen != "" || step.rule != "" && !strings.Contains(seen, step.rule) {
+				t.Errorf("step %d: expected %q, the checker sees %q", number, step.rule, seen)
+			}
+		}
+		cluster.StopMachines()
+		time.Sleep(2 * time.Minute)
+	})
+}
+
+// The checker sees jobs that run before what they need is done, or after it is cancelled.
+func TestCheckerReportsViolationsOfDependencies(t *testing.T) {
+	t.Parallel()
+	runScenario(t, func(sc *scenario) {
+		users := sc.cluster.Users
+		sc.cluster.Cloud.Capacity = 2 // no more machines than there are
+		first := stageJob(1, 1)
+		first.ExpectedRunS = 100
+		second := stageJob(2, 1, first.UID)
+		users.UploadSpec(first)
+		users.UploadSpec(second)
+		wrong := second
+		wrong.Dependencies = nil // the controllers do not hear of it
+		users.Submit("n0", first)
+		sc.expectStatus(http.StatusCreated, "n0", http.MethodPost, "/work", jobJSON(wrong))
+		users.Submit("n0", second)
+		time.Sleep(10 * time.Second)
+		users.Cancel("n0", first.UID)
+		blocked := stageJob(3, 1, first.UID)
+		users.UploadSpec(blocked)
+		blocked.Cores, blocked.Dependencies = 30, nil
+		for i := range 6 {
+			hog := stageJob(10+i, 1)
+			hog.Cores, hog.ExpectedRunS, hog.Priority = 64, 300, wire.High
+			users.UploadSpec(hog)
+			users.Submit("n0", hog)
+		}
+		time.Sleep(5 * time.Second)
+		sc.expectStatus(http.StatusCreated, "n0", http.MethodPost, "/work", jobJSON(blocked))
+		time.Sleep(50 * time.Second)
+		users.Poll("n0", "run-000003")
+		expectRules(t, sc.cluster.Checker.Violations(), "too_early", "orphaned")
+	})
+}
--- /dev/null
+++ b/internal/simcluster/combined_faults_test.go
@@ -0,0 +1,257 @@
+package simcluster_test
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// The faults of TestFaultCombinations. The order of the draws is part of what a seed stands for.
+
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+
+// eachRandomHost calls f for every machine that there may be, chosen by chance one in n.
+func eachRandomHost(r *rand.Rand, n int, f func(host string)) {
+	for k := range maxHosts {
+		if r.IntN(n) == 0 {
+			f(hostName(k))
+		}
+	}
+}
+
+// faultRandomHosts begins a fault between one in n machines and all nodes, and ends it later.
+func faultRandomHosts(r *rand.Rand, n int, duration time.Duration, set func(host, node string, on bool)) {
+	eachRandomHost(r, n, func(host string) {
+		for _, node := range nodeNames {
+			set(host, node, true)
+		}
+		time.AfterFunc(duration, func() {
+			for _, node := range nodeNames {
+				set(host, node, false)
+			}
+		})
+	})
+}
+
+// hangWorkers stops some machines for a while, shorter or longer than a lease.
+func (sc *scenario) hangWorkers(r *rand.Rand, count int) {
+	for range count {
+		if worker := sc.cluster.Cloud.RandomWorker(); worker != nil {
+			worker.Hang(time.Duration(3+r.IntN(14)) * time.Second)
+		}
+	}
+}
+
+// killWorkers ends some machines.
+func (sc *scenario) killWorkers(count int) {
+	for range count {
+		if worker := sc.cluster.Cloud.RandomWorker(); worker != nil {
+			worker.Die()
+		}
+	}
+}
+
+func lostCommitResponses(sc *scenario, r *rand.Rand) {
+	sc.cluster.Users.CrossCheckAnswers, sc.cluster.Users.CancelOnCompletion = true, true
+	sc.net.DelayCommits(0.4, true)
+	time.Sleep(15*time.Second + milliseconds(r.IntN(3000)))
+	sc.crashLeader(milliseconds(800))
+	time.Sleep(20 * time.Second)
+	sc.net.DelayCommits(0, false)
+	time.Sleep(20 * time.Second)
+}
+
+func manySmallJobs(sc *scenario, r *rand.Rand) {
+	sc.cluster.Users.CrossCheckAnswers, sc.cluster.Users.CancelOnCompletion = true, true
+	sc.net.DelayCommits(0.15, r.IntN(2) == 0)
+	time.Sleep(10*time.Second + milliseconds(r.IntN(2000)))
+	sc.crashLeader(3 * time.Second)
+	time.Sleep(25 * time.Second)
+}
+
+func lateCommitsAndCrashes(sc *scenario, r *rand.Rand) {
+	sc.net.DelayCommits(0.3, false)
+	sc.cluster.Users.CrossCheckAnswers, sc.cluster.Users.CancelOnCompletion = true, true
+	for range 4 {
+		time.Sleep(6*time.Second + milliseconds(r.IntN(4000)))
+		sc.crashLeader(milliseconds(300 + r.IntN(5000)))
+	}
+	time.Sleep(15 * time.Second)
+}
+
+func cancelledOnLostMachines(sc *scenario, r *rand.Rand) {
+	for i := range 3 {
+		sc.hangWorkers(r, 3)
+		faultRandomHosts(r, 3, time.Duration(5+r.IntN(25))*time.Second, sc.net.Partition)
+		time.Sleep(milliseconds(r.IntN(1500)))
+		sc.cancelJobs(nodeNames[i], 16+8*i, 8*time.Second)
+		time.Sleep(milliseconds(r.IntN(1500)))
+		sc.crashLeader(milliseconds(300 + r.IntN(6000)))
+		time.Sleep(20 * time.Second)
+	}
+}
+
+func cancelledDuringFailovers(sc *scenario, r *rand.Rand) {
+	for i := range 3 {
+		sc.crashLeader(milliseconds(900))
+		time.Sleep(milliseconds(r.IntN(2500)))
+		sc.cancelJobs(nodeNames[(i+1)%3], 6*(i+1), 6*time.Second)
+		time.Sleep(8 * time.Second)
+	}
+	sc.crashAllNodes()
+	time.Sleep(milliseconds(300 + r.IntN(14000)))
+	sc.startNode(r.IntN(3))
+	sc.cancelJobs(nodeNames[0], 24, 30*time.Second)
+	time.Sleep(15 * time.Second)
+}
+
+func oldHeartbeatsAtNewLeaders(sc *scenario, r *rand.Rand) {
+	for i := range 10 {
+		sc.cluster.CaptureHeartbeats(true)
+		time.Sleep(milliseconds(6000 + r.IntN(6000)))
+		old := sc.leaderIndex()
+		sc.crashLeader(milliseconds(400 + r.IntN(3000)))
+		if i == 5 {
+			sc.cluster.Store.SetDown(true)
+			time.AfterFunc(8*time.Second, func() { sc.cluster.Store.SetDown(false) })
+		}
+		for range 400 {
+			if leader := sc.leaderIndex(); leader >= 0 && leader != old {
+				break
+			}
+			time.Sleep(milliseconds(10))
+		}
+		sc.cluster.CaptureHeartbeats(false)
+	}
+}
+
+func newMachinesAndLateCommits(sc *scenario, r *rand.Rand) {
+	sc.cluster.Cloud.Capacity, sc.cluster.Cloud.BootTime = 10, 2*time.Second
+	sc.net.DelayCommits(0.4, false)
+	for range 3 {
+		time.Sleep(4*time.Second + milliseconds(r.IntN(6000)))
+		sc.crashLeader(milliseconds(300 + r.IntN(6000)))
+		sc.killWorkers(1)
+	}
+	time.Sleep(15 * time.Second)
+}
+
+func overloadOnSlowLinks(sc *scenario, r *rand.Rand) {
+	sc.cluster.Cloud.Capacity = 6
+	sc.net.SetExtraLatency(milliseconds(150 + r.IntN(150)))
+	time.Sleep(10*time.Second + milliseconds(r.IntN(3000)))
+	sc.crashLeader(milliseconds(300 + r.IntN(4000)))
+	sc.cancelJobs(nodeNames[0], 20, 5*time.Second)
+	time.Sleep(40 * time.Second)
+}
+
+func machinesDieUnderZonedJobs(sc *scenario, r *rand.Rand) {
+	for range 4 {
+		sc.killWorkers(2)
+		sc.hangWorkers(r, 2)
+		time.Sleep(5*time.Second + milliseconds(r.IntN(4000)))
+		sc.crashLeader(milliseconds(300 + r.IntN(3000)))
+	}
+	time.Sleep(15 * time.Second)
+}
+
+func partitionedZone(sc *scenario, r *rand.Rand) {
+	inside := r.IntN(3)
+	withoutStore := r.IntN(2) == 0
+	partition := func(on bool) {
+		sc.net.Partition(nodeNames[inside], storeAddress, on && withoutStore)
+		sc.isolatePeers(inside, on)
+		sc.partitionZoneA(inside, maxHosts, on)
+	}
+	partition(true)
+	time.Sleep(milliseconds(r.IntN(4000)))
+	sc.cancelJobs(nodeNames[(inside+1)%3], 20, 20*time.Second)
+	time.Sleep(time.Duration(11+r.IntN(40)) * time.Second)
+	partition(false)
+	sc.crashLeader(2 * time.Second)
+	time.Sleep(10 * time.Second)
+}
+
+func isolatedLeaderAndDeafMachines(sc *scenario, r *rand.Rand) {
+	sc.cluster.CaptureHeartbeats(true)
+	leader := sc.leaderIndex()
+	isolate := func(on bool) {
+		sc.net.Partition(nodeNames[leader], storeAddress, on)
+		sc.isolatePeers(leader, on)
+	}
+	isolate(true)
+	faultRandomHosts(r, 4, 25*time.Second, func(host, node string, on bool) {
+		sc.net.DropResponses(host, node, on)
+		sc.net.DropRequests(node, host, on)
+	})
+	faultRandomHosts(r, 4, 25*time.Second, sc.net.DropRequests)
+	time.Sleep(3*time.Second + milliseconds(r.IntN(3000)))
+	sc.cancelJobs(nodeNames[(leader+1)%3], 16, 20*time.Second)
+	time.Sleep(20*time.Second + milliseconds(r.IntN(20000)))
+	isolate(false)
+	sc.cluster.CaptureHeartbeats(false)
+	time.Sleep(10 * time.Second)
+}
+
+func allNodesAwayForALease(sc *scenario, r *rand.Rand) {
+	sc.cancelJobs(nodeNames[0], 8, 2*time.Second)
+	time.Sleep(milliseconds(r.IntN(1000)))
+	sc.crashAllNodes()
+	time.Sleep(time.Duration(9+r.IntN(8)) * time.Second)
+	sc.hangWorkers(r, 3)
+	sc.startAllNodes()
+	sc.cluster.CaptureHeartbeats(true)
+	time.Sleep(5 * time.Second)
+	sc.crashLeader(milliseconds(500))
+	sc.cluster.CaptureHeartbeats(false)
+	sc.cancelJobs(nodeNames[1], 16, 10*time.Second)
+	time.Sleep(20 * time.Second)
+}
+
+func machinesDeafToNewLeader(sc *scenario, r *rand.Rand) {
+	for i := range 3 {
+		set := sc.net.Partition
+		if i%2 == 0 {
+			set = sc.net.DropResponses
+		}
+		faultRandomHosts(r, 2, time.Duration(4+r.IntN(12))*time.Second, set)
+		sc.crashLeader(milliseconds(300 + r.IntN(4000)))
+		time.Sleep(18 * time.Second)
+	}
+}
+
+func refusalsAndOutages(sc *scenario, r *rand.Rand) {
+	sc.cluster.Users.CrossCheckAnswers = true
+	for i := range 3 {
+		leader := max(0, sc.leaderIndex())
+		sc.net.RefuseRequests(nodeNames[leader], storeAddress, true)
+		time.Sleep(milliseconds(200 + r.IntN(4000)))
+		sc.cancelJobs(nodeNames[(leader+1)%3], 8*(i+1), 12*time.Second)
+		time.Sleep(milliseconds(r.IntN(2000)))
+		sc.cluster.Store.SetDown(true)
+		time.Sleep(time.Duration(3+r.IntN(45)) * time.Second)
+		sc.net.RefuseRequests(nodeNames[leader], storeAddress, false)
+		sc.cluster.Store.SetDown(false)
+		time.Sleep(10 * time.Second)
+	}
+}
+
+func leaderCrashAtTeamLimit(sc *scenario, r *rand.Rand) {
+	time.Sleep(10*time.Second + milliseconds(r.IntN(5000)))
+	sc.crashLeader(milliseconds(300 + r.IntN(5000)))
+	time.Sleep(10 * time.Second)
+}
+
+func lateCommandsOfOldLeaders(sc *scenario, r *rand.Rand) {
+	sc.net.DelayDirectCommands(0.7)
+	for range 4 {
+		// Machines that reach no controller are announced the token directly, by one leader after
+		// the other.
+		faultRandomHosts(r, 2, time.Duration(6+r.IntN(10))*time.Second, sc.net.DropRequests)
+		sc.hangWorkers(r, 2)
+		time.Sleep(5*time.Second + milliseconds(r.IntN(4000)))
+		sc.crashLeader(milliseconds(300 + r.IntN(5000)))
+		sc.cancelJobs(nodeNames[r.IntN(3)], 24, 6*time.Second)
+		time.Sleep(4 * time.Second)
+	}
+	time.Sleep(16 * time.Second)
+}
--- /dev/null
+++ b/internal/simcluster/faulty_job_test.go
@@ -0,0 +1,54 @@
+package simcluster_test
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// A job that fails everywhere by its own fault quarantines no machine, provisions
+// no fleet and keeps nobody from running; its user can still cancel it.
+func TestFaultyJobHarmsNoMachineAndNoOtherJob(t *testing.T) {
+	t.Parallel()
+	runScenario(t, func(sc *scenario) {
+		sc.cluster.FaultyJobClass = "broken"
+		deadline := time.Now().Add(150 * time.Second)
+		var users sync.WaitGroup
+		for i := range 8 {
+			spec := wire.JobSpec{
+				UID:          jobName(i),
+				JobClass:     "good",
+				Team:         "free",
+				Kind:         wire.JobArray,
+				Priority:     wire.BestEffort,
+				TaskCount:    4,
+				Cores:        4,
+				Gpus:         1,
+				RAMGb:        20,
+				Image:        "img",
+				ImageGb:      4,
+				ExpectedRunS: 5,
+			}
+			stay := time.Duration(0)
+			if i == 0 {
+				spec.JobClass, spec.Priority, spec.TaskCount = "broken", wire.Standard, 6
+				stay = 100 * time.Second
+			}
+			users.Go(func() {
+				time.Sleep(time.Duration(10*i) * time.Second)
+				sc.cluster.Users.Run(spec, stay, deadline)
+			})
+		}
+		users.Wait()
+		sc.expectNoViolations()
+		// Idle machines are returned and provisioned again, but not one for each failure.
+		if n := sc.cluster.Cloud.MachinesProvisioned(); n > 8 {
+			t.Errorf("%d machines were provisioned", n)
+		}
+		if n := sc.cluster.Checker.StartCount(); n < 28+6 || n > 28+6*12 {
+			t.Errorf("%d starts", n)
+		}
+	})
+}
--- /dev/null
+++ b/internal/simcluster/large_fleet_test.go
@@ -0,0 +1,199 @@
+package simcluster_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// The rules hold at the size that the deployments have grown to, also when the
+// leader changes and while malformed requests come in.
+func TestRulesHoldInAGrownFleet(t *testing.T) {
+	t.Parallel()
+	synctest.Test(t, func(t *testing.T) {
+		violations, started := playLargeFleet(t, 190, 90*time.Second, func(sc *scenario) {
+			time.Sleep(20 * time.Second)
+			sc.sendMalformedRequests()
+			time.Sleep(20 * time.Second)
+			sc.crashNode(0)
+			sc.crashNode(1)
+			time.Sleep(4 * time.Second)
+			sc.startNode(0)
+			sc.startNode(1)
+		})
+		if started < 500 {
+			t.Errorf("%d tasks were started", started)
+		}
+		expectNoViolations(t, violations)
+	})
+}
+
+// The same at the size of the largest fleets, with all that may fail together:
+// a rush of hundreds of jobs, a third of the machines cut off, machines that hang
+// and die, and all controllers down at once with the state service.
+func TestLargeFleet(t *testing.T) {
+	t.Parallel()
+	const machines = 1070
+	synctest.Test(t, func(t *testing.T) {
+		violations, started := playLargeFleet(t, machines, 60*time.Second, func(sc *scenario) {
+			time.Sleep(15 * time.Second)
+			sc.partitionThirdOfMachines(machines, 25*time.Second)
+			for range 30 {
+				sc.cluster.Cloud.RandomWorker().Hang(20 * time.Second)
+				sc.cluster.Cloud.RandomWorker().Die()
+			}
+			time.Sleep(10 * time.Second)
+			sc.cluster.Store.SetDown(true)
+			sc.crashAllNodes()
+			time.Sleep(5 * time.Second)
+			sc.cluster.Store.SetDown(false)
+			for i := range nodeNames {
+				sc.startNode(i)
+				time.Sleep(300 * time.Millisecond)
+			}
+			sc.crashNode(0) // in the middle of an election
+			time.Sleep(300 * time.Millisecond)
+			sc.startNode(0)
+		})
+		if started < 3*machines {
+			t.Errorf("%d tasks were started", started)
+		}
+		expectNoViolations(t, violations)
+	})
+}
+
+// playLargeFleet plays minutes of a deployment of many machines and hundreds of jobs.
+func playLargeFleet(t *testing.T, machines int, duration time.Duration, inject func(sc *scenario)) (violations []string, started int) {
+	t.Helper()
+	sc := newScenario(t, 7)
+	sc.cluster.Cloud.Capacity = machines + machines/8
+	r := rand.New(rand.NewPCG(7, 2))
+	sc.cluster.Cloud.AddMachines("g8", "a", machines/2)
+	sc.cluster.Cloud.AddMachines("g8", "b", machines-machines/2)
+	time.Sleep(3 * time.Second)
+	deadline := time.Now().Add(duration + 2*time.Minute)
+	var users sync.WaitGroup
+	for i := range machines + int(duration.Seconds()) {
+		spec, stay := largeFleetJob(i, duration, r)
+		after := time.Duration(max(0, i-machines)) * time.Second
+		users.Go(func() {
+			time.Sleep(after)
+			sc.cluster.Users.Run(spec, stay, deadline)
+		})
+	}
+	go sc.cluster.WatchInvariants(deadline)
+	inject(sc)
+	users.Wait()
+	violations, started = sc.cluster.Checker.Violations(), sc.cluster.Checker.StartCount()
+	sc.end()
+	return violations, started
+}
+
+// largeFleetJob makes services that stay for a part of the duration, and arrays.
+func largeFleetJob(i int, duration time.Duration, r *rand.Rand) (wire.JobSpec, time.Duration) {
+	spec := serviceJob(jobName(i), "free", wire.High, 1+r.IntN(6))
+	spec.Image = fmt.Sprintf("img-%d", r.IntN(6))
+	stay := duration/4 + time.Duration(r.IntN(int(duration*3/4)))
+	if i%4 == 0 {
+		spec.JobClass, spec.Kind, spec.Priority = "batch", wire.JobArray, wire.Standard
+		spec.TaskCount, spec.ExpectedRunS, spec.AllowSpot = 5+r.IntN(40), float64(10+r.IntN(40)), true
+		stay = 0
+	}
+	return spec, stay
+}
+
+// partitionThirdOfMachines cuts every third machine off from all nodes for a while.
+func (sc *scenario) partitionThirdOfMachines(machines int, duration time.Duration) {
+	partition := func(host string, on bool) {
+		for _, node := range nodeNames {
+			sc.net.Partition(host, node, on)
+		}
+	}
+	for i := range machines / 3 {
+		host := hostName(3 * i)
+		partition(host, true)
+		time.AfterFunc(duration, func() { partition(host, false) })
+	}
+}
+
+// sendMalformedRequests sends what a broken worker or user might: each request is refused at once,
+// whoever gets it, and leaves nothing behind.
+func (sc *scenario) sendMalformedRequests() {
+	sc.t.Helper()
+	long := strings.Repeat("x", wire.MaxBody-200)
+	for i := range 300 {
+		node := nodeNames[i%3]
+		sc.expectStatus(http.StatusBadRequest, node, http.MethodPost, "/checkin", `{"Host":"m-`+long[:i]+`","Shift":`)
+		sc.expectStatus(http.StatusBadRequest, node, http.MethodPost, "/checkin", fmt.Sprintf(`{"Host":"%d%s","Shift":1,"Tick":1}`, i, long))
+		sc.expectStatus(http.StatusRequestEntityTooLarge, node, http.MethodPost, "/checkin", `{"Host":"m","Legs":["`+long+long+`"]}`)
+		sc.expectStatus(http.StatusBadRequest, node, http.MethodPost, "/work", `{"Uid":"run-`+long+`"}`)
+		sc.expectStatus(http.StatusRequestEntityTooLarge, node, http.MethodPost, "/work", long+long)
+	}
+	known := 0
+	if status := sc.status("n2"); status.Lead != nil {
+		for _, machines := range status.Lead.Machines {
+			known += machines
+		}
+	}
+	if known < 150 || known > 250 {
+		sc.t.Errorf("the leader knows %d machines", known)
+	}
+}
+
+// The largest array is accepted, makes progress and keeps within the limits of
+// the state service, also when the leader changes.
+func TestLargestArrayMakesProgressAcrossFailovers(t *testing.T) {
+	t.Parallel()
+	runScenario(t, func(sc *scenario) {
+		sc.cluster.Cloud.Capacity = 4
+		spec := wire.JobSpec{
+			UID:          "run-000001",
+			JobClass:     "large",
+			Team:         "free",
+			Kind:         wire.JobArray,
+			Priority:     wire.Standard,
+			TaskCount:    wire.MaxTasks,
+			Cores:        0.5,
+			RAMGb:        0.1,
+			Image:        "img",
+			ImageGb:      1,
+			ExpectedRunS: 4,
+			MachineTypes: []string{"g4", "g8"},
+		}
+		sc.cluster.Users.UploadSpec(spec)
+		if status, _ := sc.cluster.Users.Request("n0", http.MethodPost, "/work", spec); status != http.StatusCreated {
+			t.Fatalf("answered %d", status)
+		}
+		small := spec
+		small.UID, small.TaskCount, small.Priority = "run-000002", 5, wire.High
+		time.Sleep(20 * time.Second)
+		for i := range nodeNames {
+			sc.crashNode(i)
+			time.Sleep(3 * time.Second)
+			sc.startNode(i)
+		}
+		began := time.Now()
+		sc.cluster.Users.Run(small, 0, time.Now().Add(time.Minute))
+		if took := time.Since(began); took > 45*time.Second {
+			t.Errorf("a small job of higher priority took %v", took)
+		}
+		time.Sleep(10 * time.Second)
+		var view wire.JobView
+		text := sc.expectStatus(http.StatusOK, "n1", http.MethodGet, "/work/run-000001", "")
+		if err := json.Unmarshal([]byte(text), &view); err != nil || view.Done < 200 {
+			t.Errorf("%+v, %v", view, err)
+		}
+		sc.expectNoViolations()
+		sc.expectStatus(http.StatusOK, "n2", http.MethodPost, "/work/run-000001/withdraw", "")
+		time.Sleep(time.Minute) // what nothing waits for takes what the budget leaves
+		sc.expectNoKeys("j/", "p/")
+	})
+}
--- /dev/null
+++ b/internal/simcluster/process_pause_test.go
@@ -0,0 +1,123 @@
+package simcluster_test
+
+import (
+	"math/rand/v2"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// pausePhase is a moment of the protocol at which a controller's process is paused.
+type pausePhase struct {
+	name string
+	// whoPauses tells, of a request that is observed, which controller is to pause now; "": none.
+	whoPauses  func(sc *scenario, from, to, path string, carriedOut bool) string
+	leaderEnds bool // the leader ends first
+}
+
+// leaderSends pauses the leader when a request of it is carried out and not yet answered.
+func leaderSends(isPath func(path string) bool) func(sc *scenario, from, to, path string, carriedOut bool) string {
+	return func(sc *scenario, from, _, path string, carriedOut bool) string {
+		if carriedOut && isPath(path) && sc.isLeader(from) {
+			return from
+		}
+		return ""
+	}
+}
+
+// leaderReceivesHeartbeat pauses the leader when it gets a heartbeat, or has taken it and not yet
+// answered it.
+func leaderReceivesHeartbeat(afterwards bool) func(sc *scenario, from, to, path string, carriedOut bool) string {
+	return func(sc *scenario, _, to, path string, carriedOut bool) string {
+		if carriedOut == afterwards && path == "/checkin" && sc.isLeader(to) {
+			return to
+		}
+		return ""
+	}
+}
+
+// leaderWhileOtherCommits pauses the leader when another node has committed.
+func leaderWhileOtherCommits(sc *scenario, from, _, path string, carriedOut bool) string {
+	if leader := sc.leaderIndex(); carriedOut && path == "/commit" && leader >= 0 && nodeNames[leader] != from {
+		return nodeNames[leader]
+	}
+	return ""
+}
+
+// followerCommits pauses a node that does not lead when it has committed.
+func followerCommits(sc *scenario, from, _, path string, carriedOut bool) string {
+	if carriedOut && path == "/commit" && !sc.isLeader(from) {
+		return from
+	}
+	return ""
+}
+
+func isPath(want string) func(path string) bool {
+	return func(path string) bool { return path == want }
+}
+
+func isRenewal(path string) bool { return strings.HasSuffix(path, "/touch") }
+
+// A controller stands still while its clocks run on, in every phase of a term, for
+// less than its lease of leadership, a worker lease or cancel_s and for more. On waking it has an
+// old snapshot, old heartbeats to answer and answers to what it asked long ago.
+func TestProcessPause(t *testing.T) {
+	t.Parallel()
+	for _, phase := range []pausePhase{
+		{name: "elected, not yet told so", whoPauses: leaderSends(isPath("/commit")), leaderEnds: true},
+		{name: "reads the records", whoPauses: leaderSends(isPath("/kv")), leaderEnds: true},
+		{name: "has committed and not heard so", whoPauses: leaderSends(isPath("/commit"))},
+		{name: "is about to take a report", whoPauses: leaderReceivesHeartbeat(false)},
+		{name: "has taken a report and not answered it", whoPauses: leaderReceivesHeartbeat(true)},
+		{name: "has renewed its hold", whoPauses: leaderSends(isRenewal)},
+		{name: "has read what is withdrawn", whoPauses: leaderSends(isPath("/changes"))},
+		{name: "has returned machines", whoPauses: leaderSends(isPath("/machines/return"))},
+		{name: "leads while another node records a withdrawal", whoPauses: leaderWhileOtherCommits},
+		{name: "has recorded a withdrawal and told nobody", whoPauses: followerCommits},
+	} {
+		t.Run(phase.name, func(t *testing.T) {
+			t.Parallel()
+			pauses := 0
+			faultCombination{
+				machines:       6,
+				makeJob:        mixedJob,
+				jobCount:       36,
+				submitInterval: time.Second,
+				seeds:          seedCount(t, 1),
+				injectFaults:   func(sc *scenario, r *rand.Rand) { pauses += pauseInPhase(sc, r, phase) },
+			}.run(t)
+			if pauses < 2*seedCount(t, 1) { // of four: nobody may withdraw anything in time
+				t.Errorf("a controller was paused %d times", pauses)
+			}
+		})
+	}
+}
+
+// pauseInPhase pauses a controller four times in a phase, each time for longer, while jobs are
+// cancelled. It returns how often the phase came.
+func pauseInPhase(sc *scenario, r *rand.Rand, phase pausePhase) (pauses int) {
+	for i, span := range []int{2000, 4500, 13000, 50000} {
+		pause := milliseconds(span + r.IntN(span/2))
+		sc.hangWorkers(r, 1)
+		sc.killWorkers(1)
+		if phase.leaderEnds {
+			sc.crashLeader(milliseconds(300 + r.IntN(3000)))
+		}
+		var once sync.Once
+		sc.net.ObserveRequests(func(from, to, path string, carriedOut bool) {
+			if node := phase.whoPauses(sc, from, to, path, carriedOut); node != "" {
+				once.Do(func() {
+					pauses++
+					sc.net.PauseProcess(node, true)
+					time.AfterFunc(pause, func() { sc.net.PauseProcess(node, false) })
+				})
+			}
+		})
+		time.Sleep(milliseconds(r.IntN(2500)))
+		sc.cancelJobs(nodeNames[r.IntN(3)], 9*(i+1), 8*time.Second)
+		time.Sleep(pause + 5*time.Second)
+		sc.net.ObserveRequests(nil)
+	}
+	return pauses
+}
--- /dev/null
+++ b/internal/simcluster/random_faults_test.go
@@ -0,0 +1,250 @@
+package simcluster_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strconv"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+const (
+	// randomFaultsFor is how long faults may begin, and settleAfterFaults when all are ended.
+	randomFaultsFor   = 150 * time.Second
+	settleAfterFaults = 40 * time.Second
+)
+
+// The rules hold on days of crashes, cuts, outages, dead, hung, sick and deaf
+// machines, late transactions and late copies of heartbeats, and every accepted
+// job is over some time after the last fault.
+func TestRulesHoldWhateverFails(t *testing.T) {
+	t.Parallel()
+	scenarios := 12
+	if n, err := strconv.Atoi(os.Getenv("DAYS")); err == nil {
+		scenarios = n // to look for more
+	}
+	runRandomFaultScenarios(t, 0, uint64(scenarios), func(*scenario, uint64) {})
+}
+
+// runRandomFaultScenarios plays scenarios of faults by chance side by side, each prepared by its
+// number.
+func runRandomFaultScenarios(t *testing.T, firstSeed, scenarios uint64, prepare func(sc *scenario, number uint64)) {
+	t.Helper()
+	for number := range scenarios {
+		t.Run(fmt.Sprint(number), func(t *testing.T) {
+			t.Parallel()
+			faults := int(3 + number%12)
+			violations, started := playRandomFaults(t, firstSeed+number, faults, func(sc *scenario) { prepare(sc, number) })
+			if started == 0 {
+				t.Error("no task was started")
+			}
+			expectNoViolations(t, violations)
+		})
+	}
+}
+
+// playRandomFaults plays a scenario of faults by chance and returns the rules it broke.
+func playRandomFaults(t *testing.T, seed uint64, faults int, prepare func(sc *scenario)) (violations []string, started int) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		sc := newScenario(t, seed, prepare)
+		r := rand.New(rand.NewPCG(seed, 2))
+		sc.cluster.Cloud.AddMachines("g8", "a", 2)
+		sc.cluster.Cloud.AddMachines("g8", "b", 2)
+		time.Sleep(3 * time.Second)
+		deadline := time.Now().Add(randomFaultsFor + 240*time.Second)
+		var users sync.WaitGroup
+		for i := range 24 {
+			spec, stay := randomJob(i, r)
+			submitAfter := time.Duration(r.IntN(120)) * time.Second
+			users.Go(func() {
+				time.Sleep(submitAfter)
+				sc.cluster.Users.Run(spec, stay, deadline)
+			})
+		}
+		go sc.cluster.WatchInvariants(deadline)
+		sc.scheduleRandomFaults(r, faults)
+		time.Sleep(randomFaultsFor + settleAfterFaults)
+		sc.endFaults()
+		users.Wait()
+		time.Sleep(time.Until(deadline))
+		if left := sc.cluster.Store.Keys("j/"); len(left) > 0 {
+			t.Logf("seed %d: not archived: %v", seed, left)
+		}
+		violations, started = sc.cluster.Checker.Violations(), sc.cluster.Checker.StartCount()
+		sc.end()
+	})
+	return violations, started
+}
+
+// scheduleRandomFaults lets faults by chance begin at moments by chance.
+func (sc *scenario) scheduleRandomFaults(r *rand.Rand, faults int) {
+	for range faults {
+		after := time.Duration(5+r.IntN(140)) * time.Second
+		faultRand := rand.New(rand.NewPCG(r.Uint64(), 3))
+		time.AfterFunc(after, func() { sc.injectRandomFault(faultRand) })
+	}
+}
+
+// endFaults ends all faults and starts the controllers that do not run.
+func (sc *scenario) endFaults() {
+	sc.t.Helper()
+	sc.net.Heal()
+	sc.cluster.Store.SetDown(false)
+	sc.startAllNodes()
+}
+
+// randomFault is one fault by chance: the controllers that it may strike and how long it lasts.
+type randomFault struct {
+	sc       *scenario
+	r        *rand.Rand
+	node     int
+	other    int // another controller, or the same
+	duration time.Duration
+}
+
+// randomFaultKinds are the faults that injectRandomFault chooses from. Their order is part of what
+// a seed stands for.
+var randomFaultKinds = []func(f *randomFault){
+	(*randomFault).crashNode,
+	(*randomFault).crashAllNodes,
+	(*randomFault).partitionFromStore,
+	(*randomFault).refuseAtStore,
+	(*randomFault).partitionFromWorkers,
+	(*randomFault).isolateNode,
+	(*randomFault).storeOutage,
+	(*randomFault).killWorker,
+	(*randomFault).hangWorker,
+	(*randomFault).failTasksOfWorker,
+	(*randomFault).deafWorker,
+	(*randomFault).partitionWorker,
+	(*randomFault).leaveWithWorkersOnly,
+	(*randomFault).partitionZone,
+	(*randomFault).partitionZone, // twice as often
+}
+
+// injectRandomFault begins one fault by chance, and ends it later.
+func (sc *scenario) injectRandomFault(r *rand.Rand) {
+	f := &randomFault{sc: sc, r: r, node: r.IntN(3), other: r.IntN(3)}
+	f.duration = time.Duration(1+r.IntN(35)) * time.Second
+	randomFaultKinds[r.IntN(len(randomFaultKinds))](f)
+}
+
+// whileItLasts begins a fault at once, and ends it after its duration.
+func (f *randomFault) whileItLasts(set func(on bool)) {
+	duration := f.duration
+	go func() {
+		set(true)
+		time.Sleep(duration)
+		set(false)
+	}()
+}
+
+func (f *randomFault) crashNode() {
+	f.sc.crashNode(f.node)
+	time.AfterFunc(time.Duration(200+f.r.IntN(6000))*time.Millisecond, func() { f.sc.startNode(f.node) })
+}
+
+func (f *randomFault) crashAllNodes() {
+	for i := range nodeNames {
+		f.sc.crashNode(i)
+		time.AfterFunc(time.Duration(500+f.r.IntN(6000))*time.Millisecond, func() { f.sc.startNode(i) })
+	}
+}
+
+func (f *randomFault) partitionFromStore() {
+	f.whileItLasts(func(on bool) { f.sc.net.Partition(nodeNames[f.node], storeAddress, on) })
+}
+
+func (f *randomFault) refuseAtStore() {
+	f.whileItLasts(func(on bool) { f.sc.net.RefuseRequests(nodeNames[f.node], storeAddress, on) })
+}
+
+func (f *randomFault) partitionFromWorkers() {
+	f.whileItLasts(func(on bool) {
+		for k := range maxHosts {
+			f.sc.net.Partition(nodeNames[f.node], hostName(k), on)
+		}
+	})
+}
+
+// isolateNode cuts a controller off from the outside systems and from its peers.
+func (f *randomFault) isolateNode() {
+	f.whileItLasts(func(on bool) {
+		f.sc.net.Partition(nodeNames[f.node], storeAddress, on)
+		f.sc.net.Partition(nodeNames[f.node], cloudAddress, on)
+		for j, name := range nodeNames {
+			if j != f.node {
+				f.sc.net.Partition(nodeNames[f.node], name, on)
+			}
+		}
+		f.sc.isolatePeers(f.node, on)
+	})
+}
+
+func (f *randomFault) storeOutage() { f.whileItLasts(f.sc.cluster.Store.SetDown) }
+
+func (f *randomFault) killWorker() {
+	if worker := f.sc.cluster.Cloud.RandomWorker(); worker != nil {
+		worker.Die()
+	}
+}
+
+func (f *randomFault) hangWorker() {
+	if worker := f.sc.cluster.Cloud.RandomWorker(); worker != nil {
+		worker.Hang(f.duration)
+	}
+}
+
+func (f *randomFault) failTasksOfWorker() {
+	if worker := f.sc.cluster.Cloud.RandomWorker(); worker != nil {
+		worker.FailTasks(f.duration)
+	}
+}
+
+// deafWorker loses the responses to a worker's heartbeats.
+func (f *randomFault) deafWorker() {
+	if worker := f.sc.cluster.Cloud.RandomWorker(); worker != nil {
+		f.whileItLasts(func(on bool) {
+			for _, name := range nodeNames {
+				f.sc.net.DropResponses(worker.Host, name, on)
+			}
+		})
+	}
+}
+
+func (f *randomFault) partitionWorker() {
+	if worker := f.sc.cluster.Cloud.RandomWorker(); worker != nil {
+		f.whileItLasts(func(on bool) {
+			for _, name := range nodeNames {
+				f.sc.net.Partition(worker.Host, name, on)
+			}
+		})
+	}
+}
+
+// leaveWithWorkersOnly cuts a controller off from the state service and two controllers, of which
+// it may be one itself.
+func (f *randomFault) leaveWithWorkersOnly() {
+	f.whileItLasts(func(on bool) {
+		address := peerAddress(nodeNames[f.node])
+		f.sc.net.Partition(nodeNames[f.node], storeAddress, on)
+		f.sc.net.Partition(address, peerAddress(nodeNames[f.other]), on)
+		f.sc.net.Partition(address, peerAddress(nodeNames[(f.other+1)%len(nodeNames)]), on)
+	})
+}
+
+// partitionZone cuts a zone with one controller off from the rest. It may have lost the state
+// service too.
+func (f *randomFault) partitionZone() {
+	f.duration += time.Duration(f.r.IntN(60)) * time.Second
+	withoutStore := f.r.IntN(2) == 0
+	f.whileItLasts(func(on bool) {
+		f.sc.net.Partition(nodeNames[f.node], storeAddress, on && withoutStore)
+		f.sc.isolatePeers(f.node, on)
+		f.sc.partitionZoneA(f.node, maxHosts, on)
+	})
+}
--- /dev/null
+++ b/internal/simcluster/refused_leader_test.go
@@ -0,0 +1,191 @@
+package simcluster_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// outageAfterRefusal is a gap in which the leader alone loses the state service, and then all do.
+type outageAfterRefusal struct {
+	fault       string        // what keeps the leader from the state service
+	faultFor    time.Duration // for how long
+	outageAfter time.Duration // from the beginning of that; 0: from the election of another
+	outageFor   time.Duration
+	withoutPeer bool // the leader is cut off from its peers as well
+}
+
+// gapJobs is how many jobs there are in the gap.
+const gapJobs = 8
+
+// The gap: the state service refuses the leader alone while another controller
+// confirms cancellations, and is then down for all for longer than cancel_s
+// while workers keep reporting to the old leader. Its last answered request may
+// be younger than what it knows of cancellations, and a leader that was elected
+// in the gap may not have read the records at all: the tasks must be gone within
+// cancel_s of the confirmation all the same.
+func TestCancelledTasksEndInTimeWhenAnOutageFollowsARefusedLeader(t *testing.T) {
+	t.Parallel()
+	s := time.Second
+	for _, gap := range []outageAfterRefusal{
+		{"cut", 700 * time.Millisecond, 8 * s, 60 * s, true}, // its watch hangs, its lease is renewed
+		{"cut", 600 * time.Millisecond, 4 * s, 39 * s, true},
+		{"refuse", 14 * s, 0, 60 * s, true}, // a leader that has not loaded
+		{"refuse", 14 * s, 0, 41 * s, false},
+		{"cut", 14 * s, 0, 60 * s, true},
+		{"refuse", 1700 * time.Millisecond, 1800 * time.Millisecond, 60 * s, true}, // ends just before the outage
+		{"refuse", 2 * s, 2100 * time.Millisecond, 60 * s, false},
+		{"refuse", 14 * s, 2 * s, 60 * s, true}, // ends within it
+		{"refuse", 5 * s, 3 * s, 45 * s, true},  // the leader changes just before
+		{"refuse", 4 * s, 20 * s, 60 * s, true},
+		{"cut", 70 * s, 2200 * time.Millisecond, 39 * s, true},
+	} {
+		name := fmt.Sprintf("%s %v, outage after %v for %v, peers cut %v",
+			gap.fault, gap.faultFor, gap.outageAfter, gap.outageFor, gap.withoutPeer)
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			faultCombination{
+				machines:       4,
+				makeJob:        replicaJob(0),
+				jobCount:       gapJobs,
+				submitInterval: s,
+				seeds:          3,
+				injectFaults:   gap.inject,
+			}.run(t)
+		})
+	}
+}
+
+// inject plays the gap while users cancel all jobs at one node or another.
+func (g outageAfterRefusal) inject(sc *scenario, r *rand.Rand) {
+	leader := sc.leaderIndex()
+	began := time.Now()
+	g.setFault(sc, leader, true)
+	time.AfterFunc(g.faultFor, func() { g.setFault(sc, leader, false) })
+	// Some are confirmed at once, others at the last moment.
+	sc.cancelJobs(nodeNames[(leader+1)%3], gapJobs/2, min(time.Second, g.faultFor-100*time.Millisecond))
+	if g.outageAfter == 0 {
+		for sc.leaderIndex() == leader || sc.leaderIndex() < 0 {
+			time.Sleep(time.Millisecond)
+		}
+	} else {
+		time.Sleep(g.outageAfter - time.Duration(100+r.IntN(400))*time.Millisecond)
+		sc.cancelJobs(nodeNames[(leader+2)%3], gapJobs, 100*time.Millisecond)
+		time.Sleep(time.Until(began.Add(g.outageAfter)))
+	}
+	sc.cluster.Store.SetDown(true)
+	time.Sleep(g.outageFor)
+	sc.cluster.Store.SetDown(false)
+	time.Sleep(10 * time.Second)
+	sc.cancelJobs(nodeNames[0], gapJobs, 20*time.Second)
+}
+
+// setFault keeps the leader from the state service, or no longer.
+func (g outageAfterRefusal) setFault(sc *scenario, leader int, on bool) {
+	if g.fault == "refuse" {
+		sc.net.RefuseRequests(nodeNames[leader], storeAddress, on)
+	} else {
+		sc.net.Partition(nodeNames[leader], storeAddress, on)
+	}
+	if g.withoutPeer {
+		sc.isolatePeers(leader, on)
+	}
+}
+
+// A leader that the state service refuses, alone, learns of a cancellation from the
+// node that confirmed it: the tasks are gone in seconds, not with their leases.
+func TestRefusedLeaderStopsTasksOnAnnouncedCancellation(t *testing.T) {
+	t.Parallel()
+	runScenario(t, func(sc *scenario) {
+		spec, _ := replicaJob(0)(1, rand.New(rand.NewPCG(1, 1)))
+		spec.TaskCount = 4
+		sc.startJob(spec, 20*time.Second)
+		leader := sc.leaderIndex()
+		sc.net.RefuseRequests(nodeNames[leader], storeAddress, true)
+		sc.cancelJobs(nodeNames[(leader+1)%3], 2, time.Second)
+		time.Sleep(time.Second)
+		sc.cluster.Store.SetDown(true) // before another leads
+		time.Sleep(3 * time.Second)
+		onMachines, status := sc.cluster.Checker.TasksOnMachines(spec.UID), sc.cluster.Checker.FinalStatus(spec.UID)
+		if onMachines != 0 || status != wire.JobAborted {
+			t.Errorf("%d tasks are left, told %q", onMachines, status)
+		}
+		sc.cluster.Store.SetDown(false)
+		sc.net.Heal()
+	})
+}
+
+// startJob submits a job to the first node and expects that all its tasks run after a while.
+func (sc *scenario) startJob(spec wire.JobSpec, after time.Duration) {
+	sc.t.Helper()
+	sc.cluster.Users.UploadSpec(spec)
+	if !sc.cluster.Users.Submit(nodeNames[0], spec) {
+		sc.t.Fatalf("%s is not accepted", spec.UID)
+	}
+	time.Sleep(after)
+	if onMachines := sc.cluster.Checker.TasksOnMachines(spec.UID); onMachines != spec.TaskCount {
+		sc.t.Fatalf("%d tasks of %s run, want %d", onMachines, spec.UID, spec.TaskCount)
+	}
+}
+
+// A leader that has lost the state service and its peers keeps the leases of the
+// workers that still reach it. The next leader neither declares their machines dead
+// nor waits until the old one's knowledge is too old: it tells them its token, and
+// they come to it with all that they run.
+func TestWorkersOfADeposedLeaderMoveWithTheirTasks(t *testing.T) {
+	t.Parallel()
+	const machines, replicas = 48, 300
+	runScenario(t, func(sc *scenario) {
+		sc.cluster.Cloud.Capacity = machines + 2
+		sc.cluster.Cloud.AddMachines("g8", "a", machines-2)
+		spec := serviceJob("run-000001", "free", wire.High, replicas)
+		sc.startJob(spec, 40*time.Second)
+		leader := sc.leaderIndex()
+		sc.net.Partition(nodeNames[leader], storeAddress, true)
+		sc.isolatePeers(leader, true)
+		time.Sleep(25 * time.Second)
+		if next := sc.leaderIndex(); next == leader || next < 0 {
+			t.Errorf("%d leads after %d", next, leader)
+		}
+		sc.net.Heal()
+		time.Sleep(20 * time.Second)
+		started, onMachines := sc.cluster.Checker.StartCount(), sc.cluster.Checker.TasksOnMachines(spec.UID)
+		if started != replicas || onMachines != replicas {
+			t.Errorf("%d starts, %d tasks are left", started, onMachines)
+		}
+	})
+}
+
+// A zone is left with one controller that has lost the state service. A job
+// that is cancelled meanwhile must be gone within cancel_s: that controller
+// stops to keep leases in time, although nothing tells it of the cancellation.
+func TestCancelledTasksEndInTimeBehindAPartition(t *testing.T) {
+	t.Parallel()
+	synctest.Test(t, func(t *testing.T) {
+		sc := newScenario(t, 1)
+		sc.cluster.Cloud.AddMachines("g8", "a", 2)
+		sc.cluster.Cloud.AddMachines("g8", "b", 2)
+		deadline := time.Now().Add(200 * time.Second)
+		go sc.cluster.WatchInvariants(deadline)
+		time.Sleep(3 * time.Second)
+		spec := serviceJob("run-000001", "crew", wire.Critical, 2)
+		spec.Zone = "a"
+		time.AfterFunc(30*time.Second, func() {
+			sc.net.Partition(nodeNames[0], storeAddress, true)
+			sc.isolatePeers(0, true)
+			sc.partitionZoneA(0, 20, true)
+		})
+		sc.cluster.Nodes = []string{"n1", "n2", "n0"} // users of the cut node would only wait
+		sc.cluster.Users.Run(spec, 50*time.Second, deadline)
+		time.Sleep(time.Until(deadline))
+		if started := sc.cluster.Checker.StartCount(); started < 2 {
+			t.Errorf("%d tasks were started", started)
+		}
+		sc.expectNoViolations()
+		sc.end()
+	})
+}
--- /dev/null
+++ b/internal/simcluster/scenario_test.go
@@ -0,0 +1,370 @@
+package simcluster_test
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/config"
+	"lotusstile.dev/lotusstile/internal/node"
+	"lotusstile.dev/lotusstile/internal/peer"
+	"lotusstile.dev/lotusstile/internal/records"
+	"lotusstile.dev/lotusstile/internal/simcluster"
+	"lotusstile.dev/lotusstile/internal/simcluster/faultnet"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+const settingsFormat = `
+label = "%s"
+location = "%s"
+listen = "%s:80"
+mesh_addr = "%s:81"
+%s
+[services]
+cloud = "cloud:1"
+state = "state:1"
+[cluster]
+size = 3
+zones = ["a", "b"]
+[[cluster.teams]]
+name = "crew"
+cpus_max = 0.0
+gpus_max = 40.0
+[[cluster.teams]]
+name = "free"
+[[cluster.objectives]]
+kind = "wait"
+class = "serve"
+within_s = 15.0
+share = 0.9
+[cluster.workers]
+report_s = 1.0
+lease_s = 10.0
+cancel_s = 40.0
+[cluster.state]
+rps = 400.0
+write_rps = 100.0
+value_kb = 8.0
+txn_ops = 24
+[cluster.cloud]
+rps = 6.0
+list_lag_s = 3.0
+[cluster.machine_limits]
+cores = 1.0
+mem_mb = 100.0
+max_connections = 700
+`
+
+var (
+	nodeNames = []string{"n0", "n1", "n2"}
+	nodeZones = []string{"a", "b", "a"} // n2 is ill placed to lead
+)
+
+// The addresses of the outside systems, as the settings have them.
+const (
+	storeAddress = "state:1"
+	cloudAddress = "cloud:1"
+)
+
+// maxHosts is how many machines a scenario of faults may come to have.
+const maxHosts = 40
+
+var catalog = wire.Catalog{MachineTypes: []wire.MachineType{
+	{
+		Name: "g4", Cores: 32, Gpus: 4, RAMGb: 256, ImageCacheGb: 400, FetchGbPerS: 2,
+		Hourly: 8, SpotHourly: 3, BootS: 15, Zones: []string{"a", "b"},
+	},
+	{
+		Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, ImageCacheGb: 400, FetchGbPerS: 2,
+		Hourly: 18, SpotHourly: 6, BootS: 15, Zones: []string{"a", "b"},
+	},
+}}
+
+// peerAddress is where a node listens for its peers.
+func peerAddress(name string) string { return name + ":81" }
+
+// hostName is the name of a machine by its number.
+func hostName(number int) string { return fmt.Sprintf("m-%06d", number) }
+
+// jobName is the id of a job by its number.
+func jobName(number int) string { return fmt.Sprintf("run-%06d", number) }
+
+// parseNodeConfig makes the settings of one of several nodes, each in its zone.
+func parseNodeConfig(t testing.TB, names, zones []string, i int) *config.Config {
+	t.Helper()
+	members := ""
+	for j, name := range names {
+		if j != i {
+			members += fmt.Sprintf("[[members]]\nlabel = %q\nlocation = %q\nendpoint = %q\n", name, zones[j], peerAddress(name))
+		}
+	}
+	cfg, err := config.Parse([]byte(fmt.Sprintf(settingsFormat, names[i], zones[i], names[i], names[i], members)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+func nodeConfig(t testing.TB, i int) *config.Config {
+	t.Helper()
+	return parseNodeConfig(t, nodeNames, nodeZones, i)
+}
+
+// scenario is three controllers in a simulated cluster.
+type scenario struct {
+	t            testing.TB
+	cluster      *simcluster.Cluster
+	net          *faultnet.Network
+	stops        [3]context.CancelFunc
+	olderRelease [3]bool                 // nodes of the release before cluster version 2
+	nextLimits   *config.NextStateLimits // what the nodes are told of the state service's limits
+	// teams, if any, are those of the deployment.
+	teams []config.Team
+	// relayConnections, if above 0, lets followers relay heartbeats, with so many connections to a
+	// node.
+	relayConnections int
+	// standby lets followers follow the leader's state.
+	standby bool
+}
+
+// newScenario starts the controllers of a scenario that prepare may have changed before.
+func newScenario(t testing.TB, seed uint64, prepare ...func(sc *scenario)) *scenario {
+	t.Helper()
+	network := faultnet.New(rand.New(rand.NewPCG(seed, 1)))
+	cluster := simcluster.NewCluster(nodeConfig(t, 0), network, nodeNames, catalog)
+	sc := &scenario{t: t, net: network, cluster: cluster}
+	for _, f := range prepare {
+		f(sc)
+	}
+	sc.startAllNodes()
+	return sc
+}
+
+// runScenario runs f in a scenario without faults, in which everything has come up.
+func runScenario(t *testing.T, f func(sc *scenario)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		sc := newScenario(t, 1)
+		sc.cluster.Cloud.AddMachines("g8", "a", 2)
+		time.Sleep(5 * time.Second)
+		f(sc)
+		sc.end()
+	})
+}
+
+// startNode starts a controller that does not run.
+func (sc *scenario) startNode(i int) {
+	sc.t.Helper()
+	if sc.stops[i] != nil {
+		return
+	}
+	cfg := nodeConfig(sc.t, i)
+	cfg.Cluster.State.Next = sc.nextLimits
+	if sc.teams != nil {
+		cfg.Cluster.Teams = sc.teams
+	}
+	if sc.relayConnections > 0 {
+		cfg.RelayHeartbeats, cfg.Cluster.Limits.MaxConnections = !sc.olderRelease[i], sc.relayConnections
+	}
+	cfg.WarmStandby = sc.standby && !sc.olderRelease[i]
+	name := nodeNames[i]
+	transport := sc.net.Transport(name)
+	ctx, cancel := context.WithCancel(context.Background())
+	network := node.Network{State: transport, Cloud: transport, Workers: transport, DialPeer: sc.net.DialPeer(peerAddress(name))}
+	if sc.olderRelease[i] {
+		network.State = unannouncedRelease{transport}
+	}
+	n := node.New(cfg, network)
+	server, err := peer.NewServer(releaseHandler{Handler: n, sc: sc, node: i})
+	if err != nil {
+		sc.t.Fatal(err)
+	}
+	users := n.Handler()
+	if sc.olderRelease[i] {
+		users = withoutDependencies(users)
+	}
+	sc.net.Attach(name, users, nil)
+	sc.net.Attach(peerAddress(name), n.Handler(), server)
+	n.Start(ctx)
+	sc.stops[i] = cancel
+}
+
+// crashNode ends a controller at once; what it had in flight may still happen.
+func (sc *scenario) crashNode(i int) {
+	if sc.stops[i] == nil {
+		return
+	}
+	sc.net.Attach(nodeNames[i], nil, nil)
+	sc.net.Attach(peerAddress(nodeNames[i]), nil, nil)
+	sc.stops[i]()
+	sc.stops[i] = nil
+}
+
+func (sc *scenario) startAllNodes() {
+	sc.t.Helper()
+	for i := range nodeNames {
+		sc.startNode(i)
+	}
+}
+
+func (sc *scenario) crashAllNodes() {
+	for i := range nodeNames {
+		sc.crashNode(i)
+	}
+}
+
+// end ends the controllers and the machines.
+func (sc *scenario) end() {
+	sc.crashAllNodes()
+	sc.cluster.StopMachines()
+	time.Sleep(2 * time.Minute) // late deliveries and time-outs run out
+}
+
+// isolatePeers cuts a controller off from its peers, or joins it to them again.
+func (sc *scenario) isolatePeers(i int, on bool) {
+	for j, name := range nodeNames {
+		if j != i {
+			sc.net.Partition(peerAddress(nodeNames[i]), peerAddress(name), on)
+		}
+	}
+}
+
+// partitionZoneA leaves one controller alone with the machines of zone a, or joins all again. It
+// goes over the first so many machines that there may be.
+func (sc *scenario) partitionZoneA(inside, hosts int, on bool) {
+	for k := range hosts {
+		host := hostName(k)
+		for j, name := range nodeNames {
+			if (j == inside) != (sc.cluster.Cloud.ZoneOf(host) == "a") {
+				sc.net.Partition(name, host, on)
+			}
+		}
+	}
+}
+
+// request sends a user's request with any body to a node. It returns status 0 and the error if no
+// response came.
+func (sc *scenario) request(node, method, path, body string) (status int, text string, header http.Header) {
+	sc.t.Helper()
+	client := http.Client{Transport: sc.net.Transport("user"), Timeout: 5 * time.Second}
+	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+node+path, strings.NewReader(body))
+	if err != nil {
+		sc.t.Fatal(err)
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return 0, err.Error(), nil
+	}
+	defer resp.Body.Close()
+	data, err := io.ReadAll(resp.Body)
+	if err != nil {
+		sc.t.Fatal(err)
+	}
+	return resp.StatusCode, string(data), resp.Header
+}
+
+// expectStatus expects the status of a node's response, and returns its body.
+func (sc *scenario) expectStatus(want int, node, method, path, body string) string {
+	sc.t.Helper()
+	got, text, _ := sc.request(node, method, path, body)
+	if got != want {
+		sc.t.Errorf("%s %s at %s: %d %s, want %d", method, path, node, got, strings.TrimSpace(text), want)
+	}
+	return text
+}
+
+// expectDone expects that a node calls a job done.
+func (sc *scenario) expectDone(node, uid string) {
+	sc.t.Helper()
+	if text := sc.expectStatus(http.StatusOK, node, http.MethodGet, "/work/"+uid, ""); !strings.Contains(text, `"done"`) {
+		sc.t.Errorf("%s is called %s by %s, want done", uid, text, node)
+	}
+}
+
+// expectNoViolations expects that no rule was broken.
+func (sc *scenario) expectNoViolations() {
+	sc.t.Helper()
+	expectNoViolations(sc.t, sc.cluster.Checker.Violations())
+}
+
+// maxShown is how many violations are shown.
+const maxShown = 10
+
+func expectNoViolations(t testing.TB, violations []string) {
+	t.Helper()
+	if len(violations) > 0 {
+		t.Errorf("%d rules broken:\n%s", len(violations), strings.Join(violations[:min(maxShown, len(violations))], "\n"))
+	}
+}
+
+// expectNoKeys expects that nothing is stored under some prefixes.
+func (sc *scenario) expectNoKeys(prefixes ...string) {
+	sc.t.Helper()
+	var keys []string
+	for _, prefix := range prefixes {
+		keys = append(keys, sc.cluster.Store.Keys(prefix)...)
+	}
+	if len(keys) > 0 {
+		sc.t.Errorf("%d keys are left behind: %v", len(keys), keys[:min(maxShown, len(keys))])
+	}
+}
+
+// leader is the number and the term of the controller that leads; -1 if nobody does.
+func (sc *scenario) leader() (index int, term uint64) {
+	sc.t.Helper()
+	item, ok := sc.cluster.Store.Get(records.LeaderKey)
+	if !ok {
+		return -1, 0
+	}
+	var leader records.Leader
+	if err := json.Unmarshal(item.Value, &leader); err != nil {
+		sc.t.Error(err)
+		return -1, 0
+	}
+	return slices.Index(nodeNames, leader.Node), item.ModRevision
+}
+
+// leaderIndex is the number of the controller that leads, or -1.
+func (sc *scenario) leaderIndex() int {
+	sc.t.Helper()
+	index, _ := sc.leader()
+	return index
+}
+
+// isLeader reports whether a node leads.
+func (sc *scenario) isLeader(name string) bool {
+	sc.t.Helper()
+	index := sc.leaderIndex()
+	return index >= 0 && nodeNames[index] == name
+}
+
+// crashLeader ends the leader; it is back after a while.
+func (sc *scenario) crashLeader(back time.Duration) {
+	sc.t.Helper()
+	if leader := sc.leaderIndex(); leader >= 0 {
+		sc.crashNode(leader)
+		time.AfterFunc(back, func() { sc.startNode(leader) })
+	}
+}
+
+// cancelJobs lets users cancel all jobs up to a number at one node until it answers, or until the
+// time is over.
+func (sc *scenario) cancelJobs(node string, jobs int, tryFor time.Duration) {
+	for i := range jobs {
+		go func() {
+			for end := time.Now().Add(tryFor); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+				if sc.cluster.Users.Cancel(node, jobName(i)) {
+					return
+				}
+			}
+		}()
+	}
+}
--- /dev/null
+++ b/internal/simcluster/users_test.go
@@ -0,0 +1,197 @@
+package simcluster_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// submissionBody is a submission of a service of two tasks. A change "old=>new" replaces a part.
+func submissionBody(uid, change string) string {
+	body := fmt.Sprintf(`{"Uid":%q,"Berth":"b","Crew":"crew","Shape":"standing","Rank":"high","Legs":2,`+
+		`"Cores":4,"Gpus":1,"RamGb":8,"Rollout":"img","ImageGb":2,"Rigs":null,"Together":false,"Scatter":false,`+
+		`"Standby":false,"ExpectS":0,"MarkS":0,"StowS":0}`, uid)
+	if change != "" {
+		old, replacement, _ := strings.Cut(change, "=>")
+		body = strings.Replace(body, old, replacement, 1)
+	}
+	return body
+}
+
+func TestUserRequestsGetTheStatusOfTheProtocol(t *testing.T) {
+	t.Parallel()
+	runScenario(t, func(sc *scenario) {
+		const uid, path = "run-000001", "/work/run-000001"
+		sc.expectSubmissionsRefused()
+		for _, unknown := range []struct{ method, path string }{
+			{http.MethodGet, path},
+			{http.MethodGet, "/work/nonsense"},
+			{http.MethodPost, path + "/withdraw"},
+		} {
+			sc.expectStatus(http.StatusNotFound, "n0", unknown.method, unknown.path, "")
+		}
+		sc.expectStatus(http.StatusCreated, "n0", http.MethodPost, "/work", submissionBody(uid, ""))
+		// A repeat is known at any node, even if it would be refused today.
+		for _, node := range nodeNames {
+			sc.expectStatus(http.StatusOK, node, http.MethodPost, "/work", submissionBody(uid, ""))
+			sc.expectStatus(http.StatusOK, node, http.MethodPost, "/work", submissionBody(uid, `"crew"=>"nobody"`))
+			// Nor is a job that is known malformed.
+			sc.expectStatus(http.StatusOK, node, http.MethodPost, "/work", submissionBody(uid, `"Legs":2,=>`))
+			sc.expectStatus(http.StatusOK, node, http.MethodGet, "/ready", "")
+		}
+		time.Sleep(10 * time.Second)
+		for _, node := range nodeNames {
+			var view wire.JobView
+			err := json.Unmarshal([]byte(sc.expectStatus(http.StatusOK, node, http.MethodGet, path, "")), &view)
+			if err != nil || view.Status != wire.JobRunning || view.Running != 2 {
+				t.Errorf("%s tells %+v, %v", node, view, err)
+			}
+		}
+		sc.expectStatus(http.StatusOK, "n1", http.MethodPost, path+"/withdraw", "")
+		for range 2 { // right away, and when it is archived
+			for _, node := range nodeNames {
+				text := sc.expectStatus(http.StatusOK, node, http.MethodPost, "/work", submissionBody(uid, ""))
+				if !strings.Contains(text, "aborted") {
+					t.Errorf("%s tells %s", node, text)
+				}
+			}
+			time.Sleep(10 * time.Second)
+		}
+		sc.expectNoKeys("j/", "p/")
+	})
+}
+
+// expectSubmissionsRefused expects that what is malformed or can never run is refused.
+func (sc *scenario) expectSubmissionsRefused() {
+	sc.t.Helper()
+	const uid = "run-000001"
+	for _, refused := range []struct {
+		status int
+		body   string
+	}{
+		{http.StatusBadRequest, "nonsense"},
+		{http.StatusBadRequest, "[]"},
+		{http.StatusBadRequest, submissionBody("job-1", "")},
+		{http.StatusRequestEntityTooLarge, strings.Repeat(" ", wire.MaxBody) + submissionBody(uid, "")},
+		{http.StatusBadRequest, submissionBody(uid, `"Legs":2,=>`)},
+		{http.StatusBadRequest, submissionBody(uid, `"Standby":false,=>`)},
+		{http.StatusBadRequest, submissionBody(uid, `"Cores":4=>"Cores":"4"`)},
+		{http.StatusUnprocessableEntity, submissionBody(uid, `"crew"=>"nobody"`)},
+		{http.StatusUnprocessableEntity, submissionBody(uid, `"Gpus":1=>"Gpus":9`)},
+		{http.StatusUnprocessableEntity, submissionBody(uid, `"Rigs":null=>"Rigs":["no-such"]`)},
+		{http.StatusUnprocessableEntity, submissionBody(uid, `"Legs":2=>"Legs":41`)}, // the team's limit is 40 GPUs
+	} {
+		sc.expectStatus(refused.status, "n0", http.MethodPost, "/work", refused.body)
+	}
+}
+
+// A node that alone lost the state service passes its users on; when nobody
+// reaches it they are told at once when to come back.
+func TestNodeWithoutStateServiceForwardsUserRequests(t *testing.T) {
+	t.Parallel()
+	runScenario(t, func(sc *scenario) {
+		for i, setFault := range []func(from, to string, on bool){sc.net.RefuseRequests, sc.net.Partition} {
+			setFault("n1", storeAddress, true)
+			time.Sleep(5 * time.Second)
+			uid := jobName(i)
+			began := time.Now()
+			sc.expectStatus(http.StatusCreated, "n1", http.MethodPost, "/work", submissionBody(uid, ""))
+			sc.expectStatus(http.StatusOK, "n1", http.MethodGet, "/work/"+uid, "")
+			sc.expectStatus(http.StatusOK, "n1", http.MethodPost, "/work/"+uid+"/withdraw", "")
+			if took := time.Since(began); took > 500*time.Millisecond {
+				t.Errorf("three answers took %v", took)
+			}
+			sc.expectStatus(http.StatusServiceUnavailable, "n1", http.MethodGet, "/ready", "")
+			setFault("n1", storeAddress, false)
+			time.Sleep(5 * time.Second)
+			sc.expectStatus(http.StatusOK, "n1", http.MethodGet, "/ready", "")
+		}
+		sc.cluster.Store.SetDown(true)
+		time.Sleep(5 * time.Second)
+		for _, node := range nodeNames {
+			status, _, header := sc.request(node, http.MethodPost, "/work", submissionBody("run-000009", ""))
+			if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
+				t.Errorf("%s answers %d, Retry-After %q", node, status, header.Get("Retry-After"))
+			}
+			sc.expectStatus(http.StatusOK, node, http.MethodGet, "/ready", "") // leaving would help nobody
+		}
+		sc.cluster.Store.SetDown(false)
+	})
+}
+
+const settingsPath = "/admin/settings"
+
+func TestChangedSettingsApplyOnEveryNode(t *testing.T) {
+	t.Parallel()
+	runScenario(t, func(sc *scenario) {
+		settings := sc.settings("n0")
+		if settings.ModRevision != 0 || settings.Window != 200 {
+			t.Errorf("defaults are %+v", settings)
+		}
+		for _, malformed := range []string{
+			`{}`, `[]`, `{"Stamp":0,"Window":0}`, `{"Stamp":0,"IntervalS":-1}`, `{"Stamp":0,"Windows":5}`,
+			`{"Stamp":0,"Window":"x"}`, `nonsense`,
+		} {
+			sc.expectStatus(http.StatusBadRequest, "n0", http.MethodPut, settingsPath, malformed)
+		}
+		settings = sc.changeSettings("n0", `{"Stamp":0,"Window":50}`)
+		if settings.Window != 50 || settings.ModRevision == 0 || settings.IntervalS == 0 {
+			t.Errorf("after a change: %+v", settings)
+		}
+		revision := settings.ModRevision
+		sc.expectStatus(http.StatusConflict, "n0", http.MethodPut, settingsPath, `{"Stamp":0,"Window":60}`)
+		sc.expectStatus(http.StatusBadRequest, "n0", http.MethodPut, settingsPath, fmt.Sprintf(`{"Stamp":%d,"Profiling":"yes"}`, revision))
+		sc.expectStatus(http.StatusForbidden, "n1", http.MethodGet, "/admin/pprof/heap", "")
+		sc.changeSettings("n0", fmt.Sprintf(`{"Stamp":%d,"Profiling":true}`, revision))
+		time.Sleep(time.Second)
+		for _, node := range nodeNames {
+			if settings := sc.settings(node); settings.Window != 50 {
+				t.Errorf("%s has %+v", node, settings)
+			}
+			status := sc.status(node)
+			if status.Lead == nil || status.Lead.Machines["ready"] == 0 || status.Leader == "" {
+				t.Errorf("%s tells %+v", node, status)
+			}
+			sc.expectStatus(http.StatusOK, node, http.MethodGet, "/admin/pprof/heap", "")
+			sc.expectStatus(http.StatusNotFound, node, http.MethodGet, "/admin/pprof/nonsense", "")
+			metrics := sc.expectStatus(http.StatusOK, node, http.MethodGet, "/admin/metrics", "")
+			if !strings.Contains(metrics, "lotusstile_term ") {
+				t.Errorf("%s has no metrics: %s", node, metrics)
+			}
+		}
+	})
+}
+
+// settings asks a node for the settings that operators may change.
+func (sc *scenario) settings(node string) (settings wire.Settings) {
+	sc.t.Helper()
+	sc.decode(sc.expectStatus(http.StatusOK, node, http.MethodGet, settingsPath, ""), &settings)
+	return settings
+}
+
+// changeSettings changes settings and returns them as they are then.
+func (sc *scenario) changeSettings(node, change string) (settings wire.Settings) {
+	sc.t.Helper()
+	sc.decode(sc.expectStatus(http.StatusOK, node, http.MethodPut, settingsPath, change), &settings)
+	return settings
+}
+
+// status asks a node for its status.
+func (sc *scenario) status(node string) (status wire.Status) {
+	sc.t.Helper()
+	sc.decode(sc.expectStatus(http.StatusOK, node, http.MethodGet, "/admin/status", ""), &status)
+	return status
+}
+
+// decode decodes a response.
+func (sc *scenario) decode(text string, into any) {
+	sc.t.Helper()
+	if err := json.Unmarshal([]byte(text), into); err != nil {
+		sc.t.Fatalf("%s: %v", text, err)
+	}
+}
