--- /dev/null
+++ b/cmd/fleetsim/load.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"lotusstile.dev/lotusstile/internal/simcluster"
+	"lotusstile.dev/lotusstile/wire"
+)
+
+// load submits jobs by chance. The order of its draws is part of what a seed stands for.
+type load struct {
+	flags    *cli
+	cluster  *simcluster.Cluster
+	rng      *rand.Rand
+	deadline time.Time
+	nextJob  int
+}
+
+// submitJobs submits jobs until the time is over.
+func (c *cli) submitJobs(cluster *simcluster.Cluster) {
+	l := &load{
+		flags:    c,
+		cluster:  cluster,
+		rng:      rand.New(rand.NewPCG(c.Seed, 1)),
+		deadline: time.Now().Add(c.For),
+		nextJob:  1,
+	}
+	for range c.Services {
+		l.submitService()
+	}
+	for range c.Arrays {
+		l.submitArray()
+	}
+	for time.Now().Before(l.deadline) {
+		time.Sleep(time.Duration(l.rng.ExpFloat64() * 60 / c.PerMinute * float64(time.Second)))
+		if l.rng.IntN(4) == 0 {
+			l.submitArray()
+		} else {
+			l.submitService()
+		}
+	}
+}
+
+// submitService lets a user submit a service and cancel it after a while.
+func (l *load) submitService() {
+	spec, stay := l.service()
+	go l.cluster.Users.Run(spec, stay, l.deadline)
+}
+
+// submitArray lets a user submit an array and wait for its end.
+func (l *load) submitArray() {
+	spec, _ := l.service()
+	spec.JobClass, spec.Kind, spec.Priority, spec.AllowSpot = "batch", wire.JobArray, wire.BestEffort, true
+	spec.TaskCount, spec.ExpectedRunS = 1+l.rng.IntN(l.flags.Tasks), 70
+	go l.cluster.Users.Run(spec, 0, l.deadline)
+}
+
+// service makes the next job as a service, and how long it stays.
+func (l *load) service() (spec wire.JobSpec, stay time.Duration) {
+	spec = wire.JobSpec{
+		UID:       fmt.Sprintf("run-%06d", l.nextJob),
+		JobClass:  "serve",
+		Team:      teamName(l.rng.IntN(l.flags.Teams)),
+		Kind:      wire.Service,
+		Priority:  wire.High,
+		TaskCount: 1 << l.rng.IntN(4),
+		Cores:     8,
+		Gpus:      1,
+		RAMGb:     40,
+		Image:     fmt.Sprintf("img-%d", l.rng.IntN(8)),
+		ImageGb:   8,
+	}
+	l.nextJob++
+	return spec, time.Duration(l.rng.ExpFloat64() * float64(l.flags.Stay))
+}
--- /dev/null
+++ b/cmd/fleetsim/settings.go
@@ -0,0 +1,102 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+)
+
+// settingsFormat is the settings file of a controller.
+const settingsFormat = `label = "node-%[1]d"
+location = "%[2]s"
+listen = "%[3]s"
+mesh_addr = "%[4]s"
+%[5]s
+[services]
+state = "127.0.0.1:%[6]d"
+cloud = "127.0.0.1:%[7]d"
+[cluster]
+size = %[8]d
+zones = [%[9]s]
+skew_ms = 100.0
+%[10]s
+[cluster.workers]
+report_s = %[11]g
+lease_s = %[12]g
+cancel_s = %[13]g
+[cluster.state]
+rps = %[14]g
+write_rps = %[15]g
+value_kb = 8.0
+txn_ops = 24
+[cluster.cloud]
+rps = 6.0
+list_lag_s = 3.0
+[cluster.machine_limits]
+cores = 0.05
+mem_mb = %[16]g
+max_connections = %[17]d
+`
+
+const (
+	// cancelLeases is how many leases the tasks of a cancelled job have to end.
+	cancelLeases = 4
+	// firstController is the first port of the controllers, counted from the first of all.
+	firstController = 10
+)
+
+func nodeName(i int) string { return fmt.Sprintf("node-%d", i) }
+
+func teamName(i int) string { return fmt.Sprintf("team-%d", i) }
+
+// zones names the zones.
+func (c *cli) zones() []string {
+	names := make([]string, c.Zones)
+	for i := range names {
+		names[i] = fmt.Sprintf("zone-%d", i)
+	}
+	return names
+}
+
+// zone is the zone of a controller.
+func (c *cli) zone(i int) string { return c.zones()[i%c.Zones] }
+
+// address is the address of a port, counted from the first of all.
+func (c *cli) address(port int) string { return fmt.Sprintf("127.0.0.1:%d", c.Port+port) }
+
+func (c *cli) storeAddress() string { return c.address(0) }
+
+func (c *cli) cloudAddress() string { return c.address(1) }
+
+func (c *cli) listenAddress(i int) string { return c.address(firstController + i) }
+
+func (c *cli) peerAddress(i int) string { return c.address(firstController + c.Controllers + i) }
+
+// writeSettings writes the settings files of the controllers.
+func (c *cli) writeSettings() error {
+	for i := range c.Controllers {
+		path := filepath.Join(c.Dir, nodeName(i)+".toml")
+		if err := os.WriteFile(path, []byte(c.settingsOf(i)), 0o644); err != nil {
+			return fmt.Errorf("write settings: %w", err)
+		}
+	}
+	return nil
+}
+
+// settingsOf makes the settings file of controller i.
+func (c *cli) settingsOf(i int) string {
+	var members strings.Builder
+	for j := range c.Controllers {
+		if j != i {
+			fmt.Fprintf(&members, "[[members]]\nlabel = %q\nlocation = %q\nendpoint = %q\n", nodeName(j), c.zone(j), c.peerAddress(j))
+		}
+	}
+	var teams strings.Builder
+	for j := range c.Teams {
+		fmt.Fprintf(&teams, "[[cluster.teams]]\nname = %q\n", teamName(j))
+	}
+	return fmt.Sprintf(settingsFormat, i, c.zone(i), c.listenAddress(i), c.peerAddress(i), members.String(), c.Port, c.Port+1,
+		c.Controllers, `"`+strings.Join(c.zones(), `", "`)+`"`, teams.String(), c.ReportS, c.LeaseS, cancelLeases*c.LeaseS,
+		c.Rps, c.WriteRps, c.MemMb, c.Connections)
+}
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -6,6 +6,7 @@
 package simcluster
 
 import (
+	"context"
 	"sync/atomic"
 	"time"
 
@@ -27,14 +28,18 @@
 	// FaultyJobClass is a class of jobs that fail on every machine.
 	FaultyJobClass string
 
+	ctx     context.Context // of what users and workers send
 	copies  heartbeatCopies
 	stopped atomic.Bool
 }
 
 // NewCluster makes a cluster for a deployment, without machines. The state service and the cloud
-// answer on the network under their names in the settings.
-func NewCluster(cfg *config.Config, network *faultnet.Network, nodes []string, catalog wire.Catalog) *Cluster {
-	c := &Cluster{Config: cfg, Net: network, Nodes: nodes, Store: fakestore.New()}
+// answer on the network under their names in the settings. What users and workers send later ends
+// with ctx: it does not belong to whatever made them send it.
+func NewCluster(
+	ctx context.Context, cfg *config.Config, network *faultnet.Network, nodes []string, catalog wire.Catalog,
+) *Cluster {
+	c := &Cluster{Config: cfg, Net: network, Nodes: nodes, Store: fakestore.New(), ctx: ctx}
 	c.Cloud = newCloud(c, catalog)
 	c.Users = newUsers(c)
 	c.Checker = newChecker(cfg, c.Store, c.Cloud.ZoneOf)
--- a/internal/simcluster/faultnet/network.go
+++ b/internal/simcluster/faultnet/network.go
@@ -91,7 +91,7 @@
 // closeConns closes the connections of a party. n.mu is held.
 func (n *Network) closeConns(name string) {
 	for _, conn := range n.conns[name] {
-		conn.Close()
+		_ = conn.Close() // the end of a pipe: closing it cannot fail
 	}
 	delete(n.conns, name)
 }
--- a/internal/simcluster/faultnet/peerconn.go
+++ b/internal/simcluster/faultnet/peerconn.go
@@ -44,7 +44,7 @@
 				break
 			}
 		}
-		dst.Close()
+		_ = dst.Close()  // the end of a pipe: closing it cannot fail
 		for range sent { // nobody reads any more
 		}
 	}()
--- a/internal/simcluster/remote.go
+++ b/internal/simcluster/remote.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -53,7 +54,7 @@
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	defer resp.Body.Close()
+	defer closeBody(resp)
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		defer client.CloseIdleConnections() // as a worker does that goes to another node
 	}
@@ -81,10 +82,17 @@
 	return client
 }
 
-// Listen serves a handler on a TCP address until the process ends. It returns the address that it
-// got.
-func Listen(address string, handler http.Handler) (string, error) {
-	listener, err := net.Listen("tcp4", address)
+// closeBody closes a response that was read as far as anybody wants it.
+func closeBody(resp *http.Response) {
+	if err := resp.Body.Close(); err != nil {
+		slog.Debug("response could not be closed", "err", err)
+	}
+}
+
+// Listen serves a handler on a TCP address until the process ends; ctx bounds only the opening of
+// the listener. It returns the address that it got.
+func Listen(ctx context.Context, address string, handler http.Handler) (string, error) {
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", address)
 	if err != nil {
 		return "", fmt.Errorf("listen on %s: %w", address, err)
 	}
--- a/internal/simcluster/users.go
+++ b/internal/simcluster/users.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
 	"net/http"
 	"sync"
@@ -53,7 +52,7 @@
 	if err != nil {
 		panic(err)
 	}
-	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+node+path, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(u.cluster.ctx, method, "http://"+node+path, bytes.NewReader(data))
 	if err != nil {
 		panic(err)
 	}
@@ -62,7 +61,7 @@
 	if err != nil {
 		return 0, wire.JobView{}
 	}
-	defer resp.Body.Close()
+	defer closeBody(resp)
 	if resp.StatusCode < http.StatusMultipleChoices {
 		if err := json.NewDecoder(resp.Body).Decode(&view); err != nil {
 			panic(err)
