--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -135,7 +135,7 @@
 		return err
 	}
 	errs := make(chan error, 2)
-	go func() { errs <- peer.Serve(peerListener, srv) }()
+	go func() { errs <- peer.Serve(ctx, peerListener, srv) }()
 	go func() { errs <- n.serve(users) }()
 	n.Start(ctx)
 	slog.Info("serving", "label", n.cfg.Label, "listen", n.cfg.Listen, "mesh", n.cfg.PeerAddr)
--- /dev/null
+++ b/internal/peer/liveness.go
@@ -0,0 +1,41 @@
+package peer
+
+import "time"
+
+// Ping asks the peer for its state and records the answer.
+func (p *Peer) Ping(args PingArgs) (PingResult, error) {
+	begun := time.Now()
+	var message PingReply
+	err := p.call("Ping", args, &message, p.timeout)
+	result := message.result()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	switch {
+	case err != nil || !result.Serving:
+		p.servingSince = time.Time{}
+	case p.servingSince.IsZero():
+		p.servingSince = begun
+	}
+	if err == nil {
+		p.lastPing, p.lastPingAt = result, begun
+	}
+	return result, err
+}
+
+// ServingFor returns how long every ping has found the peer serving; zero if the last one has not.
+func (p *Peer) ServingFor() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.servingSince.IsZero() {
+		return 0
+	}
+	return time.Since(p.servingSince)
+}
+
+// LastPing returns the answer to the last ping that was answered. ok is false if that ping is older
+// than maxAge.
+func (p *Peer) LastPing(maxAge time.Duration) (result PingResult, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.lastPing, !p.lastPingAt.IsZero() && time.Since(p.lastPingAt) <= maxAge
+}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -204,7 +204,7 @@
 	Per    int
 }
 
-// WorkMessage is the message form of wire.Work.
+// WorkMessage is the message form of wire.JobSpec.
 type WorkMessage struct {
 	UID, Berth, Crew           string
 	Shape                      wire.JobKind
@@ -233,7 +233,7 @@
 
 func (m *WithdrawnArgs) cancellation() Cancellation {
 	record := records.Job{
-		Spec:   m.Rec.Spec.work(),
+		Spec:   m.Rec.Spec.jobSpec(),
 		Status: m.Rec.Status,
 		AtMs:   m.Rec.AtMs,
 		Per:    m.Rec.Per,
@@ -241,33 +241,33 @@
 	return Cancellation{UID: m.UID, Record: record, ModRevision: m.Stamp}
 }
 
-func workMessage(work *wire.JobSpec) WorkMessage {
+func workMessage(spec *wire.JobSpec) WorkMessage {
 	return WorkMessage{
-		UID:      work.UID,
-		Berth:    work.JobClass,
-		Crew:     work.Team,
-		Shape:    work.Kind,
-		Rank:     work.Priority,
-		Legs:     work.TaskCount,
-		Cores:    work.Cores,
-		Gpus:     work.Gpus,
-		RAMGb:    work.RAMGb,
-		Rollout:  work.Image,
-		ImageGb:  work.ImageGb,
-		Rigs:     work.MachineTypes,
-		Yard:     work.Zone,
-		Together: work.SingleZone,
-		Scatter:  work.SpreadZones,
-		Standby:  work.AllowSpot,
-		ExpectS:  work.ExpectedRunS,
-		MarkS:    work.CheckpointIntervalS,
-		StowS:    work.CheckpointOnStopS,
-		DueS:     work.DeadlineS,
-		Awaits:   work.Dependencies,
+		UID:      spec.UID,
+		Berth:    spec.JobClass,
+		Crew:     spec.Team,
+		Shape:    spec.Kind,
+		Rank:     spec.Priority,
+		Legs:     spec.TaskCount,
+		Cores:    spec.Cores,
+		Gpus:     spec.Gpus,
+		RAMGb:    spec.RAMGb,
+		Rollout:  spec.Image,
+		ImageGb:  spec.ImageGb,
+		Rigs:     spec.MachineTypes,
+		Yard:     spec.Zone,
+		Together: spec.SingleZone,
+		Scatter:  spec.SpreadZones,
+		Standby:  spec.AllowSpot,
+		ExpectS:  spec.ExpectedRunS,
+		MarkS:    spec.CheckpointIntervalS,
+		StowS:    spec.CheckpointOnStopS,
+		DueS:     spec.DeadlineS,
+		Awaits:   spec.Dependencies,
 	}
 }
 
-func (m *WorkMessage) work() wire.JobSpec {
+func (m *WorkMessage) jobSpec() wire.JobSpec {
 	return wire.JobSpec{
 		UID:                 m.UID,
 		JobClass:            m.Berth,
@@ -357,13 +357,13 @@
 	Redirect    RedirectMessage
 }
 
-// OrdersMessage is the message form of wire.Orders.
+// OrdersMessage is the message form of wire.Commands.
 type OrdersMessage struct {
 	Baton  uint64
 	Orders []OrderMessage
 }
 
-// OrderMessage is the message form of wire.Order.
+// OrderMessage is the message form of wire.Command.
 type OrderMessage struct {
 	Verb    wire.Verb
 	Leg     string
@@ -399,12 +399,12 @@
 		Orders:   OrdersMessage{Baton: a.Response.FencingToken},
 		Redirect: RedirectMessage{Dispatcher: a.Redirect.Leader},
 	}
-	for _, order := range a.Response.Commands {
+	for _, command := range a.Response.Commands {
 		message.Orders.Orders = append(message.Orders.Orders, OrderMessage{
-			Verb:    order.Verb,
-			Leg:     order.Task,
-			Try:     order.Attempt,
-			LeewayS: order.GracePeriodS,
+			Verb:    command.Verb,
+			Leg:     command.Task,
+			Try:     command.Attempt,
+			LeewayS: command.GracePeriodS,
 		})
 	}
 	return message
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,6 +1,7 @@
 package peer
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -8,25 +9,28 @@
 	"net/rpc"
 	"time"
 
+	"lotusstile.dev/lotusstile/internal/timeralign"
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// serviceName names the net/rpc service. It changes when what its methods send or
-// take changes in a way that an older release would misread: nodes of different
+// serviceName is the name of the net/rpc service. It changes when the messages of its methods
+// change in a way that an older release would misread: nodes of different
 // releases then cannot reach each other, and work as if they were cut off.
 const serviceName = "Controller"
 
 // Handler answers the calls of other controllers.
 type Handler interface {
-	// ApplyCancellation learns of a committed cancellation.
+	// ApplyCancellation is called with a cancellation that a peer has committed.
 	ApplyCancellation(c Cancellation)
 	// ServeUserRequest answers a user's request that a peer forwards.
 	ServeUserRequest(a UserArgs) UserReply
-	// LeadStatus is the leader's status, or nil if this node does not lead.
+	// LeadStatus returns the leader's status, or nil if this node does not lead.
 	LeadStatus() *wire.LeadStatus
+	// Ping answers with the state of this node.
 	Ping(a PingArgs) PingResult
+	// Counts returns the counts of a job's tasks.
 	Counts(a CountsArgs) CountsReply
-	// RelayHeartbeat answers one worker's heartbeat that a follower relays by itself.
+	// RelayHeartbeat answers one worker's heartbeat that a follower relays singly.
 	RelayHeartbeat(a CheckInArgs) CheckInReply
 	// RelayHeartbeats answers a batch of relayed heartbeats.
 	RelayHeartbeats(b HeartbeatBatch) (HeartbeatBatchReply, error)
@@ -34,8 +38,8 @@
 	FollowState(a FollowArgs) (FollowReply, error)
 }
 
-// service is what net/rpc registers. Its method names travel, so they keep the names that they
-// were first called by; Handler has the current ones.
+// service is registered with net/rpc. The names of its methods travel, so they stay as they were first
+// called; Handler has the current ones.
 type service struct{ handler Handler }
 
 // Ping answers a ping.
@@ -44,7 +48,7 @@
 	return nil
 }
 
-// Counts answers a question for the counts of a job's tasks.
+// Counts answers a request for the counts of a job's tasks.
 func (s *service) Counts(a CountsArgs, r *CountsReply) error {
 	*r = s.handler.Counts(a)
 	return nil
@@ -63,19 +67,19 @@
 	return err
 }
 
-// User answers a forwarded request of a user.
+// User answers a user's request that a peer forwards.
 func (s *service) User(a UserArgs, r *UserReply) error {
 	*r = s.handler.ServeUserRequest(a)
 	return nil
 }
 
-// Withdrawn learns of a committed cancellation.
+// Withdrawn passes on a committed cancellation.
 func (s *service) Withdrawn(a WithdrawnArgs, _ *WithdrawnReply) error {
 	s.handler.ApplyCancellation(a.cancellation())
 	return nil
 }
 
-// Lead answers a question for the leader's status.
+// Lead answers a request for the leader's status.
 func (s *service) Lead(_ PingArgs, r *LeadReply) error {
 	r.Lead = leadStatusMessage(s.handler.LeadStatus())
 	return nil
@@ -88,7 +92,7 @@
 	return err
 }
 
-// NewServer makes the server that answers other controllers.
+// NewServer returns the server that answers other controllers by the handler.
 func NewServer(h Handler) (*rpc.Server, error) {
 	srv := rpc.NewServer()
 	if err := srv.RegisterName(serviceName, &service{h}); err != nil {
@@ -97,18 +101,24 @@
 	return srv, nil
 }
 
-// Serve answers peers on l until it closes.
-func Serve(l net.Listener, srv *rpc.Server) error {
+// acceptPause is how long Serve waits after a failed accept, as when no file descriptor is free.
+const acceptPause = 50 * time.Millisecond
+
+// Serve answers peers on l until l is closed, or ctx ends while no connection can be accepted. Each
+// connection is served until the peer closes it.
+func Serve(ctx context.Context, l net.Listener, srv *rpc.Server) error {
 	for {
 		conn, err := l.Accept()
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
+		switch {
+		case err == nil:
+			go srv.ServeConn(conn)
+		case errors.Is(err, net.ErrClosed):
+			return nil
+		default:
+			slog.Warn("connection of a peer not accepted", "err", err)
+			if !timeralign.Sleep(ctx, acceptPause) {
 				return nil
 			}
-			slog.Warn("mesh accept failed", "err", err)
-			time.Sleep(50 * time.Millisecond)
-			continue
 		}
-		go srv.ServeConn(conn)
 	}
 }
--- a/internal/peer/types.go
+++ b/internal/peer/types.go
@@ -5,11 +5,11 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// PingResult is what a controller tells about itself in answer to a ping.
+// PingResult is the state of a controller, in answer to a ping.
 type PingResult struct {
 	Term    uint64 // newest term that it knows
 	Leading bool   // it leads that term
-	Serving bool   // it has read the state store lately
+	Serving bool   // it has read the state service lately
 	// RenewedHosts are the machines whose worker leases it has renewed on the leader's behalf
 	// during the last worker lease.
 	RenewedHosts []string
@@ -25,7 +25,7 @@
 	Standby        string // label of the node that a leader wants to follow its state; "": none
 }
 
-// Cancellation tells that the cancellation of a job is committed.
+// Cancellation is the committed cancellation of a job.
 type Cancellation struct {
 	UID         string
 	Record      records.Job
@@ -57,7 +57,7 @@
 // heartbeats of this batch and of earlier ones.
 type HeartbeatBatchReply struct {
 	Term    uint64
-	Leading bool // the callee leads the term of the batch; if not, it has taken nothing
+	Leading bool // the callee leads the term of the batch; if not, it has accepted nothing
 	Answers []HeartbeatAnswer
 	Resend  []string // hosts whose heartbeats repeat one that the leader does not have
 }
