--- a/cmd/lotusstile/main.go
+++ b/cmd/lotusstile/main.go
@@ -19,6 +19,7 @@
 	"lotusstile.dev/lotusstile/internal/node"
 )
 
+// version is the release that this program is.
 var version = "0.1.0"
 
 type cli struct {
@@ -29,8 +30,8 @@
 
 type serveCmd struct {
 	Config          string `required:"" type:"path" help:"Settings file (TOML)."`
-	RelayHeartbeats bool   `name:"relay-check-ins" help:"Let followers keep workers and relay their reports in batches, once the fleet is too large for the connections of one controller."`
-	WarmStandby     bool   `help:"Let the likely successor of the leader follow its state, so that it can decide sooner after the leader's end."`
+	RelayHeartbeats bool   `name:"relay-check-ins" help:"${relay_help}"`
+	WarmStandby     bool   `help:"${standby_help}"`
 }
 
 type checkCmd struct {
@@ -39,13 +40,27 @@
 	RelayHeartbeats bool   `name:"relay-check-ins" help:"As for serve." default:"true" negatable:""`
 }
 
+// helpTexts are the texts that are too long for a struct tag.
+var helpTexts = kong.Vars{
+	"relay_help": "Let followers keep workers and relay their reports in batches, " +
+		"once the fleet is too large for the connections of one controller.",
+	"standby_help": "Let the likely successor of the leader follow its state, " +
+		"so that it can decide sooner after the leader's end.",
+}
+
 type versionCmd struct{}
 
 func main() {
 	// The program has a share of one core: more threads only cost switches.
 	runtime.GOMAXPROCS(1)
-	k := kong.Parse(&cli{}, kong.Name("lotusstile"), kong.Description("A scheduler for fleets that serve language models."), kong.UsageOnError())
-	if err := k.Run(); err != nil {
+	command := kong.Parse(
+		&cli{},
+		kong.Name("lotusstile"),
+		kong.Description("A scheduler for fleets that serve language models."),
+		kong.UsageOnError(),
+		helpTexts,
+	)
+	if err := command.Run(); err != nil {
 		for _, line := range strings.Split(err.Error(), "\n") {
 			fmt.Fprintln(os.Stderr, "lotusstile:", line)
 		}
@@ -54,17 +69,17 @@
 }
 
 // Run serves until the process is killed.
-func (s *serveCmd) Run() error {
+func (c *serveCmd) Run() error {
 	level, err := logLevel(os.Getenv("LOG_LEVEL"))
 	if err != nil {
 		return err
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-	cfg, err := config.Load(s.Config)
+	cfg, err := config.Load(c.Config)
 	if err != nil {
 		return err
 	}
-	cfg.RelayHeartbeats, cfg.WarmStandby = s.RelayHeartbeats, s.WarmStandby
+	cfg.RelayHeartbeats, cfg.WarmStandby = c.RelayHeartbeats, c.WarmStandby
 	checkDescriptors(cfg.Cluster.Limits.MaxConnections)
 	// The limit counts all that the process holds; half is left for what the
 	// runtime does not count and for bursts. Below that, memory is cheaper than
@@ -77,16 +92,20 @@
 // otherDescriptors is how many descriptors the process has beside its connections.
 const otherDescriptors = 32
 
-// checkDescriptors says at the start if the process may not have as many descriptors as the
+// checkDescriptors warns at the start if the process may not have as many file descriptors as the
 // platform allows it connections. The runtime has raised the limit as far as it may already.
 func checkDescriptors(connections int) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		slog.Debug("the limit of descriptors is not known", "err", err)
+		slog.Debug("limit of file descriptors could not be read", "err", err)
 		return
 	}
 	if need := uint64(connections + otherDescriptors); limit.Cur < need {
-		slog.Warn("fewer descriptors than max_connections needs: connections will be refused", "descriptors", limit.Cur, "needed", need)
+		slog.Warn(
+			"file descriptors are fewer than max_connections needs: connections will be refused",
+			"descriptors", limit.Cur,
+			"needed", need,
+		)
 	}
 }
 
--- a/internal/httpapi/submit.go
+++ b/internal/httpapi/submit.go
@@ -53,7 +53,21 @@
 	if err != nil {
 		return s.refuseDependency(c, spec.UID, err)
 	}
-	return s.accept(ctx, c, &spec, status)
+	value := s.newRecord(&spec, status)
+	if len(value) > s.Config.ValueBytes() {
+		return s.refuse(c, spec.UID, http.StatusBadRequest, tooLongMessage(&spec, len(value), s.Config.ValueBytes()))
+	}
+	switch known, err := s.recordJob(ctx, &spec, value); {
+	case err != nil:
+		slog.Info("submission could not be recorded", "uid", spec.UID, "err", err)
+		return changeError(err)
+	case known:
+		return s.answerKnown(ctx, c, spec.UID)
+	}
+	if status.Final() {
+		s.Statuses.RecordFinal(spec.UID, status)
+	}
+	return c.JSON(http.StatusCreated, wire.JobView{UID: spec.UID, Status: status})
 }
 
 // refuseDependency answers a submission whose first status could not be decided.
@@ -65,35 +79,18 @@
 	return errElsewhere
 }
 
-// accept records a new job, and answers with its status.
-func (s *Server) accept(ctx context.Context, c echo.Context, spec *wire.JobSpec, status wire.JobStatus) error {
-	value := records.Encode(records.Job{
+// newRecord encodes the record of a new job.
+func (s *Server) newRecord(spec *wire.JobSpec, status wire.JobStatus) json.RawMessage {
+	return records.Encode(records.Job{
 		Spec:   *spec,
 		Status: status,
 		AtMs:   time.Now().UnixMilli(),
 		Per:    records.TasksPerPlacement(s.Config.CurrentValueBytes(), s.Config.ValueBytes()),
 	})
-	if len(value) > s.Config.ValueBytes() {
-		return s.refuse(c, spec.UID, http.StatusBadRequest, tooLongMessage(spec, len(value), s.Config.ValueBytes()))
-	}
-	err := s.recordJob(ctx, spec, value)
-	var conflict *store.ConflictError
-	switch {
-	case errors.As(err, &conflict):
-		return s.answerKnown(ctx, c, spec.UID)
-	case err != nil:
-		slog.Info("submission could not be recorded", "uid", spec.UID, "err", err)
-		return changeError(err)
-	}
-	if status.Final() {
-		s.Statuses.RecordFinal(spec.UID, status)
-	}
-	return c.JSON(http.StatusCreated, wire.JobView{UID: spec.UID, Status: status})
 }
 
-// recordJob commits the record of a new job. A *store.ConflictError means that the job
-// is known.
-func (s *Server) recordJob(ctx context.Context, spec *wire.JobSpec, value json.RawMessage) error {
+// recordJob commits the record of a new job, unless the job is known.
+func (s *Server) recordJob(ctx context.Context, spec *wire.JobSpec, value json.RawMessage) (known bool, err error) {
 	// When many come at once, those of higher priority are admitted first: each priority
 	// leaves a quarter of the budget to each priority above it.
 	reserved := float64(wire.Critical.Level()-admissionPriority(spec).Level()) / float64(wire.Critical.Level())
@@ -101,13 +98,17 @@
 		Compares: []wire.Compare{{Key: records.JobKey(spec.UID)}, {Key: records.FinalKey(spec.UID)}},
 		Changes:  []wire.Change{{Set: records.JobKey(spec.UID), Value: value}},
 	}
-	_, err := s.Store.Commit(store.User(ctx, reserved), tx)
+	_, err = s.Store.Commit(store.User(ctx, reserved), tx)
 	for errors.Is(err, store.ErrUnknown) && ctx.Err() == nil {
 		// Its answer is lost: once more. If it was carried out, or will be, the
 		// compares let only one of them through.
 		_, err = s.Store.Commit(store.User(ctx, reserved), tx)
 	}
-	return err
+	var conflict *store.ConflictError
+	if errors.As(err, &conflict) {
+		return true, nil
+	}
+	return false, err
 }
 
 // answerKnown answers the repeated submission of a job with how it stands.
--- a/internal/httpapi/users.go
+++ b/internal/httpapi/users.go
@@ -99,7 +99,7 @@
 // request is malformed.
 func (s *Server) AnswerForwarded(args peer.UserArgs) peer.UserReply {
 	recorder := &responseRecorder{header: http.Header{}}
-	req, err := http.NewRequest(args.Method, args.Path, bytes.NewReader(args.Body))
+	req, err := http.NewRequestWithContext(context.Background(), args.Method, args.Path, bytes.NewReader(args.Body))
 	if err != nil {
 		return peer.UserReply{}
 	}
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return wire.Heartbeat{}, fmt.Errorf("announce: %w", err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // it has been read, or its error is returned
 	data, err := io.ReadAll(io.LimitReader(resp.Body, 4*wire.MaxBody))
 	if err != nil {
 		return wire.Heartbeat{}, fmt.Errorf("announce: %w", err)
--- a/internal/node/controlleroptions.go
+++ b/internal/node/controlleroptions.go
@@ -40,13 +40,18 @@
 // termObserver is the controller.Observer of a node.
 type termObserver struct{ node *Node }
 
-func (o termObserver) TermObserved(term uint64)         { o.node.elector.ObserveTerm(term, "") }
+// TermObserved takes the term of another leader.
+func (o termObserver) TermObserved(term uint64) { o.node.elector.ObserveTerm(term, "") }
+
+// CycleFinished records how long a scheduling cycle took.
 func (o termObserver) CycleFinished(took time.Duration) { o.node.metrics.observeCycle(took) }
 
+// JobFinished records a final status, which is committed.
 func (o termObserver) JobFinished(uid string, status wire.JobStatus) {
 	o.node.statuses.RecordFinal(uid, status)
 }
 
+// FailoverFinished records how the failover to this node went.
 func (o termObserver) FailoverFinished(report records.Takeover) {
 	if o.node.standby.enabled() {
 		o.node.standby.recordFailover(report)
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"time"
@@ -41,7 +42,7 @@
 		Cloud:   connectionLimits{dialTimeout: lease / 5, perHost: 6, idlePerHost: 3, idleTimeout: 3 * lease}.transport(),
 		Workers: connectionLimits{dialTimeout: interval / 2, perHost: 1, idlePerHost: 1, idleTimeout: interval}.transport(),
 		DialPeer: func(addr string, timeout time.Duration) (net.Conn, error) {
-			return net.DialTimeout("tcp", addr, timeout)
+			return (&net.Dialer{Timeout: timeout}).DialContext(context.Background(), "tcp", addr)
 		},
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -134,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	peers, err := net.Listen("tcp", n.cfg.PeerAddr)
+	peers, err := (&net.ListenConfig{}).Listen(ctx, "tcp", n.cfg.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("listen on mesh_addr: %w", err)
 	}
@@ -143,7 +144,7 @@
 	withoutProbes := net.ListenConfig{KeepAlive: -1}
 	clients, err := withoutProbes.Listen(ctx, "tcp", n.cfg.Listen)
 	if err != nil {
-		peers.Close()
+		closeListeners(peers)
 		return fmt.Errorf("listen: %w", err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -158,14 +159,21 @@
 	case err = <-errs:
 	}
 	cancel()
-	peers.Close()
-	clients.Close()
+	closeListeners(peers, clients)
 	if !n.waitFor(n.cfg.WorkerLease() / 5) {
 		slog.Warn("parts of the node have not stopped in time")
 	}
 	return err
 }
 
+func closeListeners(listeners ...net.Listener) {
+	for _, l := range listeners {
+		if err := l.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+			slog.Warn("listener could not be closed", "address", l.Addr().String(), "err", err)
+		}
+	}
+}
+
 // Start begins all that a node does beside answering. It ends with ctx; Wait waits for that.
 func (n *Node) Start(ctx context.Context) {
 	watchFor, pause := n.cfg.WorkerLease(), n.cfg.LeaderLeaseTTL()/8
