--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -74,9 +74,9 @@
 	return resp.Body.Close()
 }
 
-// With the limit reached by connections that nobody uses, a new one is answered all the
-// same, and the one that was idle for longest is closed. While they stayed open until
-// they timed out, an operator got no answer from a leader for minutes.
+// When connections that nobody uses have reached the limit, a new one is answered and the one
+// that has been idle for longest is closed. When they stayed open until they timed out, an
+// operator got no answer from a leader for minutes.
 func TestLongestIdleConnectionIsClosedForANewOne(t *testing.T) {
 	l, _ := startServer(t, 0)
 	conns := make([]net.Conn, 0, maxOpen)
@@ -132,9 +132,9 @@
 	}
 }
 
-// While every connection is busy, one of the reserve is answered one request and closed;
-// those that send nothing are not kept. Before there was a reserve, an operator
-// waited for as long as users and workers kept all connections busy.
+// While every connection is busy, a connection of the reserve gets one request answered and is
+// closed; those that send nothing are closed soon. Before there was a reserve, an operator
+// waited for as long as all connections were busy with users and workers.
 func TestReserveAnswersWhileAllConnectionsAreBusy(t *testing.T) {
 	l, release := startServer(t, 2)
 	defer close(release)
--- a/internal/httpapi/submit_test.go
+++ b/internal/httpapi/submit_test.go
@@ -6,9 +6,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// The stages of a pipeline come within milliseconds of each other, and most of them have
-// the lowest priority: by that, two or three at once were told to come back a second later
-// although there was room for them.
+// The stages of a pipeline are submitted within milliseconds of each other, and most of them have
+// the lowest priority: when that priority decided, two or three at once were refused with a
+// Retry-After of a second although there was room for them.
 func TestStagesOfPipelinesAreAdmittedWithHighPriority(t *testing.T) {
 	for _, tc := range []struct {
 		priority     wire.Priority
--- a/internal/jobstatus/taskcounts_test.go
+++ b/internal/jobstatus/taskcounts_test.go
@@ -15,7 +15,7 @@
 // The same inputs every run; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// fakeLeader tells counts like a controller.
+// fakeLeader sends counts as a controller does.
 type fakeLeader struct {
 	term, revision uint64
 	jobs           map[string]wire.JobView
@@ -48,10 +48,9 @@
 func (allJobs) Len() int        { return 1 << 20 }
 func (allJobs) Has(string) bool { return true }
 
-// A follower that has taken an answer knows all counts as the leader had them when
-// it gave the answer, or later, whichever answers are lost or come late and
-// whoever leads: an answer that is older than what is known would take back counts
-// that are never sent again.
+// A follower that has applied an answer knows all counts as the leader had them when it sent the
+// answer, or newer ones, whichever answers get lost or arrive late and whoever leads: applying an
+// older answer would undo counts that are never sent again.
 func TestTaskCountsAreNeverOlderThanTheLastAnswerTaken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader := &fakeLeader{term: 3, revision: 1, jobs: map[string]wire.JobView{}, changed: map[string]uint64{}}
@@ -99,7 +98,7 @@
 	})
 }
 
-// A peer that does not send counts, as one of an older release, is asked by call.
+// Counts are unknown from a leader that does not send them, such as one of an older release.
 func TestTaskCountsAreUnknownIfTheLeaderSendsNone(t *testing.T) {
 	var counts TaskCounts
 	counts.Update("leader", peer.PingArgs{}, peer.PingResult{Term: 3, Leading: true}, allJobs{})
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -63,8 +63,8 @@
 
 func benchHost(i int) string { return fmt.Sprintf("m-%06d", i) }
 
-// benchNode is a node that leads the fleet of benchState; every machine has
-// reported all its tasks running.
+// benchNode returns a node that leads the fleet of benchState. Each machine has sent a heartbeat
+// with all its tasks running.
 func benchNode(tb testing.TB, machines, connections int) *Node {
 	tb.Helper()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -126,7 +126,7 @@
 	}
 }
 
-// A heartbeat that says nothing new, of a machine that is full.
+// A heartbeat without changes, of a full machine.
 func BenchmarkUnchangedHeartbeat(b *testing.B) {
 	n := benchNode(b, benchMachines, 700)
 	bodies := make([]string, b.N)
@@ -143,7 +143,7 @@
 	}
 }
 
-// The same, with all of the HTTP handler's work.
+// The same heartbeat through the whole HTTP handler.
 func BenchmarkUnchangedHeartbeatHandler(b *testing.B) {
 	n := benchNode(b, benchMachines, 700)
 	requests, answers := make([]*http.Request, b.N), make([]*httptest.ResponseRecorder, b.N)
@@ -159,7 +159,7 @@
 	}
 }
 
-// A poll for a job that runs; the state store's own work is part of it.
+// A poll of a running job; the time of the fake state store is included.
 func BenchmarkPoll(b *testing.B) {
 	n := benchNode(b, benchMachines, 700)
 	b.ReportAllocs()
@@ -172,7 +172,7 @@
 	}
 }
 
-// A submission that is known already; the state store's own work is part of it.
+// A repeated submission of a known job; the time of the fake state store is included.
 func BenchmarkRepeatedSubmission(b *testing.B) {
 	n := benchNode(b, benchMachines, 700)
 	b.ReportAllocs()
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -12,8 +12,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// testConfig is the settings of a node whose state store allows so many requests and
-// changes a second.
+// testConfig returns the configuration of a node whose state store allows rps requests and
+// writeRps changes per second.
 func testConfig(rps, writeRps float64) *config.Config {
 	cfg := &config.Config{}
 	cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS = 10, 1
@@ -24,7 +24,7 @@
 	return cfg
 }
 
-// testCatalog has one type of machine, which a job of jobDescription fits.
+// testCatalog returns a catalog with one machine type, which a job of jobDescription fits.
 func testCatalog() *wire.Catalog {
 	return &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g", Cores: 8, Gpus: 8, RAMGb: 8, Zones: []string{"a"}}}}
 }
@@ -59,8 +59,8 @@
 	return l.fixedStatus.RoundTrip(r)
 }
 
-// slowStore answers every read of a key with a job that is not cancelled, and lets
-// something happen between the read and its answer.
+// slowStore answers every read of a key with a job that is not cancelled, and calls meanwhile
+// between the read and its answer.
 type slowStore struct {
 	fixedStatus
 	meanwhile func()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -10,8 +10,8 @@
 	"lotusstile.dev/lotusstile/internal/config"
 )
 
-// A node has no goroutine left once its context has ended and Wait has returned, whatever
-// its loops were waiting for.
+// After its context has ended, Wait returns and no goroutine of the node is left, whatever its
+// loops were waiting for.
 func TestGoroutinesEndWithTheContext(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -17,11 +17,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A node whose processor has far more to do than it can: users are refused at once
-// with a Retry-After, while heartbeats of workers are still answered; once there is
-// less to do, users are served again. The load is real here, and so is the clock:
-// goroutines that spin share one processor with the node, as a small share of a core
-// would have it.
+// While a node's processor is overloaded, users are refused at once with a Retry-After and
+// heartbeats of workers are still answered; once the load ends, users are served again.
+// The load is real here, and so is the clock: goroutines that spin share one processor with
+// the node, which leaves it as little time as a small share of a core.
 func TestSlowProcessorServesWorkersFirst(t *testing.T) {
 	cfg := testConfig(1e6, 1e6)
 	cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.CancelS = 5, 0.2, 600
@@ -37,8 +36,8 @@
 	}
 	user := func(end time.Time) int {
 		t.Helper()
-		// The read that keeps the node serving may get no turn before its own time-out while all
-		// others spin: only then it is made again.
+		// While the others spin, the read that keeps the node serving may not run before its own
+		// time-out: only then is it repeated.
 		_, _, err := n.store.Get(t.Context(), records.TermKey)
 		for errors.Is(err, store.ErrRefused) && time.Now().Before(end) {
 			_, _, err = n.store.Get(t.Context(), records.TermKey)
--- a/internal/node/submissions_test.go
+++ b/internal/node/submissions_test.go
@@ -38,7 +38,7 @@
 }
 
 // A submission that cannot be accepted is answered at once with a Retry-After, from the
-// first moment of an outage of the state store and when the budget of changes is spent:
+// first moment of an outage of the state store and when the write budget is spent:
 // a wait would only postpone the refusal.
 func TestSubmissionsThatCannotBeCommittedAreRefusedAtOnce(t *testing.T) {
 	for _, tc := range []struct {
@@ -90,9 +90,9 @@
 	}
 }
 
-// A submission whose commit gets no answer is recorded once more while the state
-// store answers other requests, and its user need not come back: each took
-// 1.25 s and then another node.
+// A submission whose commit gets no answer is committed again while the state store answers
+// other requests, so that the user need not repeat it: before, each such submission took
+// 1.25 s and was then forwarded to another node.
 func TestSubmissionIsCommittedAgainWhenItsAnswerIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := &lossyStore{fixedStatus(http.StatusOK), 1}
@@ -101,9 +101,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
 			for ctx.Err() == nil {
-				// A read that the end of the test calls off in its first moment has not
-				// failed: the answer to the submission and this read's turn may fall on
-				// the same instant, and either may come first.
+				// A read that the end of the test cancels at once has not failed: the answer
+				// to the submission and the start of this read may fall on the same instant,
+				// in either order.
 				if _, _, err := n.store.Get(ctx, "e/term"); err != nil && ctx.Err() == nil {
 					t.Error(err)
 				}
@@ -121,8 +121,8 @@
 	})
 }
 
-// A question whose read is slow is not answered with what was true before another
-// node confirmed that the job is cancelled.
+// A poll whose read is slow is not answered with a status that was true before another node
+// confirmed that the job is cancelled.
 func TestAnswersAreNotOlderThanWhatPeersAnnounced(t *testing.T) {
 	state := &slowStore{fixedStatus: http.StatusOK}
 	n := New(testConfig(100, 100), Network{State: state})
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -67,7 +67,7 @@
 	"lead-reply": LeadReply{Lead: &LeadStatusMessage{Term: 7, Loaded: true}},
 }
 
-// What a node of the release before sends is read as it was meant.
+// What a node of the previous release sends is decoded with its meaning unchanged.
 func TestMessagesOfTheReleaseBeforeAreRead(t *testing.T) {
 	for name, want := range messages {
 		data, err := os.ReadFile(filepath.Join("testdata", "release1", name+".gob"))
@@ -83,7 +83,7 @@
 	}
 }
 
-// The messages whose types have changed since, as the release before has them.
+// The messages whose types have changed since, as the previous release has them.
 type (
 	pingArgs1 struct {
 		From                       string
@@ -125,7 +125,7 @@
 	}
 )
 
-// work1Sent is the work of messages["withdrawn-args"] as the release before reads it.
+// work1Sent is the job of messages["withdrawn-args"] as the previous release decodes it.
 var work1Sent = work1{
 	UID:      "run-000412",
 	Berth:    "train",
@@ -149,7 +149,7 @@
 	DueS:     &due,
 }
 
-// A node of the release before reads what this one sends, and ignores what it does
+// A node of the previous release decodes what this one sends, and ignores what it does
 // not know: the version, and the dependencies of a job.
 func TestReleaseBeforeReadsMessages(t *testing.T) {
 	cancelled, ok := messages["withdrawn-args"].(WithdrawnArgs)
@@ -185,7 +185,7 @@
 	}
 }
 
-// Values with every field set: a field that a conversion forgets is seen.
+// Values with every field set, so that the test fails if a conversion omits a field.
 
 var fullCommand = wire.Command{Verb: wire.Stop, Task: "run-000412/3", Attempt: 2, GracePeriodS: 10}
 
@@ -278,7 +278,7 @@
 	QuarantinedMachines: 2,
 }
 
-// What a node sends as a message is what the node that receives it works with.
+// A value that a node sends as a message is the same at the node that receives it.
 func TestConversionsLoseNothing(t *testing.T) {
 	sentCancellation, sentBatch, sentReply := fullCancellation.message(), fullBatch.message(), fullReply.message()
 	for name, tc := range map[string]struct{ got, want any }{
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -10,7 +10,7 @@
 	"lotusstile.dev/lotusstile/internal/config"
 )
 
-// OlderRelease is the service of a release that registers it by another name.
+// OlderRelease is the service of a release that registers it under another name.
 type OlderRelease struct{}
 
 // Ping answers a ping.
--- a/internal/relay/pressure_test.go
+++ b/internal/relay/pressure_test.go
@@ -8,10 +8,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A worker that has met one slow answer of its zone's controller, which hears the others all the
-// time, is back there within a few intervals. While it stayed away for three leases, workers lost
-// their tasks when their zone was cut off: 347 on one day. Once it has left again, it cannot
-// reach that controller, and stays away.
+// A worker that has met one slow answer of its zone's controller, which receives the heartbeats of
+// the others all the time, is back there within a few intervals. When such workers stayed away for
+// three leases, they lost their tasks when their zone was cut off: 347 on one day. A worker that
+// leaves a second time cannot reach that controller, and stays away.
 func TestWorkerReturnsAfterOneSlowAnswer(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(100)
@@ -44,7 +44,8 @@
 	}
 }
 
-// A worker whose controller hears no workers any more is not sent back, however many there were.
+// A worker whose controller no longer receives heartbeats is not sent back, however many workers
+// that controller had.
 func TestUnreachableControllerGetsNoWorkers(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(100)
@@ -66,9 +67,9 @@
 	}
 }
 
-// A worker that comes on a connection of the reserve is sent to a controller that has room, at
-// once and past the limit of moves, and not back for a lease; with no other that has room, it
-// stays and is served in turn.
+// A worker whose heartbeat comes on a connection of the reserve is sent to a controller that has room,
+// at once and past the rate limit of moves, and not back for a lease; if no other controller has room,
+// it stays and its heartbeats are answered in turn.
 func TestFullControllerSendsWorkersElsewhere(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(60)
@@ -92,9 +93,9 @@
 	}
 }
 
-// Controllers take as many workers as the fleet needs: 4,000 and 6,000 with the connections of
-// the large deployments, on five controllers and on three, all are kept as long as the
-// connections allow it. With fixed shares, three of them kept 3,235 workers.
+// Controllers take as many workers as the fleet needs: of 4,000 and of 6,000 workers, with the
+// connections of the large deployments, on five controllers and on three, all get a controller as
+// long as the connections allow it. With fixed shares, three controllers had room for 3,235 workers.
 func TestRoomGrowsWithTheFleet(t *testing.T) {
 	for _, tc := range []struct {
 		controllers, connections, workers int
@@ -153,10 +154,10 @@
 	}
 }
 
-// A late copy of a heartbeat that the leader has not seen looks as if its worker had been at another
-// controller in between. The worker is not sent back all the same to the one that it cannot reach:
-// while only the last departure counted, a machine was declared dead in 11 of 120 runs of a leader
-// that loses its workers.
+// A late copy of a heartbeat that the leader has not received before looks as if its worker had been at
+// another controller in between. Even so the worker is not sent back to the one that it cannot reach:
+// when only the last departure counted, a machine was declared dead in 11 of 120 runs in which a leader
+// became unreachable for its workers.
 func TestLateCopyDoesNotHideADeparture(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(100)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,10 +18,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Whatever is lost between followers and leader, and whichever follower a worker sends its heartbeats to,
-// the leader gets each heartbeat as its worker sent it, a repeated one too, and each worker is given the
-// answer to its own heartbeat: it names the incarnation and sequence, and the launch in it is the one for
-// that sequence.
+// Whichever messages between followers and leader get lost, and whichever follower a worker sends its
+// heartbeats to, the leader gets each heartbeat as its worker sent it, a repeated one too, and each worker
+// gets the answer to its own heartbeat: it names the incarnation and sequence, and the launch in it is the
+// one for that sequence.
 func TestHeartbeatsArriveAsSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -190,8 +190,8 @@
 	return h
 }
 
-// A heartbeat whose base the leader does not have, as after a lost batch, is sent again in
-// full and answered: it is not mistaken for another one, and not lost.
+// A heartbeat that repeats one that the leader does not have, as after a batch that did not arrive, is
+// sent again in full and answered.
 func TestHeartbeatWithUnknownBaseIsResentInFull(t *testing.T) {
 	receiver := NewReceiver(context.Background(), 1, []string{"n1"}, answerOK)
 	kinds := map[DeliveryKind]int{}
@@ -226,7 +226,7 @@
 }
 
 // A heartbeat for a leader that is replaced or does not answer in time, or of a worker that has sent a
-// newer one, ends with an error of its own, at once or at the time-out.
+// newer one, fails with the error for that case, at once or at the time-out.
 func TestHeartbeatsWithoutAnswerEndWithTypedErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -284,8 +284,8 @@
 	})
 }
 
-// A batch that cannot be decoded, or comes from a stranger, is refused whole with an
-// error; one bad heartbeat in a batch is answered 400, and the others are accepted.
+// A batch that cannot be decoded, or comes from a node that is not a member, is refused whole with an
+// error; one malformed heartbeat in a batch is answered 400, and the others are accepted.
 func TestMalformedBatches(t *testing.T) {
 	receiver := NewReceiver(context.Background(), 1, []string{"n1"}, answerOK)
 	body := []byte(`{"Host":"m","Shift":1,"Tick":1,"Legs":[]}`)
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -34,8 +34,8 @@
 	return &wire.Heartbeat{Host: host, Zone: zone, Incarnation: 1, Sequence: s.sequence}
 }
 
-// settle lets workers send heartbeats once a second where they are sent, and returns how often one was
-// moved. at has by host where each sends them.
+// settle lets workers send heartbeats once a second to the controllers that the router chooses, and
+// returns the number of moves. at is the controller of each worker, by host.
 func settle(
 	r *Router, sent *heartbeatSource, at map[string]string, zoneOf func(host string) string, now *time.Time, seconds int,
 ) (moves int) {
@@ -51,7 +51,7 @@
 	return moves
 }
 
-// The mode changes with the size of the fleet, and not to and fro at its limit.
+// The mode changes with the size of the fleet, and does not alternate near the limit.
 func TestModeFollowsTheFleetSize(t *testing.T) {
 	r := testRouter(Direct)
 	for _, step := range []struct {
@@ -67,10 +67,10 @@
 	}
 }
 
-// Workers end up at a controller of their zone, or are spread over the followers where
-// there is none; no controller takes more than its share, no worker is sent to a follower that is
-// not usable, and once they have settled they stay. A follower that is unreachable gives its workers
-// up, and gets those of its zone back.
+// Workers end up at a controller of their zone, or spread over the followers if their zone has none;
+// no controller takes more than its share, no worker is sent to a follower that is not usable, and
+// once they have settled they stay. The workers of a follower that becomes unreachable move away, and
+// those of its zone come back.
 func TestWorkersSettleInTheirZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newZonedFleet(t)
@@ -173,8 +173,8 @@
 	}
 }
 
-// A worker that comes back from where it was sent cannot reach that controller: sent there
-// again and again, it would lose its lease on the way.
+// A worker that comes back from the controller to which it was sent cannot reach that one: sent there
+// again and again, its lease would end on the way.
 func TestWorkerThatComesBackIsNotSentAgain(t *testing.T) {
 	r := testRouter(Relayed)
 	var sent heartbeatSource
@@ -195,9 +195,9 @@
 	}
 }
 
-// A fleet is not moved all at once: each move costs its controllers a connection. Only what
-// is too much for a controller goes at once: while a leader was short of
-// connections, users who tried it waited for seconds.
+// A fleet is not moved all at once, since each move costs the controllers a connection. Only the
+// workers that are too many for a controller move at once: while a leader was short of connections,
+// users whose requests it got waited for seconds.
 func TestMovesAreSpread(t *testing.T) {
 	r := testRouter(Relayed)
 	var sent heartbeatSource
@@ -215,8 +215,8 @@
 	}
 }
 
-// A late copy of a heartbeat, that some other controller gets, moves nobody: taken for the
-// worker itself, it made the router leave the worker where it was for three leases.
+// A late copy of a heartbeat that arrives at another controller moves no worker: when it counted as
+// the worker's own move, the router left the worker where it was for three leases.
 func TestLateCopiesMoveNobody(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(300)
--- a/internal/relay/size_test.go
+++ b/internal/relay/size_test.go
@@ -28,7 +28,7 @@
 		})
 		for sequence := uint64(1); sequence <= 2; sequence++ {
 			waiting := enqueueFleet(t, sender, workers, sequence)
-			// The leader decides answers beside the exchanges.
+			// The leader decides answers concurrently with the exchanges.
 			for deadline := time.Now().Add(30 * time.Second); sender.hasPending() && time.Now().Before(deadline); {
 				if !sender.exchange() {
 					time.Sleep(time.Millisecond)
@@ -62,7 +62,7 @@
 	return waiting
 }
 
-// checkAnswered fails the test if a heartbeat has not got its own answer.
+// checkAnswered fails the test unless a heartbeat has got its own answer.
 func checkAnswered(t *testing.T, p *pendingHeartbeat, name string) {
 	t.Helper()
 	select {
--- a/internal/standby/late_commit_test.go
+++ b/internal/standby/late_commit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The input at which TestWhatIsProvenIsWhatIsListed once failed: a commit whose answer was lost is
+// The input on which TestWhatIsProvenIsWhatIsListed once failed: a commit whose answer did not arrive is
 // carried out late, after 13 commits of another key, and changes a key that an earlier commit had set.
 // The standby proved the earlier value (revision 10), while the state store had the later one
 // (revision 25).
--- a/internal/standby/leader_test.go
+++ b/internal/standby/leader_test.go
@@ -20,7 +20,7 @@
 	modRevisions map[string]uint64 // of the records, as it knows them
 }
 
-// newLeader is elected and reads all records, as a controller does.
+// newLeader returns a leader that has been elected and has read all records, as a controller does.
 func newLeader(s *service) *leader {
 	l := &leader{service: s, term: s.elect(), modRevisions: map[string]uint64{}}
 	l.source = NewSource(l.term, []string{"n1", "n2"}, time.Minute)
@@ -82,7 +82,7 @@
 	})
 }
 
-// newLargeLeader has written so many records that its transfers take several parts.
+// newLargeLeader returns a leader with so many records that its transfers take several parts.
 func newLargeLeader(s *service) *leader {
 	l := newLeader(s)
 	value := fmt.Sprintf("%q", make([]byte, 3000))
@@ -92,7 +92,7 @@
 	return l
 }
 
-// fakeViews hands out views, a few at a time.
+// fakeViews is a Views with a fixed list of views, each of which is drained once.
 type fakeViews struct{ entries []*Entry }
 
 func (v *fakeViews) DrainChangedViews(most int) ([]*Entry, bool) {
--- a/internal/standby/size_test.go
+++ b/internal/standby/size_test.go
@@ -7,7 +7,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// repeatedViews hands out the same views again once drained is reset.
+// repeatedViews is a Views that returns the same views again once drained is reset.
 type repeatedViews struct {
 	entries []*Entry
 	drained int
@@ -20,8 +20,8 @@
 }
 
 // A follower receives the views of 4,096 and of 6,000 machines, of their jobs and of the
-// largest job that there may be, and keeps up while all of them change. That job's view was
-// larger than a part might be, and the follower started again for ever.
+// largest job that is allowed, and keeps up while all of them change. That job's view was once
+// larger than the limit of a part, and the follower started again for ever.
 func TestLargeFleetIsFollowed(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
 		views := &repeatedViews{}
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Whatever became of the old leader's commits, even of those that were carried out late or
-// whose outcome it never knew, what is proven after an election is what a listing shows:
+// After an election the proven records are those that a listing shows, whatever the outcome of the
+// old leader's commits, even of those that were carried out late or whose outcome it never knew:
 // while the leader is followed, after it was deposed, and by either of two standbys.
 func TestWhatIsProvenIsWhatIsListed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -52,7 +52,7 @@
 		followers := []*Follower{follow("n1", sources), follow("n2", sources)}
 		key := rapid.SampledFrom([]string{"p/run-1/000000", "p/run-1/000001", "p/run-2/000000", "r/7-1", "r/7-2", "i/m-1"})
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			// A deposed leader may not know yet, and writes on.
+			// A deposed leader may not know that yet, and continues to write.
 			l := leaders[len(leaders)-1-rapid.IntRange(0, min(1, len(leaders)-1)).Draw(t, "leader")]
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1, 2, 3, 4:
@@ -88,8 +88,8 @@
 	})
 }
 
-// One commit whose outcome is unknown holds the position back until its keys are written
-// again, or a standby would miss it when it is carried out late.
+// A commit whose outcome is unknown keeps the position below it until its keys are written
+// again. Otherwise a standby would miss it when it is carried out late.
 func TestUnknownOutcomeHoldsThePositionBack(t *testing.T) {
 	s := newService()
 	l := newLeader(s)
@@ -115,8 +115,8 @@
 	}
 }
 
-// What is wrong is refused with a typed error and counted, and nothing of it is used: the
-// standby starts again, and whoever is elected lists all records.
+// A wrong part is refused with a sentinel error and counted, and none of it is used: the
+// standby starts again, and a node that is elected then lists all records.
 func TestWrongPartsAreRefused(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -173,7 +173,8 @@
 	}
 }
 
-// Whatever happens to the bytes on their way, no copy is kept whose digest is not the leader's.
+// However the bytes are changed on their way, the follower never has a copy whose digest is not the
+// leader's.
 func TestCorruptedBytesAreNeverAccepted(t *testing.T) {
 	l := newLargeLeader(newService())
 	rapid.Check(t, func(t *rapid.T) {
@@ -227,9 +228,9 @@
 	checkSameAsListed(t, s, p)
 }
 
-// A standby that has lost the leader is behind; its copy can be proven for as long as the
-// state store keeps the changes since, and not after that. One that comes back later than
-// the leader keeps changes pulls everything again.
+// A standby that cannot reach the leader falls behind; its copy can be proven as long as the
+// state store still has the changes since then, and not after that. If the leader no longer has
+// the changes when the standby comes back, it pulls everything again.
 func TestFollowerFallsBehindAndCatchesUp(t *testing.T) {
 	s := newService()
 	l := newLeader(s)
@@ -300,7 +301,7 @@
 	}
 }
 
-// Memory that has changed under a copy is noticed before anything is decided on it.
+// A copy that was corrupted in memory is detected before any decision depends on it.
 func TestCorruptedCopyIsNotProven(t *testing.T) {
 	s := newService()
 	l := newLeader(s)
@@ -314,7 +315,7 @@
 	}
 }
 
-// A term that is not older than the one that is to begin proves nothing about it.
+// A copy of a term that is not older than the new one is not proven.
 func TestCopyOfTheSameTermIsNotProven(t *testing.T) {
 	s := newService()
 	l := newLeader(s)
@@ -325,7 +326,7 @@
 	}
 }
 
-// Views arrive as they were made, and those that are dropped are gone.
+// Views arrive unchanged, and dropped views are absent.
 func TestViewsArrive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	s := newService()
@@ -373,7 +374,7 @@
 	}
 }
 
-// A transfer that nobody requests any more is dropped, and strangers get nothing.
+// A transfer that is no longer requested is dropped, and a node that is not a member gets nothing.
 func TestSourceDropsAbandonedTransfersAndRefusesStrangers(t *testing.T) {
 	l := newLargeLeader(newService())
 	now := time.Unix(1000, 0)
