--- a/internal/simcluster/faultnet/transport.go
+++ b/internal/simcluster/faultnet/transport.go
@@ -69,7 +69,8 @@
 	latency       time.Duration // each way
 }
 
-// drawFate draws the fate of a request. The order of the draws is part of what a seed stands for.
+// drawFate draws the fate of a request. A seed gives the same faults only as long as the order of the draws
+// stays.
 func (n *Network) drawFate(l link, path string) fate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simcluster/jobs_test.go
+++ b/internal/simcluster/jobs_test.go
@@ -8,8 +8,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// makeJob makes the i-th job of a scenario, and after what time its user cancels it; 0: never. The
-// order of its draws is part of what a seed stands for.
+// makeJob returns the i-th job of a scenario, and the time after which its user cancels it; 0: never. A
+// seed gives the same jobs only as long as the order of the draws stays.
 type makeJob func(i int, r *rand.Rand) (spec wire.JobSpec, stay time.Duration)
 
 // randomJob makes arrays of a team with a limit, with and without checkpoints, in any zone or in
@@ -130,7 +130,7 @@
 	return spec, stay
 }
 
-// teamLimitJob makes arrays of one team, for minutes more than its limit lets run.
+// teamLimitJob makes arrays of one team that together ask for more than its limit for minutes.
 func teamLimitJob(i int, r *rand.Rand) (wire.JobSpec, time.Duration) {
 	spec := wire.JobSpec{
 		UID:          jobName(i),
@@ -166,7 +166,7 @@
 	return spec, stay
 }
 
-// stageJob is a short array without GPUs, as pipelines are made of.
+// stageJob returns a short array without GPUs, a stage of a pipeline.
 func stageJob(i, tasks int, dependencies ...string) wire.JobSpec {
 	return wire.JobSpec{
 		UID:          jobName(i),
@@ -184,7 +184,7 @@
 	}
 }
 
-// serviceJob is a service of several tasks as large as most jobs of these tests.
+// serviceJob returns a service with several tasks that are as large as those of most jobs in these tests.
 func serviceJob(uid, team string, priority wire.Priority, tasks int) wire.JobSpec {
 	return wire.JobSpec{
 		UID:       uid,
--- a/internal/simcluster/leadership_test.go
+++ b/internal/simcluster/leadership_test.go
@@ -10,8 +10,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A node is not ready when it is cut off while others serve, also if it cannot ask
-// them. In an outage that all share, every node is ready.
+// A node that is cut off while others serve is not ready, also if it cannot reach the others. In an outage
+// that affects all nodes, every node is ready.
 func TestOnlyPartitionedNodesAreNotReady(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
@@ -39,8 +39,8 @@
 	})
 }
 
-// A leader that is ill placed transfers leadership once a better one has been well for a
-// while, and nothing that runs is lost by it.
+// A leader with a low election priority transfers leadership once a node with a higher one has been healthy
+// for a while, and no running task ends because of it.
 func TestLeadershipTransferKeepsRunningTasks(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
@@ -80,9 +80,9 @@
 	}
 }
 
-// While a controller is unreachable, no leader stays whose workers would try it next: it transfers
-// leadership to one with a live successor, without losing a task, and when that is paused or crashes
-// its workers find the other one within their lease. With the leader before the unreachable node, all
+// While a controller is unreachable, the node before it in the workers' order does not stay leader: it
+// transfers leadership to one whose successor is live, and no task ends. When that one is paused or crashes,
+// its workers find the other live node within their lease. With the leader before the unreachable node, all
 // leases ended: a worker waits four seconds for an answer at each.
 func TestLeaderTransfersWhenItsSuccessorIsLost(t *testing.T) {
 	t.Parallel()
--- a/internal/simcluster/older_release_test.go
+++ b/internal/simcluster/older_release_test.go
@@ -14,12 +14,11 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// releaseHandler lets a node meet its peers as its release does: one of the release before
-// cluster version 2 says no version, reads none, ignores Awaits, and knows no relays and no
-// standbys.
+// releaseHandler answers a node's peers as its release does. The release before cluster version 2 sends no
+// version, reads none, ignores Awaits, and knows neither relays nor standbys.
 //
-// It embeds only what every release answers alike: a peer.Handler embedded whole would take the
-// place of a method here that has another name than there, and nobody would notice.
+// It embeds only the methods that every release answers alike. If it embedded all of peer.Handler, a method
+// that is renamed there would no longer be overridden here, and the test would not notice.
 type releaseHandler struct {
 	sameInAllReleases
 	handler peer.Handler
@@ -27,7 +26,7 @@
 	node    int
 }
 
-// sameInAllReleases is what a node of the older release answers like one of the newer.
+// sameInAllReleases has the methods that both releases answer alike.
 type sameInAllReleases interface {
 	ApplyCancellation(c peer.Cancellation)
 	LeadStatus() *wire.LeadStatus
@@ -53,7 +52,7 @@
 	return reply
 }
 
-// FollowState answers a standby: the release before does not know the question.
+// FollowState answers a standby. The older release does not know this method.
 func (r releaseHandler) FollowState(a peer.FollowArgs) (peer.FollowReply, error) {
 	if r.sc.olderRelease[r.node] {
 		return peer.FollowReply{}, errors.New("rpc: can't find method Controller.FollowState")
@@ -69,7 +68,7 @@
 	return r.handler.ServeUserRequest(a)
 }
 
-// withoutDependencies answers users as the release before, which ignores Awaits.
+// withoutDependencies answers users as the older release, which ignores Awaits.
 func withoutDependencies(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -83,7 +82,7 @@
 	})
 }
 
-// dropDependencies takes Awaits out of a submission.
+// dropDependencies removes Awaits from a submission.
 func dropDependencies(body []byte) []byte {
 	fields := map[string]json.RawMessage{}
 	if json.Unmarshal(body, &fields) != nil || fields["Awaits"] == nil {
@@ -97,7 +96,7 @@
 	return changed
 }
 
-// upgradeNode ends a node of the release before and starts it again, after a while, as a new one.
+// upgradeNode ends a node of the older release and starts it again, after a while, with the new one.
 func (sc *scenario) upgradeNode(i int, back time.Duration) {
 	sc.t.Helper()
 	sc.crashNode(i)
@@ -106,8 +105,8 @@
 	sc.startNode(i)
 }
 
-// unannouncedRelease carries the requests of a node of the release before, which announces no
-// version in the state store.
+// unannouncedRelease carries the requests of a node of the older release, which announces no version in
+// the state store.
 type unannouncedRelease struct{ http.RoundTripper }
 
 // RoundTrip refuses to carry announcements.
--- a/internal/simcluster/pipelines_test.go
+++ b/internal/simcluster/pipelines_test.go
@@ -11,8 +11,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// The rules hold for pipelines too, whatever fails while a new release is brought in and
-// the state store lowers its limits.
+// The rules hold for pipelines too, under all faults, while a new release is rolled out and the state store
+// lowers its limits.
 func TestPipelinesWhateverFails(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seedCount(t, 8)) {
@@ -30,9 +30,8 @@
 	}
 }
 
-// playPipelines plays a scenario in which the release before is replaced node by node, the
-// state store lowers its limits, and pipelines come from then on, with faults by
-// chance at any time.
+// playPipelines plays a scenario in which the older release is replaced node by node, then the state store
+// lowers its limits and pipelines are submitted, with random faults at any time.
 func playPipelines(t *testing.T, seed uint64, faults int) (violations, rejected []string, started int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -72,8 +71,7 @@
 	return violations, rejected, started
 }
 
-// submitBeforeUpgrade lets users submit jobs from before the upgrade, some of them large and on all
-// machines.
+// submitBeforeUpgrade submits jobs before the upgrade begins, some of them large enough for all machines.
 func (sc *scenario) submitBeforeUpgrade(r *rand.Rand, users *sync.WaitGroup, deadline time.Time) {
 	for i := range 12 {
 		spec, stay := randomJob(i, r)
@@ -89,9 +87,9 @@
 	}
 }
 
-// runPipeline submits the four stages of a diamond, each as soon as those that it needs
-// are accepted, and follows them until all are over. Some submit the last stage only
-// when the others are over; some cancel one stage at some time.
+// runPipeline submits the four stages of a diamond, each as soon as those that it depends on are accepted,
+// and follows them until all are over. In some pipelines the last stage is submitted only when the others
+// are over, in some one stage is cancelled at a random time.
 func (sc *scenario) runPipeline(r *rand.Rand, first int, deadline time.Time) {
 	a := stageJob(first, 1+r.IntN(4))
 	b, c := stageJob(first+1, 1+r.IntN(20), a.UID), stageJob(first+2, 1+r.IntN(4), a.UID)
@@ -121,9 +119,9 @@
 	all.Wait()
 }
 
-// One-task pipelines come several a second. Their second stages are submitted in the
-// milliseconds around the end, the cancellation or the archiving of the first, with cross-checks
-// of every answer.
+// Several pipelines of two one-task stages are submitted a second. The second stage is submitted within
+// milliseconds of the end, the cancellation or the archiving of the first, and every answer is
+// cross-checked.
 func TestRulesHoldWhenDependentsComeAroundTheEndOfAJob(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
--- a/internal/simcluster/poll_load_test.go
+++ b/internal/simcluster/poll_load_test.go
@@ -25,7 +25,7 @@
 	return &pollLoad{users: sc.cluster.Users, stop: make(chan struct{}), answered: map[int]int{}}
 }
 
-// poll asks a node for a job so often, and does not wait for the answers.
+// poll sends polls of a job to a node at the given rate, without waiting for the answers.
 func (p *pollLoad) poll(node, uid string, interval time.Duration) {
 	for {
 		select {
@@ -42,8 +42,8 @@
 	}
 }
 
-// timeToFinalStatusAt submits a job to a node and tells how long it takes until its user is told its
-// final status there.
+// timeToFinalStatusAt submits a job to a node and returns how long it takes until that node answers a final
+// status.
 func (sc *scenario) timeToFinalStatusAt(node string, spec wire.JobSpec) time.Duration {
 	began := time.Now()
 	sc.cluster.Users.UploadSpec(spec)
@@ -57,12 +57,11 @@
 	return time.Since(began)
 }
 
-// Users ask 600 questions a second of a state store that takes 120 requests, about jobs that
-// run, have ended and never were: the leader keeps its lease, work starts and is cancelled in time,
-// questions about known jobs are answered, and after the leader's end the next one reads the
-// records and places soon. Each node once read as often as its whole share allowed, for
-// questions alone: leases were not renewed, leaders changed, and a new one tried to read
-// its records for 12 s.
+// Users send 600 polls a second for jobs that run, have ended or never existed, with a state store that
+// allows 120 requests a second: the leader keeps its lease, work starts and is cancelled in time, polls of
+// known jobs are answered, and after the leader's end the next one soon loads the records and places work.
+// Nodes once spent their whole share of requests on reads for polls: leases were not renewed, leaders
+// changed, and a new one tried to load its records for 12 s.
 func TestPollLoadLeavesTheLeaderItsRequestBudget(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
@@ -116,8 +115,8 @@
 	}
 }
 
-// expectSmallJobServedAfterCrash crashes the leader of a term, expects that the next one places as
-// soon as ever, and cancels the service at a node that did not crash.
+// expectSmallJobServedAfterCrash crashes the leader of a term, expects that the next one places work as
+// soon as without the load, and cancels the service at a node that did not crash.
 func (sc *scenario) expectSmallJobServedAfterCrash(small wire.JobSpec, term uint64) {
 	sc.t.Helper()
 	leader := sc.leaderIndex()
@@ -130,7 +129,7 @@
 	if leader == len(nodeNames)-1 {
 		follower = nodeNames[leader-1]
 	}
-	// The lease has to end, and the machines have to report to the next leader.
+	// The leader lease has to end first, and the machines' heartbeats have to reach the next leader.
 	small.UID = "run-000200"
 	const failover = 10 * time.Second
 	took := sc.timeToFinalStatusAt(follower, small)
--- a/internal/simcluster/quota_test.go
+++ b/internal/simcluster/quota_test.go
@@ -16,22 +16,22 @@
 // teamJobs is how many jobs the team within its quota submits.
 const teamJobs = 12
 
-// A team within its quota waits no longer for its starts beside teams without quota than alone, though
-// their work is of a higher priority, fills the machines and the leader changes twice; and what they
-// can do beside, they do. Quotas were once not looked at at all: owners waited until the others left.
+// Jobs of a team within its quota start as soon beside teams without quota as alone, although the others'
+// work has a higher priority and fills the machines, and the leader changes twice. The others' work still
+// uses the room that is left. Quotas once had no effect: their owners waited until the others' work ended.
 func TestTeamWithinQuotaWaitsNoLongerBesideTeamsWithoutQuota(t *testing.T) {
 	t.Parallel()
 	alone, beside := meanStartDelay(t, false), meanStartDelay(t, true)
-	// What is stopped takes a heartbeat to leave, and one more to tell.
+	// A stop is sent in the answer to one heartbeat, and the end is reported in the next.
 	if most := alone + 4*time.Second; beside > most {
 		t.Errorf("jobs within quota start after %v beside teams without quota, %v alone", beside, alone)
 	}
 	t.Logf("jobs within quota start after %v beside teams without quota, %v alone", beside, alone)
 }
 
-// meanStartDelay plays a team within its quota, at a leader that ends twice, with or without a team
-// without quota whose work of the highest priority fills all machines, on machines that cannot be
-// more. It returns how long the owner's jobs took from their submission to their first run, on the mean.
+// meanStartDelay plays a team within its quota on a fleet that cannot grow, while the leader crashes twice,
+// with or without a team without quota whose work of the highest priority fills all machines. It returns
+// the mean time from the submission of the owner's jobs to their first start.
 func meanStartDelay(t *testing.T, withOthers bool) (mean time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -96,8 +96,8 @@
 	return service, array
 }
 
-// submitWithinQuota submits the jobs of the team within its quota, one after the other, and waits
-// for all users. It returns how long they took to their first run, on the mean.
+// submitWithinQuota submits the jobs of the team within its quota, one after the other, and waits for all
+// users. It returns the mean time from submission to the first start.
 func (sc *scenario) submitWithinQuota(users *sync.WaitGroup, deadline time.Time) (mean time.Duration) {
 	r := rand.New(rand.NewPCG(1, 1))
 	var total time.Duration
@@ -134,7 +134,7 @@
 	return total / teamJobs
 }
 
-// waitUntilStarted asks for a job until all its tasks have started, or until the deadline.
+// waitUntilStarted polls a job until all its tasks have started, or until the deadline.
 func (sc *scenario) waitUntilStarted(spec wire.JobSpec, deadline time.Time) {
 	for time.Now().Before(deadline) {
 		_, view := sc.cluster.Users.Request("n1", http.MethodGet, "/work/"+spec.UID, nil)
