--- a/internal/node/campaigndelay.go
+++ b/internal/node/campaigndelay.go
@@ -7,58 +7,61 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// The node that should lead is one whose workers find another controller in time if it fails. That
-// depends on the zones, which do not change, and on which nodes are unreachable, which does. While a
-// controller had been unreachable for over a minute, the leader before it in the workers' order
-// paused for 5 s: its workers tried the unreachable one next, and the leases of all 112 machines ended.
+// The best leader is a node whose workers find another controller within their lease if it fails. Which
+// node that is depends on the zones, which do not change, and on which nodes are unreachable, which does.
+// Workers try the controllers in a fixed order. If the one after the leader is unreachable, a short pause of
+// the leader is enough to end worker leases: after a pause of 5 s the leases of all 112 machines ended.
 
-// transferLeases is the number of worker leases that a leader must have led, and a peer with a
-// shorter campaign delay must have been serving, before the leadership is transferred.
-const transferLeases = 3
+// transferAfterLeases is a time in worker leases. Leadership is transferred only after this node has led, and
+// a peer with a shorter campaign delay has been serving, for longer than that.
+const transferAfterLeases = 3
 
-// campaign computes how long nodes should wait before they campaign in an election.
-type campaign struct {
+// campaignPolicy computes how long nodes should wait before they campaign in an election, and decides when the
+// leader should transfer leadership.
+type campaignPolicy struct {
 	*leadership
 	// isRelaying reports whether this node leads and wants followers to relay heartbeats.
 	isRelaying func() bool
 }
 
-// isUnreachable reports whether a peer has not answered a ping for patience. It is false for this
-// node.
-func (c *campaign) isUnreachable(label string, patience time.Duration) bool {
-	return c.peer(label) != nil && !c.isReached(label, patience)
+// isUnreachable reports whether a peer has not answered any ping sent within maxAge. It is false for
+// this node.
+func (c *campaignPolicy) isUnreachable(label string, maxAge time.Duration) bool {
+	return c.peer(label) != nil && !c.isReachable(label, maxAge)
 }
 
-// delayOf returns how long a node should wait before it campaigns, in the elector's
-// CampaignDelaySteps: 0 for the node that is placed best to lead.
-func (c *campaign) delayOf(label string, unreachable func(label string) bool) int {
+// delaySteps returns how long a node should wait before it campaigns, in steps of the elector's campaign
+// delay (election.Options.CampaignDelaySteps): 0 for the node that is best placed to lead.
+func (c *campaignPolicy) delaySteps(label string, unreachable func(label string) bool) int {
 	return c.cfg.CampaignDelaySteps(label) + c.cfg.UnreachableSuccessors(label, unreachable)
 }
 
-// ownDelay is this node's campaign delay when nobody leads.
-func (c *campaign) ownDelay() int {
-	return c.delayOf(c.cfg.Label, func(label string) bool { return c.isUnreachable(label, c.cfg.LeaderLeaseTTL()) })
+// ownDelaySteps returns this node's campaign delay while there is no leader.
+func (c *campaignPolicy) ownDelaySteps() int {
+	return c.delaySteps(c.cfg.Label, func(label string) bool { return c.isUnreachable(label, c.cfg.LeaderLeaseTTL()) })
 }
 
-// successorDelay is a node's campaign delay once this one, which leads, is unreachable.
-func (c *campaign) successorDelay(label string) int {
-	return c.delayOf(label, func(other string) bool {
+// successorDelaySteps returns the campaign delay that another node will have once this node, the current leader,
+// is unreachable.
+func (c *campaignPolicy) successorDelaySteps(label string) int {
+	return c.delaySteps(label, func(other string) bool {
 		return other == c.cfg.Label || c.isUnreachable(other, c.cfg.LeaderLeaseTTL())
 	})
 }
 
-// shouldTransfer reports whether a peer with a shorter campaign delay has been serving for so long
-// that a change of leader is worth it. An unreachable node counts only after a worker lease, so that
-// a restart does not, and only while all workers send their heartbeats to the leader.
-func (c *campaign) shouldTransfer() bool {
+// shouldTransfer reports whether this node leads and should transfer leadership to a peer that has a shorter
+// campaign delay and has been serving for long enough. Unreachable nodes add to the delays only after a
+// worker lease without an answered ping, so that a restart does not count, and only while all workers
+// send their heartbeats to the leader.
+func (c *campaignPolicy) shouldTransfer() bool {
 	own := c.controller()
-	enough := transferLeases * c.cfg.WorkerLease()
-	if own == nil || time.Since(own.StartedAt()) < enough {
+	minServing := transferAfterLeases * c.cfg.WorkerLease()
+	if own == nil || time.Since(own.StartedAt()) < minServing {
 		return false
 	}
 	unreachable := func(label string) bool { return !c.isRelaying() && c.isUnreachable(label, c.cfg.WorkerLease()) }
-	delay := c.delayOf(c.cfg.Label, unreachable)
+	delay := c.delaySteps(c.cfg.Label, unreachable)
 	return slices.ContainsFunc(c.peers, func(p *peer.Peer) bool {
-		return p.ServingFor() > enough && c.delayOf(p.Label, unreachable) < delay
+		return p.ServingFor() > minServing && c.delaySteps(p.Label, unreachable) < delay
 	})
 }
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -7,18 +7,18 @@
 	"lotusstile.dev/lotusstile/internal/timeralign"
 )
 
-// readCatalog reads the machine types, which submissions are checked against. It repeats the read
-// until one succeeds or ctx ends, with pauses that grow up to a worker lease.
+// readCatalog reads the machine types, against which submissions are checked. It retries until a read
+// succeeds or ctx ends, with exponential backoff up to a worker lease.
 func (n *Node) readCatalog(ctx context.Context) {
-	pause := n.cfg.LeaderLeaseTTL() / 4
+	backoff := n.cfg.LeaderLeaseTTL() / 4
 	for ctx.Err() == nil {
 		catalog, err := n.cloud.Catalog(ctx)
 		if err == nil && len(catalog.MachineTypes) > 0 {
 			n.catalog.Store(&catalog)
 			return
 		}
-		slog.Warn("machine types could not be read yet", "err", err)
-		timeralign.Sleep(ctx, pause)
-		pause = min(2*pause, n.cfg.WorkerLease())
+		slog.Warn("could not read machine types, will retry", "err", err)
+		timeralign.Sleep(ctx, backoff)
+		backoff = min(2*backoff, n.cfg.WorkerLease())
 	}
 }
--- a/internal/node/controlleroptions.go
+++ b/internal/node/controlleroptions.go
@@ -7,21 +7,22 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// controllerPeers is the controller.Peers of a node.
+// controllerPeers implements controller.Peers from the answers of peers to pings.
 type controllerPeers struct{ *leadership }
 
 // RenewedHosts lists the machines whose leases peers renew on the leader's behalf.
 func (p controllerPeers) RenewedHosts() []string {
 	var hosts []string
 	for _, other := range p.peers {
-		if r, ok := other.LastPing(p.cfg.LeaderLeaseTTL()); ok {
-			hosts = append(hosts, r.RenewedHosts...)
+		if last, ok := other.LastPing(p.cfg.LeaderLeaseTTL()); ok {
+			hosts = append(hosts, last.RenewedHosts...)
 		}
 	}
 	return hosts
 }
 
-// ReachedZones lists the zones of the controllers that answer, this one's own included.
+// ReachedZones lists the zones of the reachable controllers, including this node's own zone. A zone is listed
+// once per controller.
 func (p controllerPeers) ReachedZones() []string {
 	zones := []string{p.cfg.Location}
 	for _, other := range p.peers {
@@ -32,26 +33,26 @@
 	return zones
 }
 
-// RelayReached reports whether a follower that relays heartbeats answers pings.
+// RelayReached reports whether the follower with a label, which relays heartbeats, answers pings.
 func (p controllerPeers) RelayReached(label string) bool {
-	return p.isReached(label, p.cfg.LeaderLeaseTTL())
+	return p.isReachable(label, p.cfg.LeaderLeaseTTL())
 }
 
-// termObserver is the controller.Observer of a node.
+// termObserver implements controller.Observer: it passes the events of a term to the parts of the node.
 type termObserver struct{ node *Node }
 
-// TermObserved tells the elector of another leader's term.
+// TermObserved reports another leader's term to the elector.
 func (o termObserver) TermObserved(term uint64) { o.node.elector.ObserveTerm(term, "") }
 
 // CycleFinished records how long a scheduling cycle took.
 func (o termObserver) CycleFinished(took time.Duration) { o.node.metrics.observeCycle(took) }
 
-// JobFinished records a final status that has been committed.
+// JobFinished records a job's final status, which has been committed.
 func (o termObserver) JobFinished(uid string, status wire.JobStatus) {
 	o.node.statuses.RecordFinal(uid, status)
 }
 
-// FailoverFinished records how the failover to this node went.
+// FailoverFinished records how long the failover to this node took, if the warm standby is enabled.
 func (o termObserver) FailoverFinished(report records.Failover) {
 	if o.node.standby.enabled() {
 		o.node.standby.recordFailover(report)
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -17,36 +17,36 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// heartbeats answers workers: as the leader, or as a follower that redirects the worker
-// to the leader, relays its heartbeat, or renews its lease on the leader's behalf.
-type heartbeats struct {
+// heartbeatHandler answers the heartbeats of workers. The leader answers them itself; a follower redirects
+// the worker to the leader, relays its heartbeat, or renews its lease on the leader's behalf.
+type heartbeatHandler struct {
 	*leadership
 	leases   *workerlease.Renewer
 	load     *admission.LoadMonitor
-	relays   *relays
-	renewals *renewals
+	relay    *heartbeatRelay
+	renewals *leaseRenewals
 
-	mu       sync.Mutex
-	contacts map[string]contact // by machine, for relaysSingly
+	mu             sync.Mutex
+	relayHistories map[string]relayHistory // by machine; used by shouldRelaySingly
 }
 
-// origin is the way that a heartbeat took to this node.
+// origin is the path on which a heartbeat reached this node.
 type origin struct {
-	direct   bool   // the worker itself sent it here
-	follower string // label of the follower that relays it in a batch; "" if it is relayed singly
-	// pressure is how short of connections the node is that the worker sent it to.
+	direct   bool   // the worker sent the heartbeat to this node
+	follower string // label of the follower that relayed the heartbeat in a batch; "" if it was not in a batch
+	// pressure is how short of connections the node is to which the worker sent the heartbeat.
 	pressure relay.Pressure
 }
 
-// Answer decides the answer to a heartbeat that a worker has sent to this node. Its error is a
-// *httpapi.MalformedError, or one of those of answer.
-func (h *heartbeats) Answer(ctx context.Context, body []byte, pressure relay.Pressure) (*wire.Commands, error) {
+// Answer decides the answer to a heartbeat that a worker has sent to this node. The error is a
+// *httpapi.MalformedError or an error that answer returns.
+func (h *heartbeatHandler) Answer(ctx context.Context, body []byte, pressure relay.Pressure) (*wire.Commands, error) {
 	return h.parseAndAnswer(ctx, body, origin{direct: true, pressure: pressure})
 }
 
-// answerSingle answers one heartbeat that a follower relays outside batches, with the status and
+// answerSingle answers one heartbeat that a follower relays outside batches. It returns the status and
 // the body of the HTTP answer to the worker.
-func (h *heartbeats) answerSingle(ctx context.Context, body []byte) (status int, answer []byte) {
+func (h *heartbeatHandler) answerSingle(ctx context.Context, body []byte) (status int, answer []byte) {
 	if h.controller() == nil {
 		return http.StatusMisdirectedRequest, nil
 	}
@@ -54,7 +54,7 @@
 }
 
 // answerBatched answers one heartbeat of a batch that a follower relays.
-func (h *heartbeats) answerBatched(
+func (h *heartbeatHandler) answerBatched(
 	ctx context.Context, heartbeat *wire.Heartbeat, follower string, pressure relay.Pressure,
 ) peer.HeartbeatAnswer {
 	answer := peer.HeartbeatAnswer{Host: heartbeat.Host, Incarnation: heartbeat.Incarnation, Sequence: heartbeat.Sequence}
@@ -71,7 +71,7 @@
 	return answer
 }
 
-func (h *heartbeats) parseAndAnswer(ctx context.Context, body []byte, from origin) (*wire.Commands, error) {
+func (h *heartbeatHandler) parseAndAnswer(ctx context.Context, body []byte, from origin) (*wire.Commands, error) {
 	heartbeat, err := wire.ParseHeartbeat(body)
 	if err != nil {
 		return nil, &httpapi.MalformedError{Err: err}
@@ -79,11 +79,11 @@
 	return h.answer(ctx, &heartbeat, body, from)
 }
 
-// answer decides the answer to a heartbeat, whichever way it came. Commands without an error renew
-// the worker's lease. The error is workerlease.ErrStale, or one of those of commands.
-func (h *heartbeats) answer(ctx context.Context, heartbeat *wire.Heartbeat, body []byte, from origin) (*wire.Commands, error) {
-	// This check comes first: a heartbeat that would not be answered in the end must not change
-	// what the leader knows of the machine.
+// answer decides the answer to a heartbeat from any origin. An answer without an error renews the
+// worker's lease. The error is workerlease.ErrStale or an error that commands returns.
+func (h *heartbeatHandler) answer(ctx context.Context, heartbeat *wire.Heartbeat, body []byte, from origin) (*wire.Commands, error) {
+	// Check first: a heartbeat that Renew would refuse below must not change what the leader knows
+	// of the machine.
 	if err := h.leases.CheckFresh(); err != nil {
 		return nil, err
 	}
@@ -97,49 +97,49 @@
 	return commands, nil
 }
 
-// commands returns the commands for a worker. Its error is a *httpapi.RedirectError if the worker
-// has to send its heartbeats elsewhere, or httpapi.ErrNoTerm if no answer can be given now.
-func (h *heartbeats) commands(ctx context.Context, heartbeat *wire.Heartbeat, body []byte, from origin) (*wire.Commands, error) {
+// commands returns the commands for a worker. The error is a *httpapi.RedirectError if the worker
+// has to send its heartbeats elsewhere, or httpapi.ErrNoTerm if this node cannot answer now.
+func (h *heartbeatHandler) commands(ctx context.Context, heartbeat *wire.Heartbeat, body []byte, from origin) (*wire.Commands, error) {
 	if c := h.controller(); c != nil {
 		return h.leaderCommands(ctx, c, heartbeat, from)
 	}
 	if !from.direct {
 		return nil, &httpapi.RedirectError{}
 	}
-	p := h.leader()
-	if p == nil {
-		return h.renewals.answer(heartbeat)
+	leader := h.leader()
+	if leader == nil {
+		return h.renewals.renewForLeader(heartbeat)
 	}
-	if h.relays.wantedBy(p) {
-		return h.relayBatched(ctx, p, heartbeat, body, from.pressure)
+	if h.relay.isWantedBy(leader) {
+		return h.relayBatched(ctx, leader, heartbeat, body, from.pressure)
 	}
-	if !h.relaysSingly(heartbeat.Host) {
-		return nil, &httpapi.RedirectError{Leader: p.Label}
+	if !h.shouldRelaySingly(heartbeat.Host) {
+		return nil, &httpapi.RedirectError{Leader: leader.Label}
 	}
-	if commands, ok := relaySingly(p, body); ok {
+	if commands, ok := relaySingly(leader, body); ok {
 		return commands, nil
 	}
-	return h.renewals.answer(heartbeat)
+	return h.renewals.renewForLeader(heartbeat)
 }
 
-// leaderCommands is the leader's own answer to a heartbeat.
-func (h *heartbeats) leaderCommands(
+// leaderCommands decides the leader's answer to a heartbeat. c is the controller of its term.
+func (h *heartbeatHandler) leaderCommands(
 	ctx context.Context, c *controller.Controller, heartbeat *wire.Heartbeat, from origin,
 ) (*wire.Commands, error) {
-	single := !from.direct && from.follower == ""
-	if !single {
-		at := from.follower
+	relayedSingly := !from.direct && from.follower == ""
+	if !relayedSingly {
+		arrivedAt := from.follower
 		if from.direct {
-			at = h.cfg.Label
+			arrivedAt = h.cfg.Label
 		}
-		if to := h.relays.route(heartbeat, at, from.pressure); to != "" {
-			return nil, &httpapi.RedirectError{Leader: to}
+		if target := h.relay.route(heartbeat, arrivedAt, from.pressure); target != "" {
+			return nil, &httpapi.RedirectError{Leader: target}
 		}
 	}
 	options := controller.HeartbeatOptions{
-		Relayed: single,
+		Relayed: relayedSingly,
 		Via:     from.follower,
-		MayWait: !single && from.pressure == relay.Relaxed && !h.load.IsOverloaded(),
+		MayWait: !relayedSingly && from.pressure == relay.Relaxed && !h.load.IsOverloaded(),
 	}
 	if commands, ok := c.Heartbeat(ctx, heartbeat, options); ok {
 		return &commands, nil
@@ -148,30 +148,30 @@
 }
 
 // relayBatched relays a worker's heartbeat to the leader in the next batch, and returns the
-// leader's answer to it. If the leader is not reached, this node renews the lease on its behalf.
-func (h *heartbeats) relayBatched(
+// leader's answer to it. If the leader is unreachable, this node renews the lease on its behalf.
+func (h *heartbeatHandler) relayBatched(
 	ctx context.Context, leader *peer.Peer, heartbeat *wire.Heartbeat, body []byte, pressure relay.Pressure,
 ) (*wire.Commands, error) {
 	last, ok := leader.LastPing(h.cfg.LeaderLeaseTTL())
 	if !ok {
-		return h.renewals.answer(heartbeat)
+		return h.renewals.renewForLeader(heartbeat)
 	}
-	a, err := h.relays.sender.Relay(ctx, relay.Leader{Label: leader.Label, Term: last.Term}, heartbeat, body, pressure)
+	answer, err := h.relay.sender.Relay(ctx, relay.Leader{Label: leader.Label, Term: last.Term}, heartbeat, body, pressure)
 	switch {
 	case errors.Is(err, relay.ErrSuperseded):
-		return nil, httpapi.ErrNoTerm // the worker has sent a newer heartbeat and waits for that answer
+		return nil, httpapi.ErrNoTerm // the worker now waits for the answer to a newer heartbeat
 	case err != nil:
-		return h.renewals.answer(heartbeat)
-	case a.Status == http.StatusOK:
-		return &a.Response, nil
-	case a.Status == http.StatusMisdirectedRequest:
-		return nil, &httpapi.RedirectError{Leader: a.Redirect.Leader}
+		return h.renewals.renewForLeader(heartbeat)
+	case answer.Status == http.StatusOK:
+		return &answer.Response, nil
+	case answer.Status == http.StatusMisdirectedRequest:
+		return nil, &httpapi.RedirectError{Leader: answer.Redirect.Leader}
 	}
 	return nil, httpapi.ErrNoTerm // the leader cannot answer now
 }
 
-// relaySingly relays the body of a heartbeat to the leader at once. The result is false
-// if the leader is not reached or answers without commands.
+// relaySingly relays the body of a heartbeat to the leader at once, outside batches. The result is false
+// if the leader is unreachable or its answer has no commands.
 func relaySingly(leader *peer.Peer, body []byte) (*wire.Commands, bool) {
 	reply, err := leader.RelayHeartbeat(body)
 	if err != nil || reply.Status != http.StatusOK {
@@ -179,39 +179,40 @@
 	}
 	var commands wire.Commands
 	if err := wire.Decode(reply.Body, &commands); err != nil {
-		slog.Error("relayed answer cannot be read", "peer", leader.Label, "err", err)
+		slog.Error("could not decode the leader's answer to a relayed heartbeat", "peer", leader.Label, "err", err)
 		return nil, false
 	}
 	return &commands, true
 }
 
-// contact records how a follower has answered a machine whose heartbeats it does not relay in batches.
-type contact struct {
-	relayed    time.Time // when its first heartbeat was relayed
-	redirected time.Time // when a later heartbeat was redirected to the leader
-	until      time.Time // the machine came back from the leader: its heartbeats are relayed until then
+// relayHistory records how this follower has handled the heartbeats of a machine while it did not relay them
+// in batches.
+type relayHistory struct {
+	relayedAt    time.Time // when the first heartbeat was relayed
+	redirectedAt time.Time // when a later heartbeat was redirected to the leader
+	relayUntil   time.Time // end of the relaying that began when the machine came back after a redirect
 }
 
-// relaysSingly decides, and records, whether a machine's heartbeat is relayed to the leader (true)
-// or the machine is redirected there (false). A machine that turns to this node may have spent
-// seconds of its lease on a leader that it cannot reach, and a redirect would cost it as many again:
-// its first heartbeat is relayed. If it comes back after a redirect, its heartbeats are relayed for
-// three leases.
-func (h *heartbeats) relaysSingly(host string) bool {
+// shouldRelaySingly decides whether a machine's heartbeat is relayed to the leader (true) or the machine is
+// redirected to the leader (false), and records the decision. The first heartbeat is relayed: the machine may
+// have spent seconds of its lease on a leader that it cannot reach, and a redirect would cost it as many
+// again. A machine whose next heartbeat comes within a lease is redirected. If it comes back within a lease
+// of the redirect, its heartbeats are relayed for three leases.
+func (h *heartbeatHandler) shouldRelaySingly(host string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now, lease := time.Now(), h.cfg.WorkerLease()
-	c := h.contacts[host]
+	history := h.relayHistories[host]
 	switch {
-	case now.Before(c.until):
+	case now.Before(history.relayUntil):
 		return true
-	case now.Sub(c.redirected) < lease:
-		c.until = now.Add(3 * lease)
-	case now.Sub(c.relayed) < lease:
-		c = contact{redirected: now}
+	case now.Sub(history.redirectedAt) < lease:
+		history.relayUntil = now.Add(3 * lease)
+	case now.Sub(history.relayedAt) < lease:
+		history = relayHistory{redirectedAt: now}
 	default:
-		c = contact{relayed: now}
+		history = relayHistory{relayedAt: now}
 	}
-	h.contacts[host] = c
-	return c.redirected != now
+	h.relayHistories[host] = history
+	return history.redirectedAt != now
 }
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -10,21 +10,21 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// leadership knows who leads: this node, or a peer that answers pings. It is safe for concurrent
-// use once the node is made.
+// leadership tells which node leads: this node, or a peer that answers pings. It is safe for concurrent
+// use once New has returned.
 type leadership struct {
-	cfg     *config.Config
-	elector *election.Elector
-	peers   []*peer.Peer
-	own     atomic.Pointer[controller.Controller] // of the term that this node leads; nil while it follows
+	cfg           *config.Config
+	elector       *election.Elector
+	peers         []*peer.Peer
+	ownController atomic.Pointer[controller.Controller] // of the term that this node leads; nil while it follows
 }
 
 // controller returns the controller of the term that this node leads, or nil.
-func (l *leadership) controller() *controller.Controller { return l.own.Load() }
+func (l *leadership) controller() *controller.Controller { return l.ownController.Load() }
 
-// leader returns the peer that leads, or nil. A peer counts only while it says itself, in an answer
-// to a ping within three quarters of a leader lease, that it leads a term that is not older than the
-// elector's.
+// leader returns the peer that leads, or nil. The elector must name that peer, and the peer itself must have
+// confirmed, in its answer to a ping sent within three quarters of a leader lease, that it leads the
+// elector's term or a newer one.
 func (l *leadership) leader() *peer.Peer {
 	view := l.elector.View()
 	for _, p := range l.peers {
@@ -48,13 +48,13 @@
 	return nil
 }
 
-// isReached reports whether a peer has answered a ping that was sent at most maxAge ago. It is false
-// for a label that is not a peer's, such as this node's own.
-func (l *leadership) isReached(label string, maxAge time.Duration) bool {
+// isReachable reports whether a peer has answered a ping that was sent at most maxAge ago. It is false
+// for a label that no peer has, such as this node's own.
+func (l *leadership) isReachable(label string, maxAge time.Duration) bool {
 	p := l.peer(label)
 	if p == nil {
 		return false
 	}
-	_, reached := p.LastPing(maxAge)
-	return reached
+	_, answered := p.LastPing(maxAge)
+	return answered
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -13,19 +13,19 @@
 	"lotusstile.dev/lotusstile/internal/standby"
 )
 
-// nodeMetrics are the metrics of a node. Their names are an interface to operators.
+// nodeMetrics are the metrics of a node. Operators rely on their names.
 type nodeMetrics struct {
 	set              *metrics.Set
-	cycles           *metrics.Histogram
+	cycleSeconds     *metrics.Histogram
 	malformedBatches *metrics.Counter
-	requests         sync.Map // *metrics.Counter by requestKind
+	requests         sync.Map // requestKind to *metrics.Counter
 }
 
 func newNodeMetrics() *nodeMetrics {
 	set := metrics.NewSet()
 	return &nodeMetrics{
 		set:              set,
-		cycles:           set.NewHistogram("lotusstile_round_seconds"),
+		cycleSeconds:     set.NewHistogram("lotusstile_round_seconds"),
 		malformedBatches: set.NewCounter("lotusstile_refused_batches_total"),
 	}
 }
@@ -34,9 +34,9 @@
 func (m *nodeMetrics) gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
 // observeCycle records how long a scheduling cycle took.
-func (m *nodeMetrics) observeCycle(took time.Duration) { m.cycles.Update(took.Seconds()) }
+func (m *nodeMetrics) observeCycle(took time.Duration) { m.cycleSeconds.Update(took.Seconds()) }
 
-// requestKind is the key by which answered requests are counted: the labels of their metric.
+// requestKind holds the labels of a counter of answered requests.
 type requestKind struct {
 	kind   string
 	status int
@@ -53,14 +53,14 @@
 	counter.(*metrics.Counter).Inc()
 }
 
-// countRelayed counts heartbeats by how they were relayed.
+// countRelayed adds count heartbeats to the counter of the way in which they were relayed.
 func (m *nodeMetrics) countRelayed(kind relay.DeliveryKind, count int) {
 	if count > 0 {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`lotusstile_relayed_reports_total{kind=%q}`, string(kind))).Add(count)
 	}
 }
 
-// registerGauges adds the metrics that are read from the parts of a node.
+// registerGauges adds the metrics whose values are read from the parts of the node.
 func (n *Node) registerGauges() {
 	gauge := n.metrics.gauge
 	gauge("lotusstile_leading", func() float64 {
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -10,7 +10,7 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// Network is how a node reaches the services, the workers and its peers. Tests replace it.
+// Network holds the transports to the services, the workers and the peers of a node. Tests replace it.
 type Network struct {
 	State    http.RoundTripper // to the state store
 	Cloud    http.RoundTripper
@@ -18,7 +18,7 @@
 	DialPeer peer.Dialer
 }
 
-// connectionLimits bound the connections to one service.
+// connectionLimits bounds the connections to one service, or to each worker.
 type connectionLimits struct {
 	dialTimeout time.Duration
 	perHost     int
@@ -36,7 +36,7 @@
 	}
 }
 
-// TCP returns the network of a node that runs as a process of its own.
+// TCP returns the network of a node in production, where each node is a process of its own.
 func TCP(cfg *config.Config) Network {
 	lease, interval := cfg.WorkerLease(), cfg.HeartbeatInterval()
 	return Network{
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node assembles one controller node: it makes the parts of the node, starts them, and
-// owns the goroutines that they run in.
+// Package node assembles a controller node. It creates the parts of the node, starts them, and owns
+// the goroutines that they run in.
 package node
 
 import (
@@ -28,7 +28,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Node is one controller node.
+// Node is a controller node: it takes part in elections, leads or follows, and answers users, workers, operators
+// and its peers.
 type Node struct {
 	*leadership
 	store   *store.Client
@@ -36,9 +37,9 @@
 	workers *workerClient
 	metrics *nodeMetrics
 
-	// The state that the node answers and decides from.
+	// The state on which the node bases its answers and decisions.
 	jobCache *watchcache.Cache
-	catalog  atomic.Pointer[wire.Catalog] // nil before it has been read
+	catalog  atomic.Pointer[wire.Catalog] // nil until it has been read
 	settings *settings
 	version  *clusterversion.Tracker
 	counts   jobstatus.TaskCounts
@@ -47,28 +48,28 @@
 	// The parts that admit and answer requests.
 	load        *admission.LoadMonitor
 	connections *admission.Connections
-	heartbeats  *heartbeats
-	renewals    *renewals
-	relays      *relays
+	heartbeats  *heartbeatHandler
+	renewals    *leaseRenewals
+	relay       *heartbeatRelay
 	standby     *warmStandby
 	api         *httpapi.Server
 
-	background sync.WaitGroup // all goroutines of the node
+	goroutines sync.WaitGroup // all goroutines of the node
 }
 
-// New makes a node. It sends nothing before Run or Start.
+// New returns a node that sends nothing until Run or Start is called.
 func New(cfg *config.Config, network Network) *Node {
-	timeout := cfg.WorkerLease() / 5
-	limits := cfg.StateLimits()
+	requestTimeout := cfg.WorkerLease() / 5
+	storeLimits := cfg.StateLimits()
 	n := &Node{
 		leadership: &leadership{cfg: cfg, peers: peer.NewPeers(cfg, cfg.LeaderLeaseTTL()/4, network.DialPeer)},
 		store: store.New(
 			cfg.Services.State,
-			store.Limits{RequestsPerSecond: limits.Rps, WritesPerSecond: limits.WriteRps, Nodes: len(cfg.Members) + 1},
-			timeout,
+			store.Limits{RequestsPerSecond: storeLimits.Rps, WritesPerSecond: storeLimits.WriteRps, Nodes: len(cfg.Members) + 1},
+			requestTimeout,
 			network.State,
 		),
-		cloud:       cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, timeout, network.Cloud),
+		cloud:       cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.Rps, requestTimeout, network.Cloud),
 		workers:     &workerClient{&http.Client{Timeout: cfg.HeartbeatInterval(), Transport: network.Workers}},
 		metrics:     newNodeMetrics(),
 		jobCache:    watchcache.New(),
@@ -80,12 +81,12 @@
 	n.statuses = jobstatus.NewReader(jobstatus.Options{
 		Store:              n.store,
 		Jobs:               n.jobCache,
-		LinearizableReader: watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReadLimiter(), timeout),
+		LinearizableReader: watchcache.NewLinearizableReader(n.jobCache, n.store, n.store.SharedReadLimiter(), requestTimeout),
 		MemoryMb:           cfg.Cluster.Limits.MemMb,
 		Counts:             n.taskCounts,
 	})
-	n.relays = newRelays(n.leadership, n.metrics)
-	campaign := &campaign{leadership: n.leadership, isRelaying: n.relays.isRelaying}
+	n.relay = newHeartbeatRelay(n.leadership, n.metrics)
+	campaign := &campaignPolicy{leadership: n.leadership, isRelaying: n.relay.isRelaying}
 	n.standby = newWarmStandby(n.leadership, n.store, campaign)
 	n.elector = election.New(election.Options{
 		Store:              n.store,
@@ -93,25 +94,25 @@
 		LeaseTTL:           cfg.LeaderLeaseTTL(),
 		Lead:               n.leadTerm,
 		Timers:             cfg.TimerGrid(),
-		CampaignDelaySteps: campaign.ownDelay,
+		CampaignDelaySteps: campaign.ownDelaySteps,
 		DeferToStandby:     n.standby.peerIsPreferred,
 		TransferWanted:     campaign.shouldTransfer,
 	})
-	n.renewals = &renewals{leadership: n.leadership, store: n.store, serving: n.isServing, renewed: map[string]time.Time{}}
-	n.heartbeats = &heartbeats{
-		leadership: n.leadership,
-		leases:     workerlease.NewRenewer(n.jobCache, cfg.MaxCancellationAge()),
-		load:       n.load,
-		relays:     n.relays,
-		renewals:   n.renewals,
-		contacts:   map[string]contact{},
+	n.renewals = &leaseRenewals{leadership: n.leadership, store: n.store, isServing: n.isServing, renewedAt: map[string]time.Time{}}
+	n.heartbeats = &heartbeatHandler{
+		leadership:     n.leadership,
+		leases:         workerlease.NewRenewer(n.jobCache, cfg.MaxCancellationAge()),
+		load:           n.load,
+		relay:          n.relay,
+		renewals:       n.renewals,
+		relayHistories: map[string]relayHistory{},
 	}
 	n.api = n.newAPI()
 	n.registerGauges()
 	return n
 }
 
-// newAPI makes the HTTP server of the node.
+// newAPI returns the HTTP server of the node.
 func (n *Node) newAPI() *httpapi.Server {
 	return httpapi.New(httpapi.Options{
 		Config:            n.cfg,
@@ -134,31 +135,30 @@
 // Handler returns the handler of all HTTP routes: users, workers, operators and health checks.
 func (n *Node) Handler() http.Handler { return n.api.Handler() }
 
-// Run listens and serves until ctx ends or a listener fails, whose error it returns. After that it
-// waits until the parts of the node have stopped, but no longer than a request to the services may
-// take: the process ends then.
+// Run listens and serves until ctx ends or a listener fails; in the latter case it returns the listener's
+// error. Before it returns it waits for the goroutines of the node to end, but no longer than the timeout
+// of a request to the services, since the process exits afterwards.
 func (n *Node) Run(ctx context.Context) error {
-	srv, err := peer.NewServer(n)
+	peerServer, err := peer.NewServer(n)
 	if err != nil {
 		return err
 	}
-	peers, err := (&net.ListenConfig{}).Listen(ctx, "tcp", n.cfg.PeerAddr)
+	peerListener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", n.cfg.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("listen on mesh_addr: %w", err)
 	}
-	// Idle connections are closed by time limits: keep-alive probes on each would only cost
-	// system calls.
-	withoutProbes := net.ListenConfig{KeepAlive: -1}
-	clients, err := withoutProbes.Listen(ctx, "tcp", n.cfg.Listen)
+	// Timeouts close idle connections: keep-alive probes on each would only cost system calls.
+	withoutKeepAlive := net.ListenConfig{KeepAlive: -1}
+	clientListener, err := withoutKeepAlive.Listen(ctx, "tcp", n.cfg.Listen)
 	if err != nil {
-		closeListeners(peers)
+		closeListeners(peerListener)
 		return fmt.Errorf("listen: %w", err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	errs := make(chan error, 2)
-	n.background.Go(func() { errs <- peer.Serve(ctx, peers, srv) })
-	n.background.Go(func() { errs <- n.api.Serve(clients) })
+	n.goroutines.Go(func() { errs <- peer.Serve(ctx, peerListener, peerServer) })
+	n.goroutines.Go(func() { errs <- n.api.Serve(clientListener) })
 	n.Start(ctx)
 	slog.Info("node is serving", "label", n.cfg.Label, "listen", n.cfg.Listen, "mesh", n.cfg.PeerAddr)
 	select {
@@ -166,9 +166,9 @@
 	case err = <-errs:
 	}
 	cancel()
-	closeListeners(peers, clients)
+	closeListeners(peerListener, clientListener)
 	if !n.waitFor(n.cfg.WorkerLease() / 5) {
-		slog.Warn("parts of the node have not stopped in time")
+		slog.Warn("node exits before all of its goroutines have ended")
 	}
 	return err
 }
@@ -176,33 +176,33 @@
 func closeListeners(listeners ...net.Listener) {
 	for _, l := range listeners {
 		if err := l.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			slog.Warn("listener could not be closed", "address", l.Addr().String(), "err", err)
+			slog.Warn("could not close listener", "address", l.Addr().String(), "err", err)
 		}
 	}
 }
 
-// Start starts everything that a node does besides answering requests, once. It stops when ctx ends;
-// Wait waits for that.
+// Start starts the background work of the node, that is everything except answering requests. It must
+// be called once. The work stops when ctx ends; Wait waits for that.
 func (n *Node) Start(ctx context.Context) {
-	watchFor, pause := n.cfg.WorkerLease(), n.cfg.LeaderLeaseTTL()/8
-	for _, part := range []func(){
-		func() { n.jobCache.Run(ctx, n.store, watchFor, pause) },
-		func() { n.followSettings(ctx, 3*watchFor, pause) },
+	watchDuration, retryDelay := n.cfg.WorkerLease(), n.cfg.LeaderLeaseTTL()/8
+	for _, run := range []func(){
+		func() { n.jobCache.Run(ctx, n.store, watchDuration, retryDelay) },
+		func() { n.followSettings(ctx, 3*watchDuration, retryDelay) },
 		func() { n.elector.Run(ctx) },
 		func() { n.version.Announce(ctx, n.store, n.cfg.Label, 2*n.cfg.LeaderLeaseTTL()) },
 		func() { n.readCatalog(ctx) },
 		func() { n.keepCacheFresh(ctx) },
 		func() { n.load.Run(ctx, n.cfg.TimerGrid(), n.cfg.LeaderLeaseTTL()/8) },
 		func() { n.renewals.publish(ctx) },
-		func() { n.relays.sender.Run(ctx) },
+		func() { n.relay.sender.Run(ctx) },
 		func() { n.standby.followLeader(ctx) },
 	} {
-		n.background.Go(part)
+		n.goroutines.Go(run)
 	}
 	for _, p := range n.peers {
-		n.background.Go(func() { n.ping(ctx, p) })
+		n.goroutines.Go(func() { n.pingLoop(ctx, p) })
 	}
-	n.background.Go(func() {
+	n.goroutines.Go(func() {
 		<-ctx.Done()
 		for _, p := range n.peers {
 			p.Close()
@@ -210,11 +210,11 @@
 	})
 }
 
-// Wait returns once all goroutines of the node have ended: after the context of Start has ended and
-// their last request has been answered or abandoned.
-func (n *Node) Wait() { n.background.Wait() }
+// Wait returns once all goroutines of the node have ended. They end after the context of Start has ended
+// and their last requests have been answered or abandoned.
+func (n *Node) Wait() { n.goroutines.Wait() }
 
-// waitFor waits for timeout at most, and reports whether all goroutines have ended.
+// waitFor waits at most timeout for all goroutines of the node to end, and reports whether they have ended.
 func (n *Node) waitFor(timeout time.Duration) bool {
 	ended := make(chan struct{})
 	go func() {
@@ -231,11 +231,11 @@
 	}
 }
 
-// leadTerm leads one term, until ctx ends or the controller finds that another node leads. What the
-// term started has stopped when it returns.
+// leadTerm leads one term, until ctx ends or the controller finds that another node leads. All work that
+// the term started has stopped when leadTerm returns.
 func (n *Node) leadTerm(ctx context.Context, term uint64) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer n.relays.watch.Wait()
+	defer n.relay.fleetSizeWatch.Wait()
 	defer cancel()
 	options := controller.Options{
 		Config:          n.cfg,
@@ -252,9 +252,9 @@
 	n.standby.beginTerm(&options, term)
 	defer n.standby.endTerm()
 	c := controller.New(options, term)
-	n.own.Store(c)
-	defer n.own.Store(nil)
-	n.relays.beginTerm(ctx, term, n.heartbeats.answerBatched)
-	defer n.relays.endTerm()
+	n.ownController.Store(c)
+	defer n.ownController.Store(nil)
+	n.relay.beginTerm(ctx, term, n.heartbeats.answerBatched)
+	defer n.relay.endTerm()
 	c.Run(ctx)
 }
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -7,7 +7,7 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// A Node answers the calls of other controllers. Ping and Counts are in pinging.go, LeadStatus in
+// A Node answers the calls of its peers. The methods Ping and Counts are in pinging.go, LeadStatus is in
 // status.go.
 var _ peer.Handler = (*Node)(nil)
 
@@ -24,12 +24,12 @@
 
 // RelayHeartbeats answers a batch of heartbeats that a follower relays.
 func (n *Node) RelayHeartbeats(batch peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
-	return n.relays.receiveBatch(batch)
+	return n.relay.receiveBatch(batch)
 }
 
-// FollowState answers a warm standby.
+// FollowState answers a warm standby that asks for a part of this node's state.
 func (n *Node) FollowState(args peer.FollowArgs) (peer.FollowReply, error) {
-	return n.standby.answer(args)
+	return n.standby.answerFollower(args)
 }
 
 // ApplyCancellation applies a committed cancellation that a peer announces.
@@ -38,19 +38,19 @@
 	n.jobCache.ApplyFromPeer(c.UID, c.Record, c.ModRevision)
 }
 
-// announceCancelled applies a committed cancellation here and announces it to the peers that are
-// reached, without waiting for them: a leader that the state store refuses, or whose watch is late,
-// then stops the tasks at once. No rule depends on it: a peer that is not reached learns of the
-// cancellation by reading, or stops renewing worker leases.
+// announceCancelled applies a committed cancellation on this node and announces it to the reachable peers,
+// without waiting for their answers. A leader then stops the tasks at once even if the state store refuses
+// its requests or its watch is late. Correctness does not depend on the announcement: a peer that misses it
+// reads the cancellation from the state store or, if it cannot, stops renewing worker leases.
 func (n *Node) announceCancelled(c peer.Cancellation) {
 	n.ApplyCancellation(c)
 	for _, p := range n.peers {
 		if _, ok := p.LastPing(n.cfg.LeaderLeaseTTL()); !ok {
 			continue
 		}
-		n.background.Go(func() {
+		n.goroutines.Go(func() {
 			if err := p.NotifyCancelled(c); err != nil {
-				slog.Debug("cancellation could not be announced to peer", "peer", p.Label, "uid", c.UID, "err", err)
+				slog.Debug("could not announce cancellation to peer", "peer", p.Label, "uid", c.UID, "err", err)
 			}
 		})
 	}
--- a/internal/node/pinging.go
+++ b/internal/node/pinging.go
@@ -11,15 +11,15 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// ping pings a peer once every quarter of a leader lease until ctx ends, and applies its answers.
-func (n *Node) ping(ctx context.Context, p *peer.Peer) {
+// pingLoop pings a peer once every quarter of a leader lease until ctx ends, and applies the peer's answers.
+func (n *Node) pingLoop(ctx context.Context, p *peer.Peer) {
 	for ctx.Err() == nil {
 		args := peer.PingArgs{From: n.cfg.Label, Term: n.elector.View().Term, Version: int(clusterversion.Latest)}
 		args.CountsTerm, args.CountsRevision = n.counts.Known(p.Label)
 		answer, err := p.Ping(args)
-		n.relays.recordPing(p.Label, answer, err == nil)
+		n.relay.recordPing(p.Label, answer, err == nil)
 		if err != nil {
-			slog.Debug("peer does not answer pings", "peer", p.Label, "err", err)
+			slog.Debug("peer did not answer a ping", "peer", p.Label, "err", err)
 		} else if answer.Leading {
 			n.counts.Update(p.Label, args, answer, n.jobCache)
 			for _, view := range answer.Counts {
@@ -34,8 +34,8 @@
 	}
 }
 
-// Ping answers a peer's ping. If this node leads and the caller knows a newer term, the elector
-// observes that term.
+// Ping answers a peer's ping. If this node leads and the peer knows a newer term, Ping reports that term to
+// the elector.
 func (n *Node) Ping(args peer.PingArgs) peer.PingResult {
 	result := peer.PingResult{
 		Term:         n.elector.View().Term,
@@ -47,20 +47,20 @@
 	}
 	if c := n.controller(); c != nil {
 		result.Leading, result.Term = true, c.Term()
-		result.WantsRelays, result.Standby = n.relays.isRelaying(), n.standby.choose()
+		result.WantsRelays, result.Standby = n.relay.isRelaying(), n.standby.chooseStandby()
 		if args.Term > c.Term() {
 			n.elector.ObserveTerm(args.Term, "")
 		}
 		since := args.CountsRevision
 		if args.CountsTerm != c.Term() {
-			since = 0 // of another term: send all counts
+			since = 0 // the revision is of another term: send all counts
 		}
 		result.Counts, result.CountsRevision, result.CountsMore = c.CountsSince(since)
 	}
 	return result
 }
 
-// Counts answers a peer that polls a job for a user: how many of its tasks are done and running.
+// Counts tells a peer, which answers a poll of a job, how many tasks of the job are done and running.
 func (n *Node) Counts(args peer.CountsArgs) peer.CountsReply {
 	c := n.controller()
 	if c == nil {
@@ -70,9 +70,9 @@
 	return peer.CountsReply{Known: ok, Done: done, Running: running}
 }
 
-// taskCounts returns how many tasks of a job are done and running: at a follower, as the leader had
-// them at the last ping. A leader whose pings do not bring the counts is asked by a call. Without a
-// leader both are zero.
+// taskCounts returns how many tasks of a job are done and running. A follower returns the counts from the
+// leader's last answer to a ping, or calls the leader if its answers have not brought all counts. Both
+// counts are zero without a leader.
 func (n *Node) taskCounts(uid string) (done, running int) {
 	if c := n.controller(); c != nil {
 		done, running, _ = c.Counts(uid)
@@ -87,14 +87,14 @@
 	}
 	reply, err := p.Counts(uid)
 	if err != nil {
-		slog.Debug("leader does not answer the call for task counts", "uid", uid, "err", err)
+		slog.Debug("leader did not answer the call for task counts", "uid", uid, "err", err)
 	}
 	return reply.Done, reply.Running
 }
 
-// raiseVersion raises the cluster version if this node leads and all members understand a newer
-// one, by what each has announced last: a node that is rolled back to an older release announces
-// that with its next ping.
+// raiseVersion raises the cluster version if this node leads and all members support a newer version. The
+// latest announcement of each member counts, since a node that is rolled back to an older release announces
+// its older version with its next ping.
 func (n *Node) raiseVersion(ctx context.Context) {
 	c := n.controller()
 	if c == nil || n.version.InForce() == clusterversion.Latest {
@@ -102,20 +102,20 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.LeaderLeaseTTL())
 	defer cancel()
-	var understood []clusterversion.Version
-	var read []wire.Compare
+	var supported []clusterversion.Version
+	var compares []wire.Compare
 	for _, p := range n.peers {
 		version := p.SupportedVersion()
-		if _, reached := p.LastPing(n.cfg.LeaderLeaseTTL()); !reached && version < clusterversion.Latest {
+		if _, answered := p.LastPing(n.cfg.LeaderLeaseTTL()); !answered && version < clusterversion.Latest {
 			announced, compare, err := clusterversion.ReadAnnounced(ctx, n.store, p.Label)
 			if err != nil {
-				slog.Debug("announced version could not be read", "peer", p.Label, "err", err)
+				slog.Debug("could not read the version that the peer announced", "peer", p.Label, "err", err)
 			}
-			version, read = announced, append(read, compare)
+			version, compares = announced, append(compares, compare)
 		}
-		understood = append(understood, version)
+		supported = append(supported, version)
 	}
-	if err := n.version.Raise(ctx, n.store, c.Term(), understood, read...); err != nil {
-		slog.Info("cluster version could not be raised", "err", err)
+	if err := n.version.Raise(ctx, n.store, c.Term(), supported, compares...); err != nil {
+		slog.Info("could not raise the cluster version", "err", err)
 	}
 }
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -16,27 +16,27 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// batchesPerInterval is how many times in a heartbeat interval a follower sends batches of relayed
-// heartbeats: once in each unit of the timer grid.
+// batchesPerInterval is how many batches of relayed heartbeats a follower sends per heartbeat interval: one per
+// unit of the timer grid.
 const batchesPerInterval = 12
 
-// relays is a node's part in relaying heartbeats: the sender while it follows, router and
-// receiver while it leads.
-type relays struct {
+// heartbeatRelay holds the parts of a node that relay heartbeats: the sender is used while the node follows, the
+// router and the receiver exist while it leads.
+type heartbeatRelay struct {
 	*leadership
-	sender     *relay.Sender
-	malformed  *metrics.Counter // batches that could not be decoded
-	router     atomic.Pointer[relay.Router]
-	receiver   atomic.Pointer[relay.Receiver]
-	leaderMode atomic.Int32   // the relay.Mode that a leader announced last
-	watch      sync.WaitGroup // watchFleetSize of the term that this node leads
+	sender           *relay.Sender
+	malformedBatches *metrics.Counter // counts batches that could not be decoded
+	router           atomic.Pointer[relay.Router]
+	receiver         atomic.Pointer[relay.Receiver]
+	leaderMode       atomic.Int32   // the relay.Mode that any leader announced last
+	fleetSizeWatch   sync.WaitGroup // waits for watchFleetSize, which runs while this node leads
 }
 
-// newRelays makes the parts that a node needs in any term.
-func newRelays(l *leadership, m *nodeMetrics) *relays {
+// newHeartbeatRelay returns a relay with a sender only; beginTerm adds the router and the receiver.
+func newHeartbeatRelay(l *leadership, m *nodeMetrics) *heartbeatRelay {
 	interval := l.cfg.HeartbeatInterval()
 	callTimeout := l.cfg.LeaderLeaseTTL() / 4
-	r := &relays{leadership: l, malformed: m.malformedBatches}
+	r := &heartbeatRelay{leadership: l, malformedBatches: m.malformedBatches}
 	r.sender = relay.NewSender(relay.SenderConfig{
 		Label:         l.cfg.Label,
 		Exchange:      r.sendBatch,
@@ -48,17 +48,17 @@
 	return r
 }
 
-// sendBatch sends a batch to the leader. It is the sender's relay.ExchangeFunc.
-func (r *relays) sendBatch(to relay.Leader, batch peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
+// sendBatch sends a batch to a leader and returns the reply. It is the sender's relay.ExchangeFunc.
+func (r *heartbeatRelay) sendBatch(to relay.Leader, batch peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
 	if p := r.peer(to.Label); p != nil {
 		return p.RelayHeartbeats(batch)
 	}
 	return peer.HeartbeatBatchReply{}, relay.ErrLeaderUnreachable
 }
 
-// beginTerm makes this node's router and receiver for a term that ends with ctx. The caller must
-// call endTerm after that, and wait for watch.
-func (r *relays) beginTerm(ctx context.Context, term uint64, answer relay.AnswerFunc) {
+// beginTerm creates the router and the receiver for a term that this node leads until ctx ends. The caller
+// must call endTerm after the term, and wait for fleetSizeWatch.
+func (r *heartbeatRelay) beginTerm(ctx context.Context, term uint64, answer relay.AnswerFunc) {
 	if !r.cfg.RelayHeartbeats {
 		return
 	}
@@ -76,22 +76,22 @@
 		Lease:             r.cfg.WorkerLease(),
 	}, relay.Mode(r.leaderMode.Load())))
 	r.receiver.Store(relay.NewReceiver(ctx, term, members, answer))
-	r.watch.Go(func() { r.watchFleetSize(ctx) })
+	r.fleetSizeWatch.Go(func() { r.watchFleetSize(ctx) })
 }
 
-// endTerm drops the term's router and receiver: batches are refused from then on.
-func (r *relays) endTerm() {
+// endTerm removes the term's router and receiver. Batches are not accepted afterwards.
+func (r *heartbeatRelay) endTerm() {
 	r.router.Store(nil)
 	r.receiver.Store(nil)
 }
 
-// watchFleetSize keeps the router's fleet size up to date and, once a worker lease, lets the
-// receiver forget the machines that are gone, until ctx ends with the term.
-func (r *relays) watchFleetSize(ctx context.Context) {
-	forgotten := time.Now()
+// watchFleetSize keeps the router's fleet size up to date until ctx ends with the term. Once per worker lease
+// it also removes from the receiver the machines that the fleet no longer has.
+func (r *heartbeatRelay) watchFleetSize(ctx context.Context) {
+	lastRemoval := time.Now()
 	for ctx.Err() == nil {
-		if c := r.controller(); c != nil && r.resizeRouter(c) && time.Since(forgotten) > r.cfg.WorkerLease() {
-			forgotten = time.Now()
+		if c := r.controller(); c != nil && r.resizeRouter(c) && time.Since(lastRemoval) > r.cfg.WorkerLease() {
+			lastRemoval = time.Now()
 			if receiver := r.receiver.Load(); receiver != nil {
 				receiver.Retain(c.HasMachine)
 			}
@@ -100,8 +100,8 @@
 	}
 }
 
-// resizeRouter sets the router's fleet size, and reports whether the number of machines is known.
-func (r *relays) resizeRouter(c *controller.Controller) bool {
+// resizeRouter sets the router's fleet size if the number of machines is known, and reports whether it is known.
+func (r *heartbeatRelay) resizeRouter(c *controller.Controller) bool {
 	router, receiver := r.router.Load(), r.receiver.Load()
 	if router == nil || receiver == nil {
 		return false
@@ -113,42 +113,43 @@
 	return known
 }
 
-// receiveBatch answers a batch of heartbeats that a follower relays.
-func (r *relays) receiveBatch(batch peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
+// receiveBatch answers a batch of heartbeats that a follower relays. While this node does not lead, the reply
+// contains only the term that it knows.
+func (r *heartbeatRelay) receiveBatch(batch peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
 	receiver := r.receiver.Load()
 	if receiver == nil {
 		return peer.HeartbeatBatchReply{Term: r.elector.View().Term}, nil
 	}
 	reply, err := receiver.Exchange(batch)
 	if errors.Is(err, relay.ErrMalformedBatch) {
-		r.malformed.Inc()
+		r.malformedBatches.Inc()
 	}
 	return reply, err
 }
 
-// wantedBy reports whether a leader wants its followers to relay heartbeats.
-func (r *relays) wantedBy(leader *peer.Peer) bool {
+// isWantedBy reports whether a leader wants its followers to relay heartbeats and this node is able to.
+func (r *heartbeatRelay) isWantedBy(leader *peer.Peer) bool {
 	last, ok := leader.LastPing(r.cfg.LeaderLeaseTTL())
 	return ok && last.WantsRelays && r.cfg.RelayHeartbeats
 }
 
-// route returns the label of the controller that a worker has to send its heartbeats to instead of
-// the one at which they arrive, or "" if it stays there.
-func (r *relays) route(heartbeat *wire.Heartbeat, at string, pressure relay.Pressure) string {
+// route returns the label of the controller to which a worker has to send its heartbeats from now on, or "" if
+// it should stay with arrivedAt, the controller at which this heartbeat arrived.
+func (r *heartbeatRelay) route(heartbeat *wire.Heartbeat, arrivedAt string, pressure relay.Pressure) string {
 	router := r.router.Load()
 	if router == nil {
 		return ""
 	}
-	return router.Route(heartbeat, at, pressure, time.Now())
+	return router.Route(heartbeat, arrivedAt, pressure, time.Now())
 }
 
-// recordPing records whether a peer can relay and, from a leader, whether it wants relays, by the
-// answer to a ping or the lack of one.
-func (r *relays) recordPing(label string, reply peer.PingResult, reached bool) {
+// recordPing records from the result of a ping whether the peer can relay heartbeats and, if the peer leads,
+// whether it wants its followers to relay them. answered is false if the ping got no answer.
+func (r *heartbeatRelay) recordPing(label string, reply peer.PingResult, answered bool) {
 	if router := r.router.Load(); router != nil {
-		router.SetUsable(label, reached && reply.CanRelay)
+		router.SetUsable(label, answered && reply.CanRelay)
 	}
-	if reached && reply.Leading {
+	if answered && reply.Leading {
 		mode := relay.Direct
 		if reply.WantsRelays {
 			mode = relay.Relayed
@@ -158,7 +159,7 @@
 }
 
 // isRelaying reports whether this node leads and wants its followers to relay heartbeats.
-func (r *relays) isRelaying() bool {
+func (r *heartbeatRelay) isRelaying() bool {
 	router := r.router.Load()
 	return router != nil && router.Mode() == relay.Relayed
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -13,11 +13,11 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// settings are the operators' own settings, as the state store has them. It is safe for concurrent
-// use.
+// settings holds the settings that operators can change, as last read from the state store. It is safe for
+// concurrent use.
 type settings struct {
 	store   *store.Client
-	reportS float64 // heartbeat interval in seconds, from which the defaults are derived
+	reportS float64 // heartbeat interval in seconds, used to derive the defaults
 	current atomic.Pointer[wire.Settings]
 }
 
@@ -31,8 +31,8 @@
 // Current returns the settings in force.
 func (s *settings) Current() *wire.Settings { return s.current.Load() }
 
-// Change commits settings made from Current, and applies them. A *store.ConflictError
-// means that others were committed meanwhile. The caller must have validated them.
+// Change commits new settings and applies them on this node. The caller must have derived them from Current and
+// validated them. The error is a *store.ConflictError if other settings have been committed since.
 func (s *settings) Change(ctx context.Context, next wire.Settings) error {
 	value := records.Encode(next)
 	modRevision, err := s.store.Commit(ctx, wire.Transaction{
@@ -46,19 +46,19 @@
 	return nil
 }
 
-// apply puts the settings of an event in force if they are newer and valid. Settings that are not
-// valid are logged, and the ones before stay in force.
+// apply puts the settings of a watch event in force if they are newer and valid. If they are invalid, it logs
+// an error and the current settings stay in force.
 func (s *settings) apply(event wire.WatchEvent) {
 	if event.Set != records.SettingsKey || event.ModRevision <= s.Current().ModRevision {
 		return
 	}
 	next := records.DefaultSettings(s.reportS)
 	if err := json.Unmarshal(event.Value, &next); err != nil {
-		slog.Error("stored settings cannot be read", "err", err)
+		slog.Error("could not decode stored settings", "err", err)
 		return
 	}
 	if err := records.ValidateSettings(next); err != nil {
-		slog.Error("stored settings are not valid", "err", err)
+		slog.Error("stored settings are invalid", "err", err)
 		return
 	}
 	next.ModRevision = event.ModRevision
@@ -66,12 +66,13 @@
 	s.current.Store(&next)
 }
 
-// followSettings follows the settings and the cluster version in the state store until ctx ends. wait
-// is the duration of one watch request, pause the wait after a failed one.
-func (n *Node) followSettings(ctx context.Context, wait, pause time.Duration) {
+// followSettings watches the settings and the cluster version in the state store until ctx ends. watchDuration
+// is the duration of one watch request, retryDelay the delay after a failed request.
+func (n *Node) followSettings(ctx context.Context, watchDuration, retryDelay time.Duration) {
 	apply := func(event wire.WatchEvent) {
 		n.version.Apply(event)
 		n.settings.apply(event)
 	}
-	watchcache.Follow(ctx, n.store, records.SettingsPrefix, wait, pause, watchcache.HandlerFuncs{OnListed: apply, OnChanged: apply})
+	watchcache.Follow(ctx, n.store, records.SettingsPrefix, watchDuration, retryDelay,
+		watchcache.HandlerFuncs{OnListed: apply, OnChanged: apply})
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -8,14 +8,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Status returns the state of this node and, if the leader is reached, of the whole service.
+// Status returns the status of this node and, if the leader is reachable, of the whole service.
 func (n *Node) Status() wire.Status {
-	v := n.elector.View()
+	view := n.elector.View()
 	status := wire.Status{
 		Node:   n.cfg.Label,
 		State:  n.elector.State().String(),
-		Leader: v.Leader,
-		Term:   v.Term,
+		Leader: view.Leader,
+		Term:   view.Term,
 		Proof:  min(n.store.SinceLastExecuted(), time.Hour).Seconds(),
 	}
 	if c := n.controller(); c != nil {
@@ -31,7 +31,7 @@
 	return status
 }
 
-// LeadStatus answers a peer that asks for the leader's status; nil if this node does not lead.
+// LeadStatus answers a peer that asks for the leader's status. It returns nil if this node does not lead.
 func (n *Node) LeadStatus() *wire.LeadStatus {
 	c := n.controller()
 	if c == nil || n.elector.State() == election.Following {
@@ -40,10 +40,11 @@
 	return n.leaderStatus(c)
 }
 
-// leaderStatus returns the leader's status, with the number of workers at each controller.
+// leaderStatus returns the leader's status. If heartbeats can be relayed, it includes the number of workers at
+// each controller.
 func (n *Node) leaderStatus(c *controller.Controller) *wire.LeadStatus {
 	status := c.Status()
-	if router := n.relays.router.Load(); router != nil {
+	if router := n.relay.router.Load(); router != nil {
 		status.HeartbeatRouting, status.Workers = router.Mode().String(), router.Load()
 	}
 	return &status
--- a/internal/node/warmstandby.go
+++ b/internal/node/warmstandby.go
@@ -20,23 +20,24 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// warmStandby is a node's part in the warm standby: the follower in any term, and the source while
-// the node leads. Unless the configuration enables it, follower is nil and nothing is done.
+// warmStandby holds the parts of a node that belong to the warm standby: the follower, which keeps a copy of the
+// leader's state, and the source, which offers this node's state to a standby and exists while this node leads.
+// If the configuration does not enable the warm standby, follower is nil and the methods do nothing.
 type warmStandby struct {
 	*leadership
 	store    *store.Client
-	campaign *campaign
+	campaign *campaignPolicy
 	follower *standby.Follower
 	source   atomic.Pointer[standby.Source]
 
 	mu         sync.Mutex
-	chosen     string // at the leader: the label of the node that is to follow it
-	announced  string // at a follower: the label that the leader announced last
-	failoverMs int64  // of the last term here: from when nobody led to its first decision
+	chosen     string // while this node leads: label of the standby that it has chosen
+	announced  string // while this node follows: label of the standby that the leader announced last
+	failoverMs int64  // of the last term led by this node: see lastFailover
 }
 
-// newWarmStandby makes the parts that a node needs in any term.
-func newWarmStandby(l *leadership, st *store.Client, c *campaign) *warmStandby {
+// newWarmStandby returns a warm standby without a source, which beginTerm adds.
+func newWarmStandby(l *leadership, st *store.Client, c *campaignPolicy) *warmStandby {
 	w := &warmStandby{leadership: l, store: st, campaign: c}
 	if w.enabled() {
 		w.follower = standby.NewFollower(standby.FollowerConfig{
@@ -48,10 +49,10 @@
 	return w
 }
 
-// enabled reports whether this node may follow a leader and offer its state to a follower.
+// enabled reports whether this node may keep a copy of a leader's state and offer its own state to a standby.
 func (w *warmStandby) enabled() bool { return w.cfg.WarmStandby }
 
-// fetch asks a leader for a part of its state.
+// fetch asks the leader with a label for a part of its state.
 func (w *warmStandby) fetch(leader string, args peer.FollowArgs) (peer.FollowReply, error) {
 	if p := w.peer(leader); p != nil {
 		return p.FollowState(args)
@@ -59,8 +60,9 @@
 	return peer.FollowReply{}, fmt.Errorf("no peer is named %q", leader)
 }
 
-// answer answers a standby that asks this node for a part of its state.
-func (w *warmStandby) answer(args peer.FollowArgs) (peer.FollowReply, error) {
+// answerFollower answers a standby that asks for a part of this node's state. Without a source the reply contains
+// only the term that this node knows.
+func (w *warmStandby) answerFollower(args peer.FollowArgs) (peer.FollowReply, error) {
 	source := w.source.Load()
 	if source == nil {
 		return peer.FollowReply{Term: w.elector.View().Term}, nil
@@ -68,8 +70,8 @@
 	return source.Follow(args)
 }
 
-// beginTerm sets the options with which a term starts from the copy that this node has followed,
-// and offers its own state to a standby. The caller must call endTerm when the term is over.
+// beginTerm sets the options that let a term of this node start from its copy of the previous leader's state, and
+// that offer its own state to a standby. The caller must call endTerm when the term is over.
 func (w *warmStandby) beginTerm(options *controller.Options, term uint64) {
 	if !w.enabled() {
 		return
@@ -96,15 +98,15 @@
 	w.failoverMs = failover.DecidedMs
 }
 
-// lastFailover returns the time from when nobody led to the first decision of the last term here; 0
-// before there was one.
+// lastFailover returns how long the failover to the last term led by this node took, from the loss of the previous
+// leader to the first decision. It is 0 before the first failover.
 func (w *warmStandby) lastFailover() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Duration(w.failoverMs) * time.Millisecond
 }
 
-// endTerm drops the term's source and the copy: a later term of this node starts from a new one.
+// endTerm drops the source, and the copy from which the term started: a later term of this node needs a new copy.
 func (w *warmStandby) endTerm() {
 	if !w.enabled() {
 		return
@@ -116,10 +118,10 @@
 	w.chosen, w.announced = "", ""
 }
 
-// choose returns the label of the node that is to follow this leader, "" for none: one that is
-// reached, serves and has as short a campaign delay as any. The choice stays the same while that is
-// true of it.
-func (w *warmStandby) choose() string {
+// chooseStandby returns the label of the standby for this leader, or "" if there is no candidate. It chooses, of
+// the peers that can follow, one with the shortest campaign delay, and keeps that choice until the peer can no
+// longer follow or another candidate has a shorter delay.
+func (w *warmStandby) chooseStandby() string {
 	if w.source.Load() == nil {
 		return ""
 	}
@@ -134,25 +136,25 @@
 	best := ""
 	if len(candidates) > 0 {
 		best = slices.MinFunc(candidates, func(a, b string) int {
-			return cmp.Or(cmp.Compare(w.campaign.successorDelay(a), w.campaign.successorDelay(b)), strings.Compare(a, b))
+			return cmp.Or(cmp.Compare(w.campaign.successorDelaySteps(a), w.campaign.successorDelaySteps(b)), strings.Compare(a, b))
 		})
 	}
-	if !slices.Contains(candidates, w.chosen) || w.campaign.successorDelay(best) < w.campaign.successorDelay(w.chosen) {
+	if !slices.Contains(candidates, w.chosen) || w.campaign.successorDelaySteps(best) < w.campaign.successorDelaySteps(w.chosen) {
 		if w.chosen != best {
-			slog.Info("chosen warm standby changed", "from", w.chosen, "to", best)
+			slog.Info("choice of warm standby changed", "from", w.chosen, "to", best)
 		}
 		w.chosen = best
 	}
 	return w.chosen
 }
 
-// canFollow reports whether a peer is reached, serves and is able to follow a leader.
+// canFollow reports whether a peer is reachable, is serving and supports copying a leader's state.
 func (w *warmStandby) canFollow(p *peer.Peer) bool {
 	last, ok := p.LastPing(w.cfg.LeaderLeaseTTL())
 	return ok && last.Serving && last.CanFollow
 }
 
-// followLeader pulls the leader's state while it wants this node to, until ctx ends.
+// followLeader pulls the leader's state while the leader announces this node as its standby, until ctx ends.
 func (w *warmStandby) followLeader(ctx context.Context) {
 	if !w.enabled() {
 		return
@@ -161,7 +163,7 @@
 		if w.controller() != nil {
 			continue
 		}
-		leader, term, announced := w.announcement()
+		leader, term, announced := w.leaderAnnouncement()
 		w.mu.Lock()
 		if leader != "" {
 			w.announced = announced
@@ -178,9 +180,9 @@
 	}
 }
 
-// announcement returns the leader, its term and the node that it wants to follow it, by its last
-// answer to a ping; "" if no leader is reached.
-func (w *warmStandby) announcement() (leader string, term uint64, follower string) {
+// leaderAnnouncement returns the leader, its term and the standby that it has chosen, from its last answer to a
+// ping. leader is "" if no leader is reachable.
+func (w *warmStandby) leaderAnnouncement() (leader string, term uint64, chosen string) {
 	p := w.leader()
 	if p == nil {
 		return "", 0, ""
@@ -192,8 +194,8 @@
 	return p.Label, last.Term, last.Standby
 }
 
-// peerIsPreferred reports whether a peer is the better successor: this node has no copy of the
-// leader's state, and the standby that the leader announced last is reached.
+// peerIsPreferred reports whether a peer is the better successor: this node has no copy of the leader's
+// state, and the standby that the leader announced last is a reachable peer that can follow.
 func (w *warmStandby) peerIsPreferred() bool {
 	if !w.enabled() || w.follower.HasCopy() {
 		return false
@@ -206,28 +208,28 @@
 	})
 }
 
-// status returns the state of the follower; at a leader, sizes and positions are those of the source
-// that it offers. It must not be called unless the warm standby is enabled.
+// status returns the status of the follower. If this node leads, sizes and positions are those of its source
+// instead. status must be called only if the warm standby is enabled.
 func (w *warmStandby) status() *wire.StandbyStatus {
-	following := w.follower.Status()
+	followerStatus := w.follower.Status()
 	status := &wire.StandbyStatus{
-		State:    following.State.String(),
-		Cause:    following.Cause,
-		Leader:   following.Leader,
-		Term:     following.Term,
-		Sequence: following.Sequence,
-		Position: following.Position,
-		LagS:     following.Lag.Seconds(),
-		Entries:  following.Entries,
-		Bytes:    following.Bytes,
-		Moved:    following.ReceivedBytes,
-		Refused:  following.Refused,
+		State:    followerStatus.State.String(),
+		Cause:    followerStatus.Cause,
+		Leader:   followerStatus.Leader,
+		Term:     followerStatus.Term,
+		Sequence: followerStatus.Sequence,
+		Position: followerStatus.Position,
+		LagS:     followerStatus.Lag.Seconds(),
+		Entries:  followerStatus.Entries,
+		Bytes:    followerStatus.Bytes,
+		Moved:    followerStatus.ReceivedBytes,
+		Refused:  followerStatus.Refused,
 	}
 	if source := w.source.Load(); source != nil {
-		offered := source.Status()
-		status.Sequence, status.Position = offered.Sequence, offered.Position
-		status.Entries, status.Bytes = offered.Entries, offered.Bytes
-		status.Moved = offered.SentBytes
+		sourceStatus := source.Status()
+		status.Sequence, status.Position = sourceStatus.Sequence, sourceStatus.Position
+		status.Entries, status.Bytes = sourceStatus.Entries, sourceStatus.Bytes
+		status.Moved = sourceStatus.SentBytes
 		status.LagS = 0
 		w.mu.Lock()
 		status.Standby = w.chosen
