--- a/internal/jobstatus/dependencies.go
+++ b/internal/jobstatus/dependencies.go
@@ -8,7 +8,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// DependencyError means that a submission can never run because of a job that it depends on.
+// DependencyError means that a submitted job can never run because of a job that it depends on.
 type DependencyError struct {
 	UID    string // of the dependency
 	Reason string
@@ -17,17 +17,17 @@
 // Error is part of the answer to the user.
 func (e *DependencyError) Error() string { return fmt.Sprintf("Awaits names %s, %s", e.UID, e.Reason) }
 
-// errInconsistent means that a job which was accepted has neither a record nor a final
-// status that this node can see.
-var errInconsistent = errors.New("a job that others wait for is not found")
+// errDependencyNotFound means that this node finds neither a record nor a final status of a dependency
+// that was accepted.
+var errDependencyNotFound = errors.New("accepted dependency has neither a record nor a final status")
 
-// Initial returns the status for a new job's record: cancelled if a job that it depends
-// on, directly or through others, is cancelled. Its error is a *DependencyError if the job
-// can never run, or another one if that cannot be decided now.
+// Initial returns the status for the record of a new job: aborted if a job that it depends on, directly
+// or indirectly, is cancelled, otherwise queued. The error is a *DependencyError if the job can never
+// run, or another error if this node cannot decide now.
 //
-// It decides on a read that began after the request. A dependency that is cancelled between
-// that read and the commit is not missed: readers derive a job's status from the records of
-// its dependencies each time (see dependencyCancelled).
+// The decision is based on a read that began after the request. A dependency that is cancelled between
+// that read and the commit of the record is not missed, since every later poll derives the job's status
+// from the records of its dependencies again (see dependencyCancelled).
 func (r *Reader) Initial(ctx context.Context, spec *wire.JobSpec) (wire.JobStatus, error) {
 	if len(spec.Dependencies) == 0 {
 		return wire.JobQueued, nil
@@ -50,8 +50,8 @@
 	return wire.JobQueued, nil
 }
 
-// checkDependency returns a *DependencyError if a job may not depend on another one, or the
-// error of a read that failed.
+// checkDependency returns a *DependencyError if a job may not depend on the given dependency, or the
+// error of a failed read.
 func (r *Reader) checkDependency(ctx context.Context, uid, dependency string) error {
 	if uid == dependency {
 		return &DependencyError{UID: dependency, Reason: "which is the job itself"}
@@ -74,18 +74,18 @@
 	return nil
 }
 
-// dependencyCancelled reports whether one of the named jobs, or one that they depend on in
-// turn, is cancelled, as of the last read of the jobs. It goes by the records of the
-// dependencies alone, whether or not anyone has written it to the records of the jobs that
-// wait. A job that is done cannot be cancelled any more, so its own dependencies do not
-// matter.
+// dependencyCancelled reports whether one of the dependencies, or a job that they depend on directly or
+// indirectly, is cancelled, as of the last read of the jobs. Only the records of the dependencies count;
+// the records of the jobs that wait for them may not show the cancellation yet. The dependencies of a job
+// that is done are skipped, since that job can no longer be cancelled. visited holds the jobs that have
+// been checked, and is extended.
 func (r *Reader) dependencyCancelled(ctx context.Context, dependencies []string, visited map[string]bool) (bool, error) {
 	for _, uid := range dependencies {
 		if visited[uid] {
 			continue
 		}
 		visited[uid] = true
-		status, ofDependency, err := r.ownStatus(ctx, uid)
+		status, indirect, err := r.recordedStatus(ctx, uid)
 		switch {
 		case err != nil:
 			return false, err
@@ -94,29 +94,29 @@
 		case status == wire.JobDone:
 			continue
 		}
-		if cancelled, err := r.dependencyCancelled(ctx, ofDependency, visited); cancelled || err != nil {
+		if cancelled, err := r.dependencyCancelled(ctx, indirect, visited); cancelled || err != nil {
 			return cancelled, err
 		}
 	}
 	return false, nil
 }
 
-// ownStatus returns a job's status by its own records, and the jobs that it depends on if it is
-// not archived and has no cached final status.
-func (r *Reader) ownStatus(ctx context.Context, uid string) (wire.JobStatus, []string, error) {
+// recordedStatus returns the status in a job's own records and the job's dependencies. It returns no
+// dependencies for a job that is archived or whose final status is cached.
+func (r *Reader) recordedStatus(ctx context.Context, uid string) (wire.JobStatus, []string, error) {
 	if status, ok := r.finals.get(uid); ok {
 		return status, nil, nil
 	}
 	if entry, ok := r.jobs.Job(uid); ok {
 		return entry.Job.Status, entry.Job.Spec.Dependencies, nil
 	}
-	// The job is archived: the commit that dropped its record wrote its final status.
+	// The job is archived: the commit that deleted its record wrote its final status.
 	view, found, err := r.readFinal(ctx, uid)
 	switch {
 	case err != nil:
 		return "", nil, err
 	case !found:
-		return "", nil, errInconsistent
+		return "", nil, errDependencyNotFound
 	}
 	return view.Status, nil, nil
 }
--- a/internal/jobstatus/finals.go
+++ b/internal/jobstatus/finals.go
@@ -6,22 +6,22 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// finalStatuses is a cache of final statuses. The least recently used are evicted first: they can
-// be read from the state store again.
+// finalStatuses is a cache of the final statuses of jobs. It evicts the least recently used entries, which
+// can be read from the state store again.
 type finalStatuses struct {
 	cache *lru.Cache[string, wire.JobStatus]
 }
 
 const (
-	finalsShare = 1 / 16. // share of a node's memory that the cache may take
-	finalBytes  = 256     // estimate of what one entry takes
-	leastFinals = 1000    // entries on a node with less memory than that share allows
+	cacheMemoryShare = 1 / 16. // share of a node's memory that the cache may take
+	bytesPerEntry    = 256     // estimated size of an entry
+	minEntries       = 1000    // capacity of the cache if its share of the memory holds fewer entries
 )
 
 // newFinalStatuses returns an empty cache for a node with memoryMb MiB of memory.
 func newFinalStatuses(memoryMb float64) finalStatuses {
-	room := int(finalsShare * memoryMb * (1 << 20) / finalBytes)
-	cache, err := lru.New[string, wire.JobStatus](max(leastFinals, room))
+	entries := int(cacheMemoryShare * memoryMb * (1 << 20) / bytesPerEntry)
+	cache, err := lru.New[string, wire.JobStatus](max(minEntries, entries))
 	if err != nil {
 		panic(err) // only a size below 1 is refused
 	}
--- a/internal/jobstatus/reader.go
+++ b/internal/jobstatus/reader.go
@@ -1,6 +1,6 @@
-// Package jobstatus answers polls of a job's status, at any node and never with a status
-// older than the one that was true when the request came. docs/safety.md ("What users
-// are told") argues why an answer never goes back.
+// Package jobstatus answers polls of a job's status on any node, never with a status older than the one
+// that was true when the request arrived. docs/safety.md ("What users are told") argues why later answers
+// never return to an earlier status.
 package jobstatus
 
 import (
@@ -13,17 +13,17 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Options are what a Reader reads from.
+// Options are the sources and limits of a Reader.
 type Options struct {
 	Store *store.Client
 	// Jobs is this node's copy of the jobs that are not archived.
 	Jobs *watchcache.Cache
-	// LinearizableReader brings Jobs up to date; concurrent callers share one read.
+	// LinearizableReader brings Jobs up to date. Concurrent callers share one read.
 	LinearizableReader *watchcache.LinearizableReader
-	// MemoryMb is the memory of this node in MiB; a share of it caches final statuses.
+	// MemoryMb is the memory of this node in MiB, of which a share is used to cache final statuses.
 	MemoryMb float64
-	// Counts returns how many tasks of a job are done and running by the leader's last counts;
-	// zeros if they are not known.
+	// Counts returns how many tasks of a job are done and running according to the leader's last
+	// counts, or zeros if no counts are known.
 	Counts func(uid string) (done, running int)
 }
 
@@ -31,12 +31,12 @@
 type Reader struct {
 	store        *store.Client
 	jobs         *watchcache.Cache
-	linearizable *watchcache.LinearizableReader // of jobs
+	linearizable *watchcache.LinearizableReader // brings jobs up to date
 	finals       finalStatuses
 	counts       func(uid string) (done, running int)
 }
 
-// NewReader returns a reader.
+// NewReader returns a reader with an empty cache of final statuses.
 func NewReader(o Options) *Reader {
 	return &Reader{
 		store:        o.Store,
@@ -47,14 +47,14 @@
 	}
 }
 
-// Final returns the final status of a job if this node knows it without reading.
+// Final returns the final status of a job if this node has cached it.
 func (r *Reader) Final(uid string) (wire.JobStatus, bool) { return r.finals.get(uid) }
 
-// RecordFinal caches a job's final status. It must be committed already: answers rely on it.
+// RecordFinal caches a job's final status. The status must be committed already, since answers rely on it.
 func (r *Reader) RecordFinal(uid string, status wire.JobStatus) { r.finals.add(uid, status) }
 
-// Read answers a poll from this node's copy of the jobs, brought up to date by a read
-// that began after the request; concurrent polls share one. A cached final status is answered
+// Read answers a poll from this node's copy of the jobs, after a read that began after the request has
+// brought the copy up to date. Concurrent polls share one such read. A cached final status is returned
 // without a read, since it never changes. The result is false if the job was never accepted.
 func (r *Reader) Read(ctx context.Context, uid string) (wire.JobView, bool, error) {
 	if status, ok := r.finals.get(uid); ok {
@@ -70,8 +70,8 @@
 		view, err := r.view(ctx, uid, entry.Job)
 		return view, err == nil, err
 	}
-	// Usually it is archived. If it is not, it was never accepted, or its record is missing
-	// from the copy for a reason that only the records themselves show.
+	// The job is usually archived. Otherwise it was never accepted, or it has a record that the copy
+	// lacks, for a reason that only the records in the state store show.
 	if view, found, err := r.readFinal(ctx, uid); found || err != nil {
 		return view, found, err
 	}
@@ -82,10 +82,10 @@
 	return r.Lookup(ctx, uid)
 }
 
-// neverAccepted reports whether a job has neither a record nor a final status at one moment:
-// that is so only if it was not accepted before. It is a transaction that changes nothing: two
-// reads could miss a job that is archived between them, and take one request more for each
-// poll of a job that nobody has submitted.
+// neverAccepted reports whether a job has neither a record nor a final status at a single moment, which is
+// true only of a job that was not accepted before. It uses a transaction without changes: two separate
+// reads could miss a job that is archived between them, and would cost one more request for each poll of a
+// job that was never submitted.
 func (r *Reader) neverAccepted(ctx context.Context, uid string) (bool, error) {
 	_, err := r.store.Commit(ctx, wire.Transaction{Compares: []wire.Compare{{Key: records.JobKey(uid)}, {Key: records.FinalKey(uid)}}})
 	var conflict *store.ConflictError
@@ -95,8 +95,8 @@
 	return err == nil, err
 }
 
-// Lookup reads the status of a job from its own records. The result is false if the job
-// was never accepted.
+// Lookup reads the status of a job from its own records in the state store. The result is false if the
+// job was never accepted.
 func (r *Reader) Lookup(ctx context.Context, uid string) (wire.JobView, bool, error) {
 	view := wire.JobView{UID: uid}
 	if status, ok := r.finals.get(uid); ok {
@@ -108,8 +108,8 @@
 		return view, false, err
 	}
 	if !found {
-		// Archiving writes the final status in the same commit that drops the
-		// record: a job without a record has one, or never was.
+		// Archiving writes the final status in the commit that deletes the record, so a job without
+		// a record has a final status or was never accepted.
 		return r.readFinal(ctx, uid)
 	}
 	var job records.Job
@@ -117,7 +117,7 @@
 		return view, false, err
 	}
 	if len(job.Spec.Dependencies) > 0 && !job.Status.Final() {
-		// Its dependencies are looked up in this node's copy.
+		// The view depends on the job's dependencies, which are looked up in this node's copy of the jobs.
 		if err := r.linearizable.Refresh(ctx); err != nil {
 			return view, false, err
 		}
@@ -126,10 +126,10 @@
 	return view, err == nil, err
 }
 
-// view makes the answer for a job whose record was read after the request came. If the job has
-// dependencies, this node's copy of the jobs must be as new. A job that depends on a cancelled
-// one is cancelled from then on, and stays so: it has no task, and its record can only
-// become that of a cancelled job.
+// view returns the answer for a job whose record was read after the request arrived. If the job has
+// dependencies, this node's copy of the jobs must have been brought up to date after the request too. A job
+// that depends on a cancelled job is reported as aborted from then on. That status is final: the job has no
+// task, and its record can only become that of a cancelled job.
 func (r *Reader) view(ctx context.Context, uid string, job *records.Job) (wire.JobView, error) {
 	view := wire.JobView{UID: uid, Status: job.Status}
 	if !job.Status.Final() {
@@ -149,8 +149,8 @@
 	if view.Running > 0 {
 		view.Status = wire.JobRunning
 	}
-	// Reading and counting take time: if a final status was recorded here meanwhile, by this
-	// node or on a peer's announcement, an older status must not be answered.
+	// Reading and counting take time. If this node has recorded a final status meanwhile, of its own or
+	// from a peer's announcement, it must not answer with an older status.
 	if status, ok := r.finals.get(uid); ok {
 		return wire.JobView{UID: uid, Status: status}, nil
 	}
--- a/internal/jobstatus/taskcounts.go
+++ b/internal/jobstatus/taskcounts.go
@@ -8,26 +8,25 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// TaskCounts is what a follower knows of how many tasks of each job are done and
-// running. The leader sends what has changed with its answers to pings, so that a
-// poll at a follower needs no call to the leader. The zero TaskCounts knows none.
-// It is safe for concurrent use.
+// TaskCounts holds a follower's copy of the leader's counts: how many tasks of each job are done and
+// running. The leader sends changed counts in its answers to pings, so that a poll at a follower needs no
+// call to the leader. The zero TaskCounts holds no counts. TaskCounts is safe for concurrent use.
 type TaskCounts struct {
-	mu       sync.Mutex
-	leader   string
-	term     uint64
-	revision uint64                  // of the leader's counts, up to which all are known
-	more     bool                    // the leader has more that did not fit its last answer
-	jobs     map[string]wire.JobView // by job id
+	mu         sync.Mutex
+	leader     string
+	term       uint64
+	revision   uint64                  // of the leader's counts; all up to it are known, unless incomplete
+	incomplete bool                    // the leader has more counts, which did not fit in its last answer
+	jobs       map[string]wire.JobView // by job id
 }
 
-// jobIndex says which jobs are not archived.
+// jobIndex tells how many jobs are not archived, and which.
 type jobIndex interface {
 	Len() int
 	Has(uid string) bool
 }
 
-// Known returns up to which revision of which term the counts of a leader are known.
+// Known returns the term and the revision up to which a leader's counts are known; zeros if none are.
 func (t *TaskCounts) Known(leader string) (term, revision uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,10 +36,11 @@
 	return t.term, t.revision
 }
 
-// Update applies the counts in a peer's answer to a ping. asked are the arguments of that ping:
-// counts that build on more than is known here are ignored, as are older ones. Counts of
-// archived jobs are dropped once most counts are of such jobs.
-func (t *TaskCounts) Update(from string, asked peer.PingArgs, answer peer.PingResult, jobs jobIndex) {
+// Update applies the counts in a peer's answer to a ping. args are the arguments of that ping, with which
+// this node asked for changes since a revision. Update ignores an answer if that revision is newer than the
+// counts known here, and an answer that is older than these counts. It deletes the counts of archived jobs
+// once there are more than twice as many counts as jobs.
+func (t *TaskCounts) Update(from string, args peer.PingArgs, answer peer.PingResult, jobs jobIndex) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !answer.Leading || answer.CountsRevision == 0 || answer.Term < t.term {
@@ -49,8 +49,8 @@
 	if t.leader != from || t.term != answer.Term {
 		t.leader, t.term, t.revision, t.jobs = from, answer.Term, 0, map[string]wire.JobView{}
 	}
-	if asked.CountsTerm == answer.Term && asked.CountsRevision > t.revision || answer.CountsRevision < t.revision {
-		return // it builds on counts that are not known here, or is older than those that are
+	if args.CountsTerm == answer.Term && args.CountsRevision > t.revision || answer.CountsRevision < t.revision {
+		return // the answer assumes counts that are not known here, or is older than the known counts
 	}
 	for _, view := range answer.Counts {
 		if view.Status.Final() {
@@ -59,19 +59,19 @@
 		}
 		t.jobs[view.UID] = view
 	}
-	t.revision, t.more = answer.CountsRevision, answer.CountsMore
-	const slack = 64 // so that a small cluster does not search the counts at every ping
+	t.revision, t.incomplete = answer.CountsRevision, answer.CountsMore
+	const slack = 64 // jobs; keeps a small cluster from scanning all counts at every ping
 	if len(t.jobs) > 2*jobs.Len()+slack {
 		maps.DeleteFunc(t.jobs, func(uid string, _ wire.JobView) bool { return !jobs.Has(uid) })
 	}
 }
 
-// Get returns the counts of a job, zeros for a job without any. ok is false unless all counts of
-// this leader and term are known.
+// Get returns the counts of a job, or zeros for a job without counts. ok is false unless all counts of
+// the given leader and term are known.
 func (t *TaskCounts) Get(leader string, term uint64, uid string) (done, running int, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.leader != leader || t.term != term || t.more {
+	if t.leader != leader || t.term != term || t.incomplete {
 		return 0, 0, false
 	}
 	view := t.jobs[uid]
--- a/internal/jobstatus/taskcounts_test.go
+++ b/internal/jobstatus/taskcounts_test.go
@@ -12,20 +12,20 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// The same inputs every run; -rapid.seed draws others.
+// Every run uses the same random inputs; the flag -rapid.seed selects others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// fakeLeader sends counts as a controller does.
+// fakeLeader answers pings with counts as a controller does.
 type fakeLeader struct {
 	term, revision uint64
 	jobs           map[string]wire.JobView
-	changed        map[string]uint64
+	changedAt      map[string]uint64 // revision of the last change, by job id
 }
 
 func (l *fakeLeader) change(uid string, done int) {
 	l.revision++
 	l.jobs[uid] = wire.JobView{UID: uid, Done: done, Running: done + 1}
-	l.changed[uid] = l.revision
+	l.changedAt[uid] = l.revision
 }
 
 func (l *fakeLeader) answer(a peer.PingArgs) peer.PingResult {
@@ -35,74 +35,74 @@
 		since = 0
 	}
 	for uid, v := range l.jobs {
-		if l.changed[uid] > since {
+		if l.changedAt[uid] > since {
 			r.Counts = append(r.Counts, v)
 		}
 	}
 	return r
 }
 
-// allJobs is an index that has every job.
+// allJobs is a jobIndex that has every job.
 type allJobs struct{}
 
 func (allJobs) Len() int        { return 1 << 20 }
 func (allJobs) Has(string) bool { return true }
 
-// A follower that has applied an answer knows all counts as the leader had them when it sent the
-// answer, or newer ones, whichever answers get lost or arrive late and whoever leads: applying an
-// older answer would undo counts that are never sent again.
+// Once a follower has applied an answer, its counts are those that the leader had when it sent the answer, or
+// newer ones, whichever answers are lost or arrive late and whichever term the leader is in. If a follower
+// applied an older answer afterwards, it would lose counts that are never sent again.
 func TestTaskCountsAreNeverOlderThanTheLastAnswerTaken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		leader := &fakeLeader{term: 3, revision: 1, jobs: map[string]wire.JobView{}, changed: map[string]uint64{}}
+		leader := &fakeLeader{term: 3, revision: 1, jobs: map[string]wire.JobView{}, changedAt: map[string]uint64{}}
 		var counts TaskCounts
 		type exchange struct {
-			asked  peer.PingArgs
-			answer peer.PingResult
-			truth  map[string]wire.JobView
+			args         peer.PingArgs
+			answer       peer.PingResult
+			leaderCounts map[string]wire.JobView
 		}
-		var late []exchange
-		best, truth := uint64(0), map[string]wire.JobView{}
+		var inFlight []exchange
+		latest, expected := uint64(0), map[string]wire.JobView{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1, 2:
 				leader.change(fmt.Sprintf("run-%06d", rapid.IntRange(0, 5).Draw(t, "job")), rapid.IntRange(0, 9).Draw(t, "done"))
 			case 3, 4:
 				var e exchange
-				e.asked.CountsTerm, e.asked.CountsRevision = counts.Known("leader")
-				e.answer, e.truth = leader.answer(e.asked), maps.Clone(leader.jobs)
-				late = append(late, e)
+				e.args.CountsTerm, e.args.CountsRevision = counts.Known("leader")
+				e.answer, e.leaderCounts = leader.answer(e.args), maps.Clone(leader.jobs)
+				inFlight = append(inFlight, e)
 			case 5:
 				leader.term, leader.revision = leader.term+1, 1
 				for uid := range leader.jobs {
-					leader.changed[uid] = 1
+					leader.changedAt[uid] = 1
 				}
-				best = 0
+				latest = 0
 			}
-			if len(late) == 0 || rapid.Bool().Draw(t, "still under way") {
+			if len(inFlight) == 0 || rapid.Bool().Draw(t, "answers stay in flight") {
 				continue
 			}
-			i := rapid.IntRange(0, len(late)-1).Draw(t, "arrives")
-			e := late[i]
-			late = append(late[:i], late[i+1:]...)
-			counts.Update("leader", e.asked, e.answer, allJobs{})
-			if term, revision := counts.Known("leader"); term == leader.term && revision > best {
-				best, truth = revision, e.truth
+			i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "index of the answer that arrives")
+			e := inFlight[i]
+			inFlight = append(inFlight[:i], inFlight[i+1:]...)
+			counts.Update("leader", e.args, e.answer, allJobs{})
+			if term, revision := counts.Known("leader"); term == leader.term && revision > latest {
+				latest, expected = revision, e.leaderCounts
 			}
-			for uid, want := range truth {
+			for uid, want := range expected {
 				done, running, ok := counts.Get("leader", leader.term, uid)
-				if ok && best > 0 && (done != want.Done || running != want.Running) {
-					t.Fatalf("%s has %d done and %d running, want %+v", uid, done, running, want)
+				if ok && latest > 0 && (done != want.Done || running != want.Running) {
+					t.Fatalf("%s has %d tasks done and %d running, want %d and %d", uid, done, running, want.Done, want.Running)
 				}
 			}
 		}
 	})
 }
 
-// Counts are unknown from a leader that does not send them, such as one of an older release.
+// Counts are unknown if the leader does not send them, as a leader of an older release.
 func TestTaskCountsAreUnknownIfTheLeaderSendsNone(t *testing.T) {
 	var counts TaskCounts
 	counts.Update("leader", peer.PingArgs{}, peer.PingResult{Term: 3, Leading: true}, allJobs{})
 	if _, _, ok := counts.Get("leader", 3, "run-000001"); ok {
-		t.Error("counts are known although none were sent")
+		t.Error("Get reports counts as known although the leader sent none, want unknown")
 	}
 }
