--- a/internal/jobstatus/taskcounts.go
+++ b/internal/jobstatus/taskcounts.go
@@ -26,8 +26,9 @@
 	Has(uid string) bool
 }
 
-// Known returns the term and the revision up to which a leader's counts are known; zeros if none are.
-func (t *TaskCounts) Known(leader string) (term, revision uint64) {
+// KnownRevision returns the term and the revision up to which a leader's counts are known, or zeros if no counts
+// of this leader are known.
+func (t *TaskCounts) KnownRevision(leader string) (term, revision uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.leader != leader {
--- a/internal/jobstatus/taskcounts_test.go
+++ b/internal/jobstatus/taskcounts_test.go
@@ -68,7 +68,7 @@
 				leader.change(fmt.Sprintf("run-%06d", rapid.IntRange(0, 5).Draw(t, "job")), rapid.IntRange(0, 9).Draw(t, "done"))
 			case 3, 4:
 				var e exchange
-				e.args.CountsTerm, e.args.CountsRevision = counts.Known("leader")
+				e.args.CountsTerm, e.args.CountsRevision = counts.KnownRevision("leader")
 				e.answer, e.leaderCounts = leader.answer(e.args), maps.Clone(leader.jobs)
 				inFlight = append(inFlight, e)
 			case 5:
@@ -85,7 +85,7 @@
 			e := inFlight[i]
 			inFlight = append(inFlight[:i], inFlight[i+1:]...)
 			counts.Update("leader", e.args, e.answer, allJobs{})
-			if term, revision := counts.Known("leader"); term == leader.term && revision > latest {
+			if term, revision := counts.KnownRevision("leader"); term == leader.term && revision > latest {
 				latest, expected = revision, e.leaderCounts
 			}
 			for uid, want := range expected {
--- a/internal/node/campaigndelay.go
+++ b/internal/node/campaigndelay.go
@@ -10,7 +10,8 @@
 // The best leader is a node whose workers find another controller within their lease if it fails. Which
 // node that is depends on the zones, which do not change, and on which nodes are unreachable, which does.
 // Workers try the controllers in a fixed order. If the one after the leader is unreachable, a short pause of
-// the leader is enough to end worker leases: after a pause of 5 s the leases of all 112 machines ended.
+// the leader is enough to end worker leases: with that controller unreachable for over a minute, the leases
+// of all 112 machines ended when the leader paused for 5 s.
 
 // transferAfterLeases is a time in worker leases. Leadership is transferred only after this node has led, and
 // a peer with a shorter campaign delay has been serving, for longer than that.
--- a/internal/node/pinging.go
+++ b/internal/node/pinging.go
@@ -15,7 +15,7 @@
 func (n *Node) pingLoop(ctx context.Context, p *peer.Peer) {
 	for ctx.Err() == nil {
 		args := peer.PingArgs{From: n.cfg.Label, Term: n.elector.View().Term, Version: int(clusterversion.Latest)}
-		args.CountsTerm, args.CountsRevision = n.counts.Known(p.Label)
+		args.CountsTerm, args.CountsRevision = n.counts.KnownRevision(p.Label)
 		answer, err := p.Ping(args)
 		n.relay.recordPing(p.Label, answer, err == nil)
 		if err != nil {
--- a/internal/node/warmstandby.go
+++ b/internal/node/warmstandby.go
@@ -22,7 +22,7 @@
 
 // warmStandby holds the parts of a node that belong to the warm standby: the follower, which keeps a copy of the
 // leader's state, and the source, which offers this node's state to a standby and exists while this node leads.
-// If the configuration does not enable the warm standby, follower is nil and the methods do nothing.
+// If the configuration does not enable the warm standby, follower is nil and no term has a source.
 type warmStandby struct {
 	*leadership
 	store    *store.Client
@@ -194,8 +194,8 @@
 	return p.Label, last.Term, last.Standby
 }
 
-// peerIsPreferred reports whether a peer is the better successor: this node has no copy of the leader's
-// state, and the standby that the leader announced last is a reachable peer that can follow.
+// peerIsPreferred reports whether a peer is a better successor than this node: this node has no copy of the
+// leader's state, and the standby that the leader announced last is a reachable peer that can follow.
 func (w *warmStandby) peerIsPreferred() bool {
 	if !w.enabled() || w.follower.HasCopy() {
 		return false
