--- a/internal/sched/candidates.go
+++ b/internal/sched/candidates.go
@@ -6,29 +6,29 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// candidateGroup is the nodes of a class that are equally good for a job.
+// candidateGroup describes nodes of one class that are equally good for a job.
 type candidateGroup struct {
 	classID          int32
-	tasksPerNode     int // tasks that fit on each node, at most as many as are wanted
+	tasksPerNode     int // tasks that fit on each node, at most the number wanted
 	activeFetches    int32
-	splitByImage     bool // only the nodes of the class with hasImage, or only those without
-	hasImage         bool // they have the job's image
+	splitByImage     bool // the group is part of its class: the nodes with the job's image, or those without
+	hasImage         bool // the nodes have the job's image
 	runsOnDemandWork bool
-	cost             float64 // per hour, of one task
-	residual         float64 // what is left free on a node: less is a tighter fit
+	cost             float64 // of one task per hour
+	residual         float64 // measure of what stays free on a node: less is a tighter fit
 }
 
-// candidateGroups lists the groups of nodes on which tasks of a job fit, in zone only unless that is
-// "". The list is valid until the next call.
+// candidateGroups lists the groups of nodes on which tasks of a job fit. If zone is not "", it considers
+// only nodes in that zone. The list is valid until the next call.
 func (c *cycle) candidateGroups(job *Job, want int, at horizon, zone string) []candidateGroup {
 	scratch, need := c.scratch, fleet.TaskResources(job.Spec)
 	groups := scratch.groups[:0]
 	for _, classID := range c.openClasses[at] {
 		class := &scratch.classes[classID]
-		if class.size == 0 || !scratch.eligible[class.profile] {
+		if class.size == 0 || !scratch.eligible[class.profileID] {
 			continue
 		}
-		profile := &c.profiles[class.profile]
+		profile := &c.profiles[class.profileID]
 		if zone != "" && profile.zone != zone {
 			continue
 		}
@@ -44,9 +44,9 @@
 			splitByImage:     c.current.imageMayBeCached && profile.registered,
 			runsOnDemandWork: profile.runsOnDemandWork,
 			cost:             placementCost(job, profile, need),
-			residual:         residualRoom(free, need, tasks, profile.capacity.Cores),
+			residual:         residualCapacity(free, need, tasks, profile.capacity.Cores),
 		}
-		if !c.current.warmOnly {
+		if !c.current.imageRequired {
 			groups = append(groups, group)
 		}
 		if group.splitByImage {
@@ -58,17 +58,18 @@
 	return groups
 }
 
-// residualRoom measures what tasks leave free on a node: whole GPUs, and the share of its cores. For
-// CPU-only work only free GPUs count, so that it goes where the fewest are free.
-func residualRoom(free, need fleet.Resources, tasks int, cores float64) float64 {
+// residualCapacity measures what stays free on a node after tasks are placed: the number of GPUs plus the
+// fraction of the node's cores. For CPU-only tasks it counts only GPUs, so that they go to the nodes with
+// the fewest free GPUs.
+func residualCapacity(free, need fleet.Resources, tasks int, cores float64) float64 {
 	if need.Gpus == 0 {
 		return free.Gpus
 	}
 	return free.Gpus - float64(tasks)*need.Gpus + (free.Cores-float64(tasks)*need.Cores)/max(cores, 1)
 }
 
-// placementCost returns what placing a task on a machine costs per hour: nothing for work that may use
-// spot machines and fills the gaps of a machine that stays anyway.
+// placementCost returns what placing a task on a machine costs per hour. It is 0 for a task that may use
+// spot machines on a machine that other tasks keep running anyway.
 func placementCost(job *Job, profile *nodeProfile, need fleet.Resources) float64 {
 	if job.Spec.AllowSpot && profile.runsOnDemandWork {
 		return 0
@@ -76,7 +77,7 @@
 	return taskPrice(profile, need)
 }
 
-// taskPrice returns the price of a task's dominant share of a machine.
+// taskPrice returns the hourly price of a machine times the task's dominant share of its resources.
 func taskPrice(profile *nodeProfile, need fleet.Resources) float64 {
 	share := 0.0
 	for _, resource := range [...]struct{ need, capacity float64 }{
@@ -91,10 +92,11 @@
 	return profile.hourlyPrice * share
 }
 
-// compareGroups orders groups: the cheapest for the task first, then those that have the image, then
-// those that need the fewest machines, then the tightest fit. The image goes first where its fetch
-// alone would make the start late. Work that may not use spot machines weighs the image last, after
-// machines that run such work already.
+// compareGroups sorts the better group first, by these criteria in order: lowest cost, image present,
+// fewest images being fetched, most tasks per node, tightest fit. If fetching the image would make the job
+// start too late, the image comes before the cost. For other jobs that may not use spot machines, the order
+// after the cost is: most tasks per node, nodes that run such tasks already, tightest fit, image present,
+// fewest images being fetched.
 func compareGroups(job *Job, a, b *candidateGroup) int {
 	if !job.FetchDelaysStart && !job.Spec.AllowSpot {
 		if order := cmp.Compare(a.cost, b.cost); order != 0 {
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -1,6 +1,7 @@
 package sched
 
-// chooseNodes picks nodes for up to want tasks of a job, the best first, in zone only unless that is "".
+// chooseNodes chooses the best nodes for up to want tasks of a job. If zone is not "", it considers only
+// nodes in that zone.
 func (c *cycle) chooseNodes(job *Job, want int, at horizon, zone string) []Placement {
 	isBetter := func(a, b *candidateGroup) bool { return compareGroups(job, a, b) < 0 }
 	groups := newHeap(c.candidateGroups(job, want, at, zone), isBetter)
@@ -33,18 +34,18 @@
 	return placements
 }
 
-// cursor iterates over the nodes of a group.
+// cursor iterates over the nodes of a candidateGroup.
 type cursor struct {
 	class                  *class
 	classID                int32
-	position               int // in the members of the class
+	position               int // index in class.members
 	splitByImage, hasImage bool
 }
 
 // newCursor returns a cursor before the first node of a group.
 func (c *cycle) newCursor(group *candidateGroup) cursor {
 	class := &c.scratch.classes[group.classID]
-	for class.head < len(class.members) && c.scratch.class[class.members[class.head]] != group.classID {
+	for class.head < len(class.members) && c.scratch.classID[class.members[class.head]] != group.classID {
 		class.head++
 	}
 	return cursor{
@@ -56,8 +57,8 @@
 	}
 }
 
-// nextNode returns the lowest slot among several groups that are equally good for a job, and moves on;
-// -1 if there is none.
+// nextNode returns the lowest slot that any of the cursors is at, and advances that cursor. It returns -1
+// if no nodes are left. The groups of the cursors are equally good for the job, so the slot breaks the tie.
 func (c *cycle) nextNode(tied []cursor, job *Job) int32 {
 	lowest := -1
 	for i := range tied {
@@ -76,14 +77,15 @@
 	return slot
 }
 
-// slot returns the slot of the node that the cursor is at.
+// slot returns the slot that the cursor is at.
 func (cur *cursor) slot() int32 { return cur.class.members[cur.position] }
 
-// skipToMember moves a cursor on to the next node that is in its group, and reports whether there is one.
+// skipToMember advances a cursor to the next node that is still in its class, belongs to its group, and may
+// be used by the job. It does not move if the cursor is at such a node. It reports whether there is one.
 func (c *cycle) skipToMember(cur *cursor, job *Job) bool {
 	for ; cur.position < len(cur.class.members); cur.position++ {
 		slot := cur.slot()
-		if c.scratch.class[slot] != cur.classID || cur.splitByImage && c.hasImage(slot) != cur.hasImage || c.isAvoided(job, slot) {
+		if c.scratch.classID[slot] != cur.classID || cur.splitByImage && c.hasImage(slot) != cur.hasImage || c.isAvoided(job, slot) {
 			continue
 		}
 		return true
--- a/internal/sched/classindex.go
+++ b/internal/sched/classindex.go
@@ -6,30 +6,30 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// A cycle does not visit every node for every job. Nodes that are alike in all that a cycle
-// compares, except their images, form a class: for a job the cycle compares classes, and visits single
-// nodes only in the classes that it places tasks on. Nodes without room for the smallest need of the
-// window are in no class.
+// The class index saves a cycle from visiting every node for every job. A class is a set of nodes with the
+// same profile, number of active fetches and free capacity; only their images and victims differ. For each
+// job the cycle compares classes, and visits single nodes only in the classes where it places tasks. A node
+// is in no class if the smallest need of the window fits it at no horizon.
 
 // noClass is the class ID of a node that is in no class.
 const noClass = -1
 
-// classKey is what the nodes of a class have in common.
+// classKey holds the properties that all nodes of a class share.
 type classKey struct {
-	profile       int32
+	profileID     int32
 	activeFetches int32
-	free          [horizons]fleet.Resources
+	free          [horizonCount]fleet.Resources
 }
 
-// class is a set of nodes that are alike.
+// class is a set of nodes with equal properties.
 type class struct {
 	classKey
-	members []int32 // slots in order; nodes that have left the class are skipped
-	head    int     // all members before it have left
-	size    int     // members that have not left
+	members []int32 // sorted slots; may include nodes that have left the class, which readers skip
+	head    int     // index in members: all nodes before it have left the class
+	size    int     // number of nodes in the class, without those that have left
 }
 
-// buildClassIndex puts the nodes that have room for the smallest need of the window into classes.
+// buildClassIndex assigns the nodes that the smallest need of the window fits to classes.
 func (c *cycle) buildClassIndex(smallest fleet.Resources) {
 	c.smallestNeed = smallest
 	scratch := c.scratch
@@ -38,48 +38,48 @@
 	}
 	clear(scratch.classIndex)
 	scratch.classes = scratch.classes[:0]
-	for slot := range scratch.class {
-		scratch.class[slot] = noClass
+	for slot := range scratch.classID {
+		scratch.classID[slot] = noClass
 		if c.isVacant(slot) {
 			continue
 		}
-		if key := c.classKeyOf(int32(slot)); c.hasRoomForSmallest(&key) {
+		if key := c.classKeyOf(int32(slot)); c.fitsSmallest(&key) {
 			classID := c.classFor(key)
-			scratch.class[slot] = classID
+			scratch.classID[slot] = classID
 			scratch.classes[classID].size++
 		}
 	}
 	scratch.fillMembers()
 }
 
-// fillMembers lists the members of all classes in one allocation. Each list is full, so that
-// appending to it later does not overwrite the next one.
+// fillMembers fills the member lists of all classes, which share one array. The capacity of each list equals
+// its length, so that a later insertion reallocates the list and does not overwrite the next one.
 func (s *scratchSpace) fillMembers() {
-	s.members = resize(s.members, len(s.class))
+	s.members = resize(s.members, len(s.classID))
 	used := 0
 	for classID := range s.classes {
 		size := s.classes[classID].size
 		s.classes[classID].members = s.members[used : used : used+size]
 		used += size
 	}
-	for slot, classID := range s.class {
+	for slot, classID := range s.classID {
 		if classID != noClass {
 			s.classes[classID].members = append(s.classes[classID].members, int32(slot))
 		}
 	}
 }
 
-// classKeyOf returns the key of the class that a node belongs to in its present state.
+// classKeyOf returns the key of the class that matches the current state of a node.
 func (c *cycle) classKeyOf(slot int32) classKey {
 	return classKey{
-		profile:       c.scratch.profile[slot],
+		profileID:     c.scratch.profileID[slot],
 		activeFetches: c.scratch.activeFetches[slot],
-		free:          [horizons]fleet.Resources{c.free[atOnce][slot], c.free[afterStops][slot], c.free[afterBoot][slot]},
+		free:          [horizonCount]fleet.Resources{c.free[atOnce][slot], c.free[afterStops][slot], c.free[afterBoot][slot]},
 	}
 }
 
-// hasRoomForSmallest reports whether nodes of a class have room for the smallest need, now or later.
-func (c *cycle) hasRoomForSmallest(key *classKey) bool {
+// fitsSmallest reports whether the smallest need fits the nodes of a class at any horizon.
+func (c *cycle) fitsSmallest(key *classKey) bool {
 	for at := range key.free {
 		if key.free[at].FitsRequested(c.smallestNeed) {
 			return true
@@ -88,7 +88,7 @@
 	return false
 }
 
-// classFor returns the ID of the class of a key, which it adds if there is none.
+// classFor returns the ID of the class with a key, and adds the class if it is new.
 func (c *cycle) classFor(key classKey) int32 {
 	scratch := c.scratch
 	classID, known := scratch.classIndex[key]
@@ -105,19 +105,20 @@
 	return classID
 }
 
-// reclassify moves a node whose room has changed into the class that it belongs to now.
+// reclassify moves a node to the class that matches its free capacity, after that or the reservation of the
+// node has changed. A reserved node is in no class.
 func (c *cycle) reclassify(slot int32) {
 	scratch := c.scratch
-	if old := scratch.class[slot]; old != noClass {
+	if old := scratch.classID[slot]; old != noClass {
 		scratch.classes[old].size--
-		scratch.class[slot] = noClass
+		scratch.classID[slot] = noClass
 	}
 	key := c.classKeyOf(slot)
-	if scratch.reserved[slot] || !c.hasRoomForSmallest(&key) {
+	if scratch.reserved[slot] || !c.fitsSmallest(&key) {
 		return
 	}
 	classID := c.classFor(key)
-	scratch.class[slot] = classID
+	scratch.classID[slot] = classID
 	target := &scratch.classes[classID]
 	target.size++
 	position, known := slices.BinarySearch(target.members, slot)
--- a/internal/sched/cycle.go
+++ b/internal/sched/cycle.go
@@ -8,15 +8,15 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// horizon says which of a node's free amounts a fit uses.
+// horizon is the point in time whose free capacity a placement uses.
 type horizon int
 
-// The horizons: what is free now, once the tasks being stopped have ended, and once machines are up.
+// The horizons: now, once the tasks being stopped have ended, and once booting machines are up as well.
 const (
 	atOnce horizon = iota
 	afterStops
 	afterBoot
-	horizons
+	horizonCount
 )
 
 // cycle is the state of one scheduling cycle.
@@ -26,42 +26,42 @@
 	scratch           *scratchSpace
 	plan              *Plan
 	profiles          []nodeProfile
-	free              [horizons][]fleet.Resources // by horizon and slot
-	openClasses       [horizons][]int32           // IDs of the classes that have room for smallestNeed
-	smallestNeed      fleet.Resources             // no task of the window needs less of any resource
+	free              [horizonCount][]fleet.Resources // by horizon and slot
+	openClasses       [horizonCount][]int32           // IDs of the classes whose nodes have smallestNeed free
+	smallestNeed      fleet.Resources                 // the least of each resource that any task of the window needs
 	lowestVictimLevel int
-	sortedVictims     map[int32][]Victim  // by slot, in stop order: of the nodes whose victims were sorted
-	maxFit            map[demandShape]int // how many tasks at most fit, of shapes that found too little room
+	sortedVictims     map[int32][]Victim  // by slot, in stop order; only nodes whose victims were needed in order
+	maxFit            map[demandShape]int // upper bound of the tasks that fit, for shapes that did not all fit
 	current           jobContext
 }
 
-// jobContext is what a cycle has prepared for the job that it is placing.
+// jobContext holds what a cycle has computed for the job that it is placing.
 type jobContext struct {
 	job              *Job
 	shape            demandShape
-	shapeDecidesFit  bool           // what fits of the job depends on its shape only
-	warmOnly         bool           // only nodes that have the job's image will do
+	shapeDecidesFit  bool           // how many of its tasks fit depends only on its shape
+	imageRequired    bool           // use only nodes that have the job's image
 	imageHolders     *bitset.BitSet // slots of the view that have the job's image
-	imageMayBeCached bool           // some node may have that image
+	imageMayBeCached bool           // some node may have the job's image
 }
 
-// patienceFactor is how many times Input.ReserveAfterS an array that has missed its deadline lets others
-// of its priority pass.
-const patienceFactor = 4
+// maxYieldFactor times Input.ReserveAfterS is how long an array that can no longer meet its deadline goes
+// after other jobs of its priority.
+const maxYieldFactor = 4
 
-// Run does one cycle. It updates the jobs and teams of the input as it places and stops tasks. The view
-// must not be used by anyone else meanwhile: Run compacts it and works in its scratch memory.
+// Run runs one scheduling cycle. It updates the jobs and teams of the input as it places and stops tasks.
+// The caller must not use the view concurrently: Run compacts it and uses its scratch memory.
 func Run(in *Input) *Plan {
 	c := &cycle{input: in, view: in.View, plan: &Plan{}}
 	if c.view == nil {
 		c.view = NewView()
 	}
-	if in.Previous == nil { // the slots of a plan are those of its cycle: they must not move
+	if in.Previous == nil { // compaction changes slots, and Previous refers to nodes by slot
 		c.view.compact()
 	}
 	c.loadNodes()
 	window := slices.Clone(in.Jobs)
-	SortQueue(window, patienceFactor*in.ReserveAfterS)
+	SortQueue(window, maxYieldFactor*in.ReserveAfterS)
 	if len(window) > in.Window {
 		window = window[:in.Window]
 	}
@@ -69,13 +69,13 @@
 	if len(window) > 0 {
 		c.buildClassIndex(smallestNeed(window))
 	}
-	// GPU work goes first, CPU-only work onto what is left; a CPU-only job that has waited long keeps
-	// its turn.
-	cpuOnly := func(job *Job) bool { return job.Spec.Gpus == 0 && job.WaitedS <= in.ReserveAfterS }
+	// Jobs with GPUs are placed in the first pass, CPU-only jobs in the second, on what is left. A CPU-only
+	// job that has waited long is placed in the first pass, too.
+	inSecondPass := func(job *Job) bool { return job.Spec.Gpus == 0 && job.WaitedS <= in.ReserveAfterS }
 	first := true
 	for pass := range 2 {
 		for _, job := range window {
-			if cpuOnly(job) != (pass == 1) {
+			if inSecondPass(job) != (pass == 1) {
 				continue
 			}
 			c.scheduleJob(job, first)
@@ -86,7 +86,7 @@
 	return c.plan
 }
 
-// smallestNeed returns the least of each resource that any job's tasks need.
+// smallestNeed returns the least of each resource that a task of any job in the window needs.
 func smallestNeed(window []*Job) fleet.Resources {
 	smallest := fleet.TaskResources(window[0].Spec)
 	for _, job := range window[1:] {
@@ -100,58 +100,59 @@
 	return smallest
 }
 
-// scheduleJob starts what fits of a job and plans for the rest: room that is becoming free, preemption,
-// machines that boot, and at last a shortfall. Only the first job that a cycle places can get a
-// reservation.
+// scheduleJob starts the tasks of a job that fit now. For the remaining tasks it tries, in this order,
+// capacity that stopping tasks are about to free, preemption, and booting machines; what still does not
+// fit becomes a shortfall. Only the first job of a cycle can get a reservation.
 func (c *cycle) scheduleJob(job *Job, first bool) {
 	want := c.tasksWithinTeamLimit(job)
 	if want == 0 {
 		return
 	}
 	c.prepareFor(job)
-	left := want
+	remaining := want
 	if job.FetchDelaysStart {
-		// Its start would be late on a machine without its image: machines that have the image come
-		// first, even if work of lower priority must leave them.
-		if left = c.scheduleOnWarmNodes(job, left); left == 0 {
+		// The job would start too late on a machine without its image: machines that have the image are
+		// tried first, even if tasks of lower priority must be preempted there.
+		if remaining = c.scheduleOnNodesWithImage(job, remaining); remaining == 0 {
 			return
 		}
 	}
-	if left -= c.fitTasks(job, left, atOnce, true); left == 0 {
+	if remaining -= c.fitTasks(job, remaining, atOnce, true); remaining == 0 {
 		return
 	}
-	if left -= c.fitTasks(job, left, afterStops, false); left == 0 {
-		return // tasks that are being stopped leave room for it
+	if remaining -= c.fitTasks(job, remaining, afterStops, false); remaining == 0 {
+		return // the tasks being stopped will free enough capacity
 	}
-	if left -= c.preempt(job, left); left == 0 {
+	if remaining -= c.preempt(job, remaining); remaining == 0 {
 		return
 	}
-	nothingFits := left == want
-	if left -= c.fitTasks(job, left, afterBoot, false); left == 0 {
-		return // a booting machine will run it
+	nothingFits := remaining == want
+	if remaining -= c.fitTasks(job, remaining, afterBoot, false); remaining == 0 {
+		return // booting machines will run the rest
 	}
 	if first && nothingFits && job.WaitedS > c.input.ReserveAfterS {
-		c.reserveNodes(job, left)
+		c.reserveNodes(job, remaining)
 	}
-	c.plan.Shortfalls = append(c.plan.Shortfalls, Shortfall{Job: job, Count: left})
+	c.plan.Shortfalls = append(c.plan.Shortfalls, Shortfall{Job: job, Count: remaining})
 }
 
-// scheduleOnWarmNodes places up to left tasks on nodes that have the job's image, and returns how many
-// remain.
-func (c *cycle) scheduleOnWarmNodes(job *Job, left int) int {
-	c.current.warmOnly = true
-	left -= c.fitTasks(job, left, atOnce, true)
-	if left > 0 {
-		left -= c.fitTasks(job, left, afterStops, false)
-	}
-	if left > 0 {
-		left -= c.preempt(job, left)
-	}
-	c.current.warmOnly = false
-	return left
+// scheduleOnNodesWithImage places up to remaining tasks on nodes that have the job's image, and returns how
+// many tasks are still to be placed.
+func (c *cycle) scheduleOnNodesWithImage(job *Job, remaining int) int {
+	c.current.imageRequired = true
+	remaining -= c.fitTasks(job, remaining, atOnce, true)
+	if remaining > 0 {
+		remaining -= c.fitTasks(job, remaining, afterStops, false)
+	}
+	if remaining > 0 {
+		remaining -= c.preempt(job, remaining)
+	}
+	c.current.imageRequired = false
+	return remaining
 }
 
-// tasksWithinTeamLimit returns how many pending tasks of a job the limit of its team allows.
+// tasksWithinTeamLimit returns how many pending tasks of a job may start under the limit of its team. It is
+// 0 for an all-or-nothing job that would exceed the limit.
 func (c *cycle) tasksWithinTeamLimit(job *Job) int {
 	team := c.input.Teams[job.Spec.Team]
 	if team == nil {
@@ -159,7 +160,7 @@
 	}
 	want := tasksWithin(job.PendingTasks, team.Limit.Cores, team.Used.Cores, job.Spec.Cores)
 	want = tasksWithin(want, team.Limit.Gpus, team.Used.Gpus, job.Spec.Gpus)
-	if want < job.PendingTasks && startsWhole(job) {
+	if want < job.PendingTasks && isAllOrNothing(job) {
 		return 0
 	}
 	return max(want, 0)
@@ -174,5 +175,5 @@
 	return min(want, int((limit-used+roundingTolerance)/need))
 }
 
-// roundingTolerance allows for the rounding of sums of fractions of cores and GPUs.
+// roundingTolerance absorbs rounding errors in sums of fractional cores and GPUs.
 const roundingTolerance = 1e-6
--- a/internal/sched/eligibility.go
+++ b/internal/sched/eligibility.go
@@ -6,17 +6,18 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// IsEligible reports whether the specification of a job allows a machine of this type, zone and kind.
+// IsEligible reports whether a job specification allows machines of a type and zone, spot or on-demand.
 func IsEligible(spec *wire.JobSpec, machineType, zone string, spot bool) bool {
 	return (len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, machineType)) &&
 		(spec.Zone == "" || spec.Zone == zone) &&
 		(!spot || spec.AllowSpot)
 }
 
-// isProfileEligible reports whether a job may use machines of a profile. A job that may use spot
-// machines uses an on-demand machine only if that stays anyway, if the cloud has no spot machine, or if
-// the job has no time left to wait for one to boot. A scale-in candidate it uses only once it has waited
-// as long as a boot takes: until then its work would only keep an expensive machine from scale-in.
+// isProfileEligible reports whether a job may use machines of a profile. A job that may use spot machines
+// uses an on-demand machine only if other tasks keep that machine running anyway, if the cloud has no spot
+// machine, or if the job cannot wait for a spot machine to boot. In the last case it also has to have waited
+// as long as a boot takes before it uses a scale-in candidate: until then its tasks would only keep an
+// expensive machine from being scaled in.
 func isProfileEligible(job *Job, profile *nodeProfile) bool {
 	if !profile.spot && !profile.runsOnDemandWork && job.Spec.AllowSpot && !job.SpotUnavailable {
 		if !job.CannotAwaitBoot || profile.scaleInCandidate && !job.WaitedPastBoot {
@@ -26,24 +27,24 @@
 	return IsEligible(job.Spec, profile.machineType, profile.zone, profile.spot)
 }
 
-// isNodeEligible reports whether a job may use a node, whatever room it has.
+// isNodeEligible reports whether a job may use a node, regardless of the node's free capacity.
 func (c *cycle) isNodeEligible(job *Job, slot int32) bool {
 	scratch := c.scratch
-	if !scratch.eligible[scratch.profile[slot]] || scratch.reserved[slot] || c.isAvoided(job, slot) {
+	if !scratch.eligible[scratch.profileID[slot]] || scratch.reserved[slot] || c.isAvoided(job, slot) {
 		return false
 	}
-	return !c.current.warmOnly || c.profiles[scratch.profile[slot]].registered && c.hasImage(slot)
+	return !c.current.imageRequired || c.profiles[scratch.profileID[slot]].registered && c.hasImage(slot)
 }
 
-// isAvoided reports whether a job must not be placed on a node that it may use otherwise.
+// isAvoided reports whether a node is the job's avoided machine.
 func (c *cycle) isAvoided(job *Job, slot int32) bool {
 	return job.AvoidedMachine != "" && c.nodeID(slot) == job.AvoidedMachine
 }
 
 // hasImage reports whether a node has the image of the current job.
 func (c *cycle) hasImage(slot int32) bool {
-	if retained := int32(c.view.SlotCount()); slot >= retained {
-		return slices.Contains(c.input.Nodes[slot-retained].Images, c.current.job.Spec.Image)
+	if viewSlots := int32(c.view.SlotCount()); slot >= viewSlots {
+		return slices.Contains(c.input.Nodes[slot-viewSlots].Images, c.current.job.Spec.Image)
 	}
 	return c.current.imageHolders != nil && c.current.imageHolders.Test(uint(slot))
 }
@@ -54,10 +55,10 @@
 }
 
 func (c *cycle) nodeID(slot int32) string {
-	if retained := int32(c.view.SlotCount()); slot >= retained {
-		return c.input.Nodes[slot-retained].ID
+	if viewSlots := int32(c.view.SlotCount()); slot >= viewSlots {
+		return c.input.Nodes[slot-viewSlots].ID
 	}
 	return c.view.nodes[slot].id
 }
 
-func (c *cycle) zoneOf(slot int32) string { return c.profiles[c.scratch.profile[slot]].zone }
+func (c *cycle) zoneOf(slot int32) string { return c.profiles[c.scratch.profileID[slot]].zone }
--- a/internal/sched/equivalence_test.go
+++ b/internal/sched/equivalence_test.go
@@ -43,7 +43,7 @@
 
 // checkAgainstReference lets cycles over the class index and reference cycles decide at each step,
 // and counts the cycles, placements and preemptions.
-func checkAgainstReference(t failer, steps []cycleStep) (cycles, placed, stopped int) {
+func checkAgainstReference(t testFailer, steps []cycleStep) (cycles, placed, stopped int) {
 	t.Helper()
 	view, nodes := NewView(), map[string]Node{}
 	for _, step := range steps {
@@ -106,7 +106,7 @@
 }
 
 // compareWithReference lets both cycles decide and returns the plan of the one over classes.
-func compareWithReference(t failer, view *View, in Input, machines map[string]Node, gpuLimit float64, previous *Plan) *Plan {
+func compareWithReference(t testFailer, view *View, in Input, machines map[string]Node, gpuLimit float64, previous *Plan) *Plan {
 	t.Helper()
 	in.View, in.Previous = view, previous
 	plan := Run(cloneInput(in, gpuLimit))
--- a/internal/sched/fit.go
+++ b/internal/sched/fit.go
@@ -7,15 +7,15 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// startsWhole reports whether a job starts with all its tasks or not at all. A job that runs already
-// only has tasks restarted that failed or whose machines died.
-func startsWhole(job *Job) bool {
+// isAllOrNothing reports whether a job must start with all its tasks or not at all. This no longer applies
+// to a job with live attempts: its pending tasks have failed or lost their machines, and restart one by one.
+func isAllOrNothing(job *Job) bool {
 	return (job.Spec.Kind != wire.JobArray || job.Spec.SingleZone) && job.LiveAttempts == 0
 }
 
-// fitTasks finds room for up to want tasks of a job at a horizon, books it, and returns the number of
-// tasks. With start set the plan launches the tasks; otherwise it only books the room, so that no later
-// job of the window uses it.
+// fitTasks places up to want tasks of a job on capacity that is free at a horizon, and returns how many it
+// placed. If start is set, the plan launches these tasks. Otherwise it only books the capacity, so that no
+// later job of the window uses it.
 func (c *cycle) fitTasks(job *Job, want int, at horizon, start bool) int {
 	shape := c.shapeAt(at)
 	if c.isKnownNotToFit(job, shape) {
@@ -31,14 +31,14 @@
 	if c.current.shapeDecidesFit && placed < want {
 		c.maxFit[shape] = placed
 	}
-	if placed == 0 || (startsWhole(job) && placed < job.PendingTasks) {
+	if placed == 0 || (isAllOrNothing(job) && placed < job.PendingTasks) {
 		return 0
 	}
 	c.commitPlacements(job, placements, start)
 	return placed
 }
 
-// countTasks returns the number of tasks of several placements.
+// countTasks returns the number of tasks in a list of placements.
 func countTasks(placements []Placement) int {
 	tasks := 0
 	for _, p := range placements {
@@ -47,8 +47,8 @@
 	return tasks
 }
 
-// chooseSingleZone tries each zone and chooses the one that has room for most tasks, on the fewest
-// machines. A job that has live attempts in a zone stays there.
+// chooseSingleZone chooses nodes in the zone where the most tasks fit; of such zones, the one where they need
+// the fewest machines. A job that has live attempts in a zone stays there.
 func (c *cycle) chooseSingleZone(job *Job, want int, at horizon) []Placement {
 	for zone, attempts := range job.LiveByZone {
 		if attempts > 0 {
@@ -66,7 +66,7 @@
 	return best
 }
 
-// zoneNames lists the zones of all nodes in order.
+// zoneNames returns the sorted names of the zones of all nodes.
 func (c *cycle) zoneNames() []string {
 	var names []string
 	for i := range c.profiles {
@@ -78,8 +78,8 @@
 	return names
 }
 
-// zoneAllowance returns how many more tasks of a job may be placed in a zone. Tasks that the caller has
-// chosen but not committed are not counted.
+// zoneAllowance returns how many more tasks of a job may be placed in a zone. It does not know of placements
+// that the caller has chosen but not committed; the caller subtracts these.
 func zoneAllowance(job *Job, zone string) int {
 	if !job.Spec.SpreadZones {
 		return job.Spec.TaskCount
@@ -87,8 +87,8 @@
 	return (job.Spec.TaskCount+1)/2 - job.LiveByZone[zone]
 }
 
-// commitPlacements books placements against every horizon, so that no later job of the window uses the
-// room, and against the limit of the team.
+// commitPlacements books placements: it subtracts them from the free capacity at every horizon, so that no
+// later job of the window uses it, and adds them to the usage of the team.
 func (c *cycle) commitPlacements(job *Job, placements []Placement, start bool) {
 	need := fleet.TaskResources(job.Spec)
 	placed := 0
--- a/internal/sched/fitshape.go
+++ b/internal/sched/fitshape.go
@@ -6,24 +6,24 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// byPreemption stands for the room that a job gets by preempting others.
-const byPreemption = horizons
+// byPreemption is the horizon in the demandShape of a job that tries preemption.
+const byPreemption = horizonCount
 
-// demandShape is an equivalence class of jobs at a horizon: those that fit the same nodes. Room only
-// shrinks during a cycle, but for what is stopped: if so many tasks of a shape fitted, no more fit
-// later.
+// demandShape identifies jobs whose tasks fit the same nodes at a horizon. If only n tasks of a shape fitted,
+// no more than n fit later in the cycle, because free capacity only shrinks. The exception is a preemption:
+// it adds free capacity, so releaseCapacity discards all known counts.
 type demandShape struct {
 	horizon                         horizon
-	preemptor                       preemptor // of a job that preempts
+	preemptionRule                  preemptionRule // set only for byPreemption
 	need                            fleet.Resources
 	machineTypes, zone              string
 	allowSpot                       bool
 	cannotAwaitBoot, waitedPastBoot bool
 	spotUnavailable                 bool
-	requiredImage                   string // if only nodes that have it will do
+	requiredImage                   string // set only if just nodes that have this image may be used
 }
 
-// prepareFor prepares the cycle for a job: which machine profiles it may use, and its own shape.
+// prepareFor computes what the cycle needs to place a job: the profiles that it may use and its context.
 func (c *cycle) prepareFor(job *Job) {
 	scratch := c.scratch
 	scratch.eligible = resize(scratch.eligible, len(c.profiles))
@@ -49,24 +49,25 @@
 	}
 }
 
-// shapeAt returns the shape of the current job at a horizon.
+// shapeAt returns the demandShape of the current job at a horizon.
 func (c *cycle) shapeAt(at horizon) demandShape {
 	shape := c.current.shape
 	shape.horizon = at
-	if c.current.warmOnly {
+	if c.current.imageRequired {
 		shape.requiredImage = c.current.job.Spec.Image
 	}
 	if at == byPreemption {
-		shape.preemptor = c.preemptorOf(c.current.job)
+		shape.preemptionRule = c.preemptionRuleOf(c.current.job)
 	}
 	return shape
 }
 
-// isKnownNotToFit reports whether a job of the same shape has found too little room for this one.
+// isKnownNotToFit reports whether an earlier attempt with the same shape has shown that no task of the job
+// fits, or too few for an all-or-nothing job.
 func (c *cycle) isKnownNotToFit(job *Job, shape demandShape) bool {
 	if !c.current.shapeDecidesFit {
 		return false
 	}
 	maxTasks, known := c.maxFit[shape]
-	return known && (maxTasks == 0 || startsWhole(job) && maxTasks < job.PendingTasks)
+	return known && (maxTasks == 0 || isAllOrNothing(job) && maxTasks < job.PendingTasks)
 }
--- a/internal/sched/heap.go
+++ b/internal/sched/heap.go
@@ -1,13 +1,13 @@
 package sched
 
-// heap is a binary heap. A job needs the first few of many items, so they are not sorted as a whole. It
-// works in the memory of the list that it is made of.
+// heap is a binary min-heap. It is used instead of sorting because a job usually needs only the first few of
+// many items.
 type heap[T any] struct {
 	items []T
 	less  func(a, b *T) bool
 }
 
-// newHeap makes a heap of a list, whose memory it uses.
+// newHeap turns a list into a heap in place; the caller must not use the list afterwards.
 func newHeap[T any](items []T, less func(a, b *T) bool) *heap[T] {
 	h := &heap[T]{items: items, less: less}
 	for i := len(items)/2 - 1; i >= 0; i-- {
@@ -19,10 +19,10 @@
 // Len returns the number of items.
 func (h *heap[T]) Len() int { return len(h.items) }
 
-// Min returns the first item in order, which stays in the heap.
+// Min returns the least item without removing it.
 func (h *heap[T]) Min() *T { return &h.items[0] }
 
-// Pop removes the first item and returns it.
+// Pop removes the least item and returns it.
 func (h *heap[T]) Pop() T {
 	last := len(h.items) - 1
 	first := h.items[0]
@@ -45,13 +45,13 @@
 	}
 }
 
-// Replace replaces the first item by another one.
+// Replace replaces the least item by another one.
 func (h *heap[T]) Replace(item T) {
 	h.items[0] = item
 	h.siftDown(0)
 }
 
-// siftDown moves an item to its place among those below it.
+// siftDown moves an item down until none of its children is less.
 func (h *heap[T]) siftDown(i int) {
 	for {
 		child := 2*i + 1
--- a/internal/sched/input.go
+++ b/internal/sched/input.go
@@ -7,36 +7,36 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Node is a machine as a cycle sees it.
+// Node is the state of a machine that a cycle uses.
 type Node struct {
 	ID               string
 	Type             string
 	Zone             string
 	Spot             bool
 	Capacity         fleet.Resources
-	Free             fleet.Resources // usable now; zero for a machine that accepts no launches
-	FreeAfterStops   fleet.Resources // usable once the tasks that are being stopped have ended
-	FreeAfterBoot    fleet.Resources // usable once the machine is up
-	Registered       bool            // it sends heartbeats: it has images, or fetches them
-	Images           []string        // images that it has or fetches
-	ActiveFetches    int             // images that it fetches now; they share its fetch rate
-	Victims          []Victim        // running tasks that may be preempted, in any order
+	Free             fleet.Resources // free now; zero for a machine that accepts no launches
+	FreeAfterStops   fleet.Resources // free once the tasks that are being stopped have ended
+	FreeAfterBoot    fleet.Resources // free once the machine has booted
+	Registered       bool            // sends heartbeats, so it may have images or be fetching them
+	Images           []string        // images that it has or is fetching
+	ActiveFetches    int             // number of images being fetched; they share the machine's fetch rate
+	Victims          []Victim        // running tasks that may be preempted; order does not matter
 	HourlyPrice      float64         // 0 if unknown
-	ScaleInCandidate bool            // will be scaled in unless work that may not use spot machines needs it
-	RunsOnDemandWork bool            // stays because it runs work that may not use spot machines
+	ScaleInCandidate bool            // will be scaled in unless a task that may not use spot machines needs it
+	RunsOnDemandWork bool            // not scaled in, because it runs tasks that may not use spot machines
 }
 
-// Victim is a running task that a job of a higher priority may preempt, or a job within its team's
-// quota if this task's team is beyond its own quota.
+// Victim is a running task that may be preempted by a job of a higher priority. A job that is within its
+// team's quota may also preempt it if the victim belongs to another team that exceeds its quota.
 type Victim struct {
-	Serial        int // identifies the attempt to the caller
+	Serial        int // the caller's identifier of the attempt
 	JobUID        string
 	Team          string
 	Level         int // priority level, below maxLevels
 	Need          fleet.Resources
-	MaxLossS      float64   // seconds of work lost if it is stopped; the upper bound if LossGrowsFrom is set
-	LossGrowsFrom time.Time // if set, the loss grows from this time on
-	IsReplica     bool      // a replica of a service: users notice at once that it is stopped
+	MaxLossS      float64   // seconds of work lost if the task is stopped; an upper bound if LossGrowsFrom is set
+	LossGrowsFrom time.Time // if set, the loss is the time since then, at most MaxLossS
+	IsReplica     bool      // replica of a service: stopping it affects users at once
 }
 
 // lossS returns how many seconds of work are lost if the task is stopped now.
@@ -47,35 +47,36 @@
 	return min(now.Sub(v.LossGrowsFrom).Seconds(), v.MaxLossS)
 }
 
-// Job is a job with pending tasks. A cycle updates PendingTasks, LiveAttempts and LiveByZone.
+// Job is a job with pending tasks. Run updates its PendingTasks, LiveAttempts and LiveByZone.
 type Job struct {
 	Spec             *wire.JobSpec
-	Level            int            // priority level: higher goes first
-	WithinQuota      bool           // fits its team's quota: does not wait for work of other teams
+	Level            int            // priority level: higher levels go first
+	WithinQuota      bool           // fits its team's quota: goes before jobs that do not
 	QueuedSinceMs    int64          // Unix time when it was accepted or, if later, released by its dependencies
 	PendingTasks     int            // tasks without an attempt
-	LiveAttempts     int            // attempts that are not known to have ended
+	LiveAttempts     int            // attempts not known to have ended
 	LiveByZone       map[string]int // LiveAttempts by zone
-	WaitedS          float64
-	FetchDelaysStart bool    // the fetch of its image may make the start late
-	StartSlackS      float64 // what is left of its time to start after fetch and delivery
-	LaxityS          float64 // how long it can still wait and meet its deadline
-	CannotAwaitBoot  bool    // has waited as long as a new machine takes to boot, or has no time left for that
-	WaitedPastBoot   bool    // has waited as long as a new machine takes to boot
-	SpotUnavailable  bool    // the cloud has no spot machine for it, so it does not wait for one
-	FirstTaskOverdue bool    // this is the first task of an array that should have begun by now
-	AvoidedMachine   string  // ID of a machine that it must not be placed on; "" if none
+	WaitedS          float64        // seconds since it was queued
+	FetchDelaysStart bool           // fetching its image may make it start too late
+	StartSlackS      float64        // time remaining until it must start, after fetching the image and delivering the task
+	LaxityS          float64        // how long it can still wait and meet its deadline; negative if it cannot
+	CannotAwaitBoot  bool           // has waited as long as a machine takes to boot, or would miss its deadline by waiting for one
+	WaitedPastBoot   bool           // has waited as long as a machine takes to boot
+	SpotUnavailable  bool           // the cloud has no spot machine for it: do not wait for one
+	FirstTaskOverdue bool           // this is the first task of an array, and it should have started by now
+	AvoidedMachine   string         // ID of a machine that it must not be placed on; "" if none
 }
 
-// Team is what a team uses, and its limit and quota. A limit of 0 means no limit, a quota of 0 no quota.
+// Team holds a team's usage, limit and quota. A limit of 0 means no limit, a quota of 0 no quota.
 type Team struct {
 	Used, Limit, Quota struct{ Cores, Gpus float64 }
-	// Stopping is the part of Used that is being stopped. It counts against the limit until it is off
-	// its machine, but no longer toward the quota.
+	// Stopping is the part of Used whose tasks are being stopped. It counts against the limit until the
+	// tasks have left their machines, but no longer counts toward the quota.
 	Stopping struct{ Cores, Gpus float64 }
 }
 
-// beyondQuota returns how much a team would still use beyond its quota if more of its work were stopped.
+// beyondQuota returns by how much the team's usage would exceed its quota once more resources of it have
+// been released. Negative amounts are below the quota.
 func (t *Team) beyondQuota(more fleet.Resources) fleet.Resources {
 	return fleet.Resources{
 		Cores: t.Used.Cores - t.Stopping.Cores - t.Quota.Cores - more.Cores,
@@ -83,29 +84,29 @@
 	}
 }
 
-// Input is the snapshot that a cycle decides on. Its nodes are the machines of View, by slot, followed
-// by Nodes.
+// Input is the snapshot that a cycle works on. A node index of a Plan counts the slots of View first,
+// then Nodes.
 type Input struct {
 	Now             time.Time
 	View            *View  // machines that are retained from cycle to cycle; nil if there are none
-	Nodes           []Node // transient nodes of this cycle only
-	Jobs            []*Job // in any order
+	Nodes           []Node // nodes that exist in this cycle only
+	Jobs            []*Job // order does not matter
 	Teams           map[string]*Team
-	Window          int     // most jobs that the cycle considers
-	ReserveAfterS   float64 // the first job of the window gets a reservation once it has waited longer
+	Window          int     // maximum number of jobs that the cycle considers
+	ReserveAfterS   float64 // the first job that is tried may get a reservation once it has waited longer than this
 	PriorityWeights [5]float64
-	// Previous, if set, is the plan whose remaining room the cycle starts from, with the same view and
-	// nodes. Room that is free once its stops have ended counts as free at once: such a cycle asks what
-	// would fit, and its placements must not be launched.
+	// Previous, if set, is a plan for the same view and nodes; the cycle starts from the capacity that it
+	// left. Capacity that the stopping tasks of that plan still occupy counts as free, so the result only
+	// shows what would fit: its placements must not be launched.
 	Previous *Plan
-	// WithinQuota is the jobs within the quotas of their teams, by UID, those with nothing pending
-	// included; nil if no team has a quota.
+	// WithinQuota says by UID whether a job is within its team's quota. It includes jobs without pending
+	// tasks. It is nil if no team has a quota.
 	WithinQuota map[string]bool
-	// PreemptOnlyBelow protects work of this level or above from every job; 0 leaves it to the levels
-	// of the jobs.
+	// PreemptOnlyBelow, if above 0, is a priority level: tasks of this level or above are not preempted
+	// for their priority.
 	PreemptOnlyBelow int
 }
 
-// DefaultPriorityWeights is p_j by priority level. They enter Plan.Objective only; that work of a higher
-// priority goes first is up to SortQueue.
+// DefaultPriorityWeights holds p_j (see the package comment) by priority level. The weights affect only
+// Plan.Objective; SortQueue puts jobs of higher priority first.
 var DefaultPriorityWeights = [5]float64{0, 1, 4, 16, 64}
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -2,34 +2,34 @@
 
 import "lotusstile.dev/lotusstile/internal/fleet"
 
-// Placement starts Count tasks of a job on a node, which is an index as Input describes.
+// Placement starts Count tasks of a job on a node. See Input for the node index.
 type Placement struct {
 	Job   *Job
 	Node  int
 	Count int
 }
 
-// Preemption stops the victim with the given serial on a node.
+// Preemption stops the victim with the given serial number on a node.
 type Preemption struct {
 	Node        int
 	Serial      int
-	StartSlackS float64 // how long the preempting job can wait for it
+	StartSlackS float64 // how long the preempting job can wait for the victim to stop
 }
 
-// Shortfall is demand that no machine, registered or booting, has room for.
+// Shortfall is the number of tasks of a job that fit on no machine, registered or booting.
 type Shortfall struct {
 	Job   *Job
 	Count int
 }
 
-// Plan is the outcome of a cycle.
+// Plan is the result of a cycle.
 type Plan struct {
 	Placements     []Placement
 	Preemptions    []Preemption
 	Shortfalls     []Shortfall
-	Objective      float64           // sum of p_j(s_j - c_j) over the jobs that start
-	JobsConsidered int               // jobs in the window
+	Objective      float64           // sum of p_j(s_j - c_j) over the jobs that start (see the package comment)
+	JobsConsidered int               // number of jobs in the window
 	ReservedFor    string            // UID of the job that nodes are reserved for; "" if none
-	FreeAfterStops []fleet.Resources // what the cycle leaves of each node once stops have ended
-	FreeAfterBoot  []fleet.Resources // what it leaves once machines are up, too
+	FreeAfterStops []fleet.Resources // free on each node after the plan, once the tasks being stopped have ended
+	FreeAfterBoot  []fleet.Resources // free on each node after the plan, once booting machines are up as well
 }
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -7,18 +7,18 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// preemptionCostS is what stopping a task costs beside the work that it loses, in seconds. Free room is
-// therefore better than any victim, and of equal losses the one with fewer victims is better.
+// preemptionCostS is a fixed cost of stopping a task, in seconds, on top of the work that the task loses. It
+// makes free capacity better than any victim, and of options that lose equal work, the one with fewer victims.
 const preemptionCostS = 1
 
-// preemptionOption is room for one task on a node once some of its victims are stopped.
+// preemptionOption is a way to place one task on a node: on free capacity, or by stopping victims.
 type preemptionOption struct {
 	node                   int32   // slot
-	firstVictim, endVictim int     // range in stop order: those of it that the job may preempt are stopped
-	lossS                  float64 // of all its victims, with preemptionCostS for each; 0 for free room
+	firstVictim, endVictim int     // range in stop order; the victims in it that the job may preempt are stopped
+	lossS                  float64 // total of its victims, plus preemptionCostS for each; 0 for free capacity
 }
 
-// isBetterThan orders options: the least loss goes first.
+// isBetterThan reports whether an option loses less than another one; ties are broken by node and victim.
 func (o *preemptionOption) isBetterThan(other *preemptionOption) bool {
 	return cmp.Or(
 		cmp.Compare(o.lossS, other.lossS),
@@ -27,9 +27,9 @@
 	) < 0
 }
 
-// preempt stops work of lower priority so that up to want tasks of a job fit, books the room for them,
-// and returns their number. It never stops work for nothing: a job that starts whole gets all its room
-// or none. By priority, replicas are preempted only for a job that cannot wait for a new machine to boot.
+// preempt stops victims so that up to want tasks of a job fit, books the capacity for these tasks, and
+// returns their number. preemptionRule says which victims it may stop. It stops none for an all-or-nothing
+// job unless all tasks of the job then fit.
 func (c *cycle) preempt(job *Job, want int) int {
 	if c.lowestVictimLevel >= c.preemptionLevel(job) && !job.WithinQuota {
 		return 0
@@ -42,7 +42,7 @@
 	if c.current.shapeDecidesFit && len(placements) < want {
 		c.maxFit[shape] = len(placements)
 	}
-	if len(placements) == 0 || (startsWhole(job) && len(placements) < job.PendingTasks) {
+	if len(placements) == 0 || (isAllOrNothing(job) && len(placements) < job.PendingTasks) {
 		return 0
 	}
 	c.stopVictims(job, chosen)
@@ -50,16 +50,16 @@
 	return len(placements)
 }
 
-// preemptionOptions lists the room that there is for tasks of a job, and that there would be if work
-// that it may preempt were stopped, the least loss first on each node. If the job's tasks may be in
-// any zone, no more options than wanted tasks are listed: those with the least loss.
+// preemptionOptions lists the options for tasks of a job: free capacity, and capacity that would be free if
+// victims were stopped. If the job's zones are not restricted, it keeps only the want options with the least
+// loss.
 func (c *cycle) preemptionOptions(job *Job, want int) []preemptionOption {
-	need, preemptible, scratch := fleet.TaskResources(job.Spec), c.preemptibleBy(job), c.scratch
+	need, preemptible, scratch := fleet.TaskResources(job.Spec), c.preemptibleSummaryFor(job), c.scratch
 	maxOptions := math.MaxInt
 	if !job.Spec.SingleZone && !job.Spec.SpreadZones {
 		maxOptions = want
 	}
-	// The worst option is the minimum of this heap, so that a better one can replace it.
+	// The order of this heap is reversed: its minimum is the worst option, which a better one replaces.
 	best := newHeap(scratch.options[:0], func(a, b *preemptionOption) bool { return b.isBetterThan(a) })
 	add := func(option preemptionOption) {
 		switch {
@@ -69,13 +69,13 @@
 			best.Replace(option)
 		}
 	}
-	for slot := range scratch.profile {
-		room := c.free[afterStops][slot]
-		if !room.Add(preemptible.releasable[slot]).Fits(need) {
+	for slot := range scratch.profileID {
+		free := c.free[afterStops][slot]
+		if !free.Add(preemptible.releasable[slot]).Fits(need) {
 			continue
 		}
-		if best.Len() >= maxOptions && preemptible.minLossS[slot] >= best.Min().lossS && !room.FitsRequested(need) {
-			continue // every option on this node loses at least as much as the worst one, and sorts after it
+		if best.Len() >= maxOptions && preemptible.minLossS[slot] >= best.Min().lossS && !free.FitsRequested(need) {
+			continue // each option here loses at least as much as the worst one, and sorts after it
 		}
 		if c.isVacant(slot) || !c.isNodeEligible(job, int32(slot)) {
 			continue
@@ -86,12 +86,12 @@
 	return best.items
 }
 
-// addOptionsOnNode adds the room on a node for tasks of a job, one by one.
+// addOptionsOnNode calls add for each option on a node, those on free capacity first, then in stop order.
 func (c *cycle) addOptionsOnNode(job *Job, slot int32, need fleet.Resources, want int, add func(option preemptionOption)) {
-	room := c.free[afterStops][slot]
-	for range room.CountFitting(need, want) {
+	free := c.free[afterStops][slot]
+	for range free.CountFitting(need, want) {
 		add(preemptionOption{node: slot})
-		room = room.Sub(need)
+		free = free.Sub(need)
 	}
 	victims := c.victimsInStopOrder(slot)
 	option := preemptionOption{node: slot}
@@ -100,21 +100,21 @@
 		if !c.jobMayPreempt(job, v) {
 			continue
 		}
-		room = room.Add(v.Need)
+		free = free.Add(v.Need)
 		option.endVictim = k + 1
 		option.lossS += v.lossS(c.input.Now) + preemptionCostS
-		if room.Fits(need) {
+		if free.Fits(need) {
 			add(option)
 			option = preemptionOption{node: slot, firstVictim: option.endVictim}
-			room = room.Sub(need)
+			free = free.Sub(need)
 		}
 	}
 }
 
-// chooseLeastDisruptive chooses the options with the least loss that the job's zones and the quotas of
-// other teams allow, for up to want tasks.
+// chooseLeastDisruptive chooses the options with the least loss for up to want tasks, within the zones that
+// the job may use and without taking other teams below their quotas.
 func (c *cycle) chooseLeastDisruptive(job *Job, want int, options []preemptionOption) (placements []Placement, chosen []preemptionOption) {
-	order := newHeap(options, (*preemptionOption).isBetterThan)
+	leastLossFirst := newHeap(options, (*preemptionOption).isBetterThan)
 	jobZone := ""
 	for zone, attempts := range job.LiveByZone {
 		if job.Spec.SingleZone && attempts > 0 {
@@ -122,8 +122,8 @@
 		}
 	}
 	takenByZone, reclaimed := map[string]int{}, map[string]fleet.Resources{}
-	for order.Len() > 0 && len(placements) < want {
-		option := order.Pop()
+	for leastLossFirst.Len() > 0 && len(placements) < want {
+		option := leastLossFirst.Pop()
 		zone := c.zoneOf(option.node)
 		if (job.Spec.SingleZone && jobZone != "" && zone != jobZone) || zoneAllowance(job, zone)-takenByZone[zone] <= 0 {
 			continue
@@ -141,36 +141,37 @@
 	return placements, chosen
 }
 
-// reclaimWithinQuotas reports whether what an option reclaims from other teams leaves each of them its
-// own quota, on top of what was reclaimed from it for the job already. If so, it adds it to reclaimed.
+// reclaimWithinQuotas reports whether each other team still has its quota after the option has reclaimed
+// resources from it, in addition to those that the job has reclaimed already. If so, it adds the option's
+// share to reclaimed, which is by team.
 func (c *cycle) reclaimWithinQuotas(job *Job, option *preemptionOption, reclaimed map[string]fleet.Resources) bool {
-	by := c.preemptorOf(job)
-	if !by.reclaimsQuota || option.endVictim == 0 {
+	rule := c.preemptionRuleOf(job)
+	if !rule.reclaimsQuota || option.endVictim == 0 {
 		return true
 	}
-	after := map[string]fleet.Resources{}
+	reclaimedAfter := map[string]fleet.Resources{}
 	victims := c.sortedVictims[option.node]
 	for k := option.firstVictim; k < option.endVictim; k++ {
 		v := &victims[k]
-		if by.mayPreemptByPriority(v) || !by.mayPreempt(v, c.input.WithinQuota) {
+		if rule.mayPreemptByPriority(v) || !rule.mayPreempt(v, c.input.WithinQuota) {
 			continue
 		}
-		amount, known := after[v.Team]
+		amount, known := reclaimedAfter[v.Team]
 		if !known {
 			amount = reclaimed[v.Team]
 		}
-		after[v.Team] = amount.Add(v.Need)
+		reclaimedAfter[v.Team] = amount.Add(v.Need)
 	}
-	for name, amount := range after {
+	for name, amount := range reclaimedAfter {
 		team := c.input.Teams[name]
 		if team == nil {
 			return false
 		}
-		if left := team.beyondQuota(amount); left.Cores < -roundingTolerance || left.Gpus < -roundingTolerance {
+		if beyond := team.beyondQuota(amount); beyond.Cores < -roundingTolerance || beyond.Gpus < -roundingTolerance {
 			return false
 		}
 	}
-	for name, amount := range after {
+	for name, amount := range reclaimedAfter {
 		reclaimed[name] = amount
 	}
 	return true
--- a/internal/sched/preemptor.go
+++ b/internal/sched/preemptor.go
@@ -1,23 +1,23 @@
 package sched
 
-// preemptor is what decides which running work a job may preempt.
-type preemptor struct {
-	belowLevel      int    // work of lower priority levels
-	mayStopReplicas bool   // replicas of services too
-	team            string // of the job, where teams have quotas
-	reclaimsQuota   bool   // the job is within its team's quota
+// preemptionRule decides which victims a job may preempt.
+type preemptionRule struct {
+	belowLevel      int    // victims below this priority level may be preempted for their priority
+	mayStopReplicas bool   // replicas of services may be preempted for their priority
+	team            string // the job's team; "" if no team has a quota
+	reclaimsQuota   bool   // the job is within its team's quota, so it may reclaim capacity from other teams
 }
 
-// preemptorOf returns the rule for a job.
-func (c *cycle) preemptorOf(job *Job) preemptor {
-	by := preemptor{belowLevel: c.preemptionLevel(job), mayStopReplicas: job.CannotAwaitBoot}
+// preemptionRuleOf returns the rule that applies to a job.
+func (c *cycle) preemptionRuleOf(job *Job) preemptionRule {
+	rule := preemptionRule{belowLevel: c.preemptionLevel(job), mayStopReplicas: job.CannotAwaitBoot}
 	if c.input.WithinQuota != nil {
-		by.team, by.reclaimsQuota = job.Spec.Team, job.WithinQuota
+		rule.team, rule.reclaimsQuota = job.Spec.Team, job.WithinQuota
 	}
-	return by
+	return rule
 }
 
-// preemptionLevel returns the level below which a job may preempt work.
+// preemptionLevel returns the priority level below which a job may preempt victims for their priority.
 func (c *cycle) preemptionLevel(job *Job) int {
 	if limit := c.input.PreemptOnlyBelow; limit > 0 {
 		return min(job.Level, limit)
@@ -25,23 +25,24 @@
 	return job.Level
 }
 
-// mayPreempt reports whether running work may be preempted. What another team runs within its quota
-// stays, whatever its priority: if it were preempted, its team would reclaim the room in the next
-// cycle. What that team runs beyond its quota may be reclaimed, and a job that reclaims need not wait
-// for a machine to boot first.
-func (by preemptor) mayPreempt(v *Victim, withinQuota map[string]bool) bool {
-	if by.team != "" && v.Team != by.team && withinQuota[v.JobUID] {
+// mayPreempt reports whether the rule allows a victim to be preempted. A victim that another team runs within
+// its quota is never preempted, whatever its priority: its team would reclaim the capacity in the next cycle.
+// A job within its quota may reclaim what another team runs beyond its quota, whatever its priority and
+// without waiting for a machine to boot first. withinQuota is Input.WithinQuota.
+func (rule preemptionRule) mayPreempt(v *Victim, withinQuota map[string]bool) bool {
+	if rule.team != "" && v.Team != rule.team && withinQuota[v.JobUID] {
 		return false
 	}
-	return by.mayPreemptByPriority(v) || by.reclaimsQuota && v.Team != by.team
+	return rule.mayPreemptByPriority(v) || rule.reclaimsQuota && v.Team != rule.team
 }
 
-// mayPreemptByPriority reports whether running work may be preempted for its priority alone.
-func (by preemptor) mayPreemptByPriority(v *Victim) bool {
-	return v.Level < by.belowLevel && (!v.IsReplica || by.mayStopReplicas)
+// mayPreemptByPriority reports whether the rule allows a victim to be preempted for its priority. Replicas are
+// preempted only for a job that cannot wait for a machine to boot.
+func (rule preemptionRule) mayPreemptByPriority(v *Victim) bool {
+	return v.Level < rule.belowLevel && (!v.IsReplica || rule.mayStopReplicas)
 }
 
-// jobMayPreempt reports whether a job may preempt running work.
+// jobMayPreempt reports whether a job may preempt a victim.
 func (c *cycle) jobMayPreempt(job *Job, v *Victim) bool {
-	return c.preemptorOf(job).mayPreempt(v, c.input.WithinQuota)
+	return c.preemptionRuleOf(job).mayPreempt(v, c.input.WithinQuota)
 }
--- a/internal/sched/profile.go
+++ b/internal/sched/profile.go
@@ -2,7 +2,7 @@
 
 import "lotusstile.dev/lotusstile/internal/fleet"
 
-// nodeProfile is what a machine has in common with others whatever room they have.
+// nodeProfile holds the properties of a machine that many machines share and that a cycle does not change.
 type nodeProfile struct {
 	machineType, zone string
 	spot              bool
@@ -32,7 +32,7 @@
 	index map[nodeProfile]int32
 }
 
-// idOf returns the ID of a profile, which it adds if it is new.
+// idOf returns the ID of a profile, and adds the profile if it is new.
 func (t *profileTable) idOf(profile nodeProfile) int32 {
 	id, known := t.index[profile]
 	if !known {
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -7,22 +7,22 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// SortQueue sorts jobs by whether their team's quota covers them, then by priority, then by laxity,
-// then age, then UID. Arrays that can no longer meet their deadline let the rest of their priority
-// pass until they have waited for patienceS seconds. First tasks of arrays that should have begun go
-// first within their priority, those of the oldest job before others.
-func SortQueue(jobs []*Job, patienceS float64) {
-	slices.SortFunc(jobs, func(a, b *Job) int { return compareQueued(a, b, patienceS) })
+// SortQueue sorts jobs by these criteria: within the quota of the team before beyond it, higher priority
+// first, least laxity first, oldest first, UID. Within a priority there are two exceptions. Overdue first
+// tasks of arrays go before all other jobs, the oldest job first. Arrays that can no longer meet their
+// deadline go last until they have waited for maxYieldS seconds.
+func SortQueue(jobs []*Job, maxYieldS float64) {
+	slices.SortFunc(jobs, func(a, b *Job) int { return compareQueued(a, b, maxYieldS) })
 }
 
-func compareQueued(a, b *Job, patienceS float64) int {
+func compareQueued(a, b *Job, maxYieldS float64) int {
 	if order := cmp.Or(compareTrueFirst(a.WithinQuota, b.WithinQuota), cmp.Compare(b.Level, a.Level)); order != 0 {
 		return order
 	}
 	if !a.FirstTaskOverdue || !b.FirstTaskOverdue {
 		order := cmp.Or(
 			compareTrueFirst(a.FirstTaskOverdue, b.FirstTaskOverdue),
-			compareTrueFirst(!yieldsToOthers(a, patienceS), !yieldsToOthers(b, patienceS)),
+			compareTrueFirst(!yieldsToOthers(a, maxYieldS), !yieldsToOthers(b, maxYieldS)),
 			cmp.Compare(a.LaxityS, b.LaxityS),
 		)
 		if order != 0 {
@@ -32,13 +32,13 @@
 	return cmp.Or(cmp.Compare(a.QueuedSinceMs, b.QueuedSinceMs), cmp.Compare(a.Spec.UID, b.Spec.UID))
 }
 
-// yieldsToOthers reports whether a job lets the rest of its priority pass: it is late anyway, and has
-// not waited too long.
-func yieldsToOthers(job *Job, patienceS float64) bool {
-	return job.LaxityS < 0 && job.Spec.Kind == wire.JobArray && job.WaitedS < patienceS
+// yieldsToOthers reports whether a job goes after the others of its priority: an array that can no longer
+// meet its deadline, and has waited for less than maxYieldS seconds.
+func yieldsToOthers(job *Job, maxYieldS float64) bool {
+	return job.LaxityS < 0 && job.Spec.Kind == wire.JobArray && job.WaitedS < maxYieldS
 }
 
-// compareTrueFirst orders true before false.
+// compareTrueFirst is a comparison that sorts true before false.
 func compareTrueFirst(a, b bool) int { return boolToInt(b) - boolToInt(a) }
 
 func boolToInt(b bool) int {
--- a/internal/sched/quota_test.go
+++ b/internal/sched/quota_test.go
@@ -100,8 +100,8 @@
 	return in
 }
 
-// failer is the part of *testing.T and *rapid.T that the checks use.
-type failer interface {
+// testFailer is the part of *testing.T and *rapid.T that the checks use.
+type testFailer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
@@ -110,7 +110,7 @@
 // job within its team's quota if it is of another team and beyond that team's quota. No team falls
 // below its own quota by that, what is stopped counts against its team's limit until it is off the
 // machine, and nothing is stopped in vain.
-func checkReclaim(t failer, in *Input) {
+func checkReclaim(t testFailer, in *Input) {
 	t.Helper()
 	used, beyond := map[string]Team{}, map[string]fleet.Resources{}
 	for name, team := range in.Teams {
@@ -136,7 +136,7 @@
 }
 
 // checkVictim checks one preemption and takes it off what its team has beyond its quota.
-func checkVictim(t failer, in *Input, v *Victim, beyond map[string]fleet.Resources) {
+func checkVictim(t testFailer, in *Input, v *Victim, beyond map[string]fleet.Resources) {
 	t.Helper()
 	j := in.Jobs[0]
 	if v.Team != "owner" && in.WithinQuota[v.JobUID] {
--- a/internal/sched/reference_preempt_test.go
+++ b/internal/sched/reference_preempt_test.go
@@ -22,7 +22,7 @@
 		return 0
 	}
 	shape, bounded := r.shapeAt(j, byPreemption)
-	if most, ok := r.maxFit[shape]; bounded && ok && (most == 0 || startsWhole(j) && most < j.PendingTasks) {
+	if most, ok := r.maxFit[shape]; bounded && ok && (most == 0 || isAllOrNothing(j) && most < j.PendingTasks) {
 		return 0
 	}
 	choices := r.preemptionOptions(j, want)
@@ -30,7 +30,7 @@
 	if bounded && len(places) < want {
 		r.maxFit[shape] = len(places)
 	}
-	if len(places) == 0 || (startsWhole(j) && len(places) < j.PendingTasks) {
+	if len(places) == 0 || (isAllOrNothing(j) && len(places) < j.PendingTasks) {
 		return 0
 	}
 	r.stopVictims(j, chosen)
@@ -133,7 +133,7 @@
 				stopped[v.Serial] = true
 				preemption := Preemption{Node: c.node, Serial: v.Serial, StartSlackS: j.StartSlackS}
 				r.plan.Preemptions = append(r.plan.Preemptions, preemption)
-				r.releaseRoom(c.node, v.Need)
+				r.releaseCapacity(c.node, v.Need)
 			}
 		}
 	}
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -16,14 +16,14 @@
 type referenceCycle struct {
 	input             *Input
 	plan              *Plan
-	free              [horizons][]fleet.Resources
-	openNodes         [horizons]referenceOpenNodes
+	free              [horizonCount][]fleet.Resources
+	openNodes         [horizonCount]referenceOpenNodes
 	victims           [][]Victim // by node, in stop order; nil until one is needed
 	lowestVictimLevel int
 	smallestNeed      fleet.Resources        // no task of the window needs less of any resource
 	maxFit            map[referenceShape]int // how many tasks at most fit, of shapes that were tried
 	reserved          []bool                 // nodes of the job that has a reservation
-	warmOnly          bool                   // only nodes that have the job's image
+	imageRequired     bool                   // only nodes that have the job's image
 
 	// Memory that the next job reuses: allocated again for each job, these lists were nearly all that a
 	// leader of 2,700 machines allocated.
@@ -84,7 +84,7 @@
 	if j.FetchDelaysStart {
 		// Its start would be late on a machine without its image: machines that have the image come
 		// first, even if work of lower priority must leave them.
-		r.warmOnly = true
+		r.imageRequired = true
 		left -= r.fitTasks(j, left, atOnce, true)
 		if left > 0 {
 			left -= r.fitTasks(j, left, afterStops, false)
@@ -92,7 +92,7 @@
 		if left > 0 {
 			left -= r.preempt(j, left)
 		}
-		r.warmOnly = false
+		r.imageRequired = false
 		if left == 0 {
 			return
 		}
@@ -131,7 +131,7 @@
 			want = min(want, int((resource.limit-resource.used+1e-6)/resource.need))
 		}
 	}
-	if want < j.PendingTasks && startsWhole(j) {
+	if want < j.PendingTasks && isAllOrNothing(j) {
 		return 0
 	}
 	return max(want, 0)
@@ -151,7 +151,7 @@
 // launched; otherwise their room is only booked.
 func (r *referenceCycle) fitTasks(j *Job, want int, at horizon, start bool) int {
 	shape, bounded := r.shapeAt(j, at)
-	if most, ok := r.maxFit[shape]; bounded && ok && (most == 0 || startsWhole(j) && most < j.PendingTasks) {
+	if most, ok := r.maxFit[shape]; bounded && ok && (most == 0 || isAllOrNothing(j) && most < j.PendingTasks) {
 		return 0 // a job of the same shape has found too little room
 	}
 	var places []Placement
@@ -164,7 +164,7 @@
 	if bounded && n < want {
 		r.maxFit[shape] = n
 	}
-	if n == 0 || (startsWhole(j) && n < j.PendingTasks) {
+	if n == 0 || (isAllOrNothing(j) && n < j.PendingTasks) {
 		return 0
 	}
 	r.commitPlacements(j, places, start)
@@ -215,7 +215,7 @@
 	if !n.Spot && !n.RunsOnDemandWork && j.Spec.AllowSpot && !j.SpotUnavailable && waitsForSpot {
 		return false
 	}
-	if r.warmOnly && (!n.Registered || !slices.Contains(n.Images, j.Spec.Image)) {
+	if r.imageRequired && (!n.Registered || !slices.Contains(n.Images, j.Spec.Image)) {
 		return false
 	}
 	return !r.reserved[i] && (zone == "" || n.Zone == zone) &&
@@ -417,8 +417,8 @@
 	return o.nodes
 }
 
-// releaseRoom adds the room of a task that is stopped to what its node has once it has ended.
-func (r *referenceCycle) releaseRoom(node int, room fleet.Resources) {
+// releaseCapacity adds the room of a task that is stopped to what its node has once it has ended.
+func (r *referenceCycle) releaseCapacity(node int, room fleet.Resources) {
 	clear(r.maxFit)
 	for _, at := range [...]horizon{afterStops, afterBoot} {
 		r.free[at][node] = r.free[at][node].Add(room)
@@ -470,7 +470,7 @@
 		waitedPastBoot:  j.WaitedPastBoot,
 		spotUnavailable: j.SpotUnavailable,
 	}
-	if r.warmOnly {
+	if r.imageRequired {
 		shape.requiredImage = s.Image
 	}
 	if at == byPreemption {
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -112,8 +112,8 @@
 			t.Fatalf("%s is in zones %v", spec.UID, byZone)
 		}
 	}
-	mustStartWhole := spec.Kind == wire.Service || spec.SingleZone
-	if tasks > spec.TaskCount || mustStartWhole && tasks != 0 && tasks != spec.TaskCount {
+	allOrNothing := spec.Kind == wire.Service || spec.SingleZone
+	if tasks > spec.TaskCount || allOrNothing && tasks != 0 && tasks != spec.TaskCount {
 		t.Fatalf("%s starts with %d of %d tasks", spec.UID, tasks, spec.TaskCount)
 	}
 	if spec.SingleZone && len(byZone) > 1 {
@@ -285,7 +285,7 @@
 // No machine has room left for a task of a shortfall: the shapes and lists that spare a cycle repeated
 // searches must not hide any room.
 func TestShortfallsHaveNoRoom(t *testing.T) {
-	shorts := 0
+	shortfalls := 0
 	rapid.Check(t, func(t *rapid.T) {
 		in := genInput(t, 12, 30)
 		in.Teams["crew"].Limit.Gpus = 0
@@ -302,7 +302,7 @@
 			if s.Job.Spec.Kind == wire.Service && s.Job.LiveAttempts == 0 && s.Job.PendingTasks > 1 {
 				continue // starts whole: room for one task may not be enough
 			}
-			shorts++
+			shortfalls++
 			for i, room := range plan.FreeAfterBoot {
 				n := &in.Nodes[i]
 				if IsEligible(s.Job.Spec, n.Type, n.Zone, n.Spot) && room.Fits(fleet.TaskResources(s.Job.Spec)) {
@@ -311,7 +311,7 @@
 			}
 		}
 	})
-	if shorts == 0 {
+	if shortfalls == 0 {
 		t.Error("nothing was short")
 	}
 }
--- a/internal/sched/victims.go
+++ b/internal/sched/victims.go
@@ -8,46 +8,47 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// preemptible is what jobs with one rule may preempt on each node: how much room that releases, and
-// the least loss of any of it. Most nodes are ruled out by these alone, without sorting their victims.
-type preemptible struct {
-	by         preemptor
+// preemptibleSummary sums up what jobs with the same rule may preempt on each node: the resources that this
+// would release in total, and the least loss of a single victim. These figures rule out most nodes, so that
+// their victims need not be sorted.
+type preemptibleSummary struct {
+	rule       preemptionRule
 	releasable []fleet.Resources // by slot
 	minLossS   []float64         // by slot
 }
 
-// preemptibleBy returns what a job may preempt. It is computed once a cycle for each rule, not for each
-// job. The result is valid until the next call.
-func (c *cycle) preemptibleBy(job *Job) *preemptible {
-	by, scratch := c.preemptorOf(job), c.scratch
+// preemptibleSummaryFor returns the summary for a job's rule. It computes the summary once per rule and cycle,
+// not for each job. The result is valid until the next call.
+func (c *cycle) preemptibleSummaryFor(job *Job) *preemptibleSummary {
+	rule, scratch := c.preemptionRuleOf(job), c.scratch
 	for i := range scratch.preemptible {
-		if known := &scratch.preemptible[i]; known.by == by {
-			return known
+		if existing := &scratch.preemptible[i]; existing.rule == rule {
+			return existing
 		}
 	}
-	// The lists of an earlier cycle are reused.
+	// An element beyond the length may be left from an earlier cycle; its lists are reused.
 	if len(scratch.preemptible) < cap(scratch.preemptible) {
 		scratch.preemptible = scratch.preemptible[:len(scratch.preemptible)+1]
 	} else {
-		scratch.preemptible = append(scratch.preemptible, preemptible{})
+		scratch.preemptible = append(scratch.preemptible, preemptibleSummary{})
 	}
 	added := &scratch.preemptible[len(scratch.preemptible)-1]
-	added.by = by
-	added.releasable = resize(added.releasable, len(scratch.profile))
-	added.minLossS = resize(added.minLossS, len(scratch.profile))
-	for slot := range scratch.profile {
+	added.rule = rule
+	added.releasable = resize(added.releasable, len(scratch.profileID))
+	added.minLossS = resize(added.minLossS, len(scratch.profileID))
+	for slot := range scratch.profileID {
 		added.update(c, int32(slot))
 	}
 	return added
 }
 
-// update sums up what may be preempted on a node.
-func (p *preemptible) update(c *cycle, slot int32) {
+// update recomputes the figures of a node.
+func (p *preemptibleSummary) update(c *cycle, slot int32) {
 	releasable, minLossS := fleet.Resources{}, math.Inf(1)
 	victims := c.runningVictims(slot)
 	for i := range victims {
 		v := &victims[i]
-		if p.by.mayPreempt(v, c.input.WithinQuota) {
+		if p.rule.mayPreempt(v, c.input.WithinQuota) {
 			releasable = releasable.Add(v.Need)
 			minLossS = min(minLossS, v.lossS(c.input.Now)+preemptionCostS)
 		}
@@ -55,13 +56,13 @@
 	p.releasable[slot], p.minLossS[slot] = releasable, minLossS
 }
 
-// runningVictims lists the victims of a node that this cycle has not stopped, in any order.
+// runningVictims lists the victims of a node that this cycle has not stopped. Their order is not defined.
 func (c *cycle) runningVictims(slot int32) []Victim {
 	if sorted, known := c.sortedVictims[slot]; known {
 		return sorted
 	}
-	if retained := int32(c.view.SlotCount()); slot >= retained {
-		return c.input.Nodes[slot-retained].Victims
+	if viewSlots := int32(c.view.SlotCount()); slot >= viewSlots {
+		return c.input.Nodes[slot-viewSlots].Victims
 	}
 	return c.view.nodes[slot].victims
 }
@@ -84,7 +85,7 @@
 	return sorted
 }
 
-// stopVictims stops the work that the chosen options preempt, and gives the job their room.
+// stopVictims stops the victims of the chosen options, and adds their resources to the free capacity.
 func (c *cycle) stopVictims(job *Job, chosen []preemptionOption) {
 	stopped := map[int]bool{}
 	for _, option := range chosen {
@@ -104,7 +105,7 @@
 				Serial:      v.Serial,
 				StartSlackS: job.StartSlackS,
 			})
-			c.releaseRoom(option.node, v.Need)
+			c.releaseCapacity(option.node, v.Need)
 		}
 	}
 	isStopped := func(v Victim) bool { return stopped[v.Serial] }
@@ -119,10 +120,11 @@
 	}
 }
 
-// releaseRoom adds the room of a task that is stopped to what its node has once it has ended.
-func (c *cycle) releaseRoom(slot int32, room fleet.Resources) {
-	clear(c.maxFit) // more may fit now than these say
-	c.free[afterStops][slot] = c.free[afterStops][slot].Add(room)
-	c.free[afterBoot][slot] = c.free[afterBoot][slot].Add(room)
+// releaseCapacity adds the resources of a task that is being stopped to the capacity of its node that is free
+// after stops and after boot.
+func (c *cycle) releaseCapacity(slot int32, released fleet.Resources) {
+	clear(c.maxFit) // more tasks may fit now than these upper bounds say
+	c.free[afterStops][slot] = c.free[afterStops][slot].Add(released)
+	c.free[afterBoot][slot] = c.free[afterBoot][slot].Add(released)
 	c.reclassify(slot)
 }
--- a/internal/sched/view.go
+++ b/internal/sched/view.go
@@ -9,32 +9,32 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// View holds the machines of a fleet as cycles see them. It is retained from cycle to cycle: a machine
-// that has changed is upserted, and a cycle only reads what is there. Machines have slots in the order
-// of their IDs, so that ties are broken by ID at no cost. It is not safe for concurrent use.
+// View holds the state of the machines of a fleet. It is retained from cycle to cycle: the caller upserts
+// the machines that have changed. Each machine has a slot. During a cycle, slots are in the order of machine
+// IDs, so that comparing slots breaks ties by ID. A View is not safe for concurrent use.
 type View struct {
 	slots          map[string]int32 // by machine ID
 	nodes          []retainedNode   // by slot
 	profiles       profileTable
-	imageIndex     map[string]*bitset.BitSet // by image: the slots of machines that have or fetch it
-	victimsByLevel [maxLevels]int            // how many victims there are of each priority level
-	unsorted       bool                      // slots are not in the order of IDs
-	profilesInUse  int                       // as of the last compaction
-	vacantSlots    int                       // slots without a machine
+	imageIndex     map[string]*bitset.BitSet // by image: slots of the machines that have or are fetching it
+	victimsByLevel [maxLevels]int            // number of victims of each priority level
+	unsorted       bool                      // slots are not in the order of machine IDs
+	profilesInUse  int                       // number of profiles after the last compaction
+	vacantSlots    int                       // number of slots without a machine
 	scratch        scratchSpace
 }
 
 // retainedNode is a machine in its slot.
 type retainedNode struct {
 	id            string // "": the slot is vacant
-	profile       int32
+	profileID     int32
 	activeFetches int32
-	free          [horizons]fleet.Resources
+	free          [horizonCount]fleet.Resources
 	victims       []Victim
 	images        []string // sorted
 }
 
-// maxLevels is above every priority level of jobs.
+// maxLevels is greater than any priority level.
 const maxLevels = 8
 
 // NewView returns an empty view.
@@ -42,17 +42,18 @@
 	return &View{slots: map[string]int32{}, imageIndex: map[string]*bitset.BitSet{}}
 }
 
-// SlotCount returns the number of slots: nodes of a plan below it are machines of the view.
+// SlotCount returns the number of slots, vacant ones included. In a Plan, node indexes below it are slots of
+// the view.
 func (v *View) SlotCount() int { return len(v.nodes) }
 
 // MachineCount returns the number of machines.
 func (v *View) MachineCount() int { return len(v.slots) }
 
-// MachineID returns the ID of the machine in a slot, "" if there is none.
+// MachineID returns the ID of the machine in a slot, or "" if the slot is vacant.
 func (v *View) MachineID(slot int) string { return v.nodes[slot].id }
 
-// Upsert adds a machine, or replaces it if it has changed, and reports whether anything has. The caller
-// must not change the node's slices afterwards.
+// Upsert adds a machine, or replaces it if it has changed, and reports whether the view has changed. It may
+// sort n.Images and keeps the node's slices; the caller must not modify them afterwards.
 func (v *View) Upsert(n *Node) (changed bool) {
 	slot, known := v.slots[n.ID]
 	if !known {
@@ -64,9 +65,9 @@
 	old := &v.nodes[slot]
 	next := retainedNode{
 		id:            n.ID,
-		profile:       v.profiles.idOf(profileOf(n)),
+		profileID:     v.profiles.idOf(profileOf(n)),
 		activeFetches: int32(n.ActiveFetches),
-		free:          [horizons]fleet.Resources{n.Free, n.FreeAfterStops, n.FreeAfterBoot},
+		free:          [horizonCount]fleet.Resources{n.Free, n.FreeAfterStops, n.FreeAfterBoot},
 		victims:       n.Victims,
 		images:        n.Images,
 	}
@@ -80,13 +81,13 @@
 	return true
 }
 
-// isEqual reports whether two nodes are the same to a cycle.
+// isEqual reports whether two nodes are equal except for the order of their victims.
 func (node *retainedNode) isEqual(other *retainedNode) bool {
-	if node.profile != other.profile || node.activeFetches != other.activeFetches || node.free != other.free ||
+	if node.profileID != other.profileID || node.activeFetches != other.activeFetches || node.free != other.free ||
 		!slices.Equal(node.images, other.images) || len(node.victims) != len(other.victims) {
 		return false
 	}
-	// Victims come in any order, and their order does not matter to a cycle. There are few to compare.
+	// The order of victims does not matter. A node has few, so a linear search is fast enough.
 	for i := range node.victims {
 		if node.victims[i] != other.victims[i] && !slices.Contains(other.victims, node.victims[i]) {
 			return false
@@ -118,7 +119,7 @@
 	*node = retainedNode{}
 	delete(v.slots, id)
 	v.vacantSlots++
-	// The last slot is never vacant: appendSlot compares a new machine with the one before.
+	// Drop vacant slots at the end: appendSlot compares the ID of a new machine with that of the last slot.
 	for len(v.nodes) > 0 && v.nodes[len(v.nodes)-1].id == "" {
 		v.nodes = v.nodes[:len(v.nodes)-1]
 		v.vacantSlots--
@@ -133,7 +134,7 @@
 	}
 }
 
-// updateImageIndex records that the images of a slot have changed from old to next. Both lists are
+// updateImageIndex records that the images of a slot have changed from old to next. Both lists must be
 // sorted.
 func (v *View) updateImageIndex(slot int32, old, next []string) {
 	for _, image := range old {
@@ -158,12 +159,12 @@
 	}
 }
 
-// maxUnusedProfiles is how many profiles may be known beside twice those that are in use. Each change
-// of prices makes new ones.
+// maxUnusedProfiles limits the profile table: it is compacted when it has more than twice the profiles in
+// use at the last compaction, plus this number. Each change of prices adds profiles.
 const maxUnusedProfiles = 64
 
-// compact brings the slots into the order of IDs, and drops vacant slots and unused profiles once they
-// are many.
+// compact sorts the slots by machine ID and drops vacant slots and unused profiles. It does nothing if the
+// slots are sorted already and there are few vacant slots and unused profiles.
 func (v *View) compact() {
 	if !v.unsorted && v.vacantSlots <= len(v.slots)/2 && len(v.profiles.list) <= 2*v.profilesInUse+maxUnusedProfiles {
 		return
@@ -175,14 +176,14 @@
 	used := profileTable{}
 	for slot := range nodes {
 		node := &nodes[slot]
-		node.profile = used.idOf(v.profiles.list[node.profile]) // unused profiles are dropped
+		node.profileID = used.idOf(v.profiles.list[node.profileID]) // adds only profiles in use
 		v.slots[node.id] = int32(slot)
 		v.updateImageIndex(int32(slot), nil, node.images)
 	}
 	v.profiles, v.profilesInUse = used, len(used.list)
 }
 
-// lowestVictimLevel returns the lowest priority level of any victim, maxLevels if there is none.
+// lowestVictimLevel returns the lowest priority level of any victim, or maxLevels if there are no victims.
 func (v *View) lowestVictimLevel() int {
 	for level, count := range v.victimsByLevel {
 		if count > 0 {
