--- a/internal/sched/equivalence_test.go
+++ b/internal/sched/equivalence_test.go
@@ -13,37 +13,38 @@
 	"pgregory.net/rapid"
 )
 
-// cloneInput returns an input for one of two cycles that are compared: cycles change jobs and teams.
+// cloneInput copies an input, because each of the two cycles that are compared changes its jobs and teams. The
+// copy has one team, with the GPU limit given.
 func cloneInput(in Input, gpuLimit float64) *Input {
 	jobs := make([]*Job, 0, len(in.Jobs))
-	for _, j := range in.Jobs {
-		next := *j
-		next.LiveByZone = maps.Clone(j.LiveByZone)
-		jobs = append(jobs, &next)
+	for _, job := range in.Jobs {
+		clone := *job
+		clone.LiveByZone = maps.Clone(job.LiveByZone)
+		jobs = append(jobs, &clone)
 	}
 	in.Jobs, in.Teams = jobs, map[string]*Team{"crew": {}}
 	in.Teams["crew"].Limit.Gpus = gpuLimit
 	return &in
 }
 
-// describePlan describes a plan in terms of IDs.
+// describePlan returns a text of a plan that names nodes by ID, so that texts of equal plans are equal.
 func describePlan(plan *Plan, id func(node int) string) string {
-	out := fmt.Sprintf("reserved %q, objective %.9f, window %d\n", plan.ReservedFor, plan.Objective, plan.JobsConsidered)
+	text := fmt.Sprintf("reserved %q, objective %.9f, window %d\n", plan.ReservedFor, plan.Objective, plan.JobsConsidered)
 	for _, p := range plan.Placements {
-		out += fmt.Sprintf("%s on %s: %d\n", p.Job.Spec.UID, id(p.Node), p.Count)
+		text += fmt.Sprintf("%s on %s: %d\n", p.Job.Spec.UID, id(p.Node), p.Count)
 	}
 	for _, p := range plan.Preemptions {
-		out += fmt.Sprintf("stop %d on %s\n", p.Serial, id(p.Node))
+		text += fmt.Sprintf("stop %d on %s\n", p.Serial, id(p.Node))
 	}
-	for _, s := range plan.Shortfalls {
-		out += fmt.Sprintf("%s is short of %d\n", s.Job.Spec.UID, s.Count)
+	for _, shortfall := range plan.Shortfalls {
+		text += fmt.Sprintf("shortfall of %s: %d\n", shortfall.Job.Spec.UID, shortfall.Count)
 	}
-	return out
+	return text
 }
 
-// checkAgainstReference lets cycles over the class index and reference cycles decide at each step,
-// and counts the cycles, placements and preemptions.
-func checkAgainstReference(t testFailer, steps []cycleStep) (cycles, placed, stopped int) {
+// checkAgainstReference runs two cycles with the class index and two reference cycles at each step and checks that
+// their plans agree. It returns the numbers of first cycles and of their placements and preemptions.
+func checkAgainstReference(t fataler, steps []cycleStep) (cycles, placed, stopped int) {
 	t.Helper()
 	view, nodes := NewView(), map[string]Node{}
 	for _, step := range steps {
@@ -73,22 +74,22 @@
 	return cycles, placed, stopped
 }
 
-// Cycles over classes of nodes that are retained from cycle to cycle decide as the reference
-// cycle, which visits every node: over fleets that change by single machines, with transient
-// nodes beside, and in a second cycle over what the first has left.
+// A cycle with a view and a class index makes the same plan as the reference cycle, which visits every node. The
+// cases have single machines that change from cycle to cycle, nodes outside the view, and second cycles that start
+// from the plan of the first.
 func TestClassIndexDecidesAsReference(t *testing.T) {
 	cycles, placed, stopped := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		c, p, s := checkAgainstReference(t, genSteps(t))
-		cycles, placed, stopped = cycles+c, placed+p, stopped+s
+		newCycles, newPlaced, newStopped := checkAgainstReference(t, genSteps(t))
+		cycles, placed, stopped = cycles+newCycles, placed+newPlaced, stopped+newStopped
 	})
 	if placed < cycles/2 || stopped < cycles/20 {
-		t.Errorf("%d cycles placed %d times and stopped %d victims", cycles, placed, stopped)
+		t.Errorf("%d cycles made %d placements and %d preemptions, want at least %d and %d", cycles, placed, stopped, cycles/2, cycles/20)
 	}
 }
 
-// The input at which TestClassIndexDecidesAsReference once failed while the class index was built:
-// a machine was left with room that the reference cycle had booked.
+// An input that once failed TestClassIndexDecidesAsReference: the cycle left free capacity on a machine that the
+// reference cycle had booked.
 func TestClassIndexDecidesAsReferenceOnInputThatOnceFailed(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("testdata", "class_index_steps.json"))
 	if err != nil {
@@ -96,17 +97,17 @@
 	}
 	var steps []cycleStep
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields() // a renamed field would change the input unseen
+	decoder.DisallowUnknownFields() // if a field is renamed, the test must fail and not ignore its data
 	if err := decoder.Decode(&steps); err != nil {
 		t.Fatal(err)
 	}
 	if cycles, _, _ := checkAgainstReference(t, steps); cycles != 12 {
-		t.Errorf("%d cycles, want 12", cycles)
+		t.Errorf("got %d cycles, want 12", cycles)
 	}
 }
 
-// compareWithReference lets both cycles decide and returns the plan of the one over classes.
-func compareWithReference(t testFailer, view *View, in Input, machines map[string]Node, gpuLimit float64, previous *Plan) *Plan {
+// compareWithReference runs both cycles, checks that their plans agree, and returns that of the cycle with classes.
+func compareWithReference(t fataler, view *View, in Input, machines map[string]Node, gpuLimit float64, previous *Plan) *Plan {
 	t.Helper()
 	in.View, in.Previous = view, previous
 	plan := Run(cloneInput(in, gpuLimit))
@@ -122,8 +123,8 @@
 	for node := range view.SlotCount() + len(in.Nodes) {
 		slotOf[id(node)] = node
 	}
-	for _, name := range slices.Sorted(maps.Keys(machines)) {
-		reference.Nodes = append(reference.Nodes, machines[name])
+	for _, machineID := range slices.Sorted(maps.Keys(machines)) {
+		reference.Nodes = append(reference.Nodes, machines[machineID])
 	}
 	reference.Nodes = append(reference.Nodes, in.Nodes...)
 	if previous != nil {
@@ -137,35 +138,35 @@
 	want := runReference(cloneInput(reference, gpuLimit))
 	wantText := describePlan(want, func(node int) string { return reference.Nodes[node].ID })
 	if got := describePlan(plan, id); got != wantText {
-		t.Fatalf("the cycle over classes:\n%s\nthe reference cycle:\n%s", got, wantText)
+		t.Fatalf("got plan of the cycle with classes:\n%s\nwant plan of the reference cycle:\n%s", got, wantText)
 	}
 	for i := range reference.Nodes {
 		slot := slotOf[reference.Nodes[i].ID]
 		afterStops, afterBoot := plan.FreeAfterStops[slot], plan.FreeAfterBoot[slot]
 		if afterStops != want.FreeAfterStops[i] || afterBoot != want.FreeAfterBoot[i] {
-			t.Fatalf("%s has %v and %v left, not %v and %v", id(slot), afterStops, afterBoot, want.FreeAfterStops[i], want.FreeAfterBoot[i])
+			t.Fatalf("%s: free is %v and %v, want %v and %v", id(slot), afterStops, afterBoot, want.FreeAfterStops[i], want.FreeAfterBoot[i])
 		}
 	}
 	return plan
 }
 
-// On fleets of 4,096 and 6,000 machines, with hundreds of jobs and thousands of tasks that may be preempted,
-// cycles over classes decide as the reference cycle, and leave no machine out.
+// On fleets of 4,096 and 6,000 machines with hundreds of jobs and thousands of victims, a cycle with classes makes
+// the same plan as the reference cycle. The view contains all machines.
 func TestClassIndexDecidesAsReferenceOnLargeFleets(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
-		retained, all := largeInput(machines, 300), largeInput(machines, 300)
-		retained.Window, all.Window = 300, 300
+		retained, reference := largeInput(machines, 300), largeInput(machines, 300)
+		retained.Window, reference.Window = 300, 300
 		retained.View, retained.Nodes = viewOf(retained.Nodes), nil
 		if n := retained.View.MachineCount(); n != machines {
-			t.Fatalf("%d of %d machines are retained", n, machines)
+			t.Fatalf("the view has %d machines, want %d", n, machines)
 		}
-		plan, want := Run(retained), runReference(all)
-		got, wanted := describePlan(plan, retained.View.MachineID), describePlan(want, func(node int) string { return all.Nodes[node].ID })
+		plan, want := Run(retained), runReference(reference)
+		got, wanted := describePlan(plan, retained.View.MachineID), describePlan(want, func(node int) string { return reference.Nodes[node].ID })
 		if got != wanted {
-			t.Errorf("with %d machines the cycles differ", machines)
+			t.Errorf("with %d machines the plan of the cycle with classes differs from that of the reference cycle", machines)
 		}
 		if len(plan.Placements) == 0 || len(plan.Preemptions) == 0 {
-			t.Errorf("with %d machines there are %d placements and %d preemptions", machines, len(plan.Placements), len(plan.Preemptions))
+			t.Errorf("%d machines: got %d placements, %d preemptions, want both", machines, len(plan.Placements), len(plan.Preemptions))
 		}
 	}
 }
--- a/internal/sched/generators_test.go
+++ b/internal/sched/generators_test.go
@@ -13,11 +13,11 @@
 
 var testNow = time.Unix(10_000, 0)
 
-// genNode draws a machine: few different amounts, so that many are alike, and some that are
-// overbooked.
+// genNode draws a machine. It draws from few sizes and needs, so that many machines fall into the same class.
+// Some machines are overbooked. victims is the last serial number of a victim.
 func genNode(t *rapid.T, id string, victims *int) Node {
 	size := rapid.SampledFrom([]fleet.Resources{{Cores: 16, Gpus: 4, RAM: 100}, {Cores: 8, Gpus: 0, RAM: 60}}).Draw(t, "size")
-	n := Node{
+	node := Node{
 		ID:               id,
 		Type:             fmt.Sprint("t", size.Gpus),
 		Zone:             rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
@@ -26,32 +26,32 @@
 		RunsOnDemandWork: rapid.IntRange(0, 3).Draw(t, "onDemandWork") == 0,
 		HourlyPrice:      size.Cores,
 	}
-	n.ScaleInCandidate = !n.RunsOnDemandWork && rapid.Bool().Draw(t, "scaleIn")
-	n.FreeAfterBoot = size
+	node.ScaleInCandidate = !node.RunsOnDemandWork && rapid.Bool().Draw(t, "scaleIn")
+	node.FreeAfterBoot = size
 	if rapid.IntRange(0, 5).Draw(t, "absent") == 0 {
-		return n
+		return node
 	}
-	n.Registered, n.ActiveFetches = true, rapid.IntRange(0, 1).Draw(t, "fetches")
+	node.Registered, node.ActiveFetches = true, rapid.IntRange(0, 1).Draw(t, "fetches")
 	images := rapid.SliceOfN(rapid.SampledFrom([]string{"i", "j", "k"}), 0, 2).Draw(t, "images")
-	n.Images = slices.Compact(slices.Sorted(slices.Values(images)))
-	n.Free = size
+	node.Images = slices.Compact(slices.Sorted(slices.Values(images)))
+	node.Free = size
 	for range rapid.IntRange(0, 5).Draw(t, "tasks") {
 		*victims++
-		v := genVictim(t, *victims, size.Gpus/4)
-		n.Free = n.Free.Sub(v.Need)
-		n.Victims = append(n.Victims, v)
+		victim := genVictim(t, *victims, size.Gpus/4)
+		node.Free = node.Free.Sub(victim.Need)
+		node.Victims = append(node.Victims, victim)
 	}
-	n.FreeAfterStops = n.Free
+	node.FreeAfterStops = node.Free
 	if rapid.Bool().Draw(t, "ending") {
-		n.FreeAfterStops = n.FreeAfterStops.Add(fleet.Resources{Cores: 2, Gpus: 1, RAM: 10})
+		node.FreeAfterStops = node.FreeAfterStops.Add(fleet.Resources{Cores: 2, Gpus: 1, RAM: 10})
 	}
-	n.FreeAfterBoot = n.FreeAfterStops
-	return n
+	node.FreeAfterBoot = node.FreeAfterStops
+	return node
 }
 
 // genVictim draws a running task.
 func genVictim(t *rapid.T, serial int, gpus float64) Victim {
-	v := Victim{
+	victim := Victim{
 		Serial:    serial,
 		Level:     rapid.IntRange(1, 4).Draw(t, "level"),
 		Need:      fleet.Resources{Cores: float64(rapid.IntRange(1, 4).Draw(t, "cores")), Gpus: gpus, RAM: 10},
@@ -59,12 +59,12 @@
 		IsReplica: rapid.Bool().Draw(t, "replica"),
 	}
 	if rapid.Bool().Draw(t, "grows") {
-		v.LossGrowsFrom = testNow.Add(-time.Duration(rapid.IntRange(0, 3).Draw(t, "since")) * time.Second)
+		victim.LossGrowsFrom = testNow.Add(-time.Duration(rapid.IntRange(0, 3).Draw(t, "since")) * time.Second)
 	}
-	return v
+	return victim
 }
 
-// genJobs draws the jobs that wait.
+// genJobs draws the pending jobs of a cycle.
 func genJobs(t *rapid.T) []*Job {
 	jobs := make([]*Job, rapid.IntRange(0, 12).Draw(t, "jobs"))
 	for i := range jobs {
@@ -73,9 +73,9 @@
 	return jobs
 }
 
-// genJob draws a job that waits.
+// genJob draws a pending job.
 func genJob(t *rapid.T, i int) *Job {
-	w := &wire.JobSpec{
+	spec := &wire.JobSpec{
 		UID:         fmt.Sprintf("run-%06d", i),
 		Team:        "crew",
 		TaskCount:   rapid.IntRange(1, 6).Draw(t, "tasks"),
@@ -89,13 +89,13 @@
 		Image:       rapid.SampledFrom([]string{"i", "j", "l"}).Draw(t, "image"),
 	}
 	if rapid.IntRange(0, 4).Draw(t, "picky") == 0 {
-		w.MachineTypes, w.Zone = []string{"t4"}, "b"
+		spec.MachineTypes, spec.Zone = []string{"t4"}, "b"
 	}
-	j := &Job{
-		Spec:             w,
+	job := &Job{
+		Spec:             spec,
 		Level:            rapid.IntRange(1, 4).Draw(t, "level"),
 		QueuedSinceMs:    int64(i),
-		PendingTasks:     w.TaskCount,
+		PendingTasks:     spec.TaskCount,
 		LiveByZone:       map[string]int{},
 		WaitedS:          float64(rapid.SampledFrom([]int{0, 40}).Draw(t, "waited")),
 		FetchDelaysStart: rapid.Bool().Draw(t, "fetch"),
@@ -104,22 +104,22 @@
 		SpotUnavailable:  rapid.Bool().Draw(t, "spotUnavailable"),
 	}
 	if rapid.IntRange(0, 4).Draw(t, "avoids") == 0 {
-		j.AvoidedMachine = "m-005"
+		job.AvoidedMachine = "m-005"
 	}
 	if rapid.IntRange(0, 4).Draw(t, "runs") == 0 {
-		j.LiveAttempts, j.LiveByZone["b"] = 1, 1
+		job.LiveAttempts, job.LiveByZone["b"] = 1, 1
 	}
-	return j
+	return job
 }
 
-// nodeChange is a machine that has changed, or one that has gone.
+// nodeChange is a machine that is added or changed, or one that is removed.
 type nodeChange struct {
-	Gone string // ID of the machine that has gone; "" if Node has changed
+	Gone string // ID of the machine that is removed; "" if Node is added or changed
 	Node Node
 }
 
-// cycleStep is what changes before a cycle, and the input of it and of a second cycle over what
-// the first one has left.
+// cycleStep holds the changes of machines before a cycle, the input of that cycle, and the jobs of a second cycle
+// that starts from the plan of the first one (Input.Previous).
 type cycleStep struct {
 	Changes   []nodeChange
 	Jobs      []*Job
--- a/internal/sched/input.go
+++ b/internal/sched/input.go
@@ -52,13 +52,13 @@
 	Spec             *wire.JobSpec
 	Level            int            // priority level: higher levels go first
 	WithinQuota      bool           // fits its team's quota: goes before jobs that do not
-	QueuedSinceMs    int64          // Unix time when it was accepted or, if later, released by its dependencies
+	QueuedSinceMs    int64          // Unix time in ms when it was accepted or, if later, released by its dependencies
 	PendingTasks     int            // tasks without an attempt
 	LiveAttempts     int            // attempts not known to have ended
 	LiveByZone       map[string]int // LiveAttempts by zone
-	WaitedS          float64        // seconds since it was queued
+	WaitedS          float64        // seconds that it has been waiting
 	FetchDelaysStart bool           // fetching its image may make it start too late
-	StartSlackS      float64        // time remaining until it must start, after fetching the image and delivering the task
+	StartSlackS      float64        // its target time to start minus the time for image fetch and delivery
 	LaxityS          float64        // how long it can still wait and meet its deadline; negative if it cannot
 	CannotAwaitBoot  bool           // has waited as long as a machine takes to boot, or would miss its deadline by waiting for one
 	WaitedPastBoot   bool           // has waited as long as a machine takes to boot
--- a/internal/sched/large_test.go
+++ b/internal/sched/large_test.go
@@ -9,7 +9,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// largeInput returns the input of a fleet that is mostly full.
+// largeInput returns an input with a fleet that is mostly full, the same one in each call.
 func largeInput(machines, waiting int) *Input {
 	random := rand.New(rand.NewPCG(1, 1))
 	in := &Input{Window: 200, ReserveAfterS: 10, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"t": {}}}
@@ -80,7 +80,7 @@
 	}
 }
 
-// viewOf returns a view of nodes.
+// viewOf returns a view that holds the nodes.
 func viewOf(nodes []Node) *View {
 	view := NewView()
 	for i := range nodes {
@@ -89,8 +89,8 @@
 	return view
 }
 
-// BenchmarkRound measures one cycle over classes of retained machines (kept=true), and one reference cycle
-// over all machines (kept=false). docs/results-fleet.md quotes its name.
+// BenchmarkRound measures a cycle with a view and a class index (kept=true) and a reference cycle, which visits
+// every machine (kept=false). docs/results-fleet.md quotes its name.
 func BenchmarkRound(b *testing.B) {
 	for _, machines := range []int{340, 1350, 4000, 6000} {
 		for _, waiting := range []int{5, 50, 500} {
@@ -98,7 +98,7 @@
 				b.Run(fmt.Sprintf("machines=%d/waiting=%d/kept=%v", machines, waiting, retained), func(b *testing.B) {
 					b.ReportAllocs()
 					view := viewOf(largeInput(machines, 0).Nodes)
-					if retained { // cycles reuse the memory of earlier ones
+					if retained { // warm up: later cycles reuse the memory of this one
 						in := largeInput(machines, waiting)
 						in.View, in.Nodes = view, nil
 						Run(in)
--- a/internal/sched/quota_test.go
+++ b/internal/sched/quota_test.go
@@ -10,17 +10,18 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// runningTask is a task that occupies room on a machine of a teamsInput.
+// runningTask is a task that runs on a machine of a teamsInput.
 type runningTask struct {
 	team        string
 	level       int
 	need        fleet.Resources
 	isReplica   bool
 	withinQuota bool
-	stopping    bool // it is being stopped already and is no victim
+	stopping    bool // is being stopped already, so it is no victim
 }
 
-// teamsInput is the input of a cycle with three teams, of which "guest" has no quota.
+// teamsInput returns an input with three teams and without machines and jobs. Team "other" has the quota
+// given, the other two have none.
 func teamsInput(otherQuota fleet.Resources) *Input {
 	in := &Input{
 		Window:          200,
@@ -33,9 +34,9 @@
 	return in
 }
 
-// addRunning puts a running task on a machine and counts it as used by its team.
+// addRunning places a running task on a machine and adds its resources to the usage of its team.
 func (in *Input) addRunning(n *Node, serial int, task runningTask) {
-	v := Victim{
+	victim := Victim{
 		Serial:    serial,
 		JobUID:    fmt.Sprintf("run-%06d", serial),
 		Team:      task.team,
@@ -43,13 +44,13 @@
 		Need:      task.need,
 		IsReplica: task.isReplica,
 	}
-	in.WithinQuota[v.JobUID] = task.withinQuota
+	in.WithinQuota[victim.JobUID] = task.withinQuota
 	team := in.Teams[task.team]
-	if task.stopping { // its room becomes free without a preemption
+	if task.stopping { // its resources become free without a preemption
 		team.Stopping.Cores += task.need.Cores
 		team.Stopping.Gpus += task.need.Gpus
 	} else {
-		n.Victims = append(n.Victims, v)
+		n.Victims = append(n.Victims, victim)
 	}
 	n.FreeAfterStops = n.FreeAfterStops.Sub(task.need)
 	n.Free = n.Free.Sub(task.need)
@@ -58,7 +59,7 @@
 	team.Used.Gpus += task.need.Gpus
 }
 
-// addPending makes a job of team "owner" the one that waits.
+// addPending makes a job of team "owner" the only pending job.
 func (in *Input) addPending(level, tasks int, need fleet.Resources, withinQuota bool) {
 	j := job("run-900000", level, tasks, need.Cores, need.Gpus)
 	j.Spec.Team, j.WithinQuota = "owner", withinQuota
@@ -66,7 +67,7 @@
 	in.Jobs = []*Job{j}
 }
 
-// genRunningTask draws a task that fits what is free on a machine.
+// genRunningTask draws a task that fits the free capacity of a machine.
 func genRunningTask(t *rapid.T, free fleet.Resources) runningTask {
 	task := runningTask{
 		team:      rapid.SampledFrom([]string{"owner", "other", "guest"}).Draw(t, "team"),
@@ -80,7 +81,7 @@
 	return task
 }
 
-// genTeamsInput draws machines that are full of the work of three teams, and one job that waits.
+// genTeamsInput draws machines that are full of running tasks of three teams, and one pending job.
 func genTeamsInput(t *rapid.T) *Input {
 	cores := rapid.IntRange(1, 12).Draw(t, "cores")
 	gpus := rapid.IntRange(0, 4).Draw(t, "gpus")
@@ -100,57 +101,58 @@
 	return in
 }
 
-// testFailer is the part of *testing.T and *rapid.T that the checks use.
-type testFailer interface {
+// fataler holds the methods of *testing.T and *rapid.T that the checks use.
+type fataler interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// checkReclaim runs a cycle and checks its preemptions: work is stopped for its priority, or for a
-// job within its team's quota if it is of another team and beyond that team's quota. No team falls
-// below its own quota by that, what is stopped counts against its team's limit until it is off the
-// machine, and nothing is stopped in vain.
-func checkReclaim(t testFailer, in *Input) {
+// checkReclaim runs a cycle and checks its preemptions. A victim has a lower priority than the job, or the job is
+// within its team's quota and the victim is beyond the quota of another team, which keeps its quota. The usage of
+// the victims' teams stays as it was, because tasks count against the limit until they have left the machine.
+// Nothing is stopped if the job gets no placement from it.
+func checkReclaim(t fataler, in *Input) {
 	t.Helper()
-	used, beyond := map[string]Team{}, map[string]fleet.Resources{}
+	used, excess := map[string]Team{}, map[string]fleet.Resources{}
 	for name, team := range in.Teams {
-		used[name], beyond[name] = *team, team.beyondQuota(fleet.Resources{})
+		used[name], excess[name] = *team, team.beyondQuota(fleet.Resources{})
 	}
 	pending := in.Jobs[0].PendingTasks
 	plan := Run(in)
-	for _, p := range plan.Preemptions {
-		for i := range in.Nodes[p.Node].Victims {
-			if v := &in.Nodes[p.Node].Victims[i]; v.Serial == p.Serial {
-				checkVictim(t, in, v, beyond)
+	for _, preemption := range plan.Preemptions {
+		for i := range in.Nodes[preemption.Node].Victims {
+			if victim := &in.Nodes[preemption.Node].Victims[i]; victim.Serial == preemption.Serial {
+				checkVictim(t, in, victim, excess)
 			}
 		}
 	}
 	for name, team := range in.Teams {
 		if name != "owner" && team.Used != used[name].Used {
-			t.Fatalf("%s counts as using %+v, it uses %+v", name, team.Used, used[name].Used)
+			t.Fatalf("usage of team %s after the cycle is %+v, want %+v as before", name, team.Used, used[name].Used)
 		}
 	}
 	if len(plan.Preemptions) > 0 && in.Jobs[0].PendingTasks == pending {
-		t.Fatalf("work is stopped for nothing")
+		t.Fatalf("got %d preemptions although no task of the pending job is placed, want none", len(plan.Preemptions))
 	}
 }
 
-// checkVictim checks one preemption and takes it off what its team has beyond its quota.
-func checkVictim(t testFailer, in *Input, v *Victim, beyond map[string]fleet.Resources) {
+// checkVictim checks one preemption. If it reclaims from another team, checkVictim subtracts the victim from
+// that team's usage in excess of its quota.
+func checkVictim(t fataler, in *Input, victim *Victim, excess map[string]fleet.Resources) {
 	t.Helper()
-	j := in.Jobs[0]
-	if v.Team != "owner" && in.WithinQuota[v.JobUID] {
-		t.Fatalf("%+v, within its team's quota, is stopped for %+v", v, j)
+	preemptor := in.Jobs[0]
+	if victim.Team != "owner" && in.WithinQuota[victim.JobUID] {
+		t.Fatalf("victim %+v, within its team's quota, is stopped for job %+v of another team", victim, preemptor)
 	}
-	if v.Level < j.Level {
+	if victim.Level < preemptor.Level {
 		return
 	}
-	if !j.WithinQuota || v.Team == "owner" || in.WithinQuota[v.JobUID] {
-		t.Fatalf("%+v is stopped for %+v", v, j)
+	if !preemptor.WithinQuota || victim.Team == "owner" || in.WithinQuota[victim.JobUID] {
+		t.Fatalf("victim %+v of the same or a higher level is stopped for job %+v, which may not reclaim it", victim, preemptor)
 	}
-	beyond[v.Team] = beyond[v.Team].Sub(v.Need)
-	if left := beyond[v.Team]; left.Cores < -roundingTolerance || left.Gpus < -roundingTolerance {
-		t.Fatalf("%s is left with %+v beyond its quota", v.Team, left)
+	excess[victim.Team] = excess[victim.Team].Sub(victim.Need)
+	if left := excess[victim.Team]; left.Cores < -roundingTolerance || left.Gpus < -roundingTolerance {
+		t.Fatalf("usage of team %s exceeds its quota by %+v after reclaim, want at least 0", victim.Team, left)
 	}
 }
 
@@ -158,11 +160,10 @@
 	rapid.Check(t, func(t *rapid.T) { checkReclaim(t, genTeamsInput(t)) })
 }
 
-// Two inputs at which the check of TestReclaimStopsOnlyWorkBeyondQuotas once failed while quotas were
-// built: a team was left with one core less than its quota, and the job's own team lost a replica of a
-// higher priority.
+// Two inputs that once failed the check of TestReclaimStopsOnlyWorkBeyondQuotas: a team was left with one core
+// less than its quota, and the job's own team lost a replica of a higher priority.
 func TestReclaimOnInputsThatOnceFailed(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		otherQuota fleet.Resources
 		machines   [][]runningTask
 		level      int
@@ -202,23 +203,24 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			in, serial := teamsInput(c.otherQuota), 0
-			for i, tasks := range c.machines {
-				n := node(fmt.Sprint("m", i), 8, 4)
+			in, serial := teamsInput(testCase.otherQuota), 0
+			for i, tasks := range testCase.machines {
+				machine := node(fmt.Sprint("m", i), 8, 4)
 				for _, task := range tasks {
-					in.addRunning(&n, serial, task)
+					in.addRunning(&machine, serial, task)
 					serial++
 				}
-				in.Nodes = append(in.Nodes, n)
+				in.Nodes = append(in.Nodes, machine)
 			}
-			in.addPending(c.level, 1, c.need, true)
+			in.addPending(testCase.level, 1, testCase.need, true)
 			checkReclaim(t, in)
 		})
 	}
 }
 
-// A job of low priority within its team's quota goes before urgent work of others beyond theirs,
-// which leaves the machine at once, replicas too; beyond the quota it waits.
+// A job of low priority within its team's quota goes before jobs of higher priority of a team that exceeds its
+// quota, and preempts that team's tasks at once, even replicas. A job that is not within the quota preempts
+// nothing.
 func TestWithinQuotaJobDoesNotWaitForTeamsWithoutQuota(t *testing.T) {
 	for _, withinQuota := range []bool{true, false} {
 		full := node("m1", 8, 4)
@@ -240,18 +242,18 @@
 			WithinQuota:     map[string]bool{"run-000002": withinQuota},
 		}
 		in.Teams["guest"].Used.Cores, in.Teams["guest"].Used.Gpus = 8, 4
-		mine, teamsWithoutQuota := job("run-000002", 1, 1, 8, 4), job("run-000003", 4, 1, 8, 4)
-		mine.Spec.Team, mine.WithinQuota, teamsWithoutQuota.Spec.Team = "owner", withinQuota, "guest"
-		in.Jobs = []*Job{teamsWithoutQuota, mine}
-		if stops := len(Run(in).Preemptions); (stops == 1) != withinQuota {
-			t.Errorf("within quota %v: %d preemptions", withinQuota, stops)
+		ownerJob, guestJob := job("run-000002", 1, 1, 8, 4), job("run-000003", 4, 1, 8, 4)
+		ownerJob.Spec.Team, ownerJob.WithinQuota, guestJob.Spec.Team = "owner", withinQuota, "guest"
+		in.Jobs = []*Job{guestJob, ownerJob}
+		if preemptions := len(Run(in).Preemptions); (preemptions == 1) != withinQuota {
+			t.Errorf("job within quota %v: got %d preemptions, want 1 only if it is within", withinQuota, preemptions)
 		}
 	}
-	// In a deployment without quotas, priority decides the order of the queue as before.
-	a, b := &wire.JobSpec{UID: "run-000001", Team: "owner"}, &wire.JobSpec{UID: "run-000002", Team: "guest"}
-	jobs := []*Job{{Spec: a, Level: 1}, {Spec: b, Level: 2}}
+	// Without quotas, priority alone decides the order of these jobs.
+	ownerSpec, guestSpec := &wire.JobSpec{UID: "run-000001", Team: "owner"}, &wire.JobSpec{UID: "run-000002", Team: "guest"}
+	jobs := []*Job{{Spec: ownerSpec, Level: 1}, {Spec: guestSpec, Level: 2}}
 	SortQueue(jobs, 1)
-	if jobs[0].Spec != b {
-		t.Error("a job of a lower priority goes first")
+	if jobs[0].Spec != guestSpec {
+		t.Errorf("first job of the queue is %s, want %s, which has the higher priority", jobs[0].Spec.UID, guestSpec.UID)
 	}
 }
--- a/internal/sched/reference_preempt_test.go
+++ b/internal/sched/reference_preempt_test.go
@@ -7,137 +7,137 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// referencePreemption is room for one task on a node once some of its victims are stopped.
+// referencePreemption is a way to place one task on a node: on free capacity, or by stopping victims.
 type referencePreemption struct {
 	node                   int
-	firstVictim, endVictim int // its victims are among these, in stop order
+	firstVictim, endVictim int // range in stop order; the victims in it that the job may preempt are stopped
 	lossS                  float64
 }
 
-// preempt stops work of lower priority so that up to want tasks of a job fit, and books the room for them. It
-// never stops work for nothing: a job that starts whole gets all its room or none. Replicas are preempted
-// only for a job that cannot wait for a new machine to boot.
+// preempt stops victims of lower priority so that up to want tasks of a job fit, books the capacity for these
+// tasks, and returns their number. It stops none for an all-or-nothing job unless all tasks of the job then fit.
 func (r *referenceCycle) preempt(j *Job, want int) int {
 	if r.lowestVictimLevel >= j.Level {
 		return 0
 	}
-	shape, bounded := r.shapeAt(j, byPreemption)
-	if most, ok := r.maxFit[shape]; bounded && ok && (most == 0 || isAllOrNothing(j) && most < j.PendingTasks) {
+	shape, shapeDecidesFit := r.shapeAt(j, byPreemption)
+	if maxTasks, known := r.maxFit[shape]; shapeDecidesFit && known && (maxTasks == 0 || isAllOrNothing(j) && maxTasks < j.PendingTasks) {
 		return 0
 	}
-	choices := r.preemptionOptions(j, want)
-	places, chosen := r.chooseLeastDisruptive(j, want, choices)
-	if bounded && len(places) < want {
-		r.maxFit[shape] = len(places)
+	options := r.preemptionOptions(j, want)
+	placements, chosen := r.chooseLeastDisruptive(j, want, options)
+	if shapeDecidesFit && len(placements) < want {
+		r.maxFit[shape] = len(placements)
 	}
-	if len(places) == 0 || (isAllOrNothing(j) && len(places) < j.PendingTasks) {
+	if len(placements) == 0 || (isAllOrNothing(j) && len(placements) < j.PendingTasks) {
 		return 0
 	}
 	r.stopVictims(j, chosen)
-	r.commitPlacements(j, places, false)
-	return len(places)
+	r.commitPlacements(j, placements, false)
+	return len(placements)
 }
 
-// referenceMayPreempt reports whether a job may preempt running work.
+// referenceMayPreempt reports whether a job may preempt a victim. Replicas are preempted only for a job that
+// cannot wait for a machine to boot.
 func referenceMayPreempt(j *Job, v *Victim) bool {
 	return v.Level < j.Level && (!v.IsReplica || j.CannotAwaitBoot)
 }
 
-// preemptionOptions lists, by node, the room that there is for tasks of a job, and that there would be if work
-// that it may preempt were stopped, the least loss first.
+// preemptionOptions lists the options for tasks of a job by node: free capacity, and capacity that would be free
+// if victims were stopped.
 func (r *referenceCycle) preemptionOptions(j *Job, want int) []referencePreemption {
 	need := fleet.TaskResources(j.Spec)
-	choices := r.preemptionsBuffer[:0]
+	options := r.preemptionsBuffer[:0]
 	for i, victims := range r.victimsInStopOrder() {
 		if !r.couldFit(j, need, i, victims) || !r.isNodeEligible(j, i, "") {
 			continue
 		}
 		free := r.free[afterStops][i]
 		for range free.CountFitting(need, want) {
-			choices = append(choices, referencePreemption{node: i})
+			options = append(options, referencePreemption{node: i})
 			free = free.Sub(need)
 		}
-		c := referencePreemption{node: i}
+		option := referencePreemption{node: i}
 		for k := range victims {
 			v := &victims[k]
 			if !referenceMayPreempt(j, v) {
 				continue
 			}
 			free = free.Add(v.Need)
-			c.endVictim = k + 1
-			c.lossS += v.lossS(r.input.Now) + 1
+			option.endVictim = k + 1
+			option.lossS += v.lossS(r.input.Now) + 1
 			if free.Fits(need) {
-				choices = append(choices, c)
-				c = referencePreemption{node: i, firstVictim: c.endVictim}
+				options = append(options, option)
+				option = referencePreemption{node: i, firstVictim: option.endVictim}
 				free = free.Sub(need)
 			}
 		}
 	}
-	r.preemptionsBuffer = choices
-	return choices
+	r.preemptionsBuffer = options
+	return options
 }
 
-// couldFit reports whether a node has room for a task of a job once all that it may preempt is stopped.
+// couldFit reports whether a task of a job fits a node once all victims that the job may preempt are stopped.
 func (r *referenceCycle) couldFit(j *Job, need fleet.Resources, node int, victims []Victim) bool {
-	gain := r.free[afterStops][node]
-	if gain.Fits(need) {
+	available := r.free[afterStops][node]
+	if available.Fits(need) {
 		return true
 	}
 	for k := range victims {
 		if referenceMayPreempt(j, &victims[k]) {
-			gain = gain.Add(victims[k].Need)
+			available = available.Add(victims[k].Need)
 		}
 	}
-	return gain.Fits(need)
+	return available.Fits(need)
 }
 
-// chooseLeastDisruptive chooses the options with the least loss that the job's zones allow, for up to want
-// tasks.
+// chooseLeastDisruptive chooses the options with the least loss for up to want tasks, within the zones that the
+// job may use.
 func (r *referenceCycle) chooseLeastDisruptive(
-	j *Job, want int, choices []referencePreemption,
-) (places []Placement, chosen []referencePreemption) {
-	order := referenceHeap[referencePreemption]{items: choices, cmp: func(a, b referencePreemption) int {
+	j *Job, want int, options []referencePreemption,
+) (placements []Placement, chosen []referencePreemption) {
+	leastLossFirst := referenceHeap[referencePreemption]{items: options, compare: func(a, b referencePreemption) int {
 		return cmp.Or(cmp.Compare(a.lossS, b.lossS), cmp.Compare(a.node, b.node), cmp.Compare(a.firstVictim, b.firstVictim))
 	}}
-	zone := ""
-	for z, n := range j.LiveByZone {
-		if j.Spec.SingleZone && n > 0 {
-			zone = z
+	jobZone := ""
+	for zone, attempts := range j.LiveByZone {
+		if j.Spec.SingleZone && attempts > 0 {
+			jobZone = zone
 		}
 	}
-	taken := map[string]int{}
-	for c := range order.all() {
-		z := r.input.Nodes[c.node].Zone
-		if (j.Spec.SingleZone && zone != "" && z != zone) || referenceZoneAllowance(j, z)-taken[z] <= 0 {
+	takenByZone := map[string]int{}
+	for option := range leastLossFirst.all() {
+		zone := r.input.Nodes[option.node].Zone
+		if (j.Spec.SingleZone && jobZone != "" && zone != jobZone) || referenceZoneAllowance(j, zone)-takenByZone[zone] <= 0 {
 			continue
 		}
 		if j.Spec.SingleZone {
-			zone = z
+			jobZone = zone
 		}
-		taken[z]++
-		places = append(places, Placement{Job: j, Node: c.node, Count: 1})
-		chosen = append(chosen, c)
-		if len(places) == want {
+		takenByZone[zone]++
+		placements = append(placements, Placement{Job: j, Node: option.node, Count: 1})
+		chosen = append(chosen, option)
+		if len(placements) == want {
 			break
 		}
 	}
-	return places, chosen
+	return placements, chosen
 }
 
-// stopVictims stops the work that the chosen options preempt, and gives the job their room.
+// stopVictims stops the victims of the chosen options, and adds their resources to the free capacity.
 func (r *referenceCycle) stopVictims(j *Job, chosen []referencePreemption) {
 	stopped := map[int]bool{}
-	for _, c := range chosen {
-		for _, v := range r.victims[c.node][c.firstVictim:c.endVictim] {
+	for _, option := range chosen {
+		for _, v := range r.victims[option.node][option.firstVictim:option.endVictim] {
 			if referenceMayPreempt(j, &v) {
 				stopped[v.Serial] = true
-				preemption := Preemption{Node: c.node, Serial: v.Serial, StartSlackS: j.StartSlackS}
+				preemption := Preemption{Node: option.node, Serial: v.Serial, StartSlackS: j.StartSlackS}
 				r.plan.Preemptions = append(r.plan.Preemptions, preemption)
-				r.releaseCapacity(c.node, v.Need)
+				r.releaseCapacity(option.node, v.Need)
 			}
 		}
 	}
-	for _, c := range chosen {
-		r.victims[c.node] = slices.DeleteFunc(r.victims[c.node], func(v Victim) bool { return stopped[v.Serial] })
+	for _, option := range chosen {
+		r.victims[option.node] = slices.DeleteFunc(r.victims[option.node], func(v Victim) bool { return stopped[v.Serial] })
 	}
 }
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -9,10 +9,9 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// referenceCycle is the cycle as it was before nodes were grouped into classes: it visits every node for
-// every job. It is the oracle that cycles are compared with, and what their speed is measured against. It differs
-// from what it was in the form of its input, and in that preemption options of equal loss on one node have
-// an order.
+// referenceCycle is a simple implementation of the cycle that visits every node for every job. Tests compare the
+// plans of cycle with it, and the benchmark compares the speed. It is the implementation from before the class
+// index, with two changes: it takes the current Input, and it orders preemption options of equal loss on a node.
 type referenceCycle struct {
 	input             *Input
 	plan              *Plan
@@ -20,18 +19,18 @@
 	openNodes         [horizonCount]referenceOpenNodes
 	victims           [][]Victim // by node, in stop order; nil until one is needed
 	lowestVictimLevel int
-	smallestNeed      fleet.Resources        // no task of the window needs less of any resource
-	maxFit            map[referenceShape]int // how many tasks at most fit, of shapes that were tried
-	reserved          []bool                 // nodes of the job that has a reservation
-	imageRequired     bool                   // only nodes that have the job's image
+	smallestNeed      fleet.Resources        // the least of each resource that any task of the window needs
+	maxFit            map[referenceShape]int // upper bound of the tasks that fit, for shapes that did not all fit
+	reserved          []bool                 // by node: reserved for the job that has the reservation
+	imageRequired     bool                   // use only nodes that have the job's image
 
-	// Memory that the next job reuses: allocated again for each job, these lists were nearly all that a
-	// leader of 2,700 machines allocated.
+	// Memory that jobs reuse. Without reuse, these lists made up nearly all allocations of a leader with
+	// 2,700 machines.
 	optionsBuffer     []referenceOption
 	preemptionsBuffer []referencePreemption
 }
 
-// runReference does one cycle.
+// runReference runs one reference cycle.
 func runReference(in *Input) *Plan {
 	r := &referenceCycle{
 		input:             in,
@@ -44,9 +43,9 @@
 		r.free[at] = make([]fleet.Resources, len(in.Nodes))
 	}
 	for i := range in.Nodes {
-		n := &in.Nodes[i]
-		r.free[atOnce][i], r.free[afterStops][i], r.free[afterBoot][i] = n.Free, n.FreeAfterStops, n.FreeAfterBoot
-		for _, v := range n.Victims {
+		node := &in.Nodes[i]
+		r.free[atOnce][i], r.free[afterStops][i], r.free[afterBoot][i] = node.Free, node.FreeAfterStops, node.FreeAfterBoot
+		for _, v := range node.Victims {
 			r.lowestVictimLevel = min(r.lowestVictimLevel, v.Level)
 		}
 	}
@@ -57,16 +56,16 @@
 	}
 	r.plan.JobsConsidered = len(window)
 	r.buildOpenNodes(window)
-	// GPU work goes first, CPU-only work onto what is left; a CPU-only job that has waited long keeps
-	// its turn.
-	cpuOnly := func(j *Job) bool { return j.Spec.Gpus == 0 && j.WaitedS <= in.ReserveAfterS }
+	// Jobs with GPUs are placed in the first pass, CPU-only jobs in the second, on what is left. A CPU-only
+	// job that has waited long is placed in the first pass, too.
+	inSecondPass := func(job *Job) bool { return job.Spec.Gpus == 0 && job.WaitedS <= in.ReserveAfterS }
 	first := true
 	for pass := range 2 {
-		for _, j := range window {
-			if cpuOnly(j) != (pass == 1) {
+		for _, job := range window {
+			if inSecondPass(job) != (pass == 1) {
 				continue
 			}
-			r.scheduleJob(j, first)
+			r.scheduleJob(job, first)
 			first = false
 		}
 	}
@@ -74,58 +73,59 @@
 	return r.plan
 }
 
-// scheduleJob starts what fits of a job and plans for the rest.
+// scheduleJob starts the tasks of a job that fit now, and plans for the rest as cycle.scheduleJob does.
 func (r *referenceCycle) scheduleJob(j *Job, first bool) {
 	want := r.tasksWithinTeamLimit(j)
 	if want == 0 {
 		return
 	}
-	left := want
+	remaining := want
 	if j.FetchDelaysStart {
-		// Its start would be late on a machine without its image: machines that have the image come
-		// first, even if work of lower priority must leave them.
+		// The job would start too late on a machine without its image: machines that have the image are
+		// tried first, even if tasks of lower priority must be preempted there.
 		r.imageRequired = true
-		left -= r.fitTasks(j, left, atOnce, true)
-		if left > 0 {
-			left -= r.fitTasks(j, left, afterStops, false)
+		remaining -= r.fitTasks(j, remaining, atOnce, true)
+		if remaining > 0 {
+			remaining -= r.fitTasks(j, remaining, afterStops, false)
 		}
-		if left > 0 {
-			left -= r.preempt(j, left)
+		if remaining > 0 {
+			remaining -= r.preempt(j, remaining)
 		}
 		r.imageRequired = false
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 	}
-	if left -= r.fitTasks(j, left, atOnce, true); left == 0 {
+	if remaining -= r.fitTasks(j, remaining, atOnce, true); remaining == 0 {
 		return
 	}
-	if left -= r.fitTasks(j, left, afterStops, false); left == 0 {
-		return // the room is becoming free
+	if remaining -= r.fitTasks(j, remaining, afterStops, false); remaining == 0 {
+		return // the tasks being stopped will free enough capacity
 	}
-	if left -= r.preempt(j, left); left == 0 {
+	if remaining -= r.preempt(j, remaining); remaining == 0 {
 		return
 	}
-	nothing := left == want
-	if left -= r.fitTasks(j, left, afterBoot, false); left == 0 {
-		return // a booting machine will run it
+	nothingFits := remaining == want
+	if remaining -= r.fitTasks(j, remaining, afterBoot, false); remaining == 0 {
+		return // booting machines will run the rest
 	}
-	if first && nothing && j.WaitedS > r.input.ReserveAfterS {
-		r.reserveNodes(j, left)
+	if first && nothingFits && j.WaitedS > r.input.ReserveAfterS {
+		r.reserveNodes(j, remaining)
 	}
-	r.plan.Shortfalls = append(r.plan.Shortfalls, Shortfall{Job: j, Count: left})
+	r.plan.Shortfalls = append(r.plan.Shortfalls, Shortfall{Job: j, Count: remaining})
 }
 
-// tasksWithinTeamLimit returns how many pending tasks of a job the limit of its team allows.
+// tasksWithinTeamLimit returns how many pending tasks of a job may start under the limit of its team. It is 0 for
+// an all-or-nothing job that would exceed the limit.
 func (r *referenceCycle) tasksWithinTeamLimit(j *Job) int {
 	want := j.PendingTasks
-	t := r.input.Teams[j.Spec.Team]
-	if t == nil {
+	team := r.input.Teams[j.Spec.Team]
+	if team == nil {
 		return 0
 	}
 	for _, resource := range [...]struct{ limit, used, need float64 }{
-		{t.Limit.Cores, t.Used.Cores, j.Spec.Cores},
-		{t.Limit.Gpus, t.Used.Gpus, j.Spec.Gpus},
+		{team.Limit.Cores, team.Used.Cores, j.Spec.Cores},
+		{team.Limit.Gpus, team.Used.Gpus, j.Spec.Gpus},
 	} {
 		if resource.limit > 0 && resource.need > 0 {
 			want = min(want, int((resource.limit-resource.used+1e-6)/resource.need))
@@ -147,43 +147,43 @@
 	residual      float64
 }
 
-// fitTasks finds room for up to want tasks of a job at a horizon and books it. With start set the tasks are
-// launched; otherwise their room is only booked.
+// fitTasks places up to want tasks of a job on capacity that is free at a horizon, and returns how many it placed.
+// If start is set, the plan launches these tasks. Otherwise it only books the capacity.
 func (r *referenceCycle) fitTasks(j *Job, want int, at horizon, start bool) int {
-	shape, bounded := r.shapeAt(j, at)
-	if most, ok := r.maxFit[shape]; bounded && ok && (most == 0 || isAllOrNothing(j) && most < j.PendingTasks) {
-		return 0 // a job of the same shape has found too little room
+	shape, shapeDecidesFit := r.shapeAt(j, at)
+	if maxTasks, known := r.maxFit[shape]; shapeDecidesFit && known && (maxTasks == 0 || isAllOrNothing(j) && maxTasks < j.PendingTasks) {
+		return 0 // an earlier attempt with the same shape has shown that it does not fit
 	}
-	var places []Placement
+	var placements []Placement
 	if j.Spec.SingleZone {
-		places = r.chooseSingleZone(j, want, at)
+		placements = r.chooseSingleZone(j, want, at)
 	} else {
-		places = r.chooseNodes(j, want, at, "")
+		placements = r.chooseNodes(j, want, at, "")
 	}
-	n := countTasks(places)
-	if bounded && n < want {
-		r.maxFit[shape] = n
+	placed := countTasks(placements)
+	if shapeDecidesFit && placed < want {
+		r.maxFit[shape] = placed
 	}
-	if n == 0 || (isAllOrNothing(j) && n < j.PendingTasks) {
+	if placed == 0 || (isAllOrNothing(j) && placed < j.PendingTasks) {
 		return 0
 	}
-	r.commitPlacements(j, places, start)
-	return n
+	r.commitPlacements(j, placements, start)
+	return placed
 }
 
-// chooseSingleZone tries each zone and chooses the one that has room for most tasks, on the fewest machines.
-// A job that has live attempts in a zone stays there.
+// chooseSingleZone chooses nodes in the zone where the most tasks fit; of such zones, the one where they need the
+// fewest machines. A job that has live attempts in a zone stays there.
 func (r *referenceCycle) chooseSingleZone(j *Job, want int, at horizon) []Placement {
-	for zone, n := range j.LiveByZone {
-		if n > 0 {
+	for zone, attempts := range j.LiveByZone {
+		if attempts > 0 {
 			return r.chooseNodes(j, want, at, zone)
 		}
 	}
 	var best []Placement
 	for _, zone := range r.zoneNames() {
-		p := r.chooseNodes(j, want, at, zone)
-		if countTasks(p) > countTasks(best) || (countTasks(p) == countTasks(best) && len(p) < len(best)) {
-			best = p
+		placements := r.chooseNodes(j, want, at, zone)
+		if countTasks(placements) > countTasks(best) || (countTasks(placements) == countTasks(best) && len(placements) < len(best)) {
+			best = placements
 		}
 	}
 	return best
@@ -208,7 +208,7 @@
 	return (j.Spec.TaskCount+1)/2 - j.LiveByZone[zone]
 }
 
-// isNodeEligible reports whether a job may use a node, whatever room it has.
+// isNodeEligible reports whether a job may use a node, regardless of the node's free capacity.
 func (r *referenceCycle) isNodeEligible(j *Job, i int, zone string) bool {
 	n := &r.input.Nodes[i]
 	waitsForSpot := !j.CannotAwaitBoot || n.ScaleInCandidate && !j.WaitedPastBoot
@@ -222,7 +222,7 @@
 		IsEligible(j.Spec, n.Type, n.Zone, n.Spot) && (j.AvoidedMachine == "" || n.ID != j.AvoidedMachine)
 }
 
-// referenceTaskPrice returns the price of a task's dominant share of a machine.
+// referenceTaskPrice returns the hourly price of a machine times the task's dominant share of its resources.
 func referenceTaskPrice(n *Node, need fleet.Resources) float64 {
 	share := 0.0
 	for _, resource := range [...]struct{ need, capacity float64 }{
@@ -237,8 +237,8 @@
 	return n.HourlyPrice * share
 }
 
-// referencePlacementCost returns what placing a task on a node costs per hour: nothing for work that may use
-// spot machines and fills the gaps of a machine that stays anyway.
+// referencePlacementCost returns what placing a task on a node costs per hour. It is 0 for a task that may use spot
+// machines on a machine that other tasks keep running anyway.
 func referencePlacementCost(j *Job, n *Node) float64 {
 	if j.Spec.AllowSpot && n.RunsOnDemandWork {
 		return 0
@@ -246,103 +246,103 @@
 	return referenceTaskPrice(n, fleet.TaskResources(j.Spec))
 }
 
-// options lists where tasks of a job fit, at most want on each node. The list is valid until the next call.
+// options lists the nodes on which tasks of a job fit, with at most want tasks on each. The list is valid until the
+// next call.
 func (r *referenceCycle) options(j *Job, want int, at horizon, zone string) []referenceOption {
 	need := fleet.TaskResources(j.Spec)
-	opts := r.optionsBuffer[:0]
+	options := r.optionsBuffer[:0]
 	for _, i := range r.candidateNodes(at) {
 		free := r.free[at][i]
-		c := free.CountFitting(need, want)
-		if c == 0 || !r.isNodeEligible(j, i, zone) {
+		tasks := free.CountFitting(need, want)
+		if tasks == 0 || !r.isNodeEligible(j, i, zone) {
 			continue
 		}
-		n := &r.input.Nodes[i]
-		residual := free.Gpus - float64(c)*need.Gpus + (free.Cores-float64(c)*need.Cores)/max(n.Capacity.Cores, 1)
+		node := &r.input.Nodes[i]
+		residual := free.Gpus - float64(tasks)*need.Gpus + (free.Cores-float64(tasks)*need.Cores)/max(node.Capacity.Cores, 1)
 		if need.Gpus == 0 {
 			residual = free.Gpus
 		}
-		o := referenceOption{node: i, count: c, cost: referencePlacementCost(j, n), residual: residual}
-		if n.Registered {
-			o.hasImage, o.activeFetches = slices.Contains(n.Images, j.Spec.Image), n.ActiveFetches
+		option := referenceOption{node: i, count: tasks, cost: referencePlacementCost(j, node), residual: residual}
+		if node.Registered {
+			option.hasImage, option.activeFetches = slices.Contains(node.Images, j.Spec.Image), node.ActiveFetches
 		}
-		opts = append(opts, o)
+		options = append(options, option)
 	}
-	r.optionsBuffer = opts
-	return opts
+	r.optionsBuffer = options
+	return options
 }
 
-// compareOptions orders options: the cheapest for the task first, then those that have the image, then those
-// that need the fewest machines, then the tightest fit. The image goes first where its fetch alone would
-// make the start late. CPU-only work goes where the fewest GPUs are free.
+// compareOptions returns a comparison that sorts the better option first, by the criteria of compareGroups; ties
+// are broken by node ID.
 func (r *referenceCycle) compareOptions(j *Job) func(a, b referenceOption) int {
 	return func(a, b referenceOption) int {
-		na, nb := &r.input.Nodes[a.node], &r.input.Nodes[b.node]
-		price, image := cmp.Compare(a.cost, b.cost), cmp.Compare(boolToInt(b.hasImage), boolToInt(a.hasImage))
+		nodeA, nodeB := &r.input.Nodes[a.node], &r.input.Nodes[b.node]
+		cost, image := cmp.Compare(a.cost, b.cost), cmp.Compare(boolToInt(b.hasImage), boolToInt(a.hasImage))
 		if j.FetchDelaysStart {
-			price, image = image, price
+			cost, image = image, cost
 		}
 		fetches := 0
 		if image == 0 && !a.hasImage {
 			fetches = cmp.Compare(a.activeFetches, b.activeFetches)
 		}
-		stays := cmp.Compare(boolToInt(nb.RunsOnDemandWork), boolToInt(na.RunsOnDemandWork))
+		onDemandWork := cmp.Compare(boolToInt(nodeB.RunsOnDemandWork), boolToInt(nodeA.RunsOnDemandWork))
 		count, residual := cmp.Compare(b.count, a.count), cmp.Compare(a.residual, b.residual)
-		last := cmp.Or(cmp.Compare(na.ID, nb.ID), cmp.Compare(a.node, b.node))
+		tieBreak := cmp.Or(cmp.Compare(nodeA.ID, nodeB.ID), cmp.Compare(a.node, b.node))
 		if j.FetchDelaysStart || j.Spec.AllowSpot {
-			return cmp.Or(price, image, fetches, count, residual, last)
+			return cmp.Or(cost, image, fetches, count, residual, tieBreak)
 		}
-		return cmp.Or(price, count, stays, residual, image, fetches, last)
+		return cmp.Or(cost, count, onDemandWork, residual, image, fetches, tieBreak)
 	}
 }
 
-// chooseNodes picks nodes for up to want tasks, the best first.
+// chooseNodes chooses the best nodes for up to want tasks.
 func (r *referenceCycle) chooseNodes(j *Job, want int, at horizon, zone string) []Placement {
-	order := referenceHeap[referenceOption]{items: r.options(j, want, at, zone), cmp: r.compareOptions(j)}
-	var places []Placement
-	taken := map[string]int{}
-	for o := range order.all() {
-		nodeZone := r.input.Nodes[o.node].Zone
-		c := min(o.count, want, referenceZoneAllowance(j, nodeZone)-taken[nodeZone])
-		if c <= 0 {
+	bestFirst := referenceHeap[referenceOption]{items: r.options(j, want, at, zone), compare: r.compareOptions(j)}
+	var placements []Placement
+	takenByZone := map[string]int{}
+	for option := range bestFirst.all() {
+		nodeZone := r.input.Nodes[option.node].Zone
+		tasks := min(option.count, want, referenceZoneAllowance(j, nodeZone)-takenByZone[nodeZone])
+		if tasks <= 0 {
 			continue
 		}
-		places = append(places, Placement{Job: j, Node: o.node, Count: c})
-		taken[nodeZone] += c
-		if want -= c; want == 0 {
+		placements = append(placements, Placement{Job: j, Node: option.node, Count: tasks})
+		takenByZone[nodeZone] += tasks
+		if want -= tasks; want == 0 {
 			break
 		}
 	}
-	return places
+	return placements
 }
 
-// commitPlacements books placements against every horizon, so that no later job of the window uses the room,
-// and against the limit of the team.
-func (r *referenceCycle) commitPlacements(j *Job, places []Placement, start bool) {
+// commitPlacements books placements: it subtracts them from the free capacity at every horizon, so that no later job
+// of the window uses it, and adds them to the usage of the team.
+func (r *referenceCycle) commitPlacements(j *Job, placements []Placement, start bool) {
 	need := fleet.TaskResources(j.Spec)
-	n := 0
-	for _, p := range places {
-		for range p.Count {
+	placed := 0
+	for _, placement := range placements {
+		for range placement.Count {
 			for at := range r.free {
-				r.free[at][p.Node] = r.free[at][p.Node].Sub(need)
+				r.free[at][placement.Node] = r.free[at][placement.Node].Sub(need)
 			}
 		}
-		n += p.Count
-		j.LiveByZone[r.input.Nodes[p.Node].Zone] += p.Count
-	}
-	j.LiveAttempts += n
-	j.PendingTasks -= n
-	t := r.input.Teams[j.Spec.Team]
-	t.Used.Cores += float64(n) * need.Cores
-	t.Used.Gpus += float64(n) * need.Gpus
+		placed += placement.Count
+		j.LiveByZone[r.input.Nodes[placement.Node].Zone] += placement.Count
+	}
+	j.LiveAttempts += placed
+	j.PendingTasks -= placed
+	team := r.input.Teams[j.Spec.Team]
+	team.Used.Cores += float64(placed) * need.Cores
+	team.Used.Gpus += float64(placed) * need.Gpus
 	if start {
-		r.plan.Placements = append(r.plan.Placements, places...)
-		c := float64(len(places)) / float64(2*max(1, len(r.input.Nodes)))
-		r.plan.Objective += r.input.PriorityWeights[j.Level] * (1 - c)
+		r.plan.Placements = append(r.plan.Placements, placements...)
+		machineShare := float64(len(placements)) / float64(2*max(1, len(r.input.Nodes)))
+		r.plan.Objective += r.input.PriorityWeights[j.Level] * (1 - machineShare)
 	}
 }
 
-// reserveNodes reserves nodes for a job, those with the most free room first, until their whole capacity would
-// hold it. Later jobs start only elsewhere.
+// reserveNodes reserves nodes for want tasks of a job, so that later jobs start on other nodes. It takes the nodes
+// with the most free capacity first, and stops once their total capacity, in use or free, would hold the tasks.
 func (r *referenceCycle) reserveNodes(j *Job, want int) {
 	need := fleet.TaskResources(j.Spec)
 	var nodes []int
@@ -352,38 +352,39 @@
 		}
 	}
 	slices.SortFunc(nodes, func(a, b int) int {
-		x, y := r.free[afterStops][a], r.free[afterStops][b]
-		return cmp.Or(cmp.Compare(y.Gpus, x.Gpus), cmp.Compare(y.Cores, x.Cores), cmp.Compare(a, b))
+		freeA, freeB := r.free[afterStops][a], r.free[afterStops][b]
+		return cmp.Or(cmp.Compare(freeB.Gpus, freeA.Gpus), cmp.Compare(freeB.Cores, freeA.Cores), cmp.Compare(a, b))
 	})
-	taken := map[string]int{}
-	zone := ""
+	reservedByZone := map[string]int{}
+	jobZone := ""
 	for _, i := range nodes {
 		if want <= 0 {
 			break
 		}
 		nodeZone := r.input.Nodes[i].Zone
-		if j.Spec.SingleZone && zone != "" && nodeZone != zone {
+		if j.Spec.SingleZone && jobZone != "" && nodeZone != jobZone {
 			continue
 		}
-		c := min(r.input.Nodes[i].Capacity.CountFitting(need, want), referenceZoneAllowance(j, nodeZone)-taken[nodeZone])
-		if c <= 0 {
+		tasks := min(r.input.Nodes[i].Capacity.CountFitting(need, want), referenceZoneAllowance(j, nodeZone)-reservedByZone[nodeZone])
+		if tasks <= 0 {
 			continue
 		}
-		zone = nodeZone
-		taken[nodeZone] += c
-		want -= c
+		jobZone = nodeZone
+		reservedByZone[nodeZone] += tasks
+		want -= tasks
 		r.reserved[i] = true
 	}
 	r.plan.ReservedFor = j.Spec.UID
 }
 
-// referenceOpenNodes are the nodes that may have room for a task of the window at a horizon.
+// referenceOpenNodes are the nodes on which the smallest need of the window may fit at a horizon. They include nodes
+// that have become full until candidateNodes drops them.
 type referenceOpenNodes struct {
 	nodes    []int
 	contains []bool // by node
 }
 
-// buildOpenNodes prepares the lists of open nodes for the jobs of a window.
+// buildOpenNodes lists the open nodes at each horizon for the jobs of a window.
 func (r *referenceCycle) buildOpenNodes(window []*Job) {
 	if len(window) == 0 {
 		return
@@ -397,33 +398,34 @@
 	}
 	r.smallestNeed = smallest
 	for at := range r.openNodes {
-		o := &r.openNodes[at]
-		o.contains = make([]bool, len(r.input.Nodes))
+		open := &r.openNodes[at]
+		open.contains = make([]bool, len(r.input.Nodes))
 		for i := range r.input.Nodes {
 			if r.free[at][i].CountFitting(r.smallestNeed, 1) > 0 {
-				o.nodes, o.contains[i] = append(o.nodes, i), true
+				open.nodes, open.contains[i] = append(open.nodes, i), true
 			}
 		}
 	}
 }
 
-// candidateNodes lists the nodes that may have room at a horizon, and drops those that no longer have.
+// candidateNodes drops the open nodes that have become full at a horizon, and returns the others.
 func (r *referenceCycle) candidateNodes(at horizon) []int {
-	o := &r.openNodes[at]
-	o.nodes = slices.DeleteFunc(o.nodes, func(i int) bool {
-		o.contains[i] = r.free[at][i].CountFitting(r.smallestNeed, 1) > 0
-		return !o.contains[i]
+	open := &r.openNodes[at]
+	open.nodes = slices.DeleteFunc(open.nodes, func(i int) bool {
+		open.contains[i] = r.free[at][i].CountFitting(r.smallestNeed, 1) > 0
+		return !open.contains[i]
 	})
-	return o.nodes
+	return open.nodes
 }
 
-// releaseCapacity adds the room of a task that is stopped to what its node has once it has ended.
-func (r *referenceCycle) releaseCapacity(node int, room fleet.Resources) {
+// releaseCapacity adds the resources of a task that is being stopped to the capacity of its node that is free after
+// stops and after boot.
+func (r *referenceCycle) releaseCapacity(node int, released fleet.Resources) {
 	clear(r.maxFit)
 	for _, at := range [...]horizon{afterStops, afterBoot} {
-		r.free[at][node] = r.free[at][node].Add(room)
-		if o := &r.openNodes[at]; !o.contains[node] && r.free[at][node].CountFitting(r.smallestNeed, 1) > 0 {
-			o.nodes, o.contains[node] = append(o.nodes, node), true
+		r.free[at][node] = r.free[at][node].Add(released)
+		if open := &r.openNodes[at]; !open.contains[node] && r.free[at][node].CountFitting(r.smallestNeed, 1) > 0 {
+			open.nodes, open.contains[node] = append(open.nodes, node), true
 		}
 	}
 }
@@ -442,36 +444,37 @@
 	return r.victims
 }
 
-// referenceShape is an equivalence class of jobs at a horizon, as demandShape.
+// referenceShape identifies jobs whose tasks fit the same nodes at a horizon, like demandShape.
 type referenceShape struct {
 	horizon                         horizon
-	preemptorLevel                  int // of a job that preempts
+	preemptorLevel                  int // set only for byPreemption
 	need                            fleet.Resources
 	machineTypes, zone              string
 	allowSpot                       bool
 	cannotAwaitBoot, waitedPastBoot bool
 	spotUnavailable                 bool
-	requiredImage                   string // if only nodes that have it will do
+	requiredImage                   string // set only if just nodes that have this image may be used
 }
 
-// shapeAt returns the shape of a job. ok is false if what fits depends on more.
-func (r *referenceCycle) shapeAt(j *Job, at horizon) (shape referenceShape, ok bool) {
-	s := j.Spec
-	if s.SingleZone || s.SpreadZones || j.AvoidedMachine != "" {
+// shapeAt returns the shape of a job at a horizon. shapeDecidesFit is false if how many tasks fit depends on more than
+// the shape.
+func (r *referenceCycle) shapeAt(j *Job, at horizon) (shape referenceShape, shapeDecidesFit bool) {
+	spec := j.Spec
+	if spec.SingleZone || spec.SpreadZones || j.AvoidedMachine != "" {
 		return shape, false
 	}
 	shape = referenceShape{
 		horizon:         at,
-		need:            fleet.TaskResources(s),
-		machineTypes:    strings.Join(s.MachineTypes, " "),
-		zone:            s.Zone,
-		allowSpot:       s.AllowSpot,
+		need:            fleet.TaskResources(spec),
+		machineTypes:    strings.Join(spec.MachineTypes, " "),
+		zone:            spec.Zone,
+		allowSpot:       spec.AllowSpot,
 		cannotAwaitBoot: j.CannotAwaitBoot,
 		waitedPastBoot:  j.WaitedPastBoot,
 		spotUnavailable: j.SpotUnavailable,
 	}
 	if r.imageRequired {
-		shape.requiredImage = s.Image
+		shape.requiredImage = spec.Image
 	}
 	if at == byPreemption {
 		shape.preemptorLevel = j.Level
