--- a/internal/sched/classindex.go
+++ b/internal/sched/classindex.go
@@ -7,7 +7,7 @@
 )
 
 // The class index saves a cycle from visiting every node for every job. A class is a set of nodes with the
-// same profile, number of active fetches and free capacity; only their images and victims differ. For each
+// same profile, number of active fetches and free capacity; only their IDs, images and victims may differ. For each
 // job the cycle compares classes, and visits single nodes only in the classes where it places tasks. A node
 // is in no class if the smallest need of the window fits it at no horizon.
 
@@ -29,7 +29,7 @@
 	size    int     // number of nodes in the class, without those that have left
 }
 
-// buildClassIndex assigns the nodes that the smallest need of the window fits to classes.
+// buildClassIndex puts each node on which the smallest need of the window fits into its class.
 func (c *cycle) buildClassIndex(smallest fleet.Resources) {
 	c.smallestNeed = smallest
 	scratch := c.scratch
--- a/internal/sched/doc.go
+++ b/internal/sched/doc.go
@@ -1,5 +1,6 @@
 // Package sched implements the scheduling cycle: it computes placements, preemptions and shortfalls from
-// a snapshot of machines and pending jobs. It does no I/O and reads no clock.
+// a snapshot of machines and pending jobs. It does no I/O and reads no clock, so equal inputs give equal
+// plans.
 //
 // A cycle takes the first jobs of the queue (the window) in order of priority (SortQueue) and packs
 // their tasks onto machines greedily. This approximates the choice of jobs that maximises the sum of
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -7,10 +7,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// SortQueue sorts jobs by these criteria: within the quota of the team before beyond it, higher priority
-// first, least laxity first, oldest first, UID. Within a priority there are two exceptions. Overdue first
-// tasks of arrays go before all other jobs, the oldest job first. Arrays that can no longer meet their
-// deadline go last until they have waited for maxYieldS seconds.
+// SortQueue sorts jobs by these criteria in order: jobs within their team's quota first, highest priority,
+// least laxity, oldest job, lowest UID. Within a priority there are two exceptions. Overdue first tasks of
+// arrays go before all other jobs, the oldest job first. Arrays that can no longer meet their deadline go
+// last until they have waited for maxYieldS seconds.
 func SortQueue(jobs []*Job, maxYieldS float64) {
 	slices.SortFunc(jobs, func(a, b *Job) int { return compareQueued(a, b, maxYieldS) })
 }
--- a/internal/sched/quota_test.go
+++ b/internal/sched/quota_test.go
@@ -20,8 +20,8 @@
 	stopping    bool // is being stopped already, so it is no victim
 }
 
-// teamsInput returns an input with three teams and without machines and jobs. Team "other" has the quota
-// given, the other two have none.
+// teamsInput returns an input with three teams and without machines and jobs. Team "other" has the quota that
+// is given, "guest" has none, and that of "owner" counts only in Input.WithinQuota.
 func teamsInput(otherQuota fleet.Resources) *Input {
 	in := &Input{
 		Window:          200,
@@ -110,7 +110,7 @@
 // checkReclaim runs a cycle and checks its preemptions. A victim has a lower priority than the job, or the job is
 // within its team's quota and the victim is beyond the quota of another team, which keeps its quota. The usage of
 // the victims' teams stays as it was, because tasks count against the limit until they have left the machine.
-// Nothing is stopped if the job gets no placement from it.
+// Nothing is stopped unless tasks of the job are placed.
 func checkReclaim(t fataler, in *Input) {
 	t.Helper()
 	used, excess := map[string]Team{}, map[string]fleet.Resources{}
--- a/internal/sched/scratch.go
+++ b/internal/sched/scratch.go
@@ -17,7 +17,7 @@
 	options       []preemptionOption
 	eligible      []bool // by profile
 	preemptible   []preemptibleSummary
-	victims       []Victim           // copies of victims, sorted by node
+	victims       []Victim           // copies of victims, those of each node in stop order
 	sortedVictims map[int32][]Victim // by slot: subslices of victims
 	maxFit        map[demandShape]int
 }
--- a/internal/sched/view.go
+++ b/internal/sched/view.go
@@ -81,7 +81,7 @@
 	return true
 }
 
-// isEqual reports whether two nodes are equal except for the order of their victims.
+// isEqual reports whether two nodes are equal, apart from the order of their victims.
 func (node *retainedNode) isEqual(other *retainedNode) bool {
 	if node.profileID != other.profileID || node.activeFetches != other.activeFetches || node.free != other.free ||
 		!slices.Equal(node.images, other.images) || len(node.victims) != len(other.victims) {
