--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -9,50 +9,51 @@
 // AttemptState is a stage in the life of an attempt.
 type AttemptState int
 
-// The states of an attempt, in the order in which it goes through them. Those before Ended are
-// live. An attempt may skip some, and goes back from LaunchSent to Committed if the worker did not
+// The states of an attempt, in the order in which it goes through them. The states before Ended are
+// live. An attempt may skip states, and goes back from LaunchSent to Committed if the worker did not
 // act on the launch.
 const (
-	Planned     AttemptState = iota // decided, its record not yet committed
-	Committed                       // its record is committed: it may be launched, unless it is Inherited
-	LaunchSent                      // its launch was in an answer to a heartbeat
-	Fetching                        // its worker reports that it fetches the image
-	Running                         // its worker reports that it runs
-	Saving                          // its worker reports that it saves a checkpoint
-	Ended                           // its worker reports its end, which is not recorded yet
-	EndRecorded                     // its end is recorded: the worker may forget it
-	Off                             // provably off its machine
+	Planned     AttemptState = iota // decided, but its record is not committed yet
+	Committed                       // its record is committed: it may be launched, unless it is inherited from an earlier term
+	LaunchSent                      // an answer to a heartbeat carried its launch command
+	Fetching                        // its worker reports that it is fetching the image
+	Running                         // its worker reports that it is running
+	Saving                          // its worker reports that it is saving a checkpoint
+	Ended                           // its worker reports that it has ended; the record of the end is not committed yet
+	EndRecorded                     // the record of its end is committed, or not needed: the worker may forget it
+	Off                             // proven not to be on its machine, now or later
 )
 
 var attemptStateNames = [...]string{"planned", "committed", "sent", "fetching", "running", "saving", "ended", "recorded", "off"}
 
-// String returns the name of the state in log lines.
+// String returns the name of the state as log lines show it.
 func (s AttemptState) String() string { return attemptStateNames[s] }
 
+// attemptKey identifies an attempt on its machine.
 type attemptKey struct {
-	task    string
-	attempt uint64
+	task    string // name of the task
+	attempt uint64 // number of the attempt
 }
 
 // Attempt is one attempt to run one task on one machine.
 type Attempt struct {
-	JobUID       string
-	TaskIndex    int
-	Number       uint64 // of the attempt among those of its task; never used again
-	Serial       int    // unique among the attempts of a term; set by AddAttempt
-	Incarnation  uint64 // of the machine's worker that it was decided for
-	Resources    Resources
-	Image        string
-	Machine      *Machine
-	State        AttemptState
-	SentSequence uint64     // of the newest heartbeat whose answer carried the launch
-	Inherited    bool       // decided in an earlier term
-	Stopping     bool       // it is to be stopped
-	GracePeriodS float64    // seconds it may take to stop, with Stopping
-	Cause        wire.Cause // of its end, from Ended on
-	Checkpointed bool       // it had saved a checkpoint when it ended
-	Since        time.Time  // when State last changed
-	RunningSince time.Time  // when it was first seen running
+	JobUID         string
+	TaskIndex      int
+	Number         uint64 // number of this attempt at its task; never reused
+	Serial         int    // unique among the attempts of a term; set by AddAttempt
+	Incarnation    uint64 // of the machine's worker when the attempt was decided
+	Resources      Resources
+	Image          string
+	Machine        *Machine
+	State          AttemptState
+	LaunchSequence uint64     // sequence number of the newest heartbeat whose answer carried the launch
+	Inherited      bool       // decided in an earlier term
+	Stopping       bool       // a stop was requested
+	GracePeriodS   float64    // seconds that it may take to stop, if Stopping
+	Cause          wire.Cause // why it ended; set from state Ended on
+	Checkpointed   bool       // a checkpoint was saved before it ended
+	Since          time.Time  // when State last changed
+	RunningSince   time.Time  // when a heartbeat first reported it as running
 }
 
 // TaskName returns the name of the attempt's task.
@@ -63,8 +64,8 @@
 
 func (a *Attempt) key() attemptKey { return attemptKey{a.TaskName(), a.Number} }
 
-// setAttemptState is the one function that changes the state of an attempt. Off is final. Whoever
-// passes Off has the proof that docs/safety.md asks for.
+// setAttemptState makes every change of an attempt's state. Off is final. A caller that passes Off
+// must hold one of the proofs that docs/safety.md requires.
 func (f *Fleet) setAttemptState(a *Attempt, to AttemptState, now time.Time, reason string) {
 	if a.State == to || a.State == Off {
 		return
@@ -75,8 +76,8 @@
 	a.State, a.Since = to, now
 	if wasLive && !a.Live() {
 		m.used = m.used.Sub(a.Resources)
-		if m.live--; m.live == 0 {
-			m.used = Resources{} // so that rounding errors do not add up
+		if m.liveAttempts--; m.liveAttempts == 0 {
+			m.used = Resources{} // prevents rounding errors from accumulating
 			m.IdleSince = now
 		}
 	}
@@ -87,8 +88,9 @@
 }
 
 // AddAttempt adds an attempt to a machine: as Planned if this term decided it, or as Committed if it
-// is inherited from the record of an earlier term. The caller has set JobUID, TaskIndex, Number,
-// Resources, Image and Inherited, and for an inherited attempt Incarnation; the rest is set here.
+// is inherited from the record of an earlier term. The caller sets JobUID, TaskIndex, Number,
+// Resources, Image and Inherited, and for an inherited attempt also Incarnation. AddAttempt sets the
+// fields that identify its machine and its state.
 func (f *Fleet) AddAttempt(m *Machine, a *Attempt, now time.Time) {
 	f.lastSerial++
 	a.Machine, a.Since, a.Serial = m, now, f.lastSerial
@@ -101,30 +103,31 @@
 	}
 	m.attempts[a.key()] = a
 	m.used = m.used.Add(a.Resources)
-	m.live++
+	m.liveAttempts++
 	f.observer.AttemptChanged(a, a.State, "placed")
 }
 
-// MarkCommitted is called when the record of a planned attempt is committed: it may be launched.
+// MarkCommitted is called when the record of a planned attempt is committed. From then on the attempt
+// may be launched.
 func (f *Fleet) MarkCommitted(a *Attempt, now time.Time) {
 	if a.State == Planned {
-		f.setAttemptState(a, Committed, now, "its record is committed")
+		f.setAttemptState(a, Committed, now, "record committed")
 	}
 }
 
-// MarkEndRecorded is called when the record of an attempt's end is committed, or need not be
-// written: from then on the answers to heartbeats acknowledge the end, and the worker forgets the
+// MarkEndRecorded is called when the record of an attempt's end is committed, or when no record is
+// needed. From then on the answers to heartbeats acknowledge the end, so that the worker forgets the
 // attempt.
 func (f *Fleet) MarkEndRecorded(a *Attempt, now time.Time) {
 	if a.State == Ended {
-		f.setAttemptState(a, EndRecorded, now, "its end is recorded")
+		f.setAttemptState(a, EndRecorded, now, "end recorded")
 	}
 }
 
-// StopAttempt requests the end of an attempt within a grace period in seconds; of several requests
-// the shortest grace period counts. The next answers to heartbeats carry the command. An attempt
-// that this term has not launched, and that no other term can have launched, is Off at once. It
-// does nothing to an attempt that is not live.
+// StopAttempt requests that an attempt stops within a grace period in seconds. If there are several
+// requests, the shortest grace period counts. The next answers to the machine's heartbeats carry the
+// stop command. An attempt that neither this term nor an earlier one can have launched becomes Off at
+// once. StopAttempt does nothing to an attempt that is not live.
 func (f *Fleet) StopAttempt(a *Attempt, gracePeriodS float64, now time.Time, reason string) {
 	if !a.Live() {
 		return
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -6,31 +6,31 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Commands returns the commands that answer a fresh heartbeat; never nil, since the answer carries an
-// empty list and not none. Launches are among them if launches is true, the machine is Ready and the
-// record of the attempt is committed. These count as sent: the caller must put the commands into the
-// answer to the machine's newest heartbeat and no other.
-func (f *Fleet) Commands(m *Machine, now time.Time, launches bool) []wire.Command {
+// Commands returns the commands for the answer to a machine's newest heartbeat. The list is never nil,
+// since an answer without commands carries an empty list. It contains launches only if withLaunches is
+// true and the machine is Ready. Attempts whose launch is returned are marked as LaunchSent, so the
+// caller must put the commands into the answer to the machine's newest heartbeat and into no other.
+func (f *Fleet) Commands(m *Machine, now time.Time, withLaunches bool) []wire.Command {
 	commands := []wire.Command{}
 	for _, task := range m.unknownTasks {
 		verb := wire.Stop
 		if task.ended {
 			verb = wire.Acknowledge
 		}
-		commands = append(commands, wire.Command{Verb: verb, Task: task.task, Attempt: task.attempt})
+		commands = append(commands, wire.Command{Verb: verb, Task: task.name, Attempt: task.attempt})
 	}
 	for _, a := range m.attempts {
-		commands = a.appendEndCommand(commands)
+		commands = a.appendStopOrAcknowledge(commands)
 	}
-	if launches && m.State == Ready {
+	if withLaunches && m.State == Ready {
 		commands = f.appendLaunches(commands, m, now)
 	}
 	return commands
 }
 
-// appendEndCommand appends the command that brings the attempt nearer to its end, if there is one: to
-// acknowledge its recorded end, or to stop it.
-func (a *Attempt) appendEndCommand(commands []wire.Command) []wire.Command {
+// appendStopOrAcknowledge appends a command to acknowledge the attempt's recorded end, or to stop the
+// attempt, if its state requires one of these.
+func (a *Attempt) appendStopOrAcknowledge(commands []wire.Command) []wire.Command {
 	switch a.State {
 	case EndRecorded:
 		return append(commands, wire.Command{Verb: wire.Acknowledge, Task: a.TaskName(), Attempt: a.Number})
@@ -47,13 +47,13 @@
 	return commands
 }
 
-// appendLaunches appends the launches of the attempts that are committed, and marks these as sent
-// in the answer to the machine's newest heartbeat. Inherited attempts are never launched by this
-// term, nor are those that were decided for an earlier incarnation of the worker.
+// appendLaunches appends the launches of the machine's committed attempts, and marks these launches as
+// sent in the answer to the machine's newest heartbeat. This term never launches an inherited attempt,
+// nor an attempt that was decided for an earlier incarnation of the worker.
 func (f *Fleet) appendLaunches(commands []wire.Command, m *Machine, now time.Time) []wire.Command {
 	for _, a := range m.attempts {
 		if a.State == Committed && !a.Inherited && !a.Stopping && a.Incarnation == m.Incarnation {
-			a.SentSequence = m.Sequence
+			a.LaunchSequence = m.Sequence
 			f.setAttemptState(a, LaunchSent, now, "launch sent")
 			commands = append(commands, wire.Command{Verb: wire.Launch, Task: a.TaskName(), Attempt: a.Number})
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,32 +1,32 @@
-// Package fleet holds the leader's view of the machines and of the task attempts on them, for
-// one term. It is the only place that concludes that an attempt is provably off its machine; the
-// argument is in docs/safety.md, "No task runs twice". It does no I/O, and the caller passes the
-// time in. A Fleet is not safe for concurrent use.
+// Package fleet holds one leader's view, for one term, of the machines and of the task attempts on
+// them. No other package decides that an attempt is off its machine, that is, proven not to be there,
+// now or later. The proof is in docs/safety.md, "No task runs twice". The package does no I/O, and the
+// caller passes the time in. A Fleet is not safe for concurrent use.
 package fleet
 
 import "time"
 
-// Observer is called with every change of state, after it was made. For a machine or an attempt
-// that was just added, from is the state that it was added in. The reason is a text for log lines.
-// The methods are called in the middle of a change of the fleet: they may change attempts, but must
-// not add or forget machines.
+// Observer is notified of every change of state, after the change. For a machine or an attempt that
+// was just added, from is its initial state. The reason is a text for log lines. The methods are called
+// while a method of the Fleet is still running: they may change attempts, but must not add or forget
+// machines.
 type Observer interface {
 	MachineChanged(m *Machine, from MachineState, reason string)
 	AttemptChanged(a *Attempt, from AttemptState, reason string)
 }
 
-// Fleet is all that one term's leader knows of machines and attempts.
+// Fleet holds the machines and attempts that the leader of one term knows.
 type Fleet struct {
 	term       uint64        // the fencing token of this term
-	lease      time.Duration // the workers' lease
+	lease      time.Duration // how long a worker runs its tasks without an answer to a heartbeat
 	observer   Observer
 	machines   map[string]*Machine
-	changed    map[string]struct{} // machines that may have changed since DrainChanged
+	changed    map[string]struct{} // IDs of the machines that may have changed since the last DrainChanged
 	lastSerial int                 // Serial of the attempt that was added last
 }
 
-// New returns an empty fleet for a term. The lease is the workers' lease: a machine without a
-// heartbeat for longer is suspected.
+// New returns an empty fleet for a term. The lease is the workers' lease: a machine that sends no
+// heartbeat for longer than this is suspected.
 func New(term uint64, lease time.Duration, observer Observer) *Fleet {
 	return &Fleet{
 		term:     term,
@@ -37,11 +37,11 @@
 	}
 }
 
-// MarkChanged marks a machine as one that may have changed, or on which an attempt may have.
+// MarkChanged records that a machine, or an attempt on it, may have changed.
 func (f *Fleet) MarkChanged(m *Machine) { f.changed[m.ID] = struct{}{} }
 
 // DrainChanged calls visit for every machine that may have changed since the last call of
-// DrainChanged, with nil for one that was forgotten.
+// DrainChanged. For a machine that was forgotten, m is nil.
 func (f *Fleet) DrainChanged(visit func(id string, m *Machine)) {
 	for id := range f.changed {
 		visit(id, f.machines[id])
@@ -49,11 +49,11 @@
 	clear(f.changed)
 }
 
-// Get returns a machine, or nil if it is unknown.
+// Get returns the machine with an ID, or nil if there is none.
 func (f *Fleet) Get(id string) *Machine { return f.machines[id] }
 
-// GetOrAdd returns a machine. An unknown one is added as Booting, and gets the time to send a
-// heartbeat from now on: its last heartbeat is set to now.
+// GetOrAdd returns the machine with an ID. If there is none, it adds one as Booting, whose last
+// heartbeat is set to now, so that its timeouts start now.
 func (f *Fleet) GetOrAdd(id string, now time.Time) *Machine {
 	if m := f.machines[id]; m != nil {
 		return m
@@ -86,14 +86,14 @@
 	return count
 }
 
-// Each calls visit for every machine, those that are Gone included.
+// Each calls visit for every machine, including those that are Gone.
 func (f *Fleet) Each(visit func(*Machine)) {
 	for _, m := range f.machines {
 		visit(m)
 	}
 }
 
-// Forget removes a machine that is Gone. It does nothing to others.
+// Forget removes a machine that is Gone. It does nothing to a machine in another state.
 func (f *Fleet) Forget(id string) {
 	if m := f.machines[id]; m != nil && m.State == Gone {
 		f.MarkChanged(m)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,8 +8,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// The same inputs every run; -rapid.seed draws others. 2,000 draws, since 100 do not find that old
-// copies of heartbeats are accepted: the first draw that does is the 560th.
+// Every run draws the same inputs; -rapid.seed draws others. If the fleet accepts old copies of
+// heartbeats, the first input that fails is the 560th, so rapid's default of 100 inputs is too few.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "2000")
@@ -22,7 +22,7 @@
 
 const lease = 10 * time.Second
 
-// heartbeat is one of the machine m-1.
+// heartbeat returns a heartbeat of the machine m-1.
 func heartbeat(incarnation, sequence, token uint64, tasks ...wire.TaskReport) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Host:         "m-1",
@@ -40,8 +40,8 @@
 	return wire.TaskReport{Task: task, Attempt: attempt, Status: wire.TaskRunning}
 }
 
-// An attempt of an earlier term is off its machine only once a heartbeat with
-// this term's token lacks it: an answer of the earlier leader may still carry its launch.
+// An attempt of an earlier term becomes Off only when a heartbeat with this term's token does not list
+// it: before that, an answer of the earlier leader may still carry its launch.
 func TestInheritedAttemptIsOffOnlyByThisTermsToken(t *testing.T) {
 	now := time.Now()
 	f := New(5, lease, noObserver{})
@@ -50,19 +50,19 @@
 	f.AddAttempt(m, a, now)
 	f.MarkSuspected(now.Add(time.Hour))
 	if m.State != Suspected || a.State != Committed {
-		t.Fatalf("after silence: %v, %v", m.State, a.State)
+		t.Fatalf("after an hour without a heartbeat: machine %v, attempt %v, want %v, %v", m.State, a.State, Suspected, Committed)
 	}
 	f.ApplyHeartbeat(heartbeat(1, 1, 4), now)
 	if a.State != Committed {
-		t.Fatalf("after a heartbeat with an old token: %v", a.State)
+		t.Fatalf("after a heartbeat with an old token: attempt %v, want %v", a.State, Committed)
 	}
 	f.ApplyHeartbeat(heartbeat(1, 2, 5), now)
 	if a.State != Off {
-		t.Fatalf("after a heartbeat with the term's token: %v", a.State)
+		t.Fatalf("after a heartbeat with this term's token: attempt %v, want %v", a.State, Off)
 	}
 }
 
-// A copy of an old heartbeat changes nothing and gets no commands.
+// A late copy of an old heartbeat changes nothing, and its answer carries no commands.
 func TestOldCopyOfHeartbeatChangesNothing(t *testing.T) {
 	now := time.Now()
 	f := New(5, lease, noObserver{})
@@ -71,25 +71,25 @@
 	a := &Attempt{JobUID: "run-000001", Number: 1}
 	f.AddAttempt(m, a, now)
 	if n := len(f.Commands(m, now, true)); n != 0 {
-		t.Fatalf("%d commands before the record is committed", n)
+		t.Fatalf("%d commands before the record is committed, want 0", n)
 	}
 	f.MarkCommitted(a, now)
 	f.ApplyHeartbeat(heartbeat(1, 8, 5), now)
 	commands := f.Commands(m, now, true)
 	if len(commands) != 1 || commands[0].Verb != wire.Launch || a.State != LaunchSent {
-		t.Fatalf("commands %v, attempt %v", commands, a.State)
+		t.Fatalf("commands %v, attempt %v, want one launch, %v", commands, a.State, LaunchSent)
 	}
 	f.ApplyHeartbeat(heartbeat(1, 9, 5, running(a.TaskName(), 1)), now)
 	if _, fresh := f.ApplyHeartbeat(heartbeat(1, 8, 5), now); fresh || a.State != Running {
-		t.Fatalf("an old copy was applied: fresh %v, attempt %v", fresh, a.State)
+		t.Fatalf("after an old copy: fresh %v, attempt %v, want false, %v", fresh, a.State, Running)
 	}
-	// In a new incarnation everything of the old one is gone.
+	// A new incarnation of the worker has none of the tasks of the old one.
 	f.ApplyHeartbeat(heartbeat(2, 10, 5), now)
 	if a.State != Off {
-		t.Fatalf("in a new incarnation: %v", a.State)
+		t.Fatalf("in a new incarnation: attempt %v, want %v", a.State, Off)
 	}
 	if _, fresh := f.ApplyHeartbeat(heartbeat(1, 11, 5, running(a.TaskName(), 1)), now); fresh {
-		t.Fatal("a heartbeat of an earlier incarnation was applied")
+		t.Fatal("a heartbeat of an earlier incarnation counts as fresh")
 	}
 }
 
@@ -107,17 +107,17 @@
 	f.ApplyHeartbeat(heartbeat(1, 2, 5), now)
 	f.ApplyHeartbeat(heartbeat(2, 3, 5), now)
 	if m.State != Returning || m.AcceptsAttempts(now) {
-		t.Fatalf("%v", m.State)
+		t.Fatalf("after a release attempt: machine %v, accepts attempts: %v, want %v, false", m.State, m.AcceptsAttempts(now), Returning)
 	}
 	f.MarkGone(m, now, "test")
 	f.ApplyHeartbeat(heartbeat(3, 4, 5), now)
 	if m.State != Gone {
-		t.Fatalf("%v", m.State)
+		t.Fatalf("after a heartbeat of a machine that is gone: machine %v, want %v", m.State, Gone)
 	}
 }
 
-// A machine that never acts on its launches gets none for a while: its heartbeats
-// arrive, but the answers do not reach it.
+// A machine that acts on none of its launches gets no new attempts for a while: its heartbeats arrive,
+// but the answers do not reach it.
 func TestMachineThatMissesLaunchesIsAvoided(t *testing.T) {
 	now := time.Now()
 	f := New(5, lease, noObserver{})
@@ -132,21 +132,21 @@
 		f.Commands(m, now, true)
 	}
 	if a.State != Off || m.AcceptsAttempts(now) {
-		t.Fatalf("attempt %v, accepts attempts: %v", a.State, m.AcceptsAttempts(now))
+		t.Fatalf("attempt %v, accepts attempts: %v, want %v, false", a.State, m.AcceptsAttempts(now), Off)
 	}
 }
 
-// A machine whose lease ends although it sends heartbeats does not get the answers, and is
-// avoided. If its heartbeats were not answered, in an outage, that proves nothing about it: 600 jobs
-// once waited for two leases after an outage while 700 machines had room. Nor does a copy of a
-// heartbeat of an earlier incarnation: when a new leader received one, the machine was avoided for
-// two leases.
+// A machine whose lease ends although it sends heartbeats does not receive the answers, and is avoided.
+// Two other cases look alike, and the machine must not be avoided in them. In an outage its heartbeats
+// are not answered: when such machines were avoided, 600 jobs waited for two leases after an outage
+// while 700 machines had free capacity. And a new leader may receive a copy of a heartbeat of an earlier
+// incarnation: that, too, made it avoid the machine for two leases.
 func TestNewIncarnationAvoidsMachineOnlyIfAnswersWereLost(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		token uint64        // of the heartbeat of the earlier incarnation
-		after time.Duration // when the machine sends heartbeats again
-		want  bool          // it accepts attempts
+		token uint64        // fencing token in the heartbeat of the earlier incarnation
+		after time.Duration // time from that heartbeat to the first one of the new incarnation
+		want  bool          // the machine accepts attempts
 	}{
 		{"a copy from before this term", 4, lease / 5, true},
 		{"a heartbeat of this term", 5, lease / 5, false},
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -6,24 +6,24 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// missedLaunchLimit is the number of launches in a row after which a machine that misses them is
-// avoided: its heartbeats arrive, but the answers do not reach it.
+// missedLaunchLimit is the number of consecutive missed launches after which a machine is avoided: its
+// heartbeats arrive, but the answers do not reach it.
 const missedLaunchLimit = 3
 
-// avoidLeases is the number of worker leases for which a machine that answers do not reach gets no
-// new attempts.
+// avoidLeases is how long a machine that answers do not reach gets no new attempts, in worker leases.
 const avoidLeases = 2
 
-// unknownTask is a task that a machine reports and no record knows.
+// unknownTask is an attempt that a machine reports and that the fleet does not know, since no record
+// lists it.
 type unknownTask struct {
-	task    string
+	name    string
 	attempt uint64
 	ended   bool
 }
 
-// ApplyHeartbeat applies a heartbeat to its machine, which is added if it is unknown, and to the
-// attempts on it. fresh is false for a heartbeat that is no newer than the last one applied, and for
-// any of a machine that is Gone: it changes nothing, and must get no commands.
+// ApplyHeartbeat applies a heartbeat to the machine that sent it, and to the attempts on that machine.
+// An unknown machine is added. fresh is false if the heartbeat is no newer than the last one applied, or
+// if the machine is Gone: such a heartbeat changes nothing, and its answer must not carry commands.
 func (f *Fleet) ApplyHeartbeat(h *wire.Heartbeat, now time.Time) (m *Machine, fresh bool) {
 	m = f.GetOrAdd(h.Host, now)
 	if m.State == Gone || h.Incarnation < m.Incarnation || (h.Incarnation == m.Incarnation && h.Sequence <= m.Sequence) {
@@ -35,9 +35,9 @@
 	for key, a := range m.attempts {
 		switch report := reported[key]; {
 		case a.Incarnation < h.Incarnation:
-			// The worker killed and forgot everything of earlier incarnations, and
-			// drops every answer to a heartbeat of an earlier incarnation.
-			f.setAttemptState(a, Off, now, "its machine has a new incarnation")
+			// When a worker begins a new incarnation it has killed and forgotten all tasks of the
+			// earlier ones, and it drops every answer to a heartbeat of an earlier incarnation.
+			f.setAttemptState(a, Off, now, "the worker began a new incarnation")
 		case report != nil:
 			f.applyTaskReport(a, report, now)
 		default:
@@ -53,11 +53,11 @@
 }
 
 // hasCurrentToken reports whether the worker had this term's fencing token when it sent the heartbeat.
-// A worker that has it drops every answer of an earlier leader.
+// A worker that has this token drops every answer of an earlier leader.
 func (f *Fleet) hasCurrentToken(h *wire.Heartbeat) bool { return h.FencingToken == f.term }
 
-// applyMachineFields applies what a fresh heartbeat says of its machine, and reports whether the machine
-// has begun a new incarnation.
+// applyMachineFields copies the fields of a fresh heartbeat that describe the machine, and reports
+// whether the machine's worker has begun a new incarnation.
 func (f *Fleet) applyMachineFields(m *Machine, h *wire.Heartbeat, now time.Time) (newIncarnation bool) {
 	newIncarnation = h.Incarnation > m.Incarnation && m.Incarnation != 0
 	sinceAnswered := now.Sub(m.lastAnswered)
@@ -68,19 +68,20 @@
 		m.SpotNotice = true
 	}
 	if newIncarnation && sinceAnswered < f.lease && m.State == Ready {
-		// It sent heartbeats all the time and yet its lease ended: answers do not reach
-		// it. Launches would be lost, so it gets none for a while. The machine must be
-		// Ready, that is, have sent this term's token: a new leader may receive copies of
-		// heartbeats of an earlier incarnation. And lastAnswered counts, not LastHeartbeat,
-		// which failure detection sets to the end of an outage: during the outage leases
-		// end because no heartbeat is answered.
+		// The worker sent heartbeats all the time and yet its lease ended, so answers do not
+		// reach it. Launches would be lost: the machine gets none for a while. This rule needs
+		// two precautions. The machine must be Ready, that is, have sent this term's token,
+		// because a new leader may receive copies of heartbeats of an earlier incarnation. And
+		// the time is measured from lastAnswered, not from LastHeartbeat, which failure
+		// detection sets to the end of an outage: during an outage leases end because no
+		// heartbeat is answered.
 		m.AvoidUntil = now.Add(avoidLeases * f.lease)
 	}
 	return newIncarnation
 }
 
-// reportedAttempts returns the attempts of a heartbeat by task and number, and replaces the machine's
-// unknown tasks by those that no record lists.
+// reportedAttempts returns the attempts that a heartbeat lists, by task and number, and replaces the
+// machine's unknown tasks by the listed attempts that the fleet does not know.
 func reportedAttempts(m *Machine, h *wire.Heartbeat) map[attemptKey]*wire.TaskReport {
 	reported := make(map[attemptKey]*wire.TaskReport, len(h.Tasks))
 	m.unknownTasks = m.unknownTasks[:0]
@@ -95,35 +96,35 @@
 	return reported
 }
 
-// applyAbsence handles a fresh heartbeat that does not list an attempt, although it is of the
-// incarnation that the attempt was decided for. Whether that proves the attempt off depends on its
-// state and on the fencing token.
+// applyAbsence handles a fresh heartbeat that does not list an attempt, although the heartbeat is of the
+// incarnation that the attempt was decided for. Whether this proves that the attempt is off depends on
+// the attempt's state and on the heartbeat's fencing token.
 func (f *Fleet) applyAbsence(a *Attempt, h *wire.Heartbeat, now time.Time) {
 	switch a.State {
 	case Committed:
-		// An earlier term's launch can only have travelled in an answer
-		// to a heartbeat that the worker sent before it saw this term's token.
+		// An earlier leader can only have sent the launch in its answer to a heartbeat, and the
+		// worker drops such answers once it has seen this term's token.
 		if a.Inherited && f.hasCurrentToken(h) {
-			f.setAttemptState(a, Off, now, "its machine's heartbeat does not list it")
+			f.setAttemptState(a, Off, now, "not listed in a heartbeat with this term's fencing token")
 		}
 	case LaunchSent:
-		// The worker has one heartbeat in flight: once it has sent a newer one, it
-		// drops the answer that carried the launch.
-		if h.Sequence > a.SentSequence {
+		// A worker only accepts the answer to its newest heartbeat. Once it has sent a newer one,
+		// it drops the answer that carried the launch.
+		if h.Sequence > a.LaunchSequence {
 			f.recordMissedLaunch(a, now)
 		}
 	case Fetching, Running, Saving, Ended:
 		if f.hasCurrentToken(h) {
-			f.setAttemptState(a, Off, now, "its machine's heartbeat no longer lists it")
+			f.setAttemptState(a, Off, now, "no longer listed in a heartbeat with this term's fencing token")
 		}
 	case EndRecorded:
-		f.setAttemptState(a, Off, now, "the worker has forgotten it")
+		f.setAttemptState(a, Off, now, "the worker has removed the acknowledged attempt")
 	}
 }
 
 // recordMissedLaunch is called when it is proven that the worker did not act on a launch and never
-// will. The launch is sent again, unless the attempt is to be stopped or the machine has missed
-// missedLaunchLimit launches: then the attempt is off.
+// will. The launch is sent again, unless a stop of the attempt was requested or the machine has missed
+// missedLaunchLimit launches in a row: then the attempt is Off.
 func (f *Fleet) recordMissedLaunch(a *Attempt, now time.Time) {
 	const reason = "the worker did not act on the launch"
 	m := a.Machine
@@ -137,7 +138,7 @@
 	}
 }
 
-// applyTaskReport applies the reported state of an attempt.
+// applyTaskReport sets the state of an attempt to what its worker reports.
 func (f *Fleet) applyTaskReport(a *Attempt, report *wire.TaskReport, now time.Time) {
 	if a.State == LaunchSent {
 		a.Machine.MissedLaunches = 0
--- a/internal/fleet/resources.go
+++ b/internal/fleet/resources.go
@@ -2,27 +2,27 @@
 
 import "lotusstile.dev/lotusstile/wire"
 
-// Resources is an amount of what a machine offers, or of what a task requests.
+// Resources is an amount of each resource that a machine offers or a task requests.
 type Resources struct {
 	Cores float64
 	Gpus  float64
 	RAM   float64 // GB
 }
 
-// roundingSlack is the amount by which a sum of resources may be off by floating-point rounding.
+// roundingSlack bounds the floating-point rounding error of a sum of resources.
 const roundingSlack = 1e-6
 
-// TaskResources returns what one task of a job requests.
+// TaskResources returns the resources that one task of a job requests.
 func TaskResources(spec *wire.JobSpec) Resources { return Resources{spec.Cores, spec.Gpus, spec.RAMGb} }
 
-// Add returns r + o.
-func (r Resources) Add(o Resources) Resources {
-	return Resources{r.Cores + o.Cores, r.Gpus + o.Gpus, r.RAM + o.RAM}
+// Add returns r + other.
+func (r Resources) Add(other Resources) Resources {
+	return Resources{r.Cores + other.Cores, r.Gpus + other.Gpus, r.RAM + other.RAM}
 }
 
-// Sub returns r - o.
-func (r Resources) Sub(o Resources) Resources {
-	return Resources{r.Cores - o.Cores, r.Gpus - o.Gpus, r.RAM - o.RAM}
+// Sub returns r - other.
+func (r Resources) Sub(other Resources) Resources {
+	return Resources{r.Cores - other.Cores, r.Gpus - other.Gpus, r.RAM - other.RAM}
 }
 
 // Fits reports whether the request fits into r.
@@ -30,8 +30,8 @@
 	return request.Cores <= r.Cores+roundingSlack && request.Gpus <= r.Gpus+roundingSlack && request.RAM <= r.RAM+roundingSlack
 }
 
-// FitsRequested reports whether CountFitting is at least one. Unlike Fits it ignores a resource
-// that the request has none of, which may be overbooked.
+// FitsRequested reports whether CountFitting is at least one. Unlike Fits it ignores resources that
+// are not requested, so that r may be negative there (overbooked).
 func (r Resources) FitsRequested(request Resources) bool {
 	return (request.Cores <= 0 || request.Cores <= r.Cores+roundingSlack) &&
 		(request.Gpus <= 0 || request.Gpus <= r.Gpus+roundingSlack) &&
