--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -12,16 +12,16 @@
 	lease    = 10 * time.Second
 )
 
-// machines is a fleet that does not change.
+// machines implements Machines with a fixed list.
 type machines []*fleet.Machine
 
-func (ms machines) Each(fn func(*fleet.Machine)) {
+func (ms machines) Each(visit func(*fleet.Machine)) {
 	for _, m := range ms {
-		fn(m)
+		visit(m)
 	}
 }
 
-// withGroup adds machines of a zone and a relay whose last heartbeat is this old.
+// withGroup adds machines of a zone and a relay that have sent no heartbeat for the time silence.
 func (ms machines) withGroup(count int, zone, relay string, now time.Time, silence time.Duration) machines {
 	for range count {
 		last := now.Add(-silence)
@@ -36,7 +36,7 @@
 	return ms
 }
 
-// newTestDetector is a detector of a deployment with three controllers that has judged for an hour.
+// newTestDetector returns a detector of a deployment with three controllers that was started an hour ago.
 func newTestDetector(now time.Time) *Detector {
 	d := New(Options{
 		HeartbeatInterval: interval,
@@ -49,37 +49,37 @@
 	return d
 }
 
-// fakePeers are controllers of which those in some zones are reached, and all relays but one.
+// fakePeers implements Peers: the controllers in some zones are reachable, and all relays but one.
 type fakePeers struct {
-	zones          []string
-	unreachedRelay string
+	zones            []string
+	unreachableRelay string
 }
 
 func (p fakePeers) ReachedZones() []string         { return p.zones }
-func (p fakePeers) RelayReached(label string) bool { return label != p.unreachedRelay }
+func (p fakePeers) RelayReached(label string) bool { return label != p.unreachableRelay }
 
-// observe is what a controller sees that reaches the controllers of some zones, and all relays but
-// one.
-func observe(ms machines, now time.Time, unreachedRelay string, reachable ...string) Observation {
-	return Observation{Now: now, Machines: ms, Peers: fakePeers{zones: reachable, unreachedRelay: unreachedRelay}}
+// observe returns the observation of a controller that can reach the controllers in some zones, and all
+// relays but one.
+func observe(ms machines, now time.Time, unreachableRelay string, reachable ...string) Observation {
+	return Observation{Now: now, Machines: ms, Peers: fakePeers{zones: reachable, unreachableRelay: unreachableRelay}}
 }
 
-func causes(j *Judgement, ms machines) map[Cause]int {
+func countCauses(evaluation *Evaluation, ms machines) map[Cause]int {
 	counts := map[Cause]int{}
 	for _, m := range ms {
-		counts[j.CauseOfDeath(m)]++
+		counts[evaluation.CauseOfDeath(m)]++
 	}
 	return counts
 }
 
-func TestJudgementOfSilentMachines(t *testing.T) {
+func TestCausesOfDeathOfSilentMachines(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	for _, tc := range []struct {
-		name           string
-		machines       machines
-		reachable      []string
-		unreachedRelay string
-		want           map[Cause]int
+		name             string
+		machines         machines
+		reachable        []string
+		unreachableRelay string
+		want             map[Cause]int
 	}{
 		{
 			name:      "all send heartbeats",
@@ -94,28 +94,28 @@
 			want:      map[Cause]int{NotDead: 5, SilentAlone: 5},
 		},
 		{
-			name:      "and not before",
+			name:      "no machine of a zone is dead at three intervals",
 			machines:  machines{}.withGroup(5, "a", "", now, interval).withGroup(5, "a", "", now, 3*interval),
 			reachable: []string{"a", "b", "c"},
 			want:      map[Cause]int{NotDead: 10},
 		},
 		{
-			name: "more than half of a zone is not judged by silence",
+			name: "more than half of a zone is not declared dead",
 			machines: machines{}.withGroup(4, "a", "", now, interval).withGroup(6, "a", "", now, 4*interval).
 				withGroup(10, "b", "", now, interval),
 			reachable: []string{"a", "b", "c"},
 			want:      map[Cause]int{NotDead: 20},
 		},
 		{
-			name: "the machines of a relay that is not reached get the time to find another",
+			name: "machines of an unreachable relay get time to find another",
 			machines: machines{}.withGroup(18, "a", "", now, 0).withGroup(1, "a", "lost", now, 4*interval).
 				withGroup(3, "a", "lost", now, interval),
-			reachable:      []string{"a", "b", "c"},
-			unreachedRelay: "lost",
-			want:           map[Cause]int{NotDead: 22},
+			reachable:        []string{"a", "b", "c"},
+			unreachableRelay: "lost",
+			want:             map[Cause]int{NotDead: 22},
 		},
 		{
-			name: "those of a relay that is reached do not",
+			name: "machines of a reachable relay get no extra time",
 			machines: machines{}.withGroup(18, "a", "", now, 0).withGroup(1, "a", "other", now, 4*interval).
 				withGroup(3, "a", "other", now, 0),
 			reachable: []string{"a", "b", "c"},
@@ -123,8 +123,8 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			judgement := newTestDetector(now).Judge(observe(tc.machines, now, tc.unreachedRelay, tc.reachable...))
-			got := causes(judgement, tc.machines)
+			evaluation := newTestDetector(now).Judge(observe(tc.machines, now, tc.unreachableRelay, tc.reachable...))
+			got := countCauses(evaluation, tc.machines)
 			for _, cause := range []Cause{NotDead, SilentAlone, LeaseExpired, Failed, NeverBooted, SpotReclaimed} {
 				if got[cause] != tc.want[cause] {
 					t.Errorf("%d machines with cause %q, want %d", got[cause], cause, tc.want[cause])
@@ -145,37 +145,37 @@
 		{"listed as failed and being released", fleet.Machine{State: fleet.Returning, Failed: true}, NotDead},
 		{"suspected", fleet.Machine{State: fleet.Suspected, LastHeartbeat: now.Add(-lease - 1)}, LeaseExpired},
 		{"reclaimed, without tasks", fleet.Machine{State: fleet.Ready, LastHeartbeat: now, SpotNotice: true}, SpotReclaimed},
-		{"boots for 3.5 usual boots", fleet.Machine{Type: "known", FirstSeen: now.Add(-105 * time.Second)}, NotDead},
-		{"boots for longer", fleet.Machine{Type: "known", FirstSeen: now.Add(-106 * time.Second)}, NeverBooted},
-		{"of an unknown type", fleet.Machine{FirstSeen: now.Add(-210 * time.Second)}, NotDead},
-		{"of an unknown type, for longer", fleet.Machine{FirstSeen: now.Add(-211 * time.Second)}, NeverBooted},
+		{"booting for the limit of its type", fleet.Machine{Type: "known", FirstSeen: now.Add(-105 * time.Second)}, NotDead},
+		{"booting for longer than the limit of its type", fleet.Machine{Type: "known", FirstSeen: now.Add(-106 * time.Second)}, NeverBooted},
+		{"booting for the limit of an unknown type", fleet.Machine{FirstSeen: now.Add(-210 * time.Second)}, NotDead},
+		{"booting for longer than the limit of an unknown type", fleet.Machine{FirstSeen: now.Add(-211 * time.Second)}, NeverBooted},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			judgement := newTestDetector(now).Judge(observe(machines{&tc.machine}, now, "", "a", "b", "c"))
-			if got := judgement.CauseOfDeath(&tc.machine); got != tc.want {
+			evaluation := newTestDetector(now).Judge(observe(machines{&tc.machine}, now, "", "a", "b", "c"))
+			if got := evaluation.CauseOfDeath(&tc.machine); got != tc.want {
 				t.Errorf("cause is %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// If most machines of a zone are silent and its controllers are not reached, they are not declared
-// dead before their tasks must have ended; nor for a lease after the cut has ended, since they come
-// back one after the other.
-func TestMachinesBehindACutAreHeldUntilTheirTasksEnd(t *testing.T) {
+// If most machines of a zone are silent and its controllers are not reachable, the machines are not
+// declared dead before their tasks must have ended. Nor are they for a lease after the partition has
+// ended, since they return one after the other.
+func TestPartitionedMachinesAreNotDeadUntilTheirTasksEnd(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	d := newTestDetector(now)
 	ms := machines{}.withGroup(10, "a", "", now, interval)
-	cutOff := machines{}.withGroup(10, "b", "", now, lease+1)
-	for _, m := range cutOff {
+	partitioned := machines{}.withGroup(10, "b", "", now, lease+1)
+	for _, m := range partitioned {
 		m.State = fleet.Suspected
 	}
-	ms = append(ms, cutOff...)
-	if got := causes(d.Judge(observe(ms, now, "", "a")), ms); got[NotDead] != len(ms) {
-		t.Errorf("behind the cut: %v", got)
+	ms = append(ms, partitioned...)
+	if got := countCauses(d.Judge(observe(ms, now, "", "a")), ms); got[NotDead] != len(ms) {
+		t.Errorf("during the partition: causes %v, want %d machines not dead", got, len(ms))
 	}
-	last := cutOff[0]
-	comeBack := func() {
+	last := partitioned[0]
+	sendHeartbeats := func() {
 		for _, m := range ms {
 			if m != last {
 				m.LastHeartbeat, m.LastHeartbeatHere, m.State = now, now, fleet.Ready
@@ -183,33 +183,33 @@
 		}
 	}
 	now = now.Add(lease - 1)
-	comeBack()
+	sendHeartbeats()
 	if got := d.Judge(observe(ms, now, "", "a")).CauseOfDeath(last); got != NotDead {
-		t.Errorf("just before a lease after the cut: %q", got)
+		t.Errorf("just before a lease after the partition: cause %q, want %q", got, NotDead)
 	}
 	now = now.Add(1)
-	comeBack()
+	sendHeartbeats()
 	if got := d.Judge(observe(ms, now, "", "a")).CauseOfDeath(last); got != LeaseExpired {
-		t.Errorf("a lease after the cut: %q", got)
+		t.Errorf("a lease after the partition: cause %q, want %q", got, LeaseExpired)
 	}
 	d = newTestDetector(now)
-	for _, m := range cutOff {
+	for _, m := range partitioned {
 		m.State, m.LastHeartbeat, m.LastHeartbeatHere = fleet.Suspected, now.Add(-4*lease-1), now.Add(-4*lease-1)
 	}
-	if got := causes(d.Judge(observe(ms, now, "", "a")), cutOff); got[LeaseExpired] != len(cutOff) {
-		t.Errorf("after nothing of them can run on: %v", got)
+	if got := countCauses(d.Judge(observe(ms, now, "", "a")), partitioned); got[LeaseExpired] != len(partitioned) {
+		t.Errorf("after all their tasks must have ended: causes %v, want %d with %q", got, len(partitioned), LeaseExpired)
 	}
 }
 
-// Machines of unknown zone are counted once, with the whole fleet, as all others are: they are no
-// zone of their own.
+// Machines of unknown zone are counted once, among the machines of all zones, and do not form a zone of
+// their own.
 func TestEvidenceCountsMachinesOfUnknownZoneWithTheFleet(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	ms := machines{}.withGroup(7, "a", "", now, interval).withGroup(2, "", "", now, 3*interval).
 		withGroup(1, "", "", now, 3*interval+1)
-	e := newTestDetector(now).gather(ms, now)
+	e := newTestDetector(now).gatherEvidence(ms, now)
 	for zone, want := range map[string]group{
-		"":  {total: 10, silent: 3, longSilent: 1},
+		"":  {total: 10, silentTwoIntervals: 3, silentThreeIntervals: 1},
 		"a": {total: 7},
 	} {
 		if got := *e.zones[zone]; got != want {
@@ -217,32 +217,32 @@
 		}
 	}
 	if len(e.zones) != 2 || e.total != 10 {
-		t.Errorf("%d zones, %d machines", len(e.zones), e.total)
+		t.Errorf("%d zones, %d machines, want 2, 10", len(e.zones), e.total)
 	}
 }
 
-func TestResetGivesMachinesTheirTimeAgain(t *testing.T) {
+func TestResetRestartsTimeouts(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	d := newTestDetector(now)
 	ms := machines{}.withGroup(9, "a", "", now, interval).withGroup(1, "a", "", now, 4*interval)
-	if got := causes(d.Judge(observe(ms, now, "", "a", "b", "c")), ms); got[SilentAlone] != 1 {
-		t.Fatalf("before the reset: %v", got)
+	if got := countCauses(d.Judge(observe(ms, now, "", "a", "b", "c")), ms); got[SilentAlone] != 1 {
+		t.Fatalf("before the reset: causes %v, want one %q", got, SilentAlone)
 	}
 	d.Reset(ms, now)
 	for _, m := range ms {
 		if !m.LastHeartbeat.Equal(now) || !m.LastHeartbeatHere.Equal(now) {
-			t.Fatalf("last heartbeats are %s and, here, %s", m.LastHeartbeat, m.LastHeartbeatHere)
+			t.Fatalf("LastHeartbeat %s, LastHeartbeatHere %s, want %s for both", m.LastHeartbeat, m.LastHeartbeatHere, now)
 		}
 	}
-	if got := causes(d.Judge(observe(ms, now, "", "a", "b", "c")), ms); got[NotDead] != len(ms) {
-		t.Errorf("after the reset: %v", got)
+	if got := countCauses(d.Judge(observe(ms, now, "", "a", "b", "c")), ms); got[NotDead] != len(ms) {
+		t.Errorf("after the reset: causes %v, want %d machines not dead", got, len(ms))
 	}
 	now = now.Add(lease)
 	if d.IsSettled(now) {
-		t.Error("settled within a lease of the reset")
+		t.Error("settled a lease after the reset, want later")
 	}
 	if now = now.Add(1); !d.IsSettled(now) {
-		t.Error("not settled a lease after the reset")
+		t.Error("not settled more than a lease after the reset")
 	}
 }
 
--- a/internal/failuredetector/evidence.go
+++ b/internal/failuredetector/evidence.go
@@ -6,36 +6,37 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// evidence is the counts of silent machines that a judgement rests on, from one pass over all
+// evidence holds the counts of silent machines that an evaluation is based on, from one pass over all
 // machines.
 type evidence struct {
-	// zones counts machines by zone. Only heartbeats that this leader answered count here, and
-	// not those that a cut-off follower answered on its behalf: such machines are behind the
-	// same cut as those that still look for a controller. The empty name counts the machines of
-	// all zones: machines whose zone a new leader does not know are compared with all others.
-	// They are no zone of their own: 62 spot machines that the cloud had reclaimed, and would
-	// never list again, were taken for a zone that was cut off.
+	// zones counts machines by zone. Only heartbeats that this leader answered count here. Those
+	// that a partitioned follower answered do not: its machines are behind the same partition as
+	// the machines that still look for a controller.
+	//
+	// The empty name counts the machines of all zones. Machines whose zone a new leader does not
+	// know are compared with these. They must not form a zone of their own: 62 spot machines that
+	// the cloud had reclaimed, and would never list again, were taken for a partitioned zone.
 	zones map[string]*group
-	// relays counts by relay the machines that have sent a heartbeat in this term. While
-	// followers relay heartbeats, the machines of one relay are a small part of a zone or of
-	// the fleet; if most of them are silent at once, the relay cannot reach them.
+	// relays counts, by relay, the machines that have sent a heartbeat in this term and are not
+	// suspected. While followers relay heartbeats, the machines of one relay are a small part of a
+	// zone or of the fleet. If many of them are silent at once, the relay cannot reach them.
 	relays          map[string]*group
-	newestHeartbeat map[string]time.Time // by relay
-	// relayed is how many machines have sent a heartbeat through another node within the last
-	// worker lease.
-	relayed int
-	total   int // machines that are not gone
+	newestHeartbeat map[string]time.Time // time of the newest heartbeat, by relay
+	// relayedRecently is the number of machines that have sent a heartbeat through another node
+	// within the last worker lease.
+	relayedRecently int
+	total           int // number of machines that are not Gone
 }
 
-// group counts the silent machines of a zone, or of a relay.
+// group counts the machines of a zone or of a relay.
 type group struct {
-	total      int
-	silent     int // no heartbeat for over two intervals
-	longSilent int // no heartbeat for over three intervals
+	total                int
+	silentTwoIntervals   int // no heartbeat for over two intervals
+	silentThreeIntervals int // no heartbeat for over three intervals
 }
 
-// gather counts all machines.
-func (d *Detector) gather(machines Machines, now time.Time) *evidence {
+// gatherEvidence counts the machines by zone and by relay.
+func (d *Detector) gatherEvidence(machines Machines, now time.Time) *evidence {
 	e := &evidence{
 		zones:           map[string]*group{},
 		relays:          map[string]*group{},
@@ -47,7 +48,7 @@
 			e.total++
 		}
 		if !m.LastRelayedHeartbeat.IsZero() && now.Sub(m.LastRelayedHeartbeat) < d.options.WorkerLease {
-			e.relayed++
+			e.relayedRecently++
 		}
 		if m.LastHeartbeatHere.After(e.newestHeartbeat[m.RelayedBy]) {
 			e.newestHeartbeat[m.RelayedBy] = m.LastHeartbeatHere
@@ -56,7 +57,7 @@
 		if m.State == fleet.Ready || m.State == fleet.Confirming {
 			groupOf(e.relays, m.RelayedBy).add(silence, d.options.HeartbeatInterval)
 		}
-		if !sendsHeartbeats(m) {
+		if !heartbeatExpected(m) {
 			return
 		}
 		all.add(silence, d.options.HeartbeatInterval)
@@ -67,9 +68,9 @@
 	return e
 }
 
-// sendsHeartbeats reports whether heartbeats are expected of a machine. None is expected of one
-// that is Booting and has no attempts: it may not have come up yet.
-func sendsHeartbeats(m *fleet.Machine) bool {
+// heartbeatExpected reports whether a machine is expected to send heartbeats. A machine that is Booting
+// and has no live attempts is not, since it may not have booted yet.
+func heartbeatExpected(m *fleet.Machine) bool {
 	switch m.State {
 	case fleet.Returning, fleet.Gone:
 		return false
@@ -79,7 +80,7 @@
 	return true
 }
 
-// groupOf returns the group of a name, which it adds if there is none.
+// groupOf returns the group with a name, and adds an empty one if there is none.
 func groupOf(groups map[string]*group, name string) *group {
 	g := groups[name]
 	if g == nil {
@@ -89,34 +90,33 @@
 	return g
 }
 
-// add counts a machine whose last heartbeat was silence ago.
+// add counts a machine that has sent no heartbeat for the time silence.
 func (g *group) add(silence, heartbeatInterval time.Duration) {
 	g.total++
 	if silence > 3*heartbeatInterval {
-		g.longSilent++
+		g.silentThreeIntervals++
 	}
 	if silence > 2*heartbeatInterval {
-		g.silent++
+		g.silentTwoIntervals++
 	}
 }
 
-// hasMoreSilentThan reports whether more than one in oneIn machines are silent, and more than one
-// machine. It is false for a nil group.
-func (g *group) hasMoreSilentThan(oneIn int) bool {
-	return g != nil && g.silent > max(1, g.total/oneIn)
+// silentExceedsShare reports whether the number of machines that are silent for two intervals exceeds both
+// 1 and the total divided by divisor. It is false for a nil group.
+func (g *group) silentExceedsShare(divisor int) bool {
+	return g != nil && g.silentTwoIntervals > max(1, g.total/divisor)
 }
 
-// manyRelayedOneIn is the share of the fleet, as one in so many, that sends heartbeats through
-// other nodes if this node's own links to the workers may have failed.
-const manyRelayedOneIn = 16
+// manyRelayedDivisor sets the threshold of manyRelayed: a sixteenth of the fleet.
+const manyRelayedDivisor = 16
 
-// manyRelayed reports whether so many machines send heartbeats through other nodes that this
-// node's own links to the workers may have failed. A machine that has not found another node yet
-// is then not dead: each node that does not answer costs it several intervals.
-func (e *evidence) manyRelayed() bool { return e.relayed > max(1, e.total/manyRelayedOneIn) }
+// manyRelayed reports whether so many machines send heartbeats through other nodes that this node's own
+// links to the workers may have failed. A silent machine is then probably not dead: its worker is still
+// looking for another node, and each node that does not answer costs it several intervals.
+func (e *evidence) manyRelayed() bool { return e.relayedRecently > max(1, e.total/manyRelayedDivisor) }
 
-// onlyHere reports whether no follower relays heartbeats: all machines are under the empty name.
-func onlyHere[T any](byRelay map[string]T) bool {
-	_, here := byRelay[""]
-	return here && len(byRelay) == 1
+// allDirect reports whether no follower relays heartbeats, that is, all machines are under the empty name.
+func allDirect[T any](byRelay map[string]T) bool {
+	_, found := byRelay[""]
+	return found && len(byRelay) == 1
 }
