--- a/internal/faultattribution/evidence.go
+++ b/internal/faultattribution/evidence.go
@@ -1,16 +1,17 @@
-// Package faultattribution tells jobs that were submitted with a mistake (faulty jobs) from machines that
-// are faulty. A faulty job fails on machine after machine, a faulty machine fails job after job, and each
-// failure alone could be either's fault.
+// Package faultattribution estimates whether the failures of tasks are the fault of jobs that were submitted
+// with a mistake (faulty jobs) or of faulty machines. A faulty job fails on every machine, a faulty machine
+// makes every job fail, and a single failure may be the fault of either.
 //
-// It is inference in a noisy-or model of two causes: a failure of a job on a machine is almost certain if
-// either is at fault, and rare if neither is. Beliefs are computed by loopy belief propagation over the
-// failures that are known (J. Pearl, "Probabilistic Reasoning in Intelligent Systems", 1988): what a job
-// that fails everywhere explains counts against no machine, and the other way round.
+// The model is a noisy-or of two causes: the failure of a job on a machine is almost certain if the job or
+// the machine is faulty, and rare if neither is. Probabilities are computed by loopy belief propagation over
+// the known failures (J. Pearl, "Probabilistic Reasoning in Intelligent Systems", 1988). A failure that a
+// faulty job explains does not count against the machine, and a failure that a faulty machine explains does
+// not count against the job.
 //
-// A task that completes shows that its job is not faulty, since such a job fails everywhere: the job's
-// failures are then the machines' fault. It also shows that its machine works now. A machine can become
-// faulty at any time, so successes do not count in its favour later: each of them only resets its
-// evidence, as in a cumulative sum test (E. S. Page, "Continuous inspection schemes", 1954).
+// A task that completes shows that its job is not faulty, since a faulty job fails everywhere: the job's
+// failures are then the fault of machines. It also shows that its machine works now. Since a machine can
+// become faulty at any time, a success does not count in its favour later: it only discards the earlier
+// failures as evidence, as in a cumulative sum test (E. S. Page, "Continuous inspection schemes", 1954).
 package faultattribution
 
 import (
@@ -19,41 +20,41 @@
 	"time"
 )
 
-// maxFailures bounds the pairs of a job and a machine that are retained, and with them the time of a
-// propagation: the oldest are removed first.
+// maxFailures is the maximum number of pairs of a job and a machine that are retained. It also bounds the
+// time of a propagation. The oldest pairs are removed first.
 const maxFailures = 512
 
-// pair is a job and a machine that it failed on.
+// pair is a job and a machine that the job failed on.
 type pair struct{ job, machine string }
 
-// failure is what is known of a pair.
+// failure is the evidence of a pair, from one or more failures of the job on the machine.
 type failure struct {
-	at                time.Time // of the last one
-	machineExonerated bool      // the machine has completed a task since: this does not count against it
-	job, machine      *party
-	messageToJob      float64 // log likelihood ratio that the job is at fault
-	messageToMachine  float64 // the same of the machine
+	at               time.Time // of the newest failure
+	machineRecovered bool      // the machine has completed a task since: the failure does not count against it
+	job, machine     *party
+	messageToJob     float64 // log likelihood ratio, by this failure, that the job is faulty
+	messageToMachine float64 // log likelihood ratio, by this failure, that the machine is faulty
 }
 
-// party is a job or a machine that may be at fault.
+// party is a job or a machine that may be faulty.
 type party struct {
-	priorLogOdds float64             // before anything is known
-	logOdds      float64             // given all its failures
-	failures     map[string]*failure // by the other party's name
+	priorLogOdds float64             // of being faulty, without the failures
+	logOdds      float64             // of being faulty, given all its failures
+	failures     map[string]*failure // by the name of the other party
 }
 
-// Evidence is the failures that beliefs rest on. Those of finished jobs still count, for or against the
-// machines. It is not safe for concurrent use.
+// Evidence holds the known failures and the probabilities derived from them. The failures of finished jobs
+// still count in the estimate for the machines. An Evidence is not safe for concurrent use.
 type Evidence struct {
 	retention    time.Duration
 	failures     map[pair]*failure
 	jobs         map[string]*party
 	machines     map[string]*party
-	beliefsStale bool // they have to be computed again
+	beliefsStale bool // the log odds have to be computed again
 }
 
-// New returns empty evidence. A failure that is older than retention no longer counts once the next one
-// is recorded.
+// New returns evidence without failures. Failures older than retention are removed when the next one is
+// recorded.
 func New(retention time.Duration) *Evidence {
 	return &Evidence{
 		retention: retention,
@@ -63,9 +64,9 @@
 	}
 }
 
-// RecordFailure records that a task of a job failed on a machine. succeeds says whether the job has
-// completed other tasks: it is then almost certainly not faulty.
-func (e *Evidence) RecordFailure(job, machine string, succeeds bool, now time.Time) {
+// RecordFailure records that a task of a job failed on a machine. hasSucceeded is true if other tasks
+// of the job have completed, in which case the job is almost certainly not faulty.
+func (e *Evidence) RecordFailure(job, machine string, hasSucceeded bool, now time.Time) {
 	e.expire(now)
 	key := pair{job, machine}
 	f := e.failures[key]
@@ -76,14 +77,14 @@
 		f = &failure{job: partyOf(e.jobs, job, priorJobFault), machine: partyOf(e.machines, machine, priorMachineFault)}
 		e.failures[key], f.job.failures[machine], f.machine.failures[job] = f, f, f
 	}
-	f.at, f.machineExonerated = now, false
-	if succeeds {
-		f.job.priorLogOdds = toLogOdds(priorJobFaultIfSucceeds)
+	f.at, f.machineRecovered = now, false
+	if hasSucceeded {
+		f.job.priorLogOdds = toLogOdds(priorJobFaultAfterSuccess)
 	}
 	e.beliefsStale = true
 }
 
-// partyOf returns a party, which it adds if it is not known.
+// partyOf returns the party with a name, and adds it if it is unknown.
 func partyOf(parties map[string]*party, name string, prior float64) *party {
 	p := parties[name]
 	if p == nil {
@@ -93,7 +94,7 @@
 	return p
 }
 
-// failuresOf returns the failures of a party, none if it is not known.
+// failuresOf returns the failures of the party with a name; none if it is unknown.
 func failuresOf(parties map[string]*party, name string) map[string]*failure {
 	if p := parties[name]; p != nil {
 		return p.failures
@@ -104,11 +105,11 @@
 // RecordSuccess records that a task of a job completed on a machine.
 func (e *Evidence) RecordSuccess(job, machine string) {
 	if p := e.jobs[job]; p != nil {
-		p.priorLogOdds = toLogOdds(priorJobFaultIfSucceeds)
+		p.priorLogOdds = toLogOdds(priorJobFaultAfterSuccess)
 		e.beliefsStale = true
 	}
 	for _, f := range failuresOf(e.machines, machine) {
-		f.machineExonerated = true
+		f.machineRecovered = true
 		e.beliefsStale = true
 	}
 }
@@ -120,7 +121,7 @@
 	}
 }
 
-// remove removes a pair, and its parties if they have no other failures.
+// remove removes a pair, and its job and its machine if they have no other failures.
 func (e *Evidence) remove(key pair) {
 	f := e.failures[key]
 	delete(e.failures, key)
@@ -142,7 +143,7 @@
 	}
 }
 
-// removeOldest removes the pair that failed least recently.
+// removeOldest removes the pair whose newest failure is the oldest.
 func (e *Evidence) removeOldest() {
 	var oldest pair
 	var at time.Time
@@ -154,7 +155,7 @@
 	e.remove(oldest)
 }
 
-// Len returns how many pairs of a job and a machine are known.
+// Len returns the number of pairs of a job and a machine that the job failed on.
 func (e *Evidence) Len() int { return len(e.failures) }
 
 // MachinesFailedOn lists the machines that a job failed on, in order of their names.
--- a/internal/faultattribution/propagation.go
+++ b/internal/faultattribution/propagation.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// The parameters of the model: how likely each cause is before anything is known, and how likely a task
-// fails with and without one.
+// The parameters of the model: the prior probabilities that a job or a machine is faulty, and the
+// probabilities that a task fails if its job or machine is faulty and if neither is.
 const (
-	priorJobFault           = 0.02
-	priorJobFaultIfSucceeds = 1e-6 // of a job that has completed a task
-	priorMachineFault       = 0.01
-	failureRateIfFaulty     = 0.95
-	failureRateIfSound      = 0.005
+	priorJobFault             = 0.02
+	priorJobFaultAfterSuccess = 1e-6 // of a job that has completed a task
+	priorMachineFault         = 0.01
+	failureRateIfFaulty       = 0.95
+	failureRateIfNotFaulty    = 0.005
 )
 
-// faultyThreshold is the probability from which a party counts as faulty.
+// faultyThreshold is the lowest probability at which a job or a machine counts as faulty.
 const faultyThreshold = 0.9
 
-// iterations is how often messages are passed. Beliefs that depend on each other settle within a
-// few exchanges.
+// iterations is the number of rounds of message passing. Probabilities that depend on each other converge
+// within a few rounds.
 const iterations = 6
 
 // JobFaultProbability returns the probability that a job was submitted with a mistake.
@@ -29,15 +29,16 @@
 	return e.belief(e.machines, machine, priorMachineFault)
 }
 
-// IsJobFaulty reports whether a job is so probably faulty that it should be held back.
+// IsJobFaulty reports whether the probability that a job is faulty is so high that the job should be deferred.
 func (e *Evidence) IsJobFaulty(job string) bool { return e.JobFaultProbability(job) >= faultyThreshold }
 
-// IsMachineFaulty reports whether a machine is so probably faulty that it should be quarantined.
+// IsMachineFaulty reports whether the probability that a machine is faulty is so high that the machine should
+// be quarantined.
 func (e *Evidence) IsMachineFaulty(machine string) bool {
 	return e.MachineFaultProbability(machine) >= faultyThreshold
 }
 
-// belief returns the probability that a party is at fault.
+// belief returns the probability that a party is faulty; the prior if it has no failures.
 func (e *Evidence) belief(parties map[string]*party, name string, prior float64) float64 {
 	p := parties[name]
 	if p == nil {
@@ -47,8 +48,9 @@
 	return fromLogOdds(p.logOdds)
 }
 
-// propagate computes the beliefs again if the failures have changed. The message of a failure to a party
-// leaves out what the same failure contributed to the other party: a belief must not confirm itself.
+// propagate computes the log odds of all parties again if the evidence has changed. The message of a failure
+// to one party excludes what the same failure contributed to the other party, so that a belief does not
+// confirm itself.
 func (e *Evidence) propagate() {
 	if !e.beliefsStale {
 		return
@@ -58,22 +60,22 @@
 		f.messageToJob, f.messageToMachine = 0, 0
 	}
 	for range iterations {
-		updateOdds(e.machines, func(f *failure) float64 { return f.messageToMachine })
+		updateLogOdds(e.machines, func(f *failure) float64 { return f.messageToMachine })
 		for _, f := range e.failures {
-			f.messageToJob = likelihoodRatio(fromLogOdds(f.machine.logOdds - f.messageToMachine))
+			f.messageToJob = logLikelihoodRatio(fromLogOdds(f.machine.logOdds - f.messageToMachine))
 		}
-		updateOdds(e.jobs, func(f *failure) float64 { return f.messageToJob })
+		updateLogOdds(e.jobs, func(f *failure) float64 { return f.messageToJob })
 		for _, f := range e.failures {
-			if !f.machineExonerated {
-				f.messageToMachine = likelihoodRatio(fromLogOdds(f.job.logOdds - f.messageToJob))
+			if !f.machineRecovered {
+				f.messageToMachine = logLikelihoodRatio(fromLogOdds(f.job.logOdds - f.messageToJob))
 			}
 		}
 	}
-	updateOdds(e.machines, func(f *failure) float64 { return f.messageToMachine })
+	updateLogOdds(e.machines, func(f *failure) float64 { return f.messageToMachine })
 }
 
-// updateOdds computes the log odds of each party: its prior and the contributions of its failures.
-func updateOdds(parties map[string]*party, contribution func(*failure) float64) {
+// updateLogOdds sets the log odds of each party to the sum of its prior and the contributions of its failures.
+func updateLogOdds(parties map[string]*party, contribution func(*failure) float64) {
 	for _, p := range parties {
 		p.logOdds = p.priorLogOdds
 		for _, f := range p.failures {
@@ -82,13 +84,13 @@
 	}
 }
 
-// likelihoodRatio returns the log likelihood ratio of a failure for one cause if the other cause is there
-// with the given probability.
-func likelihoodRatio(other float64) float64 {
-	without := other*failureRateIfFaulty + (1-other)*failureRateIfSound
-	return math.Log(failureRateIfFaulty / without)
+// logLikelihoodRatio returns the log likelihood ratio, by one failure, that a party is faulty, where the other
+// party is faulty with the given probability.
+func logLikelihoodRatio(otherFaultProbability float64) float64 {
+	failureRateIfSelfNotFaulty := otherFaultProbability*failureRateIfFaulty + (1-otherFaultProbability)*failureRateIfNotFaulty
+	return math.Log(failureRateIfFaulty / failureRateIfSelfNotFaulty)
 }
 
 func toLogOdds(p float64) float64 { return math.Log(p / (1 - p)) }
 
-func fromLogOdds(odds float64) float64 { return 1 / (1 + math.Exp(-odds)) }
+func fromLogOdds(logOdds float64) float64 { return 1 / (1 + math.Exp(-logOdds)) }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -43,7 +43,7 @@
 	return jobs
 }
 
-// sumByTeam adds up the needs of the jobs that are counted.
+// sumByTeam returns, by team, the sum of the needs of the jobs for which isCounted is true.
 func sumByTeam(jobs []Job, isCounted func(Job) bool) map[string]Amount {
 	sums := map[string]Amount{}
 	for _, job := range jobs {
@@ -54,9 +54,11 @@
 	return sums
 }
 
-// For any jobs and quotas: the needs of a team's jobs within its quota add up to no more than the quota,
-// all jobs of a team are within if all fit, a team without a quota has no job within, and no job is left
-// out for one of a lower priority.
+// For any jobs and quotas:
+//   - the needs of a team's jobs within its quota add up to no more than the quota,
+//   - all jobs of a team are within its quota if all of them fit,
+//   - a team without a quota has no job within it,
+//   - no job is skipped in favour of one of a lower priority.
 func TestJobsWithinQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quotas, jobs := genQuotas(t), genJobs(t)
@@ -64,11 +66,11 @@
 		used := sumByTeam(jobs, func(job Job) bool { return within[job.UID] })
 		total := sumByTeam(jobs, func(Job) bool { return true })
 		if used["guest"] != (Amount{}) {
-			t.Fatalf("a team without a quota has %v within", used["guest"])
+			t.Fatalf("a team without a quota has jobs of %v within it, want none", used["guest"])
 		}
 		for team, amount := range used {
 			if !amount.fitsIn(quotas[team]) {
-				t.Fatalf("%v of %s is within %v", amount, team, quotas[team])
+				t.Fatalf("jobs of team %s within its quota need %v, want at most %v", team, amount, quotas[team])
 			}
 		}
 		for _, job := range jobs {
@@ -76,15 +78,15 @@
 				continue
 			}
 			if total[job.Team].fitsIn(quotas[job.Team]) && quotas[job.Team] != (Amount{}) {
-				t.Fatalf("%v is not within, though all of %s fits", job, job.Team)
+				t.Fatalf("%v is beyond the quota, want it within: all jobs of team %s fit", job, job.Team)
 			}
-			// It does not fit beside all that goes before it.
-			goesBefore := func(other Job) bool {
+			// A job beyond the quota must not fit in addition to the jobs that come before it.
+			comesBefore := func(other Job) bool {
 				return within[other.UID] && other.Team == job.Team &&
 					(other.Level > job.Level || other.Level == job.Level && other.AcceptedMs <= job.AcceptedMs)
 			}
-			if job.Needs.plus(sumByTeam(jobs, goesBefore)[job.Team]).fitsIn(quotas[job.Team]) {
-				t.Fatalf("%v is left out for one that comes later", job)
+			if job.Needs.plus(sumByTeam(jobs, comesBefore)[job.Team]).fitsIn(quotas[job.Team]) {
+				t.Fatalf("%v is beyond the quota, want it within: it fits in addition to the jobs before it", job)
 			}
 		}
 	})
