--- a/internal/jobdag/graph.go
+++ b/internal/jobdag/graph.go
@@ -1,6 +1,6 @@
-// Package jobdag is the graph of dependencies between jobs: which job depends on which, what a job's end or
-// cancellation means for its dependents, and which priority and due time a job inherits from them. It is
-// pure: it knows no records and no clock.
+// Package jobdag holds the graph of dependencies between jobs. It determines which jobs become ready or are
+// cancelled when a job ends or is cancelled, and which priority and due time a job inherits from the jobs
+// that depend on it. The package does no I/O, and uses neither records nor a clock.
 package jobdag
 
 import (
@@ -14,10 +14,10 @@
 
 // The states of a job. Done and Cancelled are final.
 const (
-	Unresolved State = iota // named by a dependent; its record is not known yet, or gone before it was final
+	Unresolved State = iota // its record is not known yet, or was removed before the graph knew its final state
 	Open                    // accepted and neither done nor cancelled
-	Done                    // its end is committed
-	Cancelled               // its cancellation is committed, or that of a job that it depends on
+	Done                    // the record of its end is committed
+	Cancelled               // the record of its cancellation, or of that of a job that it depends on, is committed
 )
 
 var stateNames = [...]string{"unresolved", "open", "done", "cancelled"}
@@ -27,36 +27,36 @@
 // Final reports whether a state never changes again.
 func (s State) Final() bool { return s == Done || s == Cancelled }
 
-// Job is what the graph needs to know of a job. Times are in milliseconds.
+// Job holds the properties of a job that the graph uses. Times are in milliseconds.
 type Job struct {
-	Dependencies  []string // the jobs that have to be done first
-	Level         int      // its own priority: higher goes first
+	Dependencies  []string // UIDs of the jobs that have to be done first
+	Level         int      // its own priority: jobs of a higher level come first
 	DueMs         float64  // its own due time, as Unix time; +Inf if it has none
 	ExpectedRunMs float64  // how long it is expected to run once its dependencies are done
 }
 
-// Effects is what a change of the graph means for jobs, by UID.
+// Effects lists the UIDs of the jobs that a change of the graph affects.
 type Effects struct {
-	Released  []string // all that they depend on is done
-	Cancelled []string // a job that they depend on is cancelled
-	Urgency   []string // their priority or due time has changed
+	Released  []string // jobs whose dependencies are now all done
+	Cancelled []string // jobs that are cancelled because a job that they depend on is
+	Urgency   []string // jobs whose priority or due time has changed
 }
 
 // node is a job of the graph.
 type node struct {
 	Job
-	state        State
-	archived     bool // has no record: it stays only while others name it
-	predecessors []*node
-	successors   map[string]*node // dependents that are not archived
-	pending      int              // predecessors that are not done
-	uid          string
-	level        int     // the highest of its own priority and those of its open successors
-	dueMs        float64 // the earliest that its own and its open successors' due times require
+	state               State
+	archived            bool // its record is not known or was removed: the node stays only while other jobs depend on it
+	predecessors        []*node
+	successors          map[string]*node // dependents in the graph
+	pendingPredecessors int              // number of predecessors that are not done
+	uid                 string
+	effectiveLevel      int     // the highest of its own priority and those of its open successors
+	effectiveDueMs      float64 // the earliest of its own due time and those that its open successors require
 }
 
-// Graph holds the jobs that are not archived, and archived ones while others name them. It is not safe for
-// concurrent use.
+// Graph holds the jobs that are not archived, and archived jobs while other jobs in the graph depend on them.
+// It is not safe for concurrent use.
 type Graph struct {
 	nodes      map[string]*node
 	unresolved map[string]*node
@@ -65,7 +65,7 @@
 // New returns an empty graph.
 func New() *Graph { return &Graph{nodes: map[string]*node{}, unresolved: map[string]*node{}} }
 
-// Add adds an accepted job. A job that is in the graph already is left as it is.
+// Add adds an accepted job. It does nothing if the job was added before.
 func (g *Graph) Add(uid string, job Job) Effects {
 	var effects Effects
 	n := g.nodes[uid]
@@ -85,7 +85,7 @@
 		predecessor.successors[uid] = n
 		n.predecessors = append(n.predecessors, predecessor)
 		if predecessor.state != Done {
-			n.pending++
+			n.pendingPredecessors++
 		}
 	}
 	if slices.ContainsFunc(n.predecessors, func(p *node) bool { return p.state == Cancelled }) {
@@ -93,23 +93,23 @@
 		effects.Cancelled = append(effects.Cancelled, uid)
 	}
 	g.updateUrgency(n, &effects)
-	// Its successors may have been added before it: their urgency counts for its predecessors, too.
+	// The job's successors may have been added before it. Its predecessors inherit their urgency, too.
 	for _, predecessor := range n.predecessors {
 		g.updateUrgency(predecessor, &effects)
 	}
 	return effects
 }
 
-// newNode adds an unresolved node.
+// newNode adds a node in state Unresolved.
 func (g *Graph) newNode(uid string) *node {
-	n := &node{uid: uid, archived: true, successors: map[string]*node{}, dueMs: math.Inf(1)}
+	n := &node{uid: uid, archived: true, successors: map[string]*node{}, effectiveDueMs: math.Inf(1)}
 	n.DueMs = math.Inf(1)
 	g.nodes[uid] = n
 	return n
 }
 
-// Finish records that a job's end or cancellation is committed, where state is Done or Cancelled. It does
-// nothing if the job is not in the graph, if it is final already, or if state is not final.
+// Finish records that a job's end (state Done) or its cancellation (state Cancelled) is committed. It does
+// nothing if the job is not in the graph, if its state is final already, or if state is not final.
 func (g *Graph) Finish(uid string, state State) Effects {
 	var effects Effects
 	if n := g.nodes[uid]; n != nil && state.Final() {
@@ -118,8 +118,8 @@
 	return effects
 }
 
-// transition is the one function that makes a job final: it moves it to Done or Cancelled, and adds to
-// effects what that means for its dependents. A state that is final already stays.
+// transition sets the state of a job to Done or Cancelled, updates its successors and predecessors, and adds
+// the affected jobs to effects. No other function sets a final state. A state that is final already stays.
 func (g *Graph) transition(n *node, to State, effects *Effects) {
 	if n.state == to || n.state.Final() {
 		return
@@ -132,7 +132,7 @@
 		}
 		switch to {
 		case Done:
-			if successor.pending--; successor.pending == 0 {
+			if successor.pendingPredecessors--; successor.pendingPredecessors == 0 {
 				effects.Released = append(effects.Released, successor.uid)
 			}
 		case Cancelled:
@@ -145,32 +145,32 @@
 	}
 }
 
-// updateUrgency derives a job's priority and due time again, and if they have changed, those of the jobs
-// that it depends on.
+// updateUrgency computes a job's effective priority and due time again. If they have changed, it does the
+// same for the jobs that this job depends on.
 func (g *Graph) updateUrgency(n *node, effects *Effects) {
 	level, dueMs := n.Level, n.DueMs
 	for _, successor := range n.successors {
 		if successor.state != Open {
 			continue
 		}
-		level = max(level, successor.level)
-		dueMs = min(dueMs, successor.dueMs-successor.ExpectedRunMs)
+		level = max(level, successor.effectiveLevel)
+		dueMs = min(dueMs, successor.effectiveDueMs-successor.ExpectedRunMs)
 	}
-	if level == n.level && dueMs == n.dueMs {
+	if level == n.effectiveLevel && dueMs == n.effectiveDueMs {
 		return
 	}
-	n.level, n.dueMs = level, dueMs
+	n.effectiveLevel, n.effectiveDueMs = level, dueMs
 	effects.Urgency = append(effects.Urgency, n.uid)
 	if n.state != Open {
-		return // no dependent waits for it any more
+		return // its predecessors inherit urgency from open jobs only
 	}
 	for _, predecessor := range n.predecessors {
 		g.updateUrgency(predecessor, effects)
 	}
 }
 
-// Archive records that a job's record is gone. If the job has not finished here, its outcome has to be read
-// from its final status.
+// Archive records that a job's record was removed. If the graph has not seen the job finish, the job becomes
+// Unresolved: the caller has to read its final status.
 func (g *Graph) Archive(uid string) {
 	n := g.nodes[uid]
 	if n == nil {
@@ -184,7 +184,7 @@
 	g.removeIfUnused(n)
 }
 
-// removeIfUnused removes an archived job that no other names any more.
+// removeIfUnused removes an archived job if no job in the graph depends on it.
 func (g *Graph) removeIfUnused(n *node) {
 	if !n.archived || len(n.successors) > 0 {
 		return
@@ -197,7 +197,7 @@
 	}
 }
 
-// State returns the state of a job; Unresolved if it is not in the graph.
+// State returns the state of a job, or Unresolved if the job is not in the graph.
 func (g *Graph) State(uid string) State {
 	if n := g.nodes[uid]; n != nil {
 		return n.state
@@ -205,10 +205,10 @@
 	return Unresolved
 }
 
-// Ready reports whether a job is open and all that it depends on is known to be done.
+// Ready reports whether a job is open and all jobs that it depends on are done.
 func (g *Graph) Ready(uid string) bool {
 	n := g.nodes[uid]
-	return n != nil && n.state == Open && n.pending == 0
+	return n != nil && n.state == Open && n.pendingPredecessors == 0
 }
 
 // HasOpenDependents reports whether an open job depends on this one.
@@ -225,19 +225,19 @@
 	return false
 }
 
-// Urgency returns a job's priority level and due time, which it may have inherited from its dependents;
-// 0 and +Inf if it is not in the graph.
+// Urgency returns a job's effective priority level and due time, which it may have inherited from its
+// dependents; 0 and +Inf if the job is not in the graph.
 func (g *Graph) Urgency(uid string) (level int, dueMs float64) {
 	if n := g.nodes[uid]; n != nil {
-		return n.level, n.dueMs
+		return n.effectiveLevel, n.effectiveDueMs
 	}
 	return 0, math.Inf(1)
 }
 
-// Unresolved returns the UIDs of the jobs whose final status has to be read, in order.
+// Unresolved returns the UIDs of the jobs in state Unresolved, sorted.
 func (g *Graph) Unresolved() []string { return slices.Sorted(maps.Keys(g.unresolved)) }
 
-// HasUnresolved reports whether there are any such jobs.
+// HasUnresolved reports whether there are jobs in state Unresolved.
 func (g *Graph) HasUnresolved() bool { return len(g.unresolved) > 0 }
 
 // Len returns the number of jobs in the graph.
--- a/internal/jobdag/graph_test.go
+++ b/internal/jobdag/graph_test.go
@@ -13,16 +13,16 @@
 // Every run draws the same inputs; -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// model is what the graph is checked against: the jobs and their own committed states, from which all else
-// is computed each time.
+// model is a simple reference for the graph. It holds the jobs and their own committed final states, and
+// computes everything else from these at each call.
 type model struct {
 	jobs     map[string]Job
-	finished map[string]State // committed, of jobs that the model or only the records know
+	finished map[string]State // committed final states, also of an archived job that is not in jobs
 	archived map[string]bool
-	order    []string
+	order    []string // UIDs of all jobs, in the order in which they were accepted
 }
 
-// state derives the state of a job from all jobs that it depends on.
+// state derives the state of a job from its committed state and the jobs that it depends on.
 func (m *model) state(uid string) State {
 	if state, ok := m.finished[uid]; ok {
 		return state
@@ -40,7 +40,7 @@
 	return m.state(uid) == Open && !slices.ContainsFunc(m.jobs[uid].Dependencies, isUnfinished)
 }
 
-// urgency derives a job's priority and due time from all open jobs that need it.
+// urgency derives a job's priority and due time from all open jobs that depend on it.
 func (m *model) urgency(uid string) (int, float64) {
 	job := m.jobs[uid]
 	level, dueMs := job.Level, job.DueMs
@@ -53,13 +53,14 @@
 	return level, dueMs
 }
 
-// harness applies the same changes to a graph and to its model, and keeps what the graph has reported.
+// harness applies the same changes to a graph and to its model, and collects the effects that the graph
+// reported.
 type harness struct {
 	model     *model
 	graph     *Graph
 	released  map[string]bool
 	cancelled map[string]bool
-	pending   []string // accepted, and not added to the graph yet
+	notAdded  []string // accepted jobs that are not in the graph yet
 }
 
 func newHarness(t *rapid.T) *harness {
@@ -69,7 +70,7 @@
 		released:  map[string]bool{},
 		cancelled: map[string]bool{},
 	}
-	// An archived job is known to the graph only by its final status.
+	// The graph learns of a job that was archived earlier only from its final status.
 	if rapid.Bool().Draw(t, "old") {
 		h.model.finished["old"] = rapid.SampledFrom([]State{Done, Cancelled}).Draw(t, "oldState")
 		h.model.archived["old"] = true
@@ -78,11 +79,11 @@
 	return h
 }
 
-// apply keeps effects; no job may be released twice.
+// apply records the effects of a change. No job may be released twice.
 func (h *harness) apply(t *rapid.T, effects Effects) {
 	for _, uid := range effects.Released {
 		if h.released[uid] {
-			t.Fatalf("%s is released twice", uid)
+			t.Fatalf("%s is released twice, want once", uid)
 		}
 		h.released[uid] = true
 	}
@@ -101,7 +102,7 @@
 	}
 }
 
-// accept draws a job; it and others that wait are added to the graph at once or later, in any order.
+// accept draws a job, and whether all accepted jobs that are not in the graph yet are added now, in any order.
 func (h *harness) accept(t *rapid.T, uid string) {
 	job := Job{
 		Level:         rapid.IntRange(1, 4).Draw(t, "level"),
@@ -117,21 +118,21 @@
 	}
 	h.model.jobs[uid] = job
 	h.model.order = append(h.model.order, uid)
-	if h.pending = append(h.pending, uid); rapid.Bool().Draw(t, "atOnce") {
-		for _, uid := range rapid.Permutation(h.pending).Draw(t, "order") {
+	if h.notAdded = append(h.notAdded, uid); rapid.Bool().Draw(t, "atOnce") {
+		for _, uid := range rapid.Permutation(h.notAdded).Draw(t, "order") {
 			h.add(t, uid)
 		}
-		h.pending = nil
+		h.notAdded = nil
 	}
 }
 
-// finish draws a job that ends or is cancelled.
+// finish draws a job, and whether it ends or is cancelled.
 func (h *harness) finish(t *rapid.T) {
 	if len(h.model.order) == 0 {
 		return
 	}
 	uid := rapid.SampledFrom(h.model.order).Draw(t, "finish")
-	if _, known := h.model.finished[uid]; known || slices.Contains(h.pending, uid) {
+	if _, known := h.model.finished[uid]; known || slices.Contains(h.notAdded, uid) {
 		return
 	}
 	to := Cancelled
@@ -142,19 +143,19 @@
 	h.apply(t, h.graph.Finish(uid, to))
 }
 
-// archive draws a job whose record is removed if it is final.
+// archive draws a job, and removes its record if its state is final.
 func (h *harness) archive(t *rapid.T) {
 	if len(h.model.order) == 0 {
 		return
 	}
 	uid := rapid.SampledFrom(h.model.order).Draw(t, "archive")
-	if h.model.finished[uid].Final() && !slices.Contains(h.pending, uid) {
+	if h.model.finished[uid].Final() && !slices.Contains(h.notAdded, uid) {
 		h.model.archived[uid] = true
 		h.graph.Archive(uid)
 	}
 }
 
-// resolve reads the final statuses that the graph asks for, if there are any.
+// resolve passes the graph the final statuses of its unresolved jobs, as far as there are any.
 func (h *harness) resolve(t *rapid.T) {
 	for _, uid := range h.graph.Unresolved() {
 		if state, ok := h.model.finished[uid]; ok {
@@ -163,9 +164,9 @@
 	}
 }
 
-// settle adds all jobs that wait and resolves all that is unresolved.
-func (h *harness) settle(t *rapid.T) {
-	for _, uid := range h.pending {
+// addAndResolveAll adds all accepted jobs that are not in the graph yet, and resolves all unresolved jobs.
+func (h *harness) addAndResolveAll(t *rapid.T) {
+	for _, uid := range h.notAdded {
 		h.add(t, uid)
 	}
 	for _, uid := range h.graph.Unresolved() {
@@ -173,27 +174,27 @@
 	}
 }
 
-// check compares what the graph and the model say of a job.
+// check compares a job in the graph with the same job in the model.
 func (h *harness) check(t *rapid.T, uid string) {
 	if got, want := h.graph.State(uid), h.model.state(uid); got != want {
 		t.Fatalf("%s is %s, want %s", uid, got, want)
 	}
 	if got, want := h.graph.Ready(uid), h.model.ready(uid); got != want || want && !h.released[uid] {
-		t.Fatalf("%s: ready %v, released %v, want %v", uid, got, h.released[uid], want)
+		t.Fatalf("%s: ready %v, released %v, want ready %v, and released if it is ready", uid, got, h.released[uid], want)
 	}
-	if _, own := h.model.finished[uid]; !own && h.model.state(uid) == Cancelled && !h.cancelled[uid] {
-		t.Fatalf("%s is cancelled and no effect said so", uid)
+	if _, finished := h.model.finished[uid]; !finished && h.model.state(uid) == Cancelled && !h.cancelled[uid] {
+		t.Fatalf("%s is cancelled with a job that it depends on, but no effect lists it", uid)
 	}
 	if h.model.state(uid) != Open {
 		return
 	}
 	level, dueMs := h.graph.Urgency(uid)
 	if wantLevel, wantDueMs := h.model.urgency(uid); level != wantLevel || dueMs != wantDueMs {
-		t.Fatalf("%s has level %d, due %v, want %d, %v", uid, level, dueMs, wantLevel, wantDueMs)
+		t.Fatalf("%s has level %d and due time %v, want %d and %v", uid, level, dueMs, wantLevel, wantDueMs)
 	}
 }
 
-// archiveAll cancels and archives all jobs: the graph must be empty then.
+// archiveAll cancels and archives all jobs. The graph must be empty afterwards.
 func (h *harness) archiveAll(t *rapid.T) {
 	for _, uid := range h.model.order {
 		if !h.model.archived[uid] {
@@ -203,13 +204,12 @@
 		}
 	}
 	if h.graph.Len() > 0 || h.graph.HasUnresolved() {
-		t.Fatalf("%d jobs are left when all are archived", h.graph.Len())
+		t.Fatalf("after all jobs are archived: %d jobs, unresolved %v, want 0, false", h.graph.Len(), h.graph.HasUnresolved())
 	}
 }
 
-// The graph says the same as the plain model, whatever happens in whichever order: jobs that come before
-// or after those that they name, ends, cancellations, records that are archived, and final statuses that
-// are read later.
+// The graph agrees with the model after any sequence of changes: jobs are added before or after those that
+// they depend on, end, are cancelled or are archived, and final statuses are read later.
 func TestGraphAgreesWithAPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(t)
@@ -225,7 +225,7 @@
 				h.resolve(t)
 			}
 		}
-		h.settle(t)
+		h.addAndResolveAll(t)
 		for _, uid := range h.model.order {
 			if !h.model.archived[uid] {
 				h.check(t, uid)
@@ -235,7 +235,8 @@
 	})
 }
 
-// A change in a long chain, a wide fan or a diamond takes time in proportion to the jobs that it affects.
+// Changes in a long chain and in a wide fan of 2,000 jobs each affect all the jobs that depend on the changed
+// one. Each change must take time in proportion to the number of jobs that it affects.
 func TestLargeGraphs(t *testing.T) {
 	const size = 2000
 	g := New()
@@ -246,7 +247,7 @@
 	}
 	g.Add("last", Job{Dependencies: []string{fmt.Sprintf("j%d", size-1)}, Level: 4, DueMs: 10000, ExpectedRunMs: 1})
 	if level, dueMs := g.Urgency("j0"); level != 4 || dueMs != 10000-size {
-		t.Errorf("the first of a chain has level %d and due time %v", level, dueMs)
+		t.Errorf("the first job of the chain has level %d and due time %v, want 4 and %d", level, dueMs, 10000-size)
 	}
 	if e := g.Finish("j0", Done); len(e.Released) != size {
 		t.Errorf("%d jobs are released, want %d", len(e.Released), size)
@@ -256,8 +257,8 @@
 	}
 }
 
-// A new leader reads jobs in any order: what the last of a chain asks for reaches the
-// first, whichever of them is known first.
+// A new leader reads jobs in any order. The first job of a chain inherits the priority and due time of the
+// last one, in whichever order they are added.
 func TestUrgencyReachesTheFirstInAnyOrder(t *testing.T) {
 	jobs := map[string]Job{
 		"first":  {Level: 1, DueMs: math.Inf(1), ExpectedRunMs: 10},
@@ -275,7 +276,7 @@
 			g.Add(uid, jobs[uid])
 		}
 		if level, dueMs := g.Urgency("first"); level != 3 || dueMs != 50 {
-			t.Errorf("in the order %v the first has level %d and due time %v", order, level, dueMs)
+			t.Errorf("in the order %v the first job has level %d and due time %v, want 3 and 50", order, level, dueMs)
 		}
 	}
 }
