--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -6,17 +6,18 @@
 // of a relay stop at the same time, they get the time that their workers need to find another
 // controller.
 //
-// The package does not wait, log or take locks. The controller does, passes in its observations, and
-// releases the machines that are declared dead. No safety rule depends on a decision made here: the
-// attempts on a machine that is declared dead do not count as off. Only package fleet decides that, by
-// one of these proofs: the cloud has confirmed the release, the worker has begun a newer incarnation, or
-// a heartbeat with this term's fencing token does not list the attempt (docs/safety.md, "No task runs
-// twice").
+// The package neither waits, logs nor takes locks. The controller passes in its observations and releases
+// the machines that are declared dead.
 //
-// A machine has two times of a last heartbeat. Machine.LastHeartbeat is when any node last answered one:
-// it decides whether this machine may be dead. Machine.LastHeartbeatHere is when this leader last
-// answered one, directly or through a relay: it decides whether the machine counts as silent, since a
-// network partition between zones shows only there.
+// No safety rule depends on a decision made here: the attempts on a machine that is declared dead do not
+// count as off. Only package fleet decides that, by one of these proofs: the cloud has confirmed the
+// release, the worker has begun a newer incarnation, or a heartbeat with this term's fencing token does
+// not list the attempt (docs/safety.md, "No task runs twice").
+//
+// Two fields hold the time of a machine's last heartbeat. Machine.LastHeartbeat is when any node last
+// answered a heartbeat: it decides whether this machine may be dead. Machine.LastHeartbeatHere is when
+// this leader last answered a heartbeat, directly or through a relay: it decides whether the machine is
+// counted as silent when machines are compared, since a network partition between zones shows only there.
 //
 // A relay is a follower that answers workers and passes their heartbeats on to the leader. The empty
 // relay name stands for machines that reach the leader directly.
@@ -150,7 +151,7 @@
 
 // updateUnreachableRelays records, while followers relay heartbeats, which controllers seem unable to
 // reach their machines: followers that are not reachable, and controllers none of whose machines has
-// sent a heartbeat for half of an interval. This controller is among them, under the empty name.
+// sent a heartbeat for half of an interval. This controller is treated alike, under the empty name.
 //
 // Pings and the count of silent machines are both too slow to show such a failure. Pings show it only
 // after the first machines of the controller have been silent for three intervals. By then the count may
--- a/internal/failuredetector/judgement.go
+++ b/internal/failuredetector/judgement.go
@@ -39,19 +39,18 @@
 }
 
 // newEvaluation derives the timeouts and limits of an evaluation from the evidence.
-func (d *Detector) newEvaluation(e *evidence, reachedZones int, now time.Time) *Evaluation {
+func (d *Detector) newEvaluation(e *evidence, reachableControllers int, now time.Time) *Evaluation {
 	interval := d.options.HeartbeatInterval
-	// silentShareDivisor applies to the machines that are silent for two intervals, not three. In a
-	// partition, the first machines are silent for three intervals when the last ones have just
-	// missed a heartbeat: a leader that counted only the former released 17 of 90 machines before
-	// it detected the partition. Up to half of a zone counts as dead. If in fact the network of
-	// these machines has failed, their leases end anyway, and waiting would only delay the restart
-	// of their tasks.
+	// silentShareDivisor applies to the machines that are silent for two intervals, not three. In a partition,
+	// the first machines are silent for three intervals when the last ones have just missed a heartbeat: a
+	// leader that counted only the former released 17 of 90 machines before it detected the partition. Up to
+	// half of a zone counts as dead. If in fact the network of these machines has failed, their leases end
+	// anyway, and waiting would only delay the restart of their tasks.
 	ev := &Evaluation{detector: d, evidence: e, now: now, silentShareDivisor: 2, heartbeatTimeout: 3 * interval}
 	// A worker notices at its next heartbeat that a controller is unreachable, and loses one
 	// unansweredHeartbeat at each node that does not answer.
-	unreachable := d.options.Controllers - reachedZones
-	ev.reconnectTime = interval*5/4 + time.Duration(max(1, unreachable))*unansweredHeartbeat
+	unreachableControllers := d.options.Controllers - reachableControllers
+	ev.reconnectTime = interval*5/4 + time.Duration(max(1, unreachableControllers))*unansweredHeartbeat
 	if e.manyRelayed() {
 		// This node's own links may have failed. A leader that could no longer reach the workers
 		// released 150 of 330 machines while these were looking for its peers. With the share
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -39,7 +39,7 @@
 type Attempt struct {
 	JobUID         string
 	TaskIndex      int
-	Number         uint64 // number of this attempt at its task; never reused
+	Number         uint64 // number among the attempts of its task; never reused
 	Serial         int    // unique among the attempts of a term; set by AddAttempt
 	Incarnation    uint64 // of the machine's worker when the attempt was decided
 	Resources      Resources
@@ -64,8 +64,9 @@
 
 func (a *Attempt) key() attemptKey { return attemptKey{a.TaskName(), a.Number} }
 
-// setAttemptState makes every change of an attempt's state. Off is final. A caller that passes Off
-// must hold one of the proofs that docs/safety.md requires.
+// setAttemptState changes the state of an attempt. No other function does so after AddAttempt has set the
+// initial state. Off is final. A caller that passes Off must hold one of the proofs that docs/safety.md
+// requires.
 func (f *Fleet) setAttemptState(a *Attempt, to AttemptState, now time.Time, reason string) {
 	if a.State == to || a.State == Off {
 		return
@@ -89,8 +90,8 @@
 
 // AddAttempt adds an attempt to a machine: as Planned if this term decided it, or as Committed if it
 // is inherited from the record of an earlier term. The caller sets JobUID, TaskIndex, Number,
-// Resources, Image and Inherited, and for an inherited attempt also Incarnation. AddAttempt sets the
-// fields that identify its machine and its state.
+// Resources, Image and Inherited, and for an inherited attempt also Incarnation. AddAttempt sets
+// Machine, State, Since and Serial, and for an attempt of this term also Incarnation.
 func (f *Fleet) AddAttempt(m *Machine, a *Attempt, now time.Time) {
 	f.lastSerial++
 	a.Machine, a.Since, a.Serial = m, now, f.lastSerial
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet holds one leader's view, for one term, of the machines and of the task attempts on
-// them. No other package decides that an attempt is off its machine, that is, proven not to be there,
-// now or later. The proof is in docs/safety.md, "No task runs twice". The package does no I/O, and the
-// caller passes the time in. A Fleet is not safe for concurrent use.
+// them. Only this package decides that an attempt is off its machine, which means that the attempt is
+// proven not to be there, now or later. docs/safety.md, "No task runs twice", gives the argument. The
+// package does no I/O, and the caller passes the time in. A Fleet is not safe for concurrent use.
 package fleet
 
 import "time"
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -68,13 +68,12 @@
 		m.SpotNotice = true
 	}
 	if newIncarnation && sinceAnswered < f.lease && m.State == Ready {
-		// The worker sent heartbeats all the time and yet its lease ended, so answers do not
-		// reach it. Launches would be lost: the machine gets none for a while. This rule needs
-		// two precautions. The machine must be Ready, that is, have sent this term's token,
-		// because a new leader may receive copies of heartbeats of an earlier incarnation. And
-		// the time is measured from lastAnswered, not from LastHeartbeat, which failure
-		// detection sets to the end of an outage: during an outage leases end because no
-		// heartbeat is answered.
+		// The worker sent heartbeats all the time and yet its lease ended, so answers do not reach it.
+		// Launches would be lost: the machine gets none for a while. The machine must be Ready, that is,
+		// have sent this term's token, because a new leader may receive copies of heartbeats of an earlier
+		// incarnation. The time is measured from lastAnswered, not from LastHeartbeat, which failure
+		// detection sets to the end of an outage: during an outage leases end because no heartbeat is
+		// answered.
 		m.AvoidUntil = now.Add(avoidLeases * f.lease)
 	}
 	return newIncarnation
@@ -118,7 +117,7 @@
 			f.setAttemptState(a, Off, now, "no longer listed in a heartbeat with this term's fencing token")
 		}
 	case EndRecorded:
-		f.setAttemptState(a, Off, now, "the worker has removed the acknowledged attempt")
+		f.setAttemptState(a, Off, now, "the worker no longer lists the ended attempt")
 	}
 }
 
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -122,8 +122,9 @@
 	return m.State == Ready && !m.SpotNotice && !m.Failed && m.Capacity.Cores > 0 && !now.Before(m.AvoidUntil)
 }
 
-// setMachineState makes every change of a machine's state. A machine whose release was attempted is
-// never used again: Returning only leads to Gone, and Gone is final.
+// setMachineState changes the state of a machine. No other function does so after GetOrAdd has set the
+// initial state. A machine whose release was attempted is never used again: Returning only leads to Gone,
+// and Gone is final.
 func (f *Fleet) setMachineState(m *Machine, to MachineState, now time.Time, reason string) {
 	if m.State == to || m.State == Gone || (m.State == Returning && to != Gone) {
 		return
