--- a/internal/controller/batch.go
+++ b/internal/controller/batch.go
@@ -22,11 +22,11 @@
 
 // placementWrite is a placement in a batch, as it was when the batch was made.
 type placementWrite struct {
-	placement *placement
-	changes   int              // placement.changes at that time
-	planned   []*fleet.Attempt // attempts whose launch the batch records
-	ended     []*fleet.Attempt // attempts whose end the batch records
-	dropped   bool             // its record is dropped
+	placement   *placement
+	changeCount int              // placement.changes at that time
+	planned     []*fleet.Attempt // attempts whose launch the batch records
+	ended       []*fleet.Attempt // attempts whose end the batch records
+	dropped     bool             // its record is dropped
 }
 
 // jobWrite is a job's final status in a batch.
@@ -55,7 +55,7 @@
 	key := records.PlacementKey(p.job.uid, p.index)
 	b.compare(key, p.modRevision)
 	b.drop(key)
-	b.placements = append(b.placements, placementWrite{placement: p, changes: p.changes, dropped: true})
+	b.placements = append(b.placements, placementWrite{placement: p, changeCount: p.changeCount, dropped: true})
 }
 
 // writtenJobs returns the jobs of which a batch writes a record.
@@ -75,7 +75,7 @@
 	changes        int  // of the commit
 	placementBytes int  // of a placement record
 	valueBytes     int  // of any other value
-	dense          bool // placements may be listed densely
+	denseEncoding  bool // placements may be listed densely
 	singleJob      bool // the batch holds no more than one job
 	// retryAfter is when a placement that fits no record is tried again.
 	retryAfter time.Duration
@@ -85,10 +85,10 @@
 // the mod revision of the leader's key with the term, so that none is applied once another node
 // leads.
 type batchBuilder struct {
-	batch  *batch
-	limits batchLimits
-	now    time.Time
-	bytes  int // of the placement records so far
+	batch          *batch
+	limits         batchLimits
+	now            time.Time
+	placementBytes int // of the placement records so far
 }
 
 func newBatchBuilder(term uint64, limits batchLimits, now time.Time) *batchBuilder {
@@ -129,7 +129,7 @@
 // hasRoomForPlacement reports whether the batch has room for another placement record with two
 // compares: that of the record and that of its job.
 func (b *batchBuilder) hasRoomForPlacement() bool {
-	return len(b.batch.tx.Changes) < b.limits.changes && b.bytes <= maxCommitBytes &&
+	return len(b.batch.tx.Changes) < b.limits.changes && b.placementBytes <= maxCommitBytes &&
 		len(b.batch.tx.Compares)+2 <= maxCompares(b.limits.changes)
 }
 
@@ -140,12 +140,12 @@
 		if !p.isDue(b.now) || !b.hasRoomForPlacement() {
 			continue
 		}
-		write := placementWrite{placement: p, changes: p.changes, planned: p.plannedAttempts(), ended: slices.Clone(p.ended)}
+		write := placementWrite{placement: p, changeCount: p.changeCount, planned: p.plannedAttempts(), ended: slices.Clone(p.ended)}
 		value := b.encode(p)
 		if value == nil {
 			continue
 		}
-		b.bytes += len(value)
+		b.placementBytes += len(value)
 		key := records.PlacementKey(j.uid, p.index)
 		b.batch.compare(key, p.modRevision)
 		b.batch.set(key, value)
@@ -165,7 +165,7 @@
 // happens to a record that was first written under a higher limit: it is tried again after
 // limits.retryAfter, until enough of its tasks have ended.
 func (b *batchBuilder) encode(p *placement) json.RawMessage {
-	value := records.EncodePlacement(p.record(), b.limits.placementBytes, b.limits.dense)
+	value := records.EncodePlacement(p.record(), b.limits.placementBytes, b.limits.denseEncoding)
 	if len(value) > b.limits.placementBytes {
 		slog.Warn("placement record is too large to be written", "uid", p.job.uid, "placement", p.index, "bytes", len(value))
 		p.due = b.now.Add(b.limits.retryAfter)
@@ -185,14 +185,14 @@
 	room := b.limits.changes - len(b.batch.tx.Changes)
 	switch {
 	case changes > b.limits.changes:
-		b.archiveInParts(j)
+		b.archiveInBatches(j)
 	case changes <= room && len(b.batch.tx.Compares)+changes <= maxCompares(b.limits.changes):
-		b.archiveWhole(j)
+		b.archiveInOneBatch(j)
 	}
 }
 
-// archiveWhole adds all changes that archive a job.
-func (b *batchBuilder) archiveWhole(j *job) {
+// archiveInOneBatch adds all changes that archive a job.
+func (b *batchBuilder) archiveInOneBatch(j *job) {
 	status := j.finalStatus()
 	jobKey, finalKey := records.JobKey(j.uid), records.FinalKey(j.uid)
 	b.batch.compare(jobKey, j.modRevision)
@@ -207,12 +207,12 @@
 	b.batch.jobs = append(b.batch.jobs, jobWrite{job: j, status: status, archived: true})
 }
 
-// archiveInParts adds some of the changes that archive a job with more placement records than one
+// archiveInBatches adds some of the changes that archive a job with more placement records than one
 // commit may drop. Its record gets the final status first, since users wait for that; its
 // placement records are dropped later, as many at a time as there is room for. Only what a batch
 // really writes counts against its room: when all placements of a job counted, an array of 25,000
 // tasks with 295 placements never became done on a state store that accepts 96 compares.
-func (b *batchBuilder) archiveInParts(j *job) {
+func (b *batchBuilder) archiveInBatches(j *job) {
 	hasRoom := func() bool {
 		return len(b.batch.tx.Changes) < b.limits.changes && len(b.batch.tx.Compares) < maxCompares(b.limits.changes)
 	}
--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -55,7 +55,7 @@
 		changes:        c.maxBatchChanges(),
 		placementBytes: c.maxPlacementBytes(),
 		valueBytes:     c.Config.MaxValueBytes(),
-		dense:          c.mayWriteDense(),
+		denseEncoding:  c.mayUseDenseEncoding(),
 		singleJob:      now.Before(c.singleJobCommitsUntil),
 		retryAfter:     c.endRecordDelay(),
 	}
@@ -93,7 +93,7 @@
 	for _, a := range write.planned {
 		c.fleet.MarkCommitted(a, now)
 	}
-	if p.changes == write.changes {
+	if p.changeCount == write.changeCount {
 		p.setDirty(false)
 	} else if len(p.plannedAttempts()) == 0 {
 		p.due = now.Add(c.endRecordDelay()) // all changes made during the commit are ends
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,11 +1,11 @@
 // Package controller does the work of the leader of a fleet, for one term: it runs scheduling
 // cycles, commits their decisions, answers workers' heartbeats, and scales the fleet out and in.
 //
-// A Controller is the assembly. It owns the lock and the order of steps; decisions that need
-// neither are made by types of their own: jobTable and job, batchBuilder, nodeCache and
-// nodeBuilder, urgency, failoverReport and changedViews here, and the packages fleet, sched,
-// jobdag, autoscaler, failuredetector and faultattribution. One lock guards the whole state,
-// since a scheduling cycle has to see all of it at one moment. Nothing waits while it is held.
+// Controller ties the parts together: it owns the lock and the order of the steps. Decisions that need neither are
+// made by separate types: by jobTable and job, batchBuilder, nodeCache and nodeBuilder, urgency, failoverReport and
+// changedViews in this package, and by the packages fleet, sched, jobdag, autoscaler, failuredetector and
+// faultattribution. One lock guards the whole state, because a scheduling cycle needs a consistent view of all of it.
+// No code blocks while holding the lock.
 package controller
 
 import (
@@ -28,9 +28,9 @@
 
 // Controller leads one term.
 //
-// The fields below mu are guarded by it. Each group of them is changed only in the files that its
-// comment names. A method that must be called with mu held says "c.mu is held"; all others lock it
-// themselves or use nothing that it guards.
+// mu guards the fields below it. Each group of these fields is changed only in the files that its comment names. The
+// doc comment of a method that must be called with mu held says "c.mu is held"; all other methods lock mu themselves or
+// use nothing that it guards.
 type Controller struct {
 	Options
 	term          uint64
@@ -38,25 +38,25 @@
 	now           func() time.Time
 	placementWake chan struct{} // there is something to place
 	releaseWake   chan struct{} // there is a machine to release
-	resolveWake   chan struct{} // a job waits for one whose final status is not known
+	resolveWake   chan struct{} // a job depends on one whose final status is not known yet
 	writer        *placementWriter
 
 	mu sync.Mutex
 
 	// The term: controller.go, load.go, failover.go.
 	cancel   context.CancelFunc
-	loader   *recordLoader // while the state is loaded, by the goroutine that does so
+	loader   *recordLoader // set while the state is being loaded; used by the loading goroutine only
 	loaded   bool
 	failover *failoverReport
 
 	// Jobs and their attempts: jobevents.go, dependencies.go, commits.go, launches.go, failures.go.
 	jobs                  *jobTable
 	fleet                 *fleet.Fleet
-	faultEvidence         *faultattribution.Evidence // which jobs and machines fail
-	singleJobCommitsUntil time.Time                  // until when jobs are written one by one
+	faultEvidence         *faultattribution.Evidence // which jobs and machines have failed attempts
+	singleJobCommitsUntil time.Time                  // until then a batch holds records of one job only
 
 	// Scheduling cycles: cycle.go, nodecache.go.
-	window      int // how many jobs a cycle looks at
+	window      int // how many jobs a cycle considers
 	lastCycle   wire.RoundStatus
 	lastCycleAt time.Time
 	nodes       nodeCache
@@ -71,17 +71,17 @@
 	// Scale in: scalein.go.
 	releases *autoscaler.Releases
 
-	// Who is alive: liveness.go.
+	// Failure detection: liveness.go.
 	detector *failuredetector.Detector
 
 	// Answers to workers: heartbeat.go, tokenannounce.go.
-	waitingAnswers map[string]chan struct{} // heartbeats whose answers wait for commands, by machine
+	waitingAnswers map[string]chan struct{} // closed to end the wait of a heartbeat's answer for commands, by machine
 	announcedAt    map[string]time.Time     // when the fencing token was last announced, by machine
 
-	// Images on record: imagerecords.go.
+	// Images that the records list: imagerecords.go.
 	recordedImages map[string]recordedImages // by machine
 
-	// What a warm standby follows: standbyviews.go.
+	// Changes that a warm standby has to be sent: standbyviews.go.
 	views changedViews
 }
 
@@ -122,8 +122,8 @@
 // StartedAt returns when New was called.
 func (c *Controller) StartedAt() time.Time { return c.startedAt }
 
-// Run leads until ctx ends or a newer term is known to exist. It must be called once. It returns
-// when all its goroutines have ended, but for the one that stores the record of a failover.
+// Run leads until ctx ends or a newer term is known to exist. It must be called only once. It returns when all its
+// goroutines have ended, except the one that stores the record of a failover.
 func (c *Controller) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -151,8 +151,7 @@
 	wg.Wait()
 }
 
-// loadUntilDone loads the state and retries until that succeeds. It returns false if ctx ended
-// first.
+// loadUntilDone loads the state and retries until loading succeeds. It returns false if ctx ends first.
 func (c *Controller) loadUntilDone(ctx context.Context) bool {
 	pause := c.Config.LeaderLeaseTTL() / 10
 	for {
@@ -167,14 +166,14 @@
 	}
 }
 
-// untilNext returns how long to wait until the next turn of work with this period. The turns lie
-// on a common grid, so that tasks of different periods wake the process at the same moments.
+// untilNext returns how long to wait until periodic work with this period is next due. All periodic work is due on a
+// common timer grid, so that work of different periods wakes the process at the same moments.
 func (c *Controller) untilNext(period time.Duration) time.Duration {
 	return c.Config.TimerGrid().UntilNext(time.Now(), period)
 }
 
-// stepDown ends the term: a newer one is known to exist. c.mu must not be held: a leader that
-// ended its term while holding it answered nobody, for ever.
+// stepDown ends the term because a newer one is known to exist. c.mu must not be held, since stepDown locks it: a
+// leader that called stepDown with c.mu held deadlocked and never answered a request again.
 func (c *Controller) stepDown(reason string) {
 	slog.Info("term ends", "term", c.term, "reason", reason)
 	c.mu.Lock()
@@ -185,8 +184,8 @@
 	}
 }
 
-// stepDownOnLeaderConflict ends the term if a commit failed because of the leader's key. c.mu
-// must not be held.
+// stepDownOnLeaderConflict ends the term if a commit failed because the leader's key has changed. c.mu must not be
+// held.
 func (c *Controller) stepDownOnLeaderConflict(err error) {
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) && slices.Contains(conflict.Failed, records.LeaderKey) {
@@ -194,7 +193,7 @@
 	}
 }
 
-// notify wakes whoever waits on ch, now or next.
+// notify wakes the goroutine that waits on ch. If none waits, the next wait on ch ends at once.
 func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -202,8 +201,8 @@
 	}
 }
 
-// stopAttempt requests the end of an attempt within a grace period in seconds. If the answer to
-// its machine's heartbeat waits for commands, it is sent now. c.mu is held.
+// stopAttempt requests the end of an attempt within a grace period in seconds. If the answer to a heartbeat of the
+// attempt's machine waits for commands, that answer is sent now. c.mu is held.
 func (c *Controller) stopAttempt(a *fleet.Attempt, gracePeriodS float64, now time.Time, reason string) {
 	c.fleet.StopAttempt(a, gracePeriodS, now, reason)
 	if a.Live() {
@@ -211,8 +210,8 @@
 	}
 }
 
-// setCapacity sets the capacity of a machine from its type in the catalog. It does nothing while
-// the type is unknown. c.mu is held.
+// setCapacity sets the capacity of a machine according to its type in the catalog. It does nothing if the catalog does
+// not have the type. c.mu is held.
 func (c *Controller) setCapacity(m *fleet.Machine) {
 	if machineType := findMachineType(c.catalog, m.Type); machineType != nil {
 		m.Capacity = autoscaler.Capacity(machineType)
@@ -220,8 +219,8 @@
 	}
 }
 
-// MachineChanged logs a change of a machine's state and passes it on to what depends on it. The
-// fleet calls it for every change, with c.mu held.
+// MachineChanged logs a change of a machine's state and updates what depends on that state. The fleet calls it for
+// every change, with c.mu held.
 func (c *Controller) MachineChanged(m *fleet.Machine, from fleet.MachineState, reason string) {
 	if from == m.State {
 		slog.Info("machine added", "host", m.ID, "state", m.State.String(), "reason", reason)
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -18,8 +18,8 @@
 type failoverReport struct {
 	record          records.Failover
 	leaderlessSince time.Time
-	ready           bool // a machine has sent a heartbeat with this term's token
-	done            bool // the first cycle that could place tasks has ended
+	machineReady    bool // a machine has sent a heartbeat with this term's token
+	decided         bool // the first cycle that could place tasks has ended
 }
 
 // newFailoverReport begins the report of a term that this node was elected for. If the node did not
@@ -58,8 +58,8 @@
 // recordMachineReady records that a machine has sent a heartbeat with this term's token, the
 // first time.
 func (r *failoverReport) recordMachineReady(now time.Time) {
-	if !r.ready {
-		r.ready = true
+	if !r.machineReady {
+		r.machineReady = true
 		r.record.ReadyMs = r.sinceLeaderlessMs(now)
 	}
 }
@@ -67,10 +67,10 @@
 // recordDecision records a scheduling cycle, and reports whether it was the first that could
 // place tasks.
 func (r *failoverReport) recordDecision(now time.Time) bool {
-	if r.done || !r.ready {
+	if r.decided || !r.machineReady {
 		return false
 	}
-	r.done = true
+	r.decided = true
 	r.record.DecidedMs = r.sinceLeaderlessMs(now)
 	return true
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -8,30 +8,29 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// HeartbeatOptions says how a heartbeat has arrived and how it may be answered.
+// HeartbeatOptions describe how a heartbeat has arrived and how it may be answered.
 type HeartbeatOptions struct {
-	// Relayed is true if another controller has forwarded this single heartbeat.
+	// Relayed is true if another controller has forwarded this heartbeat on its own, not in a batch.
 	Relayed bool
-	// Via is the label of the follower that keeps the worker and relays its heartbeats in
-	// batches; "" if there is none.
+	// Via is the label of the follower that receives the worker's heartbeats and relays them in batches; "" if there is
+	// none.
 	Via string
-	// MayWait lets an answer without commands wait for commands. The worker lease runs from when
-	// the heartbeat was sent, so the wait does not lengthen it.
+	// MayWait lets an answer without commands wait for commands. The worker lease runs from the time when the heartbeat
+	// was sent, so the wait does not extend the lease.
 	MayWait bool
 }
 
-// Heartbeat applies a worker's heartbeat and returns the commands that answer it. It locks the
-// controller itself and may wait up to half of a heartbeat interval; ctx ends the wait, after which
-// the answer has no commands. ok is false if the heartbeat shows that this term is over. Until the
-// state is loaded, and to a heartbeat that is no newer than the last one, the answer has no
-// commands.
+// Heartbeat applies a worker's heartbeat and returns the commands for the worker. It locks the controller itself and
+// may wait up to half of a heartbeat interval; if ctx ends the wait, the answer has no commands. ok is false if the
+// heartbeat shows that this term is over. The answer also has no commands while the state is not loaded, and if the
+// heartbeat is no newer than the last one.
 //
-// With MayWait, an answer to a ready machine that has no commands waits for some: launches and
-// stops then travel at once instead of with the next heartbeat. While the cancellation data is too
-// old for launches the answer does not wait: no launch can come up, and the wait only delays the
-// next heartbeat. When a leader that was cut off with its zone had to stop answering, its workers'
-// leases were half of an interval older than a follower's, and of some 700 machines 170 to 220
-// lost them just before the cut ended.
+// With MayWait, an answer that has no commands for a ready machine waits for some, so that launches and stops are sent
+// at once instead of with the next heartbeat. The answer does not wait while the cancellation data is too old for
+// launches: no launch may be sent then, and the wait would only delay the next heartbeat. A leader that waited even
+// then, and had to stop answering because its zone was partitioned, left its workers with leases that were half of an
+// interval older than those of a follower's workers: 170 to 220 of some 700 machines lost their leases just before the
+// partition ended.
 func (c *Controller) Heartbeat(ctx context.Context, h *wire.Heartbeat, opts HeartbeatOptions) (answer wire.Commands, ok bool) {
 	if h.FencingToken > c.term {
 		c.Observer.TermObserved(h.FencingToken)
@@ -54,16 +53,15 @@
 		return answer, true
 	}
 	c.waitForCommands(ctx, m)
-	// Only the answer to the newest heartbeat may carry commands: the worker drops this answer if
-	// it has sent another heartbeat meanwhile.
+	// Only the answer to the newest heartbeat may carry commands: the worker ignores this answer if it has sent another
+	// heartbeat meanwhile.
 	if m.Incarnation == h.Incarnation && m.Sequence == h.Sequence && ctx.Err() == nil {
 		answer.Commands = c.fleet.Commands(m, c.now(), c.mayLaunch())
 	}
 	return answer, true
 }
 
-// applyHeartbeat applies a heartbeat to its machine; fresh is false if it changes nothing. c.mu
-// is held.
+// applyHeartbeat applies a heartbeat to its machine; fresh is false if the heartbeat changes nothing. c.mu is held.
 func (c *Controller) applyHeartbeat(h *wire.Heartbeat, opts HeartbeatOptions, now time.Time) (m *fleet.Machine, fresh bool) {
 	before := c.fleet.Get(h.Host)
 	wasDirect := before != nil && before.Incarnation != 0 && before.RelayedBy == ""
@@ -74,17 +72,16 @@
 	c.setCapacity(m)
 	m.RelayedBy = opts.Via
 	if opts.Relayed || wasDirect && opts.Via != "" {
-		// It may not reach this node any more: its heartbeat was forwarded singly, or a follower
-		// keeps it although it came here directly before.
+		// The worker may no longer reach this node: its heartbeat was forwarded on its own, or a follower now relays the
+		// heartbeats that came here directly before.
 		m.LastRelayedHeartbeat = now
 	}
 	return m, true
 }
 
-// waitForCommands waits until there is a command for a machine, half of a heartbeat interval passes
-// or ctx ends. c.mu is held by the caller and released during the wait. The waits of many machines
-// end at the same moments, on the grid of periodic work: when each had a wake-up of its own, they
-// took an eighth of a leader's processor time.
+// waitForCommands waits until there is a command for a machine, half of a heartbeat interval has passed, or ctx ends.
+// c.mu is held by the caller and released during the wait. The waits end on the timer grid, so that those of many
+// machines end at the same moments: a separate wake-up for each wait took an eighth of a leader's processor time.
 func (c *Controller) waitForCommands(ctx context.Context, m *fleet.Machine) {
 	wake := make(chan struct{})
 	c.waitingAnswers[m.ID] = wake
@@ -102,15 +99,14 @@
 	}
 }
 
-// mayLaunch reports whether launches may be sent: the cancellation data is younger than the TTL of
-// the leader lease. If an outage begins between the commit of a launch and its answer, another
-// node may have confirmed a cancellation of the job meanwhile: the launch waits until this node
-// would know of that.
+// mayLaunch reports whether launches may be sent: the cancellation data must be younger than the TTL of the leader
+// lease. If the state store becomes unreachable between the commit of a launch and the answer that carries it, another
+// node may have confirmed a cancellation of the job meanwhile, so the launch is not sent before this node can read that.
 func (c *Controller) mayLaunch() bool {
 	return c.now().Sub(c.JobCache.FreshAsOf()) < c.Config.LeaderLeaseTTL()
 }
 
-// endAnswerWait ends the wait of the answer to a machine's heartbeat, if there is one. c.mu is held.
+// endAnswerWait makes an answer to a machine's heartbeat that waits for commands stop waiting. c.mu is held.
 func (c *Controller) endAnswerWait(m *fleet.Machine) {
 	if wake := c.waitingAnswers[m.ID]; wake != nil {
 		delete(c.waitingAnswers, m.ID)
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -10,9 +10,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Answers without commands wait for some, but not if the caller does not allow it. The waits of
-// many machines end at the same moments: when each had a wake-up of its own, they took an eighth
-// of a leader's processor time.
+// Answers without commands wait for commands, but only if the caller allows it. The waits of many machines end at the
+// same moments: a separate wake-up for each wait took an eighth of a leader's processor time.
 func TestWaitingAnswersEndTogether(t *testing.T) {
 	const machines = 120
 	synctest.Test(t, func(t *testing.T) {
@@ -20,57 +19,56 @@
 		c := newTestLeader(&now)
 		c.now = time.Now
 		c.JobCache.Reset(nil, 1, now)
-		ends := make(chan time.Time, machines)
-		longest := c.Config.HeartbeatInterval() / 2
+		endTimes := make(chan time.Time, machines)
+		maxWait := c.Config.HeartbeatInterval() / 2
 		for i := range machines {
 			time.Sleep(c.Config.HeartbeatInterval() / machines)
 			heartbeat := wire.Heartbeat{Host: fmt.Sprintf("m-%d", i), Incarnation: 1, Sequence: 1, FencingToken: c.term}
-			began := time.Now()
-			if _, ok := c.Heartbeat(context.Background(), &heartbeat, HeartbeatOptions{}); !ok || time.Since(began) > 0 {
-				t.Fatalf("an answer that may not wait is given after %s", time.Since(began))
+			start := time.Now()
+			if _, ok := c.Heartbeat(context.Background(), &heartbeat, HeartbeatOptions{}); !ok || time.Since(start) > 0 {
+				t.Fatalf("answer without MayWait: ok = %t after %s, want true after 0s", ok, time.Since(start))
 			}
 			heartbeat.Sequence++
 			go func() {
 				c.Heartbeat(context.Background(), &heartbeat, HeartbeatOptions{MayWait: true})
-				if waited := time.Since(began); waited > longest || waited < longest-c.Config.TimerGrid().Unit {
-					t.Errorf("answered after %s", waited)
+				if waited := time.Since(start); waited > maxWait || waited < maxWait-c.Config.TimerGrid().Unit {
+					t.Errorf("answer came after %s, want %s to %s", waited, maxWait-c.Config.TimerGrid().Unit, maxWait)
 				}
-				ends <- time.Now()
+				endTimes <- time.Now()
 			}()
 		}
-		moments := map[time.Time]bool{}
+		distinctEnds := map[time.Time]bool{}
 		for range machines {
-			moments[<-ends] = true
+			distinctEnds[<-endTimes] = true
 		}
-		// The heartbeats come over one interval and wait half of one: the units of
-		// the grid in that, and one more for where it begins.
-		most := int(c.Config.HeartbeatInterval()/c.Config.TimerGrid().Unit) + 2
-		if len(moments) > most {
-			t.Errorf("%d waits end at %d moments, want at most %d", machines, len(moments), most)
+		// The heartbeats are spread over one interval and all wait for about half of one, so the waits end on the grid
+		// units of about one interval: at most two more than fit into it.
+		maxDistinctEnds := int(c.Config.HeartbeatInterval()/c.Config.TimerGrid().Unit) + 2
+		if len(distinctEnds) > maxDistinctEnds {
+			t.Errorf("%d waits end at %d different moments, want at most %d", machines, len(distinctEnds), maxDistinctEnds)
 		}
 	})
 }
 
-// While the state store is not read, no answer waits for commands, since launches could not be
-// sent: the worker's next heartbeat comes sooner, and its lease is younger when the node has to
-// stop answering.
+// While the state store cannot be read, no answer waits for commands, since launches could not be sent anyway. Without
+// the wait, the worker's next heartbeat comes sooner, and its lease is younger when the node has to stop answering.
 func TestAnswersDoNotWaitWhileTheStateStoreIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestLeader(new(time.Time))
 		c.now = time.Now
 		c.JobCache.Reset(nil, 1, time.Now())
-		waited := func(sequence uint64) time.Duration {
-			began := time.Now()
+		answerTime := func(sequence uint64) time.Duration {
+			start := time.Now()
 			h := wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, FencingToken: c.term}
 			c.Heartbeat(t.Context(), &h, HeartbeatOptions{MayWait: true})
-			return time.Since(began)
+			return time.Since(start)
 		}
-		if waited(1) == 0 {
-			t.Error("no wait while the state store is read")
+		if answerTime(1) == 0 {
+			t.Error("the answer does not wait while the state store can be read, want a wait for commands")
 		}
 		time.Sleep(c.Config.LeaderLeaseTTL())
-		if took := waited(2); took > 0 {
-			t.Errorf("waits %s for commands on old knowledge", took)
+		if took := answerTime(2); took > 0 {
+			t.Errorf("with stale cancellation data the answer waits %s for commands, want no wait", took)
 		}
 	})
 }
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -25,14 +25,14 @@
 	return min(limits.TxnOps, max(minBatchChanges, int(limits.WriteRps*store.RecordWriteShare)))
 }
 
-// mayWriteDense reports whether all nodes can read densely listed placements.
-func (c *Controller) mayWriteDense() bool { return c.Version.InForce() >= clusterversion.JobDAGs }
+// mayUseDenseEncoding reports whether all nodes can read densely listed placements.
+func (c *Controller) mayUseDenseEncoding() bool { return c.Version.InForce() >= clusterversion.JobDAGs }
 
 // maxPlacementBytes returns how large a placement record may be, in bytes. The announced lower
 // limit applies once all nodes can read the dense records that fit it; the state store does not
 // lower its own limit before.
 func (c *Controller) maxPlacementBytes() int {
-	if c.mayWriteDense() {
+	if c.mayUseDenseEncoding() {
 		return c.Config.MaxValueBytes()
 	}
 	return c.Config.CurrentMaxValueBytes()
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -13,17 +13,17 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// latest is a cluster in which every node is of this release.
-type latest struct{}
+// latestVersion is a cluster in which every node is of this release.
+type latestVersion struct{}
 
-func (latest) InForce() clusterversion.Version { return clusterversion.Latest }
+func (latestVersion) InForce() clusterversion.Version { return clusterversion.Latest }
 
 // No more tasks are placed than their placement record has room for: a launch that can never be
 // recorded would occupy room on its machine for ever.
 func TestPlacementsFitTheirRecords(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
-	c.Version = latest{}
+	c.Version = latestVersion{}
 	kb := 2.0
 	c.Config.Cluster.State.WriteRps, c.Config.Cluster.State.Next = 1000, &config.NextStateLimits{ValueKb: &kb}
 	c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -24,14 +24,14 @@
 	})
 }
 
-// renewFromPeers records a heartbeat of every machine whose worker lease another node has renewed
-// lately, as that node says in its answers to pings. c.mu is held.
+// renewFromPeers records a heartbeat of every machine whose worker lease another node has renewed lately, according to
+// that node's answers to pings. c.mu is held.
 func (c *Controller) renewFromPeers(now time.Time) {
 	c.recordHeartbeatsElsewhere(c.Peers.RenewedHosts(), now)
 }
 
-// recordHeartbeatsElsewhere records that other nodes have answered heartbeats of machines: they are
-// alive, but this node has not received these heartbeats, so LastHeartbeatHere stays. c.mu is held.
+// recordHeartbeatsElsewhere records that other nodes have answered heartbeats of these machines, so the machines are
+// alive. LastHeartbeatHere does not change, because this node has not received these heartbeats. c.mu is held.
 func (c *Controller) recordHeartbeatsElsewhere(hosts []string, now time.Time) {
 	for _, host := range hosts {
 		if m := c.fleet.Get(host); m != nil {
@@ -40,22 +40,22 @@
 	}
 }
 
-// followRenewedLeases watches the records in which followers that are cut off from this node, but
-// not from the state store, list the machines whose worker leases they renew: these machines are
-// alive. Without this, every machine behind a cut between zones was released with all its tasks.
+// followRenewedLeases watches the records of followers that can reach the state store but not this node. In these
+// records they list the machines whose worker leases they renew: these machines are alive. Without this, a partition
+// between zones made the leader release every machine on the other side, with all its tasks.
 func (c *Controller) followRenewedLeases(ctx context.Context) {
 	wait, pause := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
 	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, pause, watchcache.HandlerFuncs{OnChanged: c.applyRenewedLeases})
 }
 
-// applyRenewedLeases applies such a record. A record that is dropped says nothing.
+// applyRenewedLeases applies a record of renewed worker leases. It ignores the deletion of a record.
 func (c *Controller) applyRenewedLeases(event wire.WatchEvent) {
 	if event.Set == "" {
 		return
 	}
 	var renewed records.RenewedLeases
 	if err := wire.Decode(event.Value, &renewed); err != nil {
-		slog.Warn("record of renewed leases cannot be read", "key", event.Set, "err", err)
+		slog.Warn("record of renewed worker leases cannot be decoded", "key", event.Set, "err", err)
 		return
 	}
 	c.mu.Lock()
@@ -63,16 +63,15 @@
 	c.recordHeartbeatsElsewhere(renewed.Hosts, c.now())
 }
 
-// pauseDetectionWhileStale pauses failure detection while this node cannot answer heartbeats: its
-// cancellation data is stale, so no heartbeat arrives and every machine would look dead. c.mu is
-// held.
+// pauseDetectionWhileStale pauses failure detection while this node does not answer heartbeats because its cancellation
+// data is stale: it then receives no heartbeats, and every machine would look dead. c.mu is held.
 func (c *Controller) pauseDetectionWhileStale(now time.Time) {
 	stale := now.Sub(c.JobCache.FreshAsOf()) > c.Config.MaxCancellationAge()
 	if c.detector.SetPaused(stale) {
 		if stale {
-			slog.Warn("failure detection paused, heartbeats are not answered on stale cancellation data", "term", c.term)
+			slog.Warn("failure detection paused: heartbeats are not answered while cancellation data is stale", "term", c.term)
 		} else {
-			slog.Warn("failure detection resumed, heartbeats are answered again", "term", c.term)
+			slog.Warn("failure detection resumed: heartbeats are answered again", "term", c.term)
 		}
 	}
 	if stale {
@@ -80,8 +79,8 @@
 	}
 }
 
-// releaseDead releases the machines that the failure detector declares dead, and stops the tasks
-// of those that the cloud is about to reclaim. c.mu is held.
+// releaseDead releases the machines that the failure detector declares dead. It also stops the tasks of the machines
+// that the cloud is about to reclaim. c.mu is held.
 func (c *Controller) releaseDead(now time.Time) {
 	judgement := c.detector.Judge(failuredetector.Observation{Now: now, Machines: c.fleet, Peers: c.Peers})
 	c.fleet.Each(func(m *fleet.Machine) {
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -17,12 +17,12 @@
 // listOnlyStore is a state store that only lists.
 type listOnlyStore struct {
 	Store
-	rows   map[string][]wire.KeyValue
-	listed int
+	rows      map[string][]wire.KeyValue
+	listCount int
 }
 
 func (l *listOnlyStore) List(_ context.Context, under string) ([]wire.KeyValue, uint64, error) {
-	l.listed++
+	l.listCount++
 	return l.rows[under], 4, nil
 }
 
@@ -100,8 +100,8 @@
 		if err := c.loadState(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if store.listed != proof.listed || c.failover.record.Warm != (proof.err == nil) {
-			t.Errorf("%s: %d listings, the takeover is %+v", proof.name, store.listed, c.failover.record)
+		if store.listCount != proof.listed || c.failover.record.Warm != (proof.err == nil) {
+			t.Errorf("%s: %d listings, the takeover is %+v", proof.name, store.listCount, c.failover.record)
 		}
 		j := c.jobs.get("run-000001")
 		if j.live != 2 || c.fleet.Get("m-3").State != fleet.Returning {
@@ -131,8 +131,8 @@
 	attempts := 0
 	c.Prove = func(context.Context, uint64) (*standby.Proven, error) { attempts++; return nil, errors.New("503") }
 	for range maxProofAttempts {
-		if err := c.loadState(context.Background()); err == nil || store.listed > 0 {
-			t.Fatalf("after %d tries: loaded with %v, %d listings", attempts, err, store.listed)
+		if err := c.loadState(context.Background()); err == nil || store.listCount > 0 {
+			t.Fatalf("after %d tries: loaded with %v, %d listings", attempts, err, store.listCount)
 		}
 	}
 	if err := c.loadState(context.Background()); err != nil || attempts != maxProofAttempts || !c.loaded {
--- a/internal/controller/nodecache.go
+++ b/internal/controller/nodecache.go
@@ -12,22 +12,22 @@
 // is rebuilt when the fleet marks the machine as changed, when it changes by the passing of time,
 // and periodically with all others, to detect a change that was not marked.
 type nodeCache struct {
-	builder    nodeBuilder
-	view       *sched.View
-	changesAt  map[string]time.Time // when nodes change by the passing of time, by machine
-	verifiedAt time.Time            // when all nodes were last rebuilt
-	staleNodes uint64               // nodes that were out of date although their machines were not marked
+	builder      nodeBuilder
+	view         *sched.View
+	timedChanges map[string]time.Time // when nodes change by the passing of time, by machine
+	verifiedAt   time.Time            // when all nodes were last rebuilt
+	staleNodes   uint64               // nodes that were out of date although their machines were not marked
 }
 
 func newNodeCache(jobs *jobTable) nodeCache {
-	return nodeCache{builder: nodeBuilder{jobs: jobs}, view: sched.NewView(), changesAt: map[string]time.Time{}}
+	return nodeCache{builder: nodeBuilder{jobs: jobs}, view: sched.NewView(), timedChanges: map[string]time.Time{}}
 }
 
 // refresh brings the nodes up to date, and rebuilds all of them if that was not done for longer
 // than verifyEvery.
 func (n *nodeCache) refresh(machines *fleet.Fleet, verifyEvery time.Duration, now time.Time) {
 	machines.DrainChanged(func(id string, m *fleet.Machine) { n.rebuild(id, m, now) })
-	for id, at := range n.changesAt {
+	for id, at := range n.timedChanges {
 		if !now.Before(at) {
 			n.rebuild(id, machines.Get(id), now)
 		}
@@ -53,13 +53,13 @@
 // rebuild rebuilds a machine's node, and reports whether it has changed. m is nil for a machine
 // that is no longer known.
 func (n *nodeCache) rebuild(id string, m *fleet.Machine, now time.Time) (changed bool) {
-	delete(n.changesAt, id)
+	delete(n.timedChanges, id)
 	if m == nil {
 		n.view.Remove(id)
 		return false
 	}
 	if at := n.builder.nextTimedChange(m, now); !at.IsZero() {
-		n.changesAt[id] = at
+		n.timedChanges[id] = at
 	}
 	node, ok := n.builder.build(m, now)
 	if !ok {
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -18,7 +18,7 @@
 	live        map[int]*fleet.Attempt // attempts that may be on their machines, by task
 	ended       []*fleet.Attempt       // ended, and not recorded so yet
 
-	changes        int       // counts changes, to detect those that come during a commit
+	changeCount    int       // counts changes, to detect those that come during a commit
 	dirty          bool      // see setDirty
 	due            time.Time // when a dirty placement is to be written
 	outcomeUnknown bool      // the outcome of a commit is unknown: the record is read before it is written
@@ -31,8 +31,8 @@
 	return p
 }
 
-// placed returns an attempt as a placement record lists it.
-func placed(a *fleet.Attempt) records.PlacedAttempt {
+// toPlacedAttempt returns an attempt as a placement record lists it.
+func toPlacedAttempt(a *fleet.Attempt) records.PlacedAttempt {
 	return records.PlacedAttempt{Task: a.TaskIndex, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}
 }
 
@@ -40,7 +40,7 @@
 func (p *placement) record() records.Placement {
 	record := records.Placement{NextAttempt: p.nextAttempt, DoneBits: p.done.DoneBits}
 	for _, a := range p.live {
-		record.Live = append(record.Live, placed(a))
+		record.Live = append(record.Live, toPlacedAttempt(a))
 	}
 	return record
 }
@@ -55,7 +55,7 @@
 	added := records.PlacedAttempt{Task: task, Attempt: p.nextAttempt, Host: m.ID, Incarnation: m.Incarnation}
 	bytes := records.DenseAttemptBytes(added, tasks)
 	for _, a := range p.live {
-		bytes += records.DenseAttemptBytes(placed(a), tasks)
+		bytes += records.DenseAttemptBytes(toPlacedAttempt(a), tasks)
 	}
 	return bytes <= records.DenseAttemptsRoom(valueBytes, tasks)
 }
@@ -73,7 +73,7 @@
 
 // markChanged counts a change that is to be written at due or earlier, with an earlier change.
 func (p *placement) markChanged(due time.Time) {
-	p.changes++
+	p.changeCount++
 	if !p.dirty || due.Before(p.due) {
 		p.due = due
 	}
--- a/internal/controller/tokenannounce.go
+++ b/internal/controller/tokenannounce.go
@@ -16,17 +16,17 @@
 // or cut off occupies a connection until it times out, and those to machines that would answer
 // wait behind it; so there must be enough of them, but they must not use up the connections.
 const (
-	minConcurrentAnnouncements = 16
-	announcedShare             = 0.125   // of the machines that the token is announced to
-	announcementConnections    = 1 / 32. // of the connections, at most
-	minAnnouncementsPerTurn    = 2 * minConcurrentAnnouncements
+	minConcurrentAnnouncements  = 16
+	concurrentAnnouncementShare = 0.125   // of the machines that the token is announced to
+	announcementConnectionShare = 1 / 32. // of the connections, at most
+	minAnnouncementsPerTurn     = 2 * minConcurrentAnnouncements
 )
 
 // concurrentAnnouncements returns how many announcements are sent at a time, of those to this many
 // machines.
 func (c *Controller) concurrentAnnouncements(machines int) int {
-	most := int(announcementConnections * float64(c.Config.Cluster.Limits.MaxConnections))
-	return max(minConcurrentAnnouncements, min(most, int(announcedShare*float64(machines))))
+	most := int(announcementConnectionShare * float64(c.Config.Cluster.Limits.MaxConnections))
+	return max(minConcurrentAnnouncements, min(most, int(concurrentAnnouncementShare*float64(machines))))
 }
 
 // announceToken announces the fencing token to workers that send no heartbeats, until ctx ends:
@@ -122,7 +122,7 @@
 		return
 	}
 	if r.FencingToken == c.term && r.Incarnation == a.incarnation {
-		c.extendBoot(a.host)
+		c.restartBootTimeout(a.host)
 	}
 	// The worker is at another incarnation than is known here and has not accepted the token: it is
 	// announced again for that one.
@@ -133,10 +133,10 @@
 	}
 }
 
-// extendBoot restarts the timeout of a machine that has sent no heartbeat in this term. It has
+// restartBootTimeout restarts the timeout of a machine that has sent no heartbeat in this term. It has
 // accepted the token in the incarnation that its tasks are known from, so its worker lease has not
 // ended: another node has renewed it, and the worker is about to send its heartbeats here.
-func (c *Controller) extendBoot(host string) {
+func (c *Controller) restartBootTimeout(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m := c.fleet.Get(host); m != nil && m.State == fleet.Booting {
