--- a/internal/controller/batch.go
+++ b/internal/controller/batch.go
@@ -12,28 +12,28 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// batch is one commit of the placement writer and what follows from it.
+// batch is one commit of the placement writer, and what has to be updated when it succeeds.
 type batch struct {
 	tx         wire.Transaction
-	background bool // nothing waits for it
+	background bool // the commit may be delayed: no user or task waits for it
 	placements []placementWrite
 	jobs       []jobWrite
 }
 
-// placementWrite is a placement in a batch, as it was when the batch was made.
+// placementWrite is the state of a placement at the time when its batch was made.
 type placementWrite struct {
 	placement   *placement
-	changeCount int              // placement.changes at that time
+	changeCount int              // placement.changeCount at that time
 	planned     []*fleet.Attempt // attempts whose launch the batch records
 	ended       []*fleet.Attempt // attempts whose end the batch records
-	dropped     bool             // its record is dropped
+	dropped     bool             // the batch drops its record
 }
 
 // jobWrite is a job's final status in a batch.
 type jobWrite struct {
 	job      *job
 	status   wire.JobStatus
-	archived bool // its record is dropped as well
+	archived bool // the batch drops its record as well
 }
 
 func (b *batch) isEmpty() bool { return len(b.tx.Changes) == 0 }
@@ -50,7 +50,7 @@
 	b.tx.Changes = append(b.tx.Changes, wire.Change{Drop: key})
 }
 
-// dropPlacement adds the end of a placement record.
+// dropPlacement adds the removal of a placement record.
 func (b *batch) dropPlacement(p *placement) {
 	key := records.PlacementKey(p.job.uid, p.index)
 	b.compare(key, p.modRevision)
@@ -58,7 +58,7 @@
 	b.placements = append(b.placements, placementWrite{placement: p, changeCount: p.changeCount, dropped: true})
 }
 
-// writtenJobs returns the jobs of which a batch writes a record.
+// writtenJobs returns the jobs that a batch writes or drops a record of.
 func (b *batch) writtenJobs() map[*job]bool {
 	jobs := map[*job]bool{}
 	for _, write := range b.placements {
@@ -72,23 +72,22 @@
 
 // batchLimits are the limits of one batch.
 type batchLimits struct {
-	changes        int  // of the commit
-	placementBytes int  // of a placement record
-	valueBytes     int  // of any other value
-	denseEncoding  bool // placements may be listed densely
-	singleJob      bool // the batch holds no more than one job
-	// retryAfter is when a placement that fits no record is tried again.
+	changes        int  // the most changes of the commit
+	placementBytes int  // the largest size of a placement record
+	valueBytes     int  // the largest size of any other value
+	denseEncoding  bool // placement records may use the dense encoding
+	singleJob      bool // the batch holds records of one job only
+	// retryAfter is how long to wait before a placement record that was too large is tried again.
 	retryAfter time.Duration
 }
 
-// batchBuilder makes a batch of the records of jobs that are to be written. Every batch compares
-// the mod revision of the leader's key with the term, so that none is applied once another node
-// leads.
+// batchBuilder makes a batch of the records of jobs that are to be written. Every batch compares the mod revision of
+// the leader's key with the term, so that no batch is applied after another node has become the leader.
 type batchBuilder struct {
 	batch          *batch
 	limits         batchLimits
 	now            time.Time
-	placementBytes int // of the placement records so far
+	placementBytes int // the size of the placement records so far
 }
 
 func newBatchBuilder(term uint64, limits batchLimits, now time.Time) *batchBuilder {
@@ -97,8 +96,8 @@
 	return b
 }
 
-// sortForWriting sorts jobs in the order in which they go into a batch: first jobs that are over
-// and that other jobs depend on, since they block whole pipelines, then by priority.
+// sortForWriting sorts jobs in the order in which they are added to a batch: first the jobs that are over and that other
+// jobs depend on, since whole pipelines wait for their final status, then all others by priority.
 func sortForWriting(jobs []*job, hasOpenDependents func(uid string) bool) {
 	blocksOthers := func(j *job) bool { return j.isOver() && hasOpenDependents(j.uid) }
 	slices.SortFunc(jobs, func(x, y *job) int {
@@ -112,7 +111,7 @@
 	})
 }
 
-// addJobs adds the records of jobs, in their order, as far as the batch has room.
+// addJobs adds the records of jobs, in the given order, as long as the batch has room.
 func (b *batchBuilder) addJobs(jobs []*job) {
 	for _, j := range jobs {
 		switch {
@@ -126,8 +125,8 @@
 	}
 }
 
-// hasRoomForPlacement reports whether the batch has room for another placement record with two
-// compares: that of the record and that of its job.
+// hasRoomForPlacement reports whether the batch has room for another placement record and two compares: one of that
+// record and one of its job.
 func (b *batchBuilder) hasRoomForPlacement() bool {
 	return len(b.batch.tx.Changes) < b.limits.changes && b.placementBytes <= maxCommitBytes &&
 		len(b.batch.tx.Compares)+2 <= maxCompares(b.limits.changes)
@@ -153,17 +152,17 @@
 		compareJob = compareJob || len(write.planned) > 0 || p.modRevision == 0
 	}
 	if compareJob {
-		// A cancellation changes this revision: nothing is launched after it. And a placement
-		// is written for the first time only while its job has a record. Without this compare
-		// a commit that is carried out late, after the job and all its placements were
-		// dropped, would bring the placement back: the compare for its absence succeeds then.
+		// A cancellation changes the revision of the job's record, so this compare prevents launches after it. It also
+		// ensures that a placement is written for the first time only while its job has a record. Otherwise a commit
+		// that the state store applies late, after the job and all its placements were dropped, would bring the
+		// placement back, since the compare for the placement's absence succeeds then.
 		b.batch.compare(records.JobKey(j.uid), j.modRevision)
 	}
 }
 
-// encode returns the value of a placement record, or nil if it is larger than the limit. That
-// happens to a record that was first written under a higher limit: it is tried again after
-// limits.retryAfter, until enough of its tasks have ended.
+// encode returns the value of a placement record, or nil if the value is larger than the limit. This happens to a
+// record that was first written under a higher limit. Writing it is retried every limits.retryAfter, until enough of
+// its tasks have ended.
 func (b *batchBuilder) encode(p *placement) json.RawMessage {
 	value := records.EncodePlacement(p.record(), b.limits.placementBytes, b.limits.denseEncoding)
 	if len(value) > b.limits.placementBytes {
@@ -174,13 +173,13 @@
 	return value
 }
 
-// archive adds changes that archive a job that is over: its placement records are dropped and its
-// final status replaces its record, in one commit if that fits into one, else in several.
+// archive adds changes that archive a job that is over: its placement records are dropped, and its final status
+// replaces its record. This takes one commit if all changes fit into one, and several commits otherwise.
 func (b *batchBuilder) archive(j *job) {
 	if j.hasUnknownPlacement() {
 		return
 	}
-	const recordChanges = 2 // the record is dropped, the final status set
+	const recordChanges = 2 // the job's record is dropped, and its final status is set
 	changes := j.storedPlacements() + recordChanges
 	room := b.limits.changes - len(b.batch.tx.Changes)
 	switch {
@@ -207,11 +206,11 @@
 	b.batch.jobs = append(b.batch.jobs, jobWrite{job: j, status: status, archived: true})
 }
 
-// archiveInBatches adds some of the changes that archive a job with more placement records than one
-// commit may drop. Its record gets the final status first, since users wait for that; its
-// placement records are dropped later, as many at a time as there is room for. Only what a batch
-// really writes counts against its room: when all placements of a job counted, an array of 25,000
-// tasks with 295 placements never became done on a state store that accepts 96 compares.
+// archiveInBatches adds some of the changes that archive a job with more placement records than one commit may drop.
+// The final status is written into the job's record first, since users wait for it. The placement records are dropped
+// by later batches, as many at a time as there is room for. Only the changes in a batch count against its limits: when
+// all placements of a job counted, an array of 25,000 tasks with 295 placements never became done on a state store
+// that accepts 96 compares.
 func (b *batchBuilder) archiveInBatches(j *job) {
 	hasRoom := func() bool {
 		return len(b.batch.tx.Changes) < b.limits.changes && len(b.batch.tx.Compares) < maxCompares(b.limits.changes)
--- a/internal/controller/batch_test.go
+++ b/internal/controller/batch_test.go
@@ -11,9 +11,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A placement is written for the first time only while its job has a record. A commit without
-// launches had no compare of the job: when it was carried out late, after the job and all its
-// placements were dropped, it brought a placement record back, which then stayed for ever.
+// A placement is written for the first time only while its job has a record. A commit without launches had no compare
+// of the job: when the state store applied it late, after the job and all its placements were dropped, it brought back
+// a placement record that was never dropped again.
 func TestFirstWriteOfAPlacementIsGuardedByItsJob(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -28,13 +28,13 @@
 	p.nextAttempt = 2
 	p.markChanged(now)
 	c.fleet.AddAttempt(c.fleet.Get(hostName(0)), a, now)
-	c.fleet.StopAttempt(a, 0, now, "its machine has a new incarnation") // before it was recorded
+	c.fleet.StopAttempt(a, 0, now, "its machine has a new incarnation") // before the attempt was recorded
 	now = now.Add(c.endRecordDelay())
 	b := c.nextBatch()
 	if b == nil || len(b.placements) != 1 || len(b.placements[0].planned) != 0 {
-		t.Fatalf("the batch is %+v", b)
+		t.Fatalf("next batch is %+v, want one placement without planned attempts", b)
 	}
 	if !slices.Contains(b.tx.Compares, wire.Compare{Key: records.JobKey(j.uid), ModRevision: 7}) {
-		t.Errorf("the compares are %v", b.tx.Compares)
+		t.Errorf("compares are %v, want one of the job's record at revision 7", b.tx.Compares)
 	}
 }
--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -18,9 +18,9 @@
 // or without c.mu.
 func (c *Controller) wakeWriter() { notify(c.writer.wake) }
 
-// nextBatch makes the next batch: launches, ends and the archiving of jobs that are done, of
-// the highest priorities first; if there are none, it archives jobs whose final status users see
-// already. It returns nil if there is nothing to write.
+// nextBatch makes the next batch. It holds launches, ends, and the archiving of jobs that are over, with the highest
+// priorities first. If there are none of these, the batch archives jobs whose final status users can see already. It is
+// nil if there is nothing to write.
 func (c *Controller) nextBatch() *batch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,7 +38,7 @@
 	limits := c.batchLimits(now)
 	b := c.buildBatch(jobs, limits, now)
 	if b.isEmpty() {
-		// Nothing waits for these: a smaller commit leaves room in the budget of writes.
+		// Nobody waits for these writes: a smaller commit leaves more of the write budget to others.
 		limits.changes = max(minBatchChanges, limits.changes/2)
 		b = c.buildBatch(finished, limits, now)
 		b.background = true
@@ -61,7 +61,7 @@
 	}
 }
 
-// buildBatch makes a batch of jobs under the given limits, which may be empty. c.mu is held.
+// buildBatch makes a batch of the records of jobs under the given limits. The batch may be empty. c.mu is held.
 func (c *Controller) buildBatch(jobs []*job, limits batchLimits, now time.Time) *batch {
 	sortForWriting(jobs, c.jobs.graph.HasOpenDependents)
 	builder := newBatchBuilder(c.term, limits, now)
@@ -81,8 +81,8 @@
 	}
 }
 
-// applyPlacementCommit updates a placement whose record is committed: its launches may be sent from
-// now on, and its ends may be acknowledged. c.mu is held.
+// applyPlacementCommit updates a placement whose record is committed: from now on its launches may be sent to the
+// workers, and its ended attempts may be acknowledged. c.mu is held.
 func (c *Controller) applyPlacementCommit(write placementWrite, revision uint64, now time.Time) {
 	p := write.placement
 	if write.dropped {
@@ -96,7 +96,7 @@
 	if p.changeCount == write.changeCount {
 		p.setDirty(false)
 	} else if len(p.plannedAttempts()) == 0 {
-		p.due = now.Add(c.endRecordDelay()) // all changes made during the commit are ends
+		p.due = now.Add(c.endRecordDelay()) // only ends have been added during the commit
 	}
 	p.ended = slices.DeleteFunc(p.ended, func(a *fleet.Attempt) bool { return slices.Contains(write.ended, a) })
 	for _, a := range write.ended {
@@ -118,7 +118,7 @@
 	record := *j.record
 	record.Status = write.status
 	j.record, j.modRevision = &record, revision
-	c.recordEnds(j, now) // the record is final: no task of the job is launched again
+	c.recordEnds(j, now) // the final status is recorded, so no task of the job is launched again
 }
 
 func (c *Controller) markOutcomeUnknown(b *batch) {
@@ -144,16 +144,16 @@
 	j.outcomeUnknown = false
 	c.mu.Unlock()
 	if !found {
-		// Newer than any record: the job is archived.
+		// A revision above that of any record: the job is archived.
 		c.applyJobEvent(j.uid, watchcache.Entry{ModRevision: ^uint64(0)})
 		return
 	}
 	c.applyJobRecord(j.uid, item)
 }
 
-// deferRejected handles a batch that the state store rejects as malformed or too large. If it
-// holds several jobs, jobs are written one by one for a worker lease, so that the faulty one is
-// found and delays no other. If it holds one, nothing of that job is written for a worker lease.
+// deferRejected handles a batch that the state store has rejected as malformed or too large. If the batch holds several
+// jobs, each batch of the next worker lease holds only one job, so that the faulty job is found and does not delay the
+// others. If the batch holds one job, nothing of that job is written for a worker lease.
 func (c *Controller) deferRejected(b *batch, rejected *store.RejectedError) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -14,9 +14,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// loadState rebuilds the state from the records. Until it is loaded, heartbeats renew worker leases
-// and are answered without commands. If it fails it can be called again: what it has applied by
-// then is applied once.
+// loadState rebuilds the state from the records. Until the state is loaded, heartbeats renew worker leases and are
+// answered without commands. After a failure loadState can be called again: records that it has already applied are not
+// applied twice.
 func (c *Controller) loadState(ctx context.Context) error {
 	if c.loader == nil {
 		c.loader = newRecordLoader(&c.Options, c.term, c.failover)
@@ -36,9 +36,9 @@
 	return c.applyTermRecords(stored)
 }
 
-// applyTermRecords applies the records that a term begins with, after those of the jobs. Releases
-// come before the hints on machines, which are not applied to machines that are being released, and
-// attempts before the hints on jobs, which refer to attempts.
+// applyTermRecords applies the records that a term begins with, except those of jobs, which must be applied before.
+// Releases come before the hints on machines, which are not applied to machines that are being released. Attempts come
+// before the hints on jobs, which refer to attempts.
 func (c *Controller) applyTermRecords(stored *termRecords) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// applyReleaseRecords applies the records of releases that earlier terms have attempted: these
-// machines may vanish at any time, and are never used again. c.mu is held.
+// applyReleaseRecords applies the records of releases that earlier terms have attempted: these machines may disappear
+// at any time and are never used again. c.mu is held.
 func (c *Controller) applyReleaseRecords(rows []wire.KeyValue, now time.Time) error {
 	for _, row := range rows {
 		var record records.ScaleIns
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// applyImageRecords applies the records of machines' images. One that cannot be decoded is left
-// out: the machine then fetches an image that it may have. c.mu is held.
+// applyImageRecords applies the records of the images that machines have. A record that cannot be decoded is skipped: at
+// worst its machine fetches an image that it already has. c.mu is held.
 func (c *Controller) applyImageRecords(rows []wire.KeyValue, now time.Time) {
 	for _, row := range rows {
 		id := strings.TrimPrefix(row.Key, records.ImagesPrefix)
@@ -104,8 +104,8 @@
 	}
 }
 
-// applyPlacementRecords applies the placement records: every attempt that they list may be on
-// its machine. It returns how many there are. c.mu is held.
+// applyPlacementRecords applies the placement records: every attempt that they list may be on its machine. It returns
+// the number of these attempts. c.mu is held.
 func (c *Controller) applyPlacementRecords(rows []wire.KeyValue, now time.Time) (inherited int) {
 	for _, row := range rows {
 		uid, index, ok := records.SplitPlacementKey(row.Key)
@@ -115,7 +115,7 @@
 			continue
 		}
 		if j.placements[index] != nil {
-			continue // an earlier attempt to load got this far
+			continue // an earlier call of loadState has applied this record
 		}
 		for _, placed := range j.loadPlacement(index, row) {
 			a := &fleet.Attempt{
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -7,21 +7,21 @@
 	"lotusstile.dev/lotusstile/internal/records"
 )
 
-// placement is the leader's state of one placement record: a range of a job's tasks, and where
-// their attempts are.
+// placement is the leader's state of one placement record: a range of a job's tasks, and the machines of their
+// attempts.
 type placement struct {
 	job         *job
 	index       int                    // among the job's placements
 	modRevision uint64                 // of the record; 0 while there is none
-	nextAttempt uint64                 // a number that no attempt of these tasks has used
+	nextAttempt uint64                 // the number of the next attempt; no attempt of these tasks has used it
 	done        records.Placement      // only its DoneBits are used
 	live        map[int]*fleet.Attempt // attempts that may be on their machines, by task
-	ended       []*fleet.Attempt       // ended, and not recorded so yet
+	ended       []*fleet.Attempt       // attempts whose end is not recorded yet
 
-	changeCount    int       // counts changes, to detect those that come during a commit
-	dirty          bool      // see setDirty
+	changeCount    int       // counts changes, to detect those made during a commit
+	dirty          bool      // has changes that are not written; set by setDirty
 	due            time.Time // when a dirty placement is to be written
-	outcomeUnknown bool      // the outcome of a commit is unknown: the record is read before it is written
+	outcomeUnknown bool      // the outcome of a commit is unknown: the record must be read before it is written
 }
 
 // newPlacement adds an empty placement to a job.
@@ -31,7 +31,7 @@
 	return p
 }
 
-// toPlacedAttempt returns an attempt as a placement record lists it.
+// toPlacedAttempt returns an attempt in the form that a placement record lists.
 func toPlacedAttempt(a *fleet.Attempt) records.PlacedAttempt {
 	return records.PlacedAttempt{Task: a.TaskIndex, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}
 }
@@ -45,8 +45,8 @@
 	return record
 }
 
-// hasRoom reports whether the placement record still fits a value with one more attempt of a
-// task on a machine.
+// hasRoom reports whether the placement record still fits into valueBytes with one more attempt: of this task, on this
+// machine.
 func (p *placement) hasRoom(task int, m *fleet.Machine, valueBytes int) bool {
 	tasks := p.job.record.TasksPerPlacement
 	if records.FitsPlain(tasks, valueBytes) {
@@ -60,7 +60,7 @@
 	return bytes <= records.DenseAttemptsRoom(valueBytes, tasks)
 }
 
-// plannedAttempts returns the attempts whose launch is decided and not recorded yet.
+// plannedAttempts returns the attempts whose launch is decided but not recorded yet.
 func (p *placement) plannedAttempts() []*fleet.Attempt {
 	var planned []*fleet.Attempt
 	for _, a := range p.live {
@@ -71,7 +71,7 @@
 	return planned
 }
 
-// markChanged counts a change that is to be written at due or earlier, with an earlier change.
+// markChanged counts a change that is to be written at due, or earlier if an earlier write is already due.
 func (p *placement) markChanged(due time.Time) {
 	p.changeCount++
 	if !p.dirty || due.Before(p.due) {
@@ -80,8 +80,8 @@
 	p.setDirty(true)
 }
 
-// setDirty sets whether a placement is to be written. Most jobs have no such placement, and
-// scheduling cycles and the writer skip them.
+// setDirty sets whether a placement has changes that are to be written. It also counts the job's dirty placements:
+// scheduling cycles and the writer skip jobs that have none, which are most.
 func (p *placement) setDirty(dirty bool) {
 	switch {
 	case dirty && !p.dirty:
@@ -110,8 +110,8 @@
 	return false
 }
 
-// hasUnknownPlacement reports whether some placement record has to be read again before the job
-// can be archived.
+// hasUnknownPlacement reports whether the outcome of a commit of some placement is unknown. The placement's record has
+// to be read again before the job can be archived.
 func (j *job) hasUnknownPlacement() bool {
 	for _, p := range j.placements {
 		if p.outcomeUnknown {
--- a/internal/controller/placementwriter.go
+++ b/internal/controller/placementwriter.go
@@ -14,8 +14,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// placementWriter commits the changes of a term's placements and jobs to the state store, one
-// batch after the other. It has no state of its own but the channel that wakes it.
+// placementWriter commits the changes of a term's placements and jobs to the state store, one batch after the other.
+// Its only own state is the channel that wakes it.
 type placementWriter struct {
 	config *config.Config
 	store  Store
@@ -24,21 +24,20 @@
 	wake   chan struct{} // there is something to write
 }
 
-// placementState is the state that a placementWriter writes. Its methods lock for themselves;
-// the controller's are in commits.go.
+// placementState is the state that a placementWriter writes. Its methods do their own locking. Controller implements
+// them in commits.go.
 type placementState interface {
-	// nextBatch makes the next batch; nil if there is nothing to write.
+	// nextBatch returns the next batch, or nil if there is nothing to write.
 	nextBatch() *batch
-	// applyCommit updates the state by a batch that is committed at a revision.
+	// applyCommit updates the state after a batch has been committed at a revision.
 	applyCommit(b *batch, revision uint64)
-	// markOutcomeUnknown excludes the records of a batch from batches until they are read again.
+	// markOutcomeUnknown excludes the records of a batch from later batches until they are read again.
 	markOutcomeUnknown(b *batch)
-	// applyPlacementRevision applies the revision that a placement record was read at; 0 if
-	// there is none.
+	// applyPlacementRevision applies the revision at which a placement record was read; 0 if there is no record.
 	applyPlacementRevision(p *placement, modRevision uint64)
-	// applyReadJob applies a job's record as just read; found is false if there is none.
+	// applyReadJob applies a job's record that was just read; found is false if there is no record.
 	applyReadJob(j *job, item wire.KeyValue, found bool)
-	// deferRejected delays further writes of a batch that the state store has rejected.
+	// deferRejected delays further writes of the records in a batch that the state store has rejected.
 	deferRejected(b *batch, rejected *store.RejectedError)
 	// stepDown ends the term.
 	stepDown(reason string)
@@ -62,8 +61,8 @@
 	}
 }
 
-// writeAll commits batches until there is nothing left to write, or what is left can wait. It
-// pauses after a commit that failed.
+// writeAll commits batches until there is nothing left to write, or until a background commit fails. It pauses after any
+// other commit that failed.
 func (w *placementWriter) writeAll(ctx context.Context, pause time.Duration) {
 	for ctx.Err() == nil {
 		b := w.state.nextBatch()
@@ -74,7 +73,7 @@
 			continue
 		}
 		if b.background {
-			return // later, when other requests leave more room
+			return // a later call retries it, when the state store may have more capacity
 		}
 		timeralign.Sleep(ctx, pause)
 	}
@@ -94,7 +93,7 @@
 		w.state.applyCommit(b, revision)
 		return true
 	case errors.As(err, &conflict):
-		slog.Info("commit failed by a compare", "term", w.term, "failed", conflict.Failed)
+		slog.Info("commit failed: a compared key has changed", "term", w.term, "failed", conflict.Failed)
 		if slices.Contains(conflict.Failed, records.LeaderKey) {
 			w.state.stepDown("the leader's key has changed")
 			return false
@@ -109,7 +108,7 @@
 		w.state.deferRejected(b, rejected)
 		return true
 	case b.background:
-		slog.Debug("background commit put off", "term", w.term, "err", err)
+		slog.Debug("background commit deferred", "term", w.term, "err", err)
 		return false
 	default:
 		slog.Warn("commit failed", "term", w.term, "err", err)
@@ -117,10 +116,9 @@
 	}
 }
 
-// reread reads the keys of a batch again after a conflict or an unknown outcome. Only this term
-// writes placement records: only their revisions are used, and the state, which is newer, is
-// written again. If the commit is carried out even later, the compares of revisions let only one
-// of the two through.
+// reread reads the keys of a batch again after a conflict or an unknown outcome. Only this term writes placement
+// records, so only their revisions are taken over, and the controller's state, which is newer, is written again. If the
+// state store applies the first commit even later, the compares of revisions let only one of the two commits succeed.
 func (w *placementWriter) reread(ctx context.Context, b *batch) {
 	w.state.markOutcomeUnknown(b)
 	for _, write := range b.placements {
