--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -13,7 +13,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// failoverReport collects how a term began, for one log line and one record. Its times are in
+// failoverReport collects data on the beginning of a term, for one log line and one record. Its times are in
 // milliseconds since leaderlessSince, when this node detected that there was no leader.
 type failoverReport struct {
 	record          records.Failover
@@ -22,8 +22,8 @@
 	decided         bool // the first cycle that could place tasks has ended
 }
 
-// newFailoverReport begins the report of a term that this node was elected for. If the node did not
-// detect that there was no leader, the times count from its election.
+// newFailoverReport begins the report of a term that this node has been elected for. If the node did not detect that
+// there was no leader, the times count from its election.
 func newFailoverReport(term uint64, node string, leaderlessSince, elected time.Time) *failoverReport {
 	if leaderlessSince.IsZero() || leaderlessSince.After(elected) {
 		leaderlessSince = elected
@@ -43,7 +43,7 @@
 // recordCold records why this node's warm standby could not be used.
 func (r *failoverReport) recordCold(err error) { r.record.Cause = err.Error() }
 
-// recordWarm records what this node's warm standby had followed.
+// recordWarm records that the state comes from this node's warm standby, and what the warm standby had followed.
 func (r *failoverReport) recordWarm(p *standby.Proven) {
 	r.record.Warm, r.record.Cause = true, ""
 	r.record.FollowedTerm, r.record.Position, r.record.Digest = p.FollowedTerm, p.Position, fmt.Sprintf("%016x", p.Digest)
@@ -55,8 +55,7 @@
 	r.record.LoadedMs, r.record.Machines, r.record.Attempts = r.sinceLeaderlessMs(now), machines, attempts
 }
 
-// recordMachineReady records that a machine has sent a heartbeat with this term's token, the
-// first time.
+// recordMachineReady records when the first machine sent a heartbeat with this term's token. Later calls have no effect.
 func (r *failoverReport) recordMachineReady(now time.Time) {
 	if !r.machineReady {
 		r.machineReady = true
@@ -64,8 +63,7 @@
 	}
 }
 
-// recordDecision records a scheduling cycle, and reports whether it was the first that could
-// place tasks.
+// recordDecision records a scheduling cycle, and reports whether it was the first that could place tasks.
 func (r *failoverReport) recordDecision(now time.Time) bool {
 	if r.decided || !r.machineReady {
 		return false
@@ -75,8 +73,8 @@
 	return true
 }
 
-// finishFailover logs, after the first cycle that could place tasks, how the failover went. It
-// returns the record to store; nil after other cycles and without a warm standby. c.mu is held.
+// finishFailover logs the failover report after the first cycle that could place tasks, and returns the record to store.
+// It returns nil after any other cycle and if this node is not a warm standby. c.mu is held.
 func (c *Controller) finishFailover(now time.Time) *records.Failover {
 	if !c.failover.recordDecision(now) {
 		return nil
@@ -93,8 +91,8 @@
 	return &record
 }
 
-// storeFailoverRecord stores the record of the failover, within a leader lease. It does not retry:
-// the log has the same data.
+// storeFailoverRecord stores the record of the failover, with the TTL of the leader lease as the timeout. It does not
+// retry, because the log has the same data.
 func (c *Controller) storeFailoverRecord(ctx context.Context, record records.Failover) {
 	ctx, cancel := context.WithTimeout(ctx, c.Config.LeaderLeaseTTL())
 	defer cancel()
@@ -103,7 +101,7 @@
 		Changes:  []wire.Change{{Set: records.FailoverKey, Value: records.Encode(record)}},
 	})
 	if err != nil {
-		slog.Info("failover record not stored", "term", c.term, "err", err)
+		slog.Info("failover record could not be stored", "term", c.term, "err", err)
 	}
 }
 
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -14,23 +14,23 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// listOnlyStore is a state store that only lists.
+// listOnlyStore is a state store that answers only lists and watches.
 type listOnlyStore struct {
 	Store
 	rows      map[string][]wire.KeyValue
 	listCount int
 }
 
-func (l *listOnlyStore) List(_ context.Context, under string) ([]wire.KeyValue, uint64, error) {
+func (l *listOnlyStore) List(_ context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
 	l.listCount++
-	return l.rows[under], 4, nil
+	return l.rows[prefix], 4, nil
 }
 
 func (*listOnlyStore) Watch(context.Context, string, uint64, time.Duration) (wire.WatchResponse, error) {
 	return wire.WatchResponse{Revision: 4}, nil
 }
 
-// recordsOfTwoTasks are a job with two tasks on machines, and a machine that is being released.
+// recordsOfTwoTasks returns the records of a job with two tasks on machines, and of a machine that is being released.
 func recordsOfTwoTasks() map[string][]wire.KeyValue {
 	spec := wire.JobSpec{
 		UID:       "run-000001",
@@ -54,8 +54,9 @@
 	}
 }
 
-// misleadingProof is a proof whose views are wrong: that a machine is in a later incarnation, that
-// another one which is being released accepts attempts, and that no task of the job runs.
+// misleadingProof returns a proof with wrong views. They say that machine m-1 is in a later incarnation, that m-3, which
+// is being released, accepts attempts, and that m-4, which no record names, exists. Of the running tasks that they list,
+// one has another attempt number than its record, and one does not exist.
 func misleadingProof(t *testing.T, rows map[string][]wire.KeyValue) *standby.Proven {
 	t.Helper()
 	job := standby.JobView{UID: "run-000001", HasRun: true}
@@ -79,15 +80,15 @@
 	}
 }
 
-// A warm standby's views do not prove that a task is off, nor that a machine accepts attempts: with
-// any views, the state has the attempts and releases of the records, no machine is ready before it
-// sends a heartbeat, and heartbeats have the same effect as without views.
+// A warm standby's views prove neither that a task has ended nor that a machine accepts attempts. Whatever the views
+// say, the state has the attempts and releases of the records, no machine is ready before it sends a heartbeat, and
+// heartbeats have the same effect as without views.
 func TestViewsProveNothing(t *testing.T) {
 	rows := recordsOfTwoTasks()
-	for _, proof := range []struct {
-		name   string
-		err    error
-		listed int
+	for _, tc := range []struct {
+		name      string
+		err       error
+		wantLists int
 	}{{"warm", nil, 0}, {"cold", standby.ErrDigest, 4}} {
 		now := time.Unix(1000, 0)
 		c := newTestLeader(&now)
@@ -96,32 +97,32 @@
 		c.Store = store
 		c.JobCache.Reset(rows[records.JobPrefix], 4, time.Now().Add(-time.Second))
 		c.JobCache.SetListener(c.applyJobEvent)
-		c.Prove = func(context.Context, uint64) (*standby.Proven, error) { return misleadingProof(t, rows), proof.err }
+		c.Prove = func(context.Context, uint64) (*standby.Proven, error) { return misleadingProof(t, rows), tc.err }
 		if err := c.loadState(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if store.listCount != proof.listed || c.failover.record.Warm != (proof.err == nil) {
-			t.Errorf("%s: %d listings, the takeover is %+v", proof.name, store.listCount, c.failover.record)
+		if store.listCount != tc.wantLists || c.failover.record.Warm != (tc.err == nil) {
+			t.Errorf("%s: %d lists, want %d; record %+v, want Warm %t", tc.name, store.listCount, tc.wantLists, c.failover.record, tc.err == nil)
 		}
 		j := c.jobs.get("run-000001")
 		if j.live != 2 || c.fleet.Get("m-3").State != fleet.Returning {
-			t.Errorf("%s: %d attempts, the returned machine is %s", proof.name, j.live, c.fleet.Get("m-3").State)
+			t.Errorf("%s: got %d attempts and machine m-3 %s, want 2 attempts and m-3 returning", tc.name, j.live, c.fleet.Get("m-3").State)
 		}
 		j.eachAttempt(func(a *fleet.Attempt) {
 			if a.State != fleet.Committed || !a.Inherited || a.Machine.State != fleet.Booting {
-				t.Errorf("%s: %s is %s on a machine that is %s", proof.name, a.TaskName(), a.State, a.Machine.State)
+				t.Errorf("%s: %+v is on a %s machine, want an inherited committed attempt on a booting one", tc.name, a, a.Machine.State)
 			}
 		})
-		// The machine is in the incarnation that its task was decided for, whatever the view says.
+		// The machine is still in the incarnation that its task was placed in, whatever the view says.
 		c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m-1", Zone: "a", Incarnation: 1, Sequence: 7, FencingToken: 5,
 			Tasks: []wire.TaskReport{{Task: "run-000001/0", Attempt: 1, Status: wire.TaskRunning}}}, now)
 		if a := j.attempt(0); a == nil || a.State != fleet.Running {
-			t.Errorf("%s: a running task is not taken over", proof.name)
+			t.Errorf("%s: attempt of task 0 is %+v after a heartbeat that reports it as running, want it running", tc.name, a)
 		}
 	}
 }
 
-// While the state store does not answer, the proof is retried; after that all records are listed.
+// While the state store does not answer, the proof is retried up to maxProofAttempts times. Then all records are listed.
 func TestUnansweredProofIsRetriedBeforeListing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -132,27 +133,27 @@
 	c.Prove = func(context.Context, uint64) (*standby.Proven, error) { attempts++; return nil, errors.New("503") }
 	for range maxProofAttempts {
 		if err := c.loadState(context.Background()); err == nil || store.listCount > 0 {
-			t.Fatalf("after %d tries: loaded with %v, %d listings", attempts, err, store.listCount)
+			t.Fatalf("after %d proof attempts: loadState returned %v after %d lists, want an error and no list", attempts, err, store.listCount)
 		}
 	}
 	if err := c.loadState(context.Background()); err != nil || attempts != maxProofAttempts || !c.loaded {
-		t.Errorf("after %d tries: %v", attempts, err)
+		t.Errorf("after %d proof attempts (want %d): err = %v, loaded = %t, want nil, true", attempts, maxProofAttempts, err, c.loaded)
 	}
 }
 
-// A standby gets views of what has changed, and of everything if it has not asked for long.
+// A warm standby gets the views that have changed, and all views if it has not asked for a long time.
 func TestDrainChangedViewsReturnsWhatChanged(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
 	for i := range 600 {
 		c.heartbeatFrom(i, 1, now)
 	}
-	take := func() (keys []string) {
+	drainAll := func() (keys []string) {
 		for more := true; more; {
 			var entries []*standby.Entry
 			entries, more = c.DrainChangedViews(256)
 			if len(entries) > 257 {
-				t.Fatalf("%d views at once", len(entries))
+				t.Fatalf("one call returned %d views, want at most 257", len(entries))
 			}
 			for _, e := range entries {
 				keys = append(keys, e.Key)
@@ -161,22 +162,22 @@
 		slices.Sort(keys)
 		return keys
 	}
-	if keys := take(); len(keys) != 601 {
-		t.Errorf("%d views at first", len(keys))
+	if keys := drainAll(); len(keys) != 601 {
+		t.Errorf("first drain returned %d views, want 601", len(keys))
 	}
 	m := c.fleet.Get("m-007")
 	c.fleet.AddAttempt(m, &fleet.Attempt{JobUID: "run-000001", Number: 1, Incarnation: 1, Inherited: true}, now)
 	c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m-007", Zone: "b", Incarnation: 1, Sequence: 2, FencingToken: 5,
 		Tasks: []wire.TaskReport{{Task: "run-000001/0", Attempt: 1, Status: wire.TaskRunning}}}, now)
-	if keys := fmt.Sprint(take()); keys != "[view/job/run-000001 view/leader view/machine/m-007]" {
-		t.Errorf("changed views are %s", keys)
+	if keys := fmt.Sprint(drainAll()); keys != "[view/job/run-000001 view/leader view/machine/m-007]" {
+		t.Errorf("changed views are %s, want those of the job, the leader and machine m-007", keys)
 	}
 	now = now.Add(time.Minute)
 	c.stopIdleViewTracking(now)
 	if c.views.enabled {
-		t.Error("changes are noted although nobody asks")
+		t.Error("changes are still tracked a minute after the last request, want no tracking")
 	}
-	if keys := take(); len(keys) != 601 {
-		t.Errorf("%d views after a while", len(keys))
+	if keys := drainAll(); len(keys) != 601 {
+		t.Errorf("drain after a minute without requests returned %d views, want 601", len(keys))
 	}
 }
--- a/internal/controller/nodebuilder.go
+++ b/internal/controller/nodebuilder.go
@@ -11,7 +11,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// nodeBuilder makes the scheduler's view of a machine, its node.
+// nodeBuilder builds nodes: a node is the scheduler's view of a machine.
 type nodeBuilder struct {
 	jobs       *jobTable
 	catalog    *wire.Catalog
@@ -19,7 +19,7 @@
 	heartbeatS float64         // the interval of workers' heartbeats, in seconds
 }
 
-// build returns the node of a machine; ok is false if it takes no launches now or soon.
+// build returns the node of a machine; ok is false if the machine accepts no launches now and is not expected to soon.
 func (b *nodeBuilder) build(m *fleet.Machine, now time.Time) (node sched.Node, ok bool) {
 	node = sched.Node{
 		ID:          m.ID,
@@ -40,8 +40,7 @@
 	return node, false
 }
 
-// addContents adds to the node of a machine that accepts attempts its free resources, images and
-// attempts.
+// addContents adds the machine's free resources, images and attempts to the node of a machine that accepts attempts.
 func (b *nodeBuilder) addContents(node *sched.Node, m *fleet.Machine) {
 	node.Free, node.FreeAfterStops, node.Registered, node.ActiveFetches = m.Free(), m.Free(), true, m.FetchingImages()
 	node.Images = slices.AppendSeq(make([]string, 0, len(m.Images)), maps.Keys(m.Images))
@@ -50,7 +49,7 @@
 		if !a.Live() {
 			return
 		}
-		if _, seen := m.Images[a.Image]; !seen && !slices.Contains(node.Images, a.Image) {
+		if _, present := m.Images[a.Image]; !present && !slices.Contains(node.Images, a.Image) {
 			node.Images = append(node.Images, a.Image)
 		}
 		j := b.jobs.get(a.JobUID)
@@ -67,9 +66,8 @@
 	node.FreeAfterBoot = node.FreeAfterStops
 }
 
-// victim returns an attempt as one that work of a higher level may preempt, with what would be
-// lost by that. A replica that has not run yet serves nobody: it can be preempted like batch work,
-// and only its fetch is lost.
+// victim returns an attempt as a candidate for preemption by work of a higher level, with the loss that preemption would
+// cause. A replica that has not run yet serves nobody: it can be preempted like batch work, and only its fetch is lost.
 func victim(j *job, a *fleet.Attempt) sched.Victim {
 	v := sched.Victim{Serial: a.Serial, JobUID: j.uid, Team: j.record.Spec.Team, Level: j.level, Need: a.Resources}
 	switch isReplica := j.record.Spec.Kind == wire.Service; {
@@ -84,8 +82,7 @@
 	return v
 }
 
-// nextTimedChange returns when a machine's node will change next by the passing of time alone; zero
-// if it will not.
+// nextTimedChange returns when a machine's node will next change by the passing of time alone; zero if it will not.
 func (b *nodeBuilder) nextTimedChange(m *fleet.Machine, now time.Time) time.Time {
 	var next time.Time
 	for _, at := range [...]time.Time{m.AvoidUntil, b.expectedUntil(m)} {
@@ -96,8 +93,8 @@
 	return next
 }
 
-// isExpectedSoon reports whether a machine is expected to accept launches soon. One that boots for
-// much longer than usual is not.
+// isExpectedSoon reports whether a machine is expected to accept launches soon. A machine whose boot takes much longer
+// than usual is not.
 func (b *nodeBuilder) isExpectedSoon(m *fleet.Machine, now time.Time) bool {
 	if m.SpotNotice || m.Failed || m.Capacity.Cores == 0 {
 		return false
@@ -111,14 +108,14 @@
 	return false
 }
 
-// expectedUntil returns until when a machine that boots is expected to come up; zero for others.
+// expectedUntil returns the time by which a booting machine is expected to be up; zero for other machines.
 func (b *nodeBuilder) expectedUntil(m *fleet.Machine) time.Time {
 	machineType := findMachineType(b.catalog, m.Type)
 	if m.State != fleet.Booting || machineType == nil {
 		return time.Time{}
 	}
-	const usualBoots, heartbeats = 1.7, 2
-	seconds := usualBoots*machineType.BootS + heartbeats*b.heartbeatS
+	const bootTimeFactor, heartbeatAllowance = 1.7, 2
+	seconds := bootTimeFactor*machineType.BootS + heartbeatAllowance*b.heartbeatS
 	return m.FirstSeen.Add(time.Duration(seconds * float64(time.Second)))
 }
 
--- a/internal/controller/nodecache.go
+++ b/internal/controller/nodecache.go
@@ -8,23 +8,22 @@
 	"lotusstile.dev/lotusstile/internal/sched"
 )
 
-// nodeCache holds the nodes of the machines from one scheduling cycle to the next. A machine's node
-// is rebuilt when the fleet marks the machine as changed, when it changes by the passing of time,
-// and periodically with all others, to detect a change that was not marked.
+// nodeCache keeps the scheduler's nodes of the machines from one scheduling cycle to the next. A machine's node is
+// rebuilt when the fleet marks the machine as changed and when the node changes by the passing of time. Periodically,
+// all nodes are rebuilt to detect changes that were not marked.
 type nodeCache struct {
 	builder      nodeBuilder
 	view         *sched.View
-	timedChanges map[string]time.Time // when nodes change by the passing of time, by machine
+	timedChanges map[string]time.Time // when the node next changes by the passing of time, by machine
 	verifiedAt   time.Time            // when all nodes were last rebuilt
-	staleNodes   uint64               // nodes that were out of date although their machines were not marked
+	staleNodes   uint64               // counts nodes that were out of date without a mark on their machine
 }
 
 func newNodeCache(jobs *jobTable) nodeCache {
 	return nodeCache{builder: nodeBuilder{jobs: jobs}, view: sched.NewView(), timedChanges: map[string]time.Time{}}
 }
 
-// refresh brings the nodes up to date, and rebuilds all of them if that was not done for longer
-// than verifyEvery.
+// refresh brings the nodes up to date. It rebuilds all nodes if the last time was longer than verifyEvery ago.
 func (n *nodeCache) refresh(machines *fleet.Fleet, verifyEvery time.Duration, now time.Time) {
 	machines.DrainChanged(func(id string, m *fleet.Machine) { n.rebuild(id, m, now) })
 	for id, at := range n.timedChanges {
@@ -37,21 +36,20 @@
 	}
 }
 
-// verify rebuilds all nodes. If one changes, a change of its machine was not marked, which is an
-// error in the program.
+// verify rebuilds all nodes. If a node changes, a change of its machine was not marked, which is a bug.
 func (n *nodeCache) verify(machines *fleet.Fleet, now time.Time) {
 	first := n.verifiedAt.IsZero()
 	n.verifiedAt = now
 	machines.Each(func(m *fleet.Machine) {
 		if n.rebuild(m.ID, m, now) && !first {
 			n.staleNodes++
-			slog.Error("node is out of date: its machine changed without a mark", "host", m.ID, "state", m.State.String())
+			slog.Error("node is out of date: a change of its machine was not marked", "host", m.ID, "state", m.State.String())
 		}
 	})
 }
 
-// rebuild rebuilds a machine's node, and reports whether it has changed. m is nil for a machine
-// that is no longer known.
+// rebuild rebuilds a machine's node, and reports whether the node has changed. m is nil for a machine that is no longer
+// known.
 func (n *nodeCache) rebuild(id string, m *fleet.Machine, now time.Time) (changed bool) {
 	delete(n.timedChanges, id)
 	if m == nil {
@@ -75,8 +73,8 @@
 	c.nodes.refresh(c.fleet, c.Config.WorkerLease(), now)
 }
 
-// StaleNodes returns how many nodes were found to be out of date although their machines were not
-// marked as changed: each is an error in the program.
+// StaleNodes returns how many nodes were found to be out of date although their machines were not marked as changed:
+// each of them shows a bug.
 func (c *Controller) StaleNodes() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,12 +86,12 @@
 	j.eachAttempt(func(a *fleet.Attempt) { c.fleet.MarkChanged(a.Machine) })
 }
 
-// setHeadroomMachines sets which machines are headroom, and marks those for which that changes.
+// setHeadroomMachines sets which machines are kept as headroom, and marks as changed those that are added or removed.
 // c.mu is held.
 func (c *Controller) setHeadroomMachines(headroom map[string]bool) {
-	for _, lists := range [...][2]map[string]bool{{headroom, c.headroomMachines}, {c.headroomMachines, headroom}} {
-		for id := range lists[0] {
-			if m := c.fleet.Get(id); m != nil && !lists[1][id] {
+	for _, sets := range [...][2]map[string]bool{{headroom, c.headroomMachines}, {c.headroomMachines, headroom}} {
+		for id := range sets[0] {
+			if m := c.fleet.Get(id); m != nil && !sets[1][id] {
 				c.fleet.MarkChanged(m)
 			}
 		}
--- a/internal/controller/nodecache_test.go
+++ b/internal/controller/nodecache_test.go
@@ -16,7 +16,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// nodeCacheModel draws events that may change machines, attempts, jobs, prices or headroom.
+// nodeCacheModel draws random events that may change machines, attempts, jobs, prices or headroom.
 type nodeCacheModel struct {
 	t        *rapid.T
 	c        *Controller
@@ -37,7 +37,7 @@
 	return model
 }
 
-// actions are the events, by name.
+// actions returns the events, by name.
 func (m *nodeCacheModel) actions() map[string]func() {
 	return map[string]func(){
 		"heartbeat": m.heartbeat,
@@ -53,12 +53,12 @@
 	}
 }
 
-// machine draws a machine; nil if the one that is drawn is not known.
+// machine draws a machine; nil if the fleet does not know the drawn one.
 func (m *nodeCacheModel) machine() *fleet.Machine {
 	return m.c.fleet.Get(fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(m.t, "machine")))
 }
 
-// heartbeat is one of a machine that reports its attempts in some states, or leaves them out.
+// heartbeat sends a heartbeat of a machine that reports its attempts in random states and leaves some of them out.
 func (m *nodeCacheModel) heartbeat() {
 	id := fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(m.t, "host"))
 	var tasks []wire.TaskReport
@@ -123,7 +123,7 @@
 	m.c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: record, ModRevision: 1})
 }
 
-// place places a task of the newest job that waits.
+// place places a task of the newest job that has waiting tasks.
 func (m *nodeCacheModel) place() {
 	machine, j := m.machine(), (*job)(nil)
 	for i := range m.jobs {
@@ -178,7 +178,7 @@
 	}
 }
 
-// check compares the cache with nodes that are all rebuilt.
+// check compares the cached nodes with rebuilt ones.
 func (m *nodeCacheModel) check(event string) {
 	m.c.refreshNodes(m.now)
 	present := 0
@@ -187,11 +187,11 @@
 			present++
 		}
 		if m.c.nodes.rebuild(machine.ID, machine, m.now) {
-			m.t.Fatalf("after %s the node of %s is out of date", event, machine.ID)
+			m.t.Fatalf("after event %q the cached node of %s differs from the rebuilt one", event, machine.ID)
 		}
 	})
 	if nodes := m.c.nodes.view.MachineCount(); nodes != present {
-		m.t.Fatalf("after %s there are %d nodes of %d machines", event, nodes, present)
+		m.t.Fatalf("after event %q the cache has %d nodes, want %d", event, nodes, present)
 	}
 }
 
@@ -208,7 +208,7 @@
 			model.check(name)
 		}
 		if stale := model.c.nodes.staleNodes; stale > 0 {
-			t.Fatalf("%d nodes were out of date although nobody had marked their machines", stale)
+			t.Fatalf("%d nodes were out of date without a mark on their machine, want 0", stale)
 		}
 	})
 }
--- a/internal/controller/recordloader.go
+++ b/internal/controller/recordloader.go
@@ -10,25 +10,25 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// maxProofAttempts is how often the proof of the warm standby is attempted while the state store
-// does not answer; after that all records are listed.
+// maxProofAttempts is how often the proof of the warm standby's copy is attempted while the state store does not answer.
+// After that, all records are listed.
 const maxProofAttempts = 3
 
-// termRecords are the records that a term begins with. With a warm standby the job records are
-// missing: the controller has them from the job cache.
+// termRecords are the records that a term begins with. If they come from a warm standby's copy, jobs is empty: the
+// controller gets the job records from the job cache.
 type termRecords struct {
 	jobs, placements, releases, images []wire.KeyValue
 	hints                              *standby.Proven // nil if all records were listed
 }
 
-// recordLoader reads the records that a term begins with: from the copy that this node has
-// followed as a warm standby, if its proof succeeds, else by listing them. It keeps the listings
-// that have succeeded from one call of read to the next.
+// recordLoader reads the records that a term begins with: from the copy that this node has followed as a warm standby if
+// the proof of the copy succeeds, and otherwise by listing them. Lists that have succeeded are kept from one call of
+// read to the next.
 type recordLoader struct {
 	options       *Options
 	term          uint64
 	failover      *failoverReport
-	proofAttempts int                        // proofs that the state store did not answer
+	proofAttempts int                        // attempts at a proof that the state store did not answer
 	listings      map[string][]wire.KeyValue // by prefix
 }
 
@@ -36,7 +36,7 @@
 	return &recordLoader{options: options, term: term, failover: failover, listings: map[string][]wire.KeyValue{}}
 }
 
-// read reads the records. If it fails it can be called again.
+// read reads the records. After a failure it can be called again.
 func (l *recordLoader) read(ctx context.Context) (*termRecords, error) {
 	if l.options.Prove != nil && l.proofAttempts < maxProofAttempts {
 		proven, err := l.readProven(ctx)
@@ -54,10 +54,10 @@
 	return l.list(ctx)
 }
 
-// list lists all records. A listing of this term stays valid while others are retried: only this
-// term changes such records, but for jobs, whose changes come through the job cache. When an
-// overloaded state store refused one of the four listings in each attempt, all four were read
-// again and again for 12 s.
+// list lists all records. A list that has succeeded in this term stays valid while the other lists are retried: only
+// this term changes such records, except those of jobs, whose changes arrive through the job cache. When lists were not
+// kept, an overloaded state store that refused one of the four in each attempt made the leader read all four repeatedly
+// for 12 s.
 func (l *recordLoader) list(ctx context.Context) (*termRecords, error) {
 	for _, prefix := range []string{records.JobPrefix, records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix} {
 		if _, known := l.listings[prefix]; known {
@@ -77,8 +77,8 @@
 	}, nil
 }
 
-// readProven returns the copy that this node has followed, once its proof succeeds. It brings the
-// job cache up to date by a read of this term; every change of it reaches the controller.
+// readProven returns the copy that this node has followed, if the proof of the copy succeeds. It also refreshes the job
+// cache by a read in this term; the controller receives every change of the cache.
 func (l *recordLoader) readProven(ctx context.Context) (*termRecords, error) {
 	proven, err := l.options.Prove(ctx, l.term)
 	if err != nil {
