--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -12,8 +12,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// newTestLeader is a leader of term 5 in zone a whose workers send a heartbeat a second, and whose
-// clock the test moves. It has no machines, and its failure detector has run for an hour.
+// newTestLeader returns a leader of term 5 in zone a whose workers send a heartbeat every second. Its clock shows *now,
+// which the test advances. It has no machines, and its failure detector has run for an hour.
 func newTestLeader(now *time.Time) *Controller {
 	cfg := &config.Config{}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS = 1, 10, 40
@@ -33,10 +33,10 @@
 	return c
 }
 
-// hostName names machine i of a test.
+// hostName returns the name of machine i of a test.
 func hostName(i int) string { return fmt.Sprintf("m-%03d", i) }
 
-// heartbeatFrom applies a heartbeat of machine i: even ones are in zone a, odd ones in zone b.
+// heartbeatFrom applies a heartbeat of machine i. Machines with an even i are in zone a, the others in zone b.
 func (c *Controller) heartbeatFrom(i int, sequence uint64, now time.Time) {
 	zone := "a"
 	if i%2 == 1 {
@@ -51,7 +51,7 @@
 	}, now)
 }
 
-// g8Catalog is a catalog of one type with 8 GPUs, in zones a and b.
+// g8Catalog returns a catalog with one machine type, which has 8 GPUs and exists in zones a and b.
 func g8Catalog() *wire.Catalog {
 	return &wire.Catalog{MachineTypes: []wire.MachineType{
 		{Name: "g8", Cores: 64, Gpus: 8, RAMGb: 512, Zones: []string{"a", "b"}},
--- a/internal/controller/limitedstore_test.go
+++ b/internal/controller/limitedstore_test.go
@@ -18,14 +18,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// limitedStore is a state store that takes what its limits allow.
+// limitedStore is a state store that rejects commits above its limits.
 type limitedStore struct {
 	Store
 	t        *testing.T
 	limits   config.StateLimits
 	revision uint64
 	items    map[string]wire.KeyValue
-	released map[string]bool // machines that the cloud beside it has taken back
+	released map[string]bool // machines that limitedCloud has terminated
 }
 
 func newLimitedStore(t *testing.T, limits config.StateLimits) *limitedStore {
@@ -45,7 +45,7 @@
 
 func (l *limitedStore) Commit(_ context.Context, tx wire.Transaction) (uint64, error) {
 	if l.isTooLarge(tx) {
-		l.t.Errorf("a commit of %d changes and %d compares is rejected", len(tx.Changes), len(tx.Compares))
+		l.t.Errorf("commit with %d changes and %d compares exceeds the limits %+v", len(tx.Changes), len(tx.Compares), l.limits)
 		return 0, &store.RejectedError{}
 	}
 	l.revision++
@@ -68,7 +68,7 @@
 	})
 }
 
-// limitedCloud is a cloud that takes back no more machines at once than it allows.
+// limitedCloud is a cloud that fails the test if more machines are released at once than it allows.
 type limitedCloud struct {
 	Cloud
 	*limitedStore
@@ -78,7 +78,7 @@
 
 func (l limitedCloud) Return(_ context.Context, hosts []string) error {
 	if len(hosts) > wire.MaxReturn {
-		l.t.Errorf("%d machines are released at once", len(hosts))
+		l.t.Errorf("%d machines are released at once, want at most %d", len(hosts), wire.MaxReturn)
 	}
 	for _, host := range hosts {
 		l.released[host] = true
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// newLeader is a leader of a term that has loaded what the store has.
+// newLeader returns a leader of a term that has loaded the records in the store.
 func (l *limitedStore) newLeader(term uint64, now *time.Time) *Controller {
 	l.t.Helper()
 	c := newTestLeader(now)
@@ -104,7 +104,7 @@
 	return c
 }
 
-// addJob stores a job's record and lets a leader know it.
+// addJob stores a job's record and passes it to a leader as its job cache would.
 func (l *limitedStore) addJob(c *Controller, spec wire.JobSpec) watchcache.Entry {
 	record := records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: records.TasksPerPlacement(8192, 8192)}
 	key := records.JobKey(spec.UID)
@@ -114,7 +114,7 @@
 	return entry
 }
 
-// listedHosts is the cloud's list of machines of type g8, in these zones in turn.
+// listedHosts returns the cloud's list of this many machines of type g8, distributed over the zones in turn.
 func listedHosts(count int, zones ...string) []wire.ListedHost {
 	hosts := make([]wire.ListedHost, 0, count)
 	for i := range count {
@@ -128,7 +128,7 @@
 	return hosts
 }
 
-// commitAll commits all that is due.
+// commitAll commits batches until there is nothing left to write.
 func commitAll(t *testing.T, c *Controller) {
 	t.Helper()
 	for b := c.nextBatch(); b != nil; b = c.nextBatch() {
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -6,31 +6,31 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// minBatchChanges is how many changes a commit may have however small the budget of writes is, as
-// far as the state store accepts that many.
+// minBatchChanges is the number of changes that a commit may have even if the write budget is smaller, provided that the
+// state store accepts that many.
 const minBatchChanges = 4
 
-// maxCommitBytes limits the size of the values of a commit. It leaves a quarter of the largest body
-// to keys, compares and encoding.
+// maxCommitBytes limits the total size of the values in a commit. It leaves a quarter of the largest request body for
+// keys, compares and encoding.
 const maxCommitBytes = wire.MaxBody * 3 / 4
 
-// maxCompares returns how many compares a commit with at most this many changes may have: the
-// state store accepts four times as many compares as changes.
+// maxCompares returns how many compares a commit may have if the state store accepts this many changes: it accepts four
+// times as many compares.
 func maxCompares(changes int) int { return 4 * changes }
 
-// maxBatchChanges returns how many changes go into one commit: no more than the budget of writes
-// ever holds, or the commit would never be sent.
+// maxBatchChanges returns how many changes a commit may have. A commit with more changes than the write budget can ever
+// hold would never be sent.
 func (c *Controller) maxBatchChanges() int {
 	limits := c.Config.StateLimits()
 	return min(limits.TxnOps, max(minBatchChanges, int(limits.WriteRps*store.RecordWriteShare)))
 }
 
-// mayUseDenseEncoding reports whether all nodes can read densely listed placements.
+// mayUseDenseEncoding reports whether all nodes can read the dense encoding of placement records.
 func (c *Controller) mayUseDenseEncoding() bool { return c.Version.InForce() >= clusterversion.JobDAGs }
 
-// maxPlacementBytes returns how large a placement record may be, in bytes. The announced lower
-// limit applies once all nodes can read the dense records that fit it; the state store does not
-// lower its own limit before.
+// maxPlacementBytes returns the largest size of a placement record in bytes. If the state store has announced a lower
+// limit, that limit applies as soon as all nodes can read the dense encoding, which fits it. The state store does not
+// enforce the lower limit before then.
 func (c *Controller) maxPlacementBytes() int {
 	if c.mayUseDenseEncoding() {
 		return c.Config.MaxValueBytes()
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -13,19 +13,19 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// latestVersion is a cluster in which every node is of this release.
+// latestVersion is the version tracker of a cluster in which every node runs this release.
 type latestVersion struct{}
 
 func (latestVersion) InForce() clusterversion.Version { return clusterversion.Latest }
 
-// No more tasks are placed than their placement record has room for: a launch that can never be
-// recorded would occupy room on its machine for ever.
+// No more tasks are placed than their placement records have room for: a launch that can never be recorded would occupy
+// resources of its machine forever.
 func TestPlacementsFitTheirRecords(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
 	c.Version = latestVersion{}
-	kb := 2.0
-	c.Config.Cluster.State.WriteRps, c.Config.Cluster.State.Next = 1000, &config.NextStateLimits{ValueKb: &kb}
+	nextValueKb := 2.0
+	c.Config.Cluster.State.WriteRps, c.Config.Cluster.State.Next = 1000, &config.NextStateLimits{ValueKb: &nextValueKb}
 	c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 	c.catalog = &wire.Catalog{MachineTypes: []wire.MachineType{{Name: "g8", Cores: 1, Gpus: 8, RAMGb: 512, Zones: []string{"a"}}}}
 	c.JobCache.Reset(nil, 0, now)
@@ -33,29 +33,29 @@
 		host := fmt.Sprintf("m-%03d-%s", i, strings.Repeat("x", 40))
 		c.applyTestHeartbeat(host, 1, now)
 	}
-	per := records.TasksPerPlacement(c.Config.CurrentMaxValueBytes(), c.Config.MaxValueBytes())
+	tasksPerPlacement := records.TasksPerPlacement(c.Config.CurrentMaxValueBytes(), c.Config.MaxValueBytes())
 	spec := wire.JobSpec{
 		UID:       "run-000001",
 		Team:      "crew",
 		Kind:      wire.JobArray,
 		Priority:  wire.High,
-		TaskCount: 2 * per,
+		TaskCount: 2 * tasksPerPlacement,
 		Cores:     1,
 		RAMGb:     1,
 		Image:     "i",
 	}
-	j := c.addTestJob(spec, per)
+	j := c.addTestJob(spec, tasksPerPlacement)
 	c.runCycle(time.Second)
 	if j.live == 0 || j.live == spec.TaskCount {
-		t.Fatalf("%d of %d tasks are placed", j.live, spec.TaskCount)
+		t.Fatalf("%d of %d tasks are placed, want some but not all", j.live, spec.TaskCount)
 	}
 	builder := newBatchBuilder(c.term, c.batchLimits(now), now)
 	for _, p := range j.placements {
 		if value := builder.encode(p); value == nil {
-			t.Errorf("the record of %d tasks does not fit", len(p.live))
+			t.Errorf("placement record with %d attempts is larger than the limit, want one that fits", len(p.live))
 		}
 	}
-	// When some have ended, others are placed.
+	// After half of the placed tasks have ended, others are placed.
 	placed := j.live
 	for _, p := range j.placements {
 		for task, a := range p.live {
@@ -63,7 +63,7 @@
 				c.fleet.MarkCommitted(a, now)
 				a.Cause, a.State = wire.CauseDone, fleet.Ended
 				delete(p.live, task)
-				p.done.MarkDone(task % per)
+				p.done.MarkDone(task % tasksPerPlacement)
 				j.live--
 				j.done++
 			}
@@ -71,6 +71,6 @@
 	}
 	c.runCycle(time.Second)
 	if j.live <= placed/2+1 {
-		t.Errorf("%d tasks are placed after the end of half of %d", j.live, placed)
+		t.Errorf("%d tasks are placed after half of %d have ended, want more than %d", j.live, placed, placed/2+1)
 	}
 }
--- a/internal/controller/standbyhints.go
+++ b/internal/controller/standbyhints.go
@@ -9,48 +9,47 @@
 	"lotusstile.dev/lotusstile/internal/standby"
 )
 
-// applyMachineHints applies what the earlier leader knew of machines and of the cloud beyond its
-// records. It proves nothing: that a machine exists and may get launches is only known by its
-// heartbeats in this term. c.mu is held.
-func (c *Controller) applyMachineHints(p *standby.Proven, now time.Time) {
-	if p == nil {
+// applyMachineHints applies what the earlier leader knew of machines and of the cloud beyond its records. Hints prove
+// nothing: only a machine's heartbeat in this term shows that the machine exists and may get launches. c.mu is held.
+func (c *Controller) applyMachineHints(proven *standby.Proven, now time.Time) {
+	if proven == nil {
 		return
 	}
-	for i := range p.Machines {
-		c.applyMachineHint(&p.Machines[i], now)
+	for i := range proven.Machines {
+		c.applyMachineHint(&proven.Machines[i], now)
 	}
-	for _, r := range p.Leader.Refusals {
+	for _, r := range proven.Leader.Refusals {
 		group := autoscaler.MachineGroup{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 		c.refusals.Restore(group, autoscaler.Refusal{Until: fromUnixMilli(r.UntilMs), Pause: time.Duration(r.PauseMs) * time.Millisecond})
 	}
-	for _, a := range p.Leader.Arrivals {
-		spec := a.Job
-		c.arrivals.Restore(a.Class, autoscaler.ClassArrivals{
+	for _, arrival := range proven.Leader.Arrivals {
+		spec := arrival.Job
+		c.arrivals.Restore(arrival.Class, autoscaler.ClassArrivals{
 			Spec:         &spec,
 			Level:        spec.Priority.Level(),
-			Jobs:         a.Count,
-			TasksSquared: a.TasksSquare,
-			At:           fromUnixMilli(a.AtMs),
+			Jobs:         arrival.Count,
+			TasksSquared: arrival.TasksSquare,
+			At:           fromUnixMilli(arrival.AtMs),
 		})
 	}
-	if w := p.Leader.Window; w > 0 {
+	if w := proven.Leader.Window; w > 0 {
 		c.window = min(w, c.Settings().Window)
 	}
 }
 
-// applyMachineHint applies the earlier leader's view of a machine. It does nothing to one that has
-// sent a heartbeat in this term. c.mu is held.
-func (c *Controller) applyMachineHint(v *standby.MachineView, now time.Time) {
-	m := c.fleet.GetOrAdd(v.Host, now)
+// applyMachineHint applies the earlier leader's view of a machine, unless the machine is being released or has sent a
+// heartbeat in this term. c.mu is held.
+func (c *Controller) applyMachineHint(view *standby.MachineView, now time.Time) {
+	m := c.fleet.GetOrAdd(view.Host, now)
 	if m.State != fleet.Booting {
 		return
 	}
-	m.Address, m.Type, m.Zone, m.Spot = v.Address, v.Type, v.Zone, v.Spot
-	m.IncarnationHint, m.SpotNotice, m.AvoidUntil = v.Incarnation, v.SpotNotice, fromUnixMilli(v.AvoidMs)
-	if firstSeen := fromUnixMilli(v.FirstSeenMs); !firstSeen.IsZero() && firstSeen.Before(m.FirstSeen) {
+	m.Address, m.Type, m.Zone, m.Spot = view.Address, view.Type, view.Zone, view.Spot
+	m.IncarnationHint, m.SpotNotice, m.AvoidUntil = view.Incarnation, view.SpotNotice, fromUnixMilli(view.AvoidMs)
+	if firstSeen := fromUnixMilli(view.FirstSeenMs); !firstSeen.IsZero() && firstSeen.Before(m.FirstSeen) {
 		m.FirstSeen = firstSeen
 	}
-	for _, image := range v.Images {
+	for _, image := range view.Images {
 		m.Images[image] = now
 	}
 	c.fleet.MarkChanged(m)
@@ -58,17 +57,16 @@
 }
 
 // applyJobHints applies what the earlier leader knew of jobs beyond its records. c.mu is held.
-func (c *Controller) applyJobHints(p *standby.Proven, now time.Time) {
-	if p == nil {
+func (c *Controller) applyJobHints(proven *standby.Proven, now time.Time) {
+	if proven == nil {
 		return
 	}
-	for i := range p.Jobs {
-		c.applyJobHint(&p.Jobs[i], now)
+	for i := range proven.Jobs {
+		c.applyJobHint(&proven.Jobs[i], now)
 	}
 }
 
-// applyJobHint applies the earlier leader's view of a job. It does nothing for a job that has no
-// record. c.mu is held.
+// applyJobHint applies the earlier leader's view of a job. It does nothing for a job that has no record. c.mu is held.
 func (c *Controller) applyJobHint(v *standby.JobView, now time.Time) {
 	j := c.jobs.get(v.UID)
 	if j == nil {
@@ -84,12 +82,12 @@
 	if since := fromUnixMilli(v.WaitMs); !since.IsZero() && since.Before(j.waitingSince) {
 		j.waitingSince = since
 	}
-	for _, t := range tasks {
-		if t.Task >= j.record.Spec.TaskCount {
+	for _, task := range tasks {
+		if task.Task >= j.record.Spec.TaskCount {
 			continue
 		}
-		if a := j.attempt(t.Task); a != nil && a.Number == t.Attempt {
-			a.RunningSince = time.Unix(min(t.SinceS, now.Unix()), 0)
+		if a := j.attempt(task.Task); a != nil && a.Number == task.Attempt {
+			a.RunningSince = time.Unix(min(task.SinceS, now.Unix()), 0)
 			c.fleet.MarkChanged(a.Machine)
 		}
 	}
--- a/internal/controller/standbyviews.go
+++ b/internal/controller/standbyviews.go
@@ -12,17 +12,17 @@
 	"lotusstile.dev/lotusstile/internal/standby"
 )
 
-// changedViews tracks the machines and jobs whose views at the warm standby are out of date. While
-// no standby asks for views, nothing is tracked.
+// changedViews tracks the machines and jobs whose views at the warm standby are out of date. It tracks nothing while no
+// warm standby asks for views.
 type changedViews struct {
 	enabled   bool
-	drainedAt time.Time // when a standby last asked
+	drainedAt time.Time // when a warm standby last asked for views
 	machines  map[string]bool
 	jobs      map[string]bool
 }
 
-// viewTrackingLeases is the number of leader leases for which changes are tracked after a standby
-// has last asked.
+// viewTrackingLeases is the number of leader leases for which changes are tracked after a warm standby has last asked
+// for views.
 const viewTrackingLeases = 4
 
 func (v *changedViews) markMachine(host string) {
@@ -37,15 +37,15 @@
 	}
 }
 
-// isIdle reports whether no standby has asked for longer than limit.
+// isIdle reports whether no warm standby has asked for views for longer than limit.
 func (v *changedViews) isIdle(now time.Time, limit time.Duration) bool {
 	return now.Sub(v.drainedAt) > limit
 }
 
-// DrainChangedViews returns the views of at most this many machines and jobs that have changed
-// since they were last returned, and whether there are more; if there are none, the leader's own
-// view comes last. See standby.Views. It locks the controller itself.
-func (c *Controller) DrainChangedViews(most int) (entries []*standby.Entry, more bool) {
+// DrainChangedViews returns the views of machines and jobs that have changed since they were last returned, up to limit
+// of them, and whether there are more. If there are no more, the leader's own view is added at the end. See
+// standby.Views. It locks the controller itself.
+func (c *Controller) DrainChangedViews(limit int) (entries []*standby.Entry, more bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -61,14 +61,14 @@
 		entries = append(entries, e)
 	}
 	for host := range c.views.machines {
-		if len(entries) >= most {
+		if len(entries) >= limit {
 			return entries, true
 		}
 		delete(c.views.machines, host)
 		add(c.machineEntry(host))
 	}
 	for uid := range c.views.jobs {
-		if len(entries) >= most {
+		if len(entries) >= limit {
 			return entries, true
 		}
 		delete(c.views.jobs, uid)
@@ -78,12 +78,12 @@
 	return entries, false
 }
 
-// viewTrackingTime returns for how long changes are tracked after a standby has last asked.
+// viewTrackingTime returns how long changes are tracked after a warm standby has last asked for views.
 func (c *Controller) viewTrackingTime() time.Duration {
 	return viewTrackingLeases * c.Config.LeaderLeaseTTL()
 }
 
-// trackAllViews begins to track changes, with all machines and jobs as changed. c.mu is held.
+// trackAllViews begins to track changes and marks all machines and jobs as changed. c.mu is held.
 func (c *Controller) trackAllViews() {
 	c.views = changedViews{enabled: true, machines: map[string]bool{}, jobs: map[string]bool{}}
 	c.fleet.Each(func(m *fleet.Machine) { c.views.machines[m.ID] = true })
@@ -92,15 +92,15 @@
 	}
 }
 
-// stopIdleViewTracking ends the tracking of changes if no standby has asked for viewTrackingTime.
-// c.mu is held.
+// stopIdleViewTracking ends the tracking of changes if no warm standby has asked for views for viewTrackingTime. c.mu is
+// held.
 func (c *Controller) stopIdleViewTracking(now time.Time) {
 	if c.views.enabled && c.views.isIdle(now, c.viewTrackingTime()) {
 		c.views = changedViews{}
 	}
 }
 
-// unixMilli is a time in milliseconds, 0 for the zero time.
+// unixMilli returns a time in Unix milliseconds, and 0 for the zero time.
 func unixMilli(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -116,7 +116,7 @@
 	return time.UnixMilli(ms)
 }
 
-// machineEntry encodes the view of a machine, or that there is none. c.mu is held.
+// machineEntry encodes the view of a machine, or the removal of the view if the machine is gone. c.mu is held.
 func (c *Controller) machineEntry(host string) (*standby.Entry, error) {
 	m := c.fleet.Get(host)
 	if m == nil || m.State == fleet.Gone {
@@ -140,7 +140,7 @@
 	return v.Entry()
 }
 
-// jobEntry encodes the view of a job, or that the job is gone. c.mu is held.
+// jobEntry encodes the view of a job, or the removal of the view if the job no longer exists. c.mu is held.
 func (c *Controller) jobEntry(uid string) (*standby.Entry, error) {
 	j := c.jobs.get(uid)
 	if j == nil {
@@ -166,16 +166,16 @@
 	return v.Entry()
 }
 
-// leaderView returns what the leader knows beyond machines and jobs. c.mu is held.
+// leaderView returns the view of what the leader knows besides machines and jobs. c.mu is held.
 func (c *Controller) leaderView() *standby.LeaderView {
 	v := &standby.LeaderView{Window: c.window}
-	c.refusals.Each(func(g autoscaler.MachineGroup, r autoscaler.Refusal) {
+	c.refusals.Each(func(group autoscaler.MachineGroup, refusal autoscaler.Refusal) {
 		v.Refusals = append(v.Refusals, standby.Refusal{
-			Type:    g.Type,
-			Zone:    g.Zone,
-			Spot:    g.Spot,
-			UntilMs: unixMilli(r.Until),
-			PauseMs: r.Pause.Milliseconds(),
+			Type:    group.Type,
+			Zone:    group.Zone,
+			Spot:    group.Spot,
+			UntilMs: unixMilli(refusal.Until),
+			PauseMs: refusal.Pause.Milliseconds(),
 		})
 	})
 	c.arrivals.Each(func(class string, a *autoscaler.ClassArrivals) {
