--- a/internal/controller/batch.go
+++ b/internal/controller/batch.go
@@ -26,14 +26,14 @@
 	changeCount int              // placement.changeCount at that time
 	planned     []*fleet.Attempt // attempts whose launch the batch records
 	ended       []*fleet.Attempt // attempts whose end the batch records
-	dropped     bool             // the batch drops its record
+	dropped     bool             // the batch drops the placement's record
 }
 
 // jobWrite is a job's final status in a batch.
 type jobWrite struct {
 	job      *job
 	status   wire.JobStatus
-	archived bool // the batch drops its record as well
+	archived bool // the batch drops the job's record as well
 }
 
 func (b *batch) isEmpty() bool { return len(b.tx.Changes) == 0 }
@@ -72,9 +72,9 @@
 
 // batchLimits are the limits of one batch.
 type batchLimits struct {
-	changes        int  // the most changes of the commit
-	placementBytes int  // the largest size of a placement record
-	valueBytes     int  // the largest size of any other value
+	changes        int  // the maximum number of changes in the commit
+	placementBytes int  // the maximum size of a placement record
+	valueBytes     int  // the maximum size of any other value
 	denseEncoding  bool // placement records may use the dense encoding
 	singleJob      bool // the batch holds records of one job only
 	// retryAfter is how long to wait before a placement record that was too large is tried again.
@@ -140,7 +140,7 @@
 			continue
 		}
 		write := placementWrite{placement: p, changeCount: p.changeCount, planned: p.plannedAttempts(), ended: slices.Clone(p.ended)}
-		value := b.encode(p)
+		value := b.encodePlacement(p)
 		if value == nil {
 			continue
 		}
@@ -160,10 +160,10 @@
 	}
 }
 
-// encode returns the value of a placement record, or nil if the value is larger than the limit. This happens to a
+// encodePlacement returns the value of a placement record, or nil if the value is larger than the limit. This happens to a
 // record that was first written under a higher limit. Writing it is retried every limits.retryAfter, until enough of
 // its tasks have ended.
-func (b *batchBuilder) encode(p *placement) json.RawMessage {
+func (b *batchBuilder) encodePlacement(p *placement) json.RawMessage {
 	value := records.EncodePlacement(p.record(), b.limits.placementBytes, b.limits.denseEncoding)
 	if len(value) > b.limits.placementBytes {
 		slog.Warn("placement record is too large to be written", "uid", p.job.uid, "placement", p.index, "bytes", len(value))
@@ -176,7 +176,7 @@
 // archive adds changes that archive a job that is over: its placement records are dropped, and its final status
 // replaces its record. This takes one commit if all changes fit into one, and several commits otherwise.
 func (b *batchBuilder) archive(j *job) {
-	if j.hasUnknownPlacement() {
+	if j.hasUnknownOutcome() {
 		return
 	}
 	const recordChanges = 2 // the job's record is dropped, and its final status is set
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -5,7 +5,7 @@
 // made by separate types: by jobTable and job, batchBuilder, nodeCache and nodeBuilder, urgency, failoverReport and
 // changedViews in this package, and by the packages fleet, sched, jobdag, autoscaler, failuredetector and
 // faultattribution. One lock guards the whole state, because a scheduling cycle needs a consistent view of all of it.
-// No code blocks while holding the lock.
+// Nothing blocks while the lock is held.
 package controller
 
 import (
@@ -78,7 +78,7 @@
 	waitingAnswers map[string]chan struct{} // closed to end the wait of a heartbeat's answer for commands, by machine
 	announcedAt    map[string]time.Time     // when the fencing token was last announced, by machine
 
-	// Images that the records list: imagerecords.go.
+	// Images of machines, as the records list them: imagerecords.go.
 	recordedImages map[string]recordedImages // by machine
 
 	// Changes that a warm standby has to be sent: standbyviews.go.
@@ -132,7 +132,7 @@
 	c.mu.Unlock()
 	c.JobCache.SetListener(c.applyJobEvent)
 	defer c.JobCache.SetListener(nil)
-	if !c.loadUntilDone(ctx) {
+	if !c.loadStateWithRetries(ctx) {
 		return
 	}
 	var wg sync.WaitGroup
@@ -151,16 +151,16 @@
 	wg.Wait()
 }
 
-// loadUntilDone loads the state and retries until loading succeeds. It returns false if ctx ends first.
-func (c *Controller) loadUntilDone(ctx context.Context) bool {
-	pause := c.Config.LeaderLeaseTTL() / 10
+// loadStateWithRetries loads the state and retries until that succeeds. It returns false if ctx ends first.
+func (c *Controller) loadStateWithRetries(ctx context.Context) bool {
+	retryDelay := c.Config.LeaderLeaseTTL() / 10
 	for {
 		err := c.loadState(ctx)
 		if err == nil {
 			return true
 		}
 		slog.Warn("state cannot be loaded", "term", c.term, "err", err)
-		if !timeralign.Sleep(ctx, pause) {
+		if !timeralign.Sleep(ctx, retryDelay) {
 			return false
 		}
 	}
@@ -193,7 +193,7 @@
 	}
 }
 
-// notify wakes the goroutine that waits on ch. If none waits, the next wait on ch ends at once.
+// notify wakes the goroutine that waits on ch. If none waits now, the next wait on ch ends at once.
 func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -40,11 +40,11 @@
 	return now.Sub(r.leaderlessSince).Milliseconds()
 }
 
-// recordCold records why this node's warm standby could not be used.
-func (r *failoverReport) recordCold(err error) { r.record.Cause = err.Error() }
+// recordProofFailure records why this node's warm standby could not be used.
+func (r *failoverReport) recordProofFailure(err error) { r.record.Cause = err.Error() }
 
-// recordWarm records that the state comes from this node's warm standby, and what the warm standby had followed.
-func (r *failoverReport) recordWarm(p *standby.Proven) {
+// recordProof records that the state comes from this node's warm standby, and what the warm standby had followed.
+func (r *failoverReport) recordProof(p *standby.Proven) {
 	r.record.Warm, r.record.Cause = true, ""
 	r.record.FollowedTerm, r.record.Position, r.record.Digest = p.FollowedTerm, p.Position, fmt.Sprintf("%016x", p.Digest)
 	r.record.AgeMs, r.record.Changes = p.Age.Milliseconds(), p.Changes
@@ -63,8 +63,9 @@
 	}
 }
 
-// recordDecision records a scheduling cycle, and reports whether it was the first that could place tasks.
-func (r *failoverReport) recordDecision(now time.Time) bool {
+// recordFirstDecision is called after every scheduling cycle. It records the time of the first cycle that could place
+// tasks, and reports whether this cycle was that one.
+func (r *failoverReport) recordFirstDecision(now time.Time) bool {
 	if r.decided || !r.machineReady {
 		return false
 	}
@@ -76,7 +77,7 @@
 // finishFailover logs the failover report after the first cycle that could place tasks, and returns the record to store.
 // It returns nil after any other cycle and if this node is not a warm standby. c.mu is held.
 func (c *Controller) finishFailover(now time.Time) *records.Failover {
-	if !c.failover.recordDecision(now) {
+	if !c.failover.recordFirstDecision(now) {
 		return nil
 	}
 	record := c.failover.record
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -51,7 +51,7 @@
 	}
 	builder := newBatchBuilder(c.term, c.batchLimits(now), now)
 	for _, p := range j.placements {
-		if value := builder.encode(p); value == nil {
+		if value := builder.encodePlacement(p); value == nil {
 			t.Errorf("placement record with %d attempts is larger than the limit, want one that fits", len(p.live))
 		}
 	}
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -44,8 +44,8 @@
 // records they list the machines whose worker leases they renew: these machines are alive. Without this, a partition
 // between zones made the leader release every machine on the other side, with all its tasks.
 func (c *Controller) followRenewedLeases(ctx context.Context) {
-	wait, pause := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
-	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, pause, watchcache.HandlerFuncs{OnChanged: c.applyRenewedLeases})
+	wait, retryDelay := c.Config.WorkerLease(), c.Config.HeartbeatInterval()
+	watchcache.Follow(ctx, c.Store, records.RenewedLeasesPrefix, wait, retryDelay, watchcache.HandlerFuncs{OnChanged: c.applyRenewedLeases})
 }
 
 // applyRenewedLeases applies a record of renewed worker leases. It ignores the deletion of a record.
--- a/internal/controller/nodebuilder.go
+++ b/internal/controller/nodebuilder.go
@@ -13,10 +13,10 @@
 
 // nodeBuilder builds nodes: a node is the scheduler's view of a machine.
 type nodeBuilder struct {
-	jobs       *jobTable
-	catalog    *wire.Catalog
-	headroom   map[string]bool // machines that are kept as headroom
-	heartbeatS float64         // the interval of workers' heartbeats, in seconds
+	jobs               *jobTable
+	catalog            *wire.Catalog
+	headroom           map[string]bool // machines that are kept as headroom
+	heartbeatIntervalS float64         // the interval of workers' heartbeats, in seconds
 }
 
 // build returns the node of a machine; ok is false if the machine accepts no launches now and is not expected to soon.
@@ -115,7 +115,7 @@
 		return time.Time{}
 	}
 	const bootTimeFactor, heartbeatAllowance = 1.7, 2
-	seconds := bootTimeFactor*machineType.BootS + heartbeatAllowance*b.heartbeatS
+	seconds := bootTimeFactor*machineType.BootS + heartbeatAllowance*b.heartbeatIntervalS
 	return m.FirstSeen.Add(time.Duration(seconds * float64(time.Second)))
 }
 
--- a/internal/controller/nodecache.go
+++ b/internal/controller/nodecache.go
@@ -14,7 +14,7 @@
 type nodeCache struct {
 	builder      nodeBuilder
 	view         *sched.View
-	timedChanges map[string]time.Time // when the node next changes by the passing of time, by machine
+	timedChanges map[string]time.Time // when nodes next change by the passing of time, by machine
 	verifiedAt   time.Time            // when all nodes were last rebuilt
 	staleNodes   uint64               // counts nodes that were out of date without a mark on their machine
 }
@@ -23,15 +23,15 @@
 	return nodeCache{builder: nodeBuilder{jobs: jobs}, view: sched.NewView(), timedChanges: map[string]time.Time{}}
 }
 
-// refresh brings the nodes up to date. It rebuilds all nodes if the last time was longer than verifyEvery ago.
-func (n *nodeCache) refresh(machines *fleet.Fleet, verifyEvery time.Duration, now time.Time) {
+// refresh brings the nodes up to date. It rebuilds all nodes if the last time was longer than verifyInterval ago.
+func (n *nodeCache) refresh(machines *fleet.Fleet, verifyInterval time.Duration, now time.Time) {
 	machines.DrainChanged(func(id string, m *fleet.Machine) { n.rebuild(id, m, now) })
 	for id, at := range n.timedChanges {
 		if !now.Before(at) {
 			n.rebuild(id, machines.Get(id), now)
 		}
 	}
-	if now.Sub(n.verifiedAt) > verifyEvery {
+	if now.Sub(n.verifiedAt) > verifyInterval {
 		n.verify(machines, now)
 	}
 }
@@ -69,7 +69,7 @@
 // refreshNodes brings the node cache up to date. c.mu is held.
 func (c *Controller) refreshNodes(now time.Time) {
 	builder := &c.nodes.builder
-	builder.catalog, builder.headroom, builder.heartbeatS = c.catalog, c.headroomMachines, c.Config.Cluster.Workers.ReportS
+	builder.catalog, builder.headroom, builder.heartbeatIntervalS = c.catalog, c.headroomMachines, c.Config.Cluster.Workers.ReportS
 	c.nodes.refresh(c.fleet, c.Config.WorkerLease(), now)
 }
 
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -110,9 +110,9 @@
 	return false
 }
 
-// hasUnknownPlacement reports whether the outcome of a commit of some placement is unknown. The placement's record has
+// hasUnknownOutcome reports whether the outcome of a commit of some placement is unknown. The placement's record has
 // to be read again before the job can be archived.
-func (j *job) hasUnknownPlacement() bool {
+func (j *job) hasUnknownOutcome() bool {
 	for _, p := range j.placements {
 		if p.outcomeUnknown {
 			return true
--- a/internal/controller/placementwriter.go
+++ b/internal/controller/placementwriter.go
@@ -63,7 +63,7 @@
 
 // writeAll commits batches until there is nothing left to write, or until a background commit fails. It pauses after any
 // other commit that failed.
-func (w *placementWriter) writeAll(ctx context.Context, pause time.Duration) {
+func (w *placementWriter) writeAll(ctx context.Context, retryDelay time.Duration) {
 	for ctx.Err() == nil {
 		b := w.state.nextBatch()
 		if b == nil {
@@ -75,7 +75,7 @@
 		if b.background {
 			return // a later call retries it, when the state store may have more capacity
 		}
-		timeralign.Sleep(ctx, pause)
+		timeralign.Sleep(ctx, retryDelay)
 	}
 }
 
--- a/internal/controller/recordloader.go
+++ b/internal/controller/recordloader.go
@@ -22,14 +22,14 @@
 }
 
 // recordLoader reads the records that a term begins with: from the copy that this node has followed as a warm standby if
-// the proof of the copy succeeds, and otherwise by listing them. Lists that have succeeded are kept from one call of
+// the proof of the copy succeeds, and otherwise by listing them. The results of list requests are kept from one call of
 // read to the next.
 type recordLoader struct {
 	options       *Options
 	term          uint64
 	failover      *failoverReport
 	proofAttempts int                        // attempts at a proof that the state store did not answer
-	listings      map[string][]wire.KeyValue // by prefix
+	listings      map[string][]wire.KeyValue // results of list requests, by prefix
 }
 
 func newRecordLoader(options *Options, term uint64, failover *failoverReport) *recordLoader {
@@ -43,8 +43,8 @@
 		if err == nil {
 			return proven, nil
 		}
-		l.failover.recordCold(err)
-		if !isFinalProofError(err) {
+		l.failover.recordProofFailure(err)
+		if !isPermanentProofError(err) {
 			l.proofAttempts++
 			return nil, err
 		}
@@ -54,9 +54,9 @@
 	return l.list(ctx)
 }
 
-// list lists all records. A list that has succeeded in this term stays valid while the other lists are retried: only
-// this term changes such records, except those of jobs, whose changes arrive through the job cache. When lists were not
-// kept, an overloaded state store that refused one of the four in each attempt made the leader read all four repeatedly
+// list lists all records. The result of a list request of this term stays valid while other requests are retried: only
+// this term changes such records, except those of jobs, whose changes arrive through the job cache. When results were
+// not kept and an overloaded state store refused one of the four requests in each attempt, the leader repeated all four
 // for 12 s.
 func (l *recordLoader) list(ctx context.Context) (*termRecords, error) {
 	for _, prefix := range []string{records.JobPrefix, records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix} {
@@ -87,14 +87,14 @@
 	if err := l.options.JobCache.Refresh(ctx, l.options.Store); err != nil {
 		return nil, err
 	}
-	l.failover.recordWarm(proven)
+	l.failover.recordProof(proven)
 	return &termRecords{placements: proven.Placements, releases: proven.Returns, images: proven.Images, hints: proven}, nil
 }
 
-// isFinalProofError reports whether the proof would fail again if it were retried.
-func isFinalProofError(err error) bool {
-	for _, final := range []error{standby.ErrNoCopy, standby.ErrDigest, standby.ErrTooFarBehind, standby.ErrUndecodable} {
-		if errors.Is(err, final) {
+// isPermanentProofError reports whether the proof would fail again if it were retried.
+func isPermanentProofError(err error) bool {
+	for _, permanent := range []error{standby.ErrNoCopy, standby.ErrDigest, standby.ErrTooFarBehind, standby.ErrUndecodable} {
+		if errors.Is(err, permanent) {
 			return true
 		}
 	}
