--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// newLargeFleet is a leader whose machines run eight tasks each, with so many jobs that wait.
-func newLargeFleet(machines, waiting int, now *time.Time) *Controller {
+// newLargeFleetLeader is a leader whose machines run eight tasks each, with so many jobs that wait.
+func newLargeFleetLeader(machines, waiting int, now *time.Time) *Controller {
 	c := newBenchLeader(now)
 	c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
 	spec := func(i int, priority wire.Priority, cores float64) wire.JobSpec {
@@ -104,7 +104,7 @@
 		for _, waiting := range []int{0, 50, 500} {
 			b.Run(fmt.Sprintf("machines=%d/waiting=%d", machines, waiting), func(b *testing.B) {
 				now := time.Now()
-				c := newLargeFleet(machines, waiting, &now)
+				c := newLargeFleetLeader(machines, waiting, &now)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for range b.N {
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -13,11 +13,11 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// cycleRequests is what a scheduling cycle requests of other systems, to be sent after the lock is
-// released.
+// cycleRequests holds the requests of a scheduling cycle to other systems. They are sent after the
+// lock is released.
 type cycleRequests struct {
 	provision []wire.ProvisionRequest
-	failover  *records.Failover // to be stored, after the first cycle that could place tasks
+	failover  *records.Failover // to be stored; set only by the first cycle that could place tasks
 }
 
 // runCycles runs a scheduling cycle every interval until ctx ends, and sends its requests.
@@ -31,15 +31,15 @@
 			return
 		case <-time.After(c.untilNext(interval)):
 		case <-c.placementWake:
-			// There is something to place. It does not wait for the rest of the interval,
-			// only an eighth of one, so that one cycle places what arrives at the same time.
+			// There are tasks to place. The cycle starts after an eighth of an interval instead
+			// of at its end, so that one cycle places tasks that arrive at about the same time.
 			if !timeralign.Sleep(ctx, interval/8) {
 				return
 			}
 		}
 		requests := c.runCycle(interval)
 		if requests.failover != nil {
-			// Nobody waits for it: it ends by its own time limit, also after the term.
+			// The write has its own timeout and may continue after the term has ended.
 			go c.storeFailoverRecord(context.WithoutCancel(ctx), *requests.failover)
 		}
 		for _, request := range requests.provision {
@@ -50,8 +50,8 @@
 
 // runCycle runs one scheduling cycle: it detects failures, plans placements and preemptions for
 // the jobs of the window, applies the plan, and scales out and in. A cycle that overruns its
-// interval applies nothing and halves the window. Until the catalog is read it only detects
-// failures.
+// interval applies nothing and halves the window. Until the catalog has been read, a cycle only
+// detects failures.
 func (c *Controller) runCycle(interval time.Duration) cycleRequests {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +75,7 @@
 	status.Overrun = took > interval
 	c.adjustWindow(took, interval)
 	if status.Overrun {
-		// As in the paper that docs/design.md names: an overrun starts nothing and halves the window.
+		// As in the paper that docs/design.md names, a cycle that overran starts nothing and halves the window.
 		c.lastCycle = status
 		slog.Warn("scheduling cycle overran its interval", "term", c.term, "took", took.String(), "window", c.window)
 		return cycleRequests{}
@@ -95,14 +95,13 @@
 	return requests
 }
 
-// detectFailures marks machines as suspected and releases those that are declared dead. A cycle
-// that comes more than two intervals late shows that this process was paused: the leader then does
-// not know which machines sent heartbeats during the pause, and restarts all timeouts. c.mu is
-// held.
+// detectFailures marks machines as suspected and releases those that are declared dead. If more than
+// two intervals have passed since the last cycle, this process was paused: the leader then does not
+// know which machines sent heartbeats during the pause, and restarts all timeouts. c.mu is held.
 func (c *Controller) detectFailures(interval time.Duration, now time.Time) {
 	sinceLast := now.Sub(c.lastCycleAt)
 	if !c.lastCycleAt.IsZero() && sinceLast > max(interval, c.Config.HeartbeatInterval())*2 {
-		slog.Warn("scheduling was paused", "term", c.term, "for", sinceLast.String())
+		slog.Warn("scheduling was paused, restarting all failure timeouts", "term", c.term, "for", sinceLast.String())
 		c.detector.Reset(c.fleet, now)
 	}
 	c.pauseDetectionWhileStale(now)
@@ -111,23 +110,23 @@
 	c.releaseDead(now)
 }
 
-// adjustWindow sets how many jobs the next cycle plans: half as many after an overrun, twice as
-// many after a cycle that took less than half of its interval, up to the operators' setting. c.mu
-// is held.
+// adjustWindow sets the number of jobs that the next cycle plans. It halves the number after an
+// overrun and doubles it after a cycle that took less than half of its interval, up to the
+// operators' setting. c.mu is held.
 func (c *Controller) adjustWindow(took, interval time.Duration) {
-	largest := c.Settings().Window
+	maxWindow := c.Settings().Window
 	switch {
 	case took > interval:
-		c.window = max(1, min(c.window, largest)/2)
+		c.window = max(1, min(c.window, maxWindow)/2)
 		return
 	case took < interval/2:
-		c.window = min(largest, c.window*2)
+		c.window = min(maxWindow, c.window*2)
 	}
-	c.window = min(c.window, largest)
+	c.window = min(c.window, maxWindow)
 }
 
-// preempt stops the victims of a plan. Those that write checkpoints get the time for one if the
-// job that preempts them can wait for that and still start in time. c.mu is held.
+// preempt stops the victims of a plan. A victim that writes checkpoints gets the time to write one
+// if the preempting job can wait for that and still start in time. c.mu is held.
 func (c *Controller) preempt(preemptions []sched.Preemption, s *snapshot, now time.Time) {
 	for _, p := range preemptions {
 		a := s.victim(p)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -12,9 +12,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// runAllowance is the factor by which a task is assumed to run longer than its owner expects, in
+// runTimeFactor is the factor by which a task is assumed to run longer than its owner expects, in
 // the time that is left until a deadline.
-const runAllowance = 1.5
+const runTimeFactor = 1.5
 
 // addToGraph adds a job that this leader did not know to the graph of dependencies. A job is
 // released only on positive evidence that the end of each job that it depends on is committed: the
@@ -45,7 +45,7 @@
 // stageDurationMs returns how long a job is expected to delay the jobs that depend on it, in
 // milliseconds: its run, and a heartbeat interval each for its start and its end.
 func (c *Controller) stageDurationMs(spec *wire.JobSpec) float64 {
-	return 1000 * (runAllowance*spec.ExpectedRunS + 2*c.Config.Cluster.Workers.ReportS)
+	return 1000 * (runTimeFactor*spec.ExpectedRunS + 2*c.Config.Cluster.Workers.ReportS)
 }
 
 // markFinished records that the final status of a job is committed, and applies what follows for
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -17,9 +17,9 @@
 const (
 	// evidenceLeases is for how many worker leases a failure counts.
 	evidenceLeases = 12
-	// suspectMachineLeases and faultyMachineLeases are for how many worker leases a machine is
+	// suspectQuarantineLeases and faultyQuarantineLeases are for how many worker leases a machine is
 	// quarantined on which a task has failed, and one that is estimated to be faulty.
-	suspectMachineLeases, faultyMachineLeases = 1, 6
+	suspectQuarantineLeases, faultyQuarantineLeases = 1, 6
 	// firstBackoffShare is the longest first backoff of a job, as a share of a worker lease. The
 	// longest backoff doubles each time, up to maxBackoffLeases.
 	firstBackoffShare = 1. / 8
@@ -42,9 +42,9 @@
 	}
 	switch {
 	case c.faultEvidence.IsMachineFaulty(m.ID):
-		c.quarantineMachine(m, faultyMachineLeases*lease, now)
+		c.quarantineMachine(m, faultyQuarantineLeases*lease, now)
 	case !j.suspect:
-		c.quarantineMachine(m, suspectMachineLeases*lease, now)
+		c.quarantineMachine(m, suspectQuarantineLeases*lease, now)
 	}
 }
 
@@ -100,9 +100,9 @@
 	return j.suspect && j.record.Spec.Kind == wire.JobArray && !j.record.Spec.SingleZone
 }
 
-// hasProvenTask reports whether a task of the job has run for longer than a worker lease: one of a
+// hasTaskPastStartup reports whether a task of the job has run for longer than a worker lease: one of a
 // faulty job fails as it starts. c.mu is held.
-func (c *Controller) hasProvenTask(j *job, now time.Time) bool {
+func (c *Controller) hasTaskPastStartup(j *job, now time.Time) bool {
 	lease, proven := c.Config.WorkerLease(), false
 	j.eachAttempt(func(a *fleet.Attempt) {
 		proven = proven || a.State == fleet.Running && !a.RunningSince.IsZero() && now.Sub(a.RunningSince) > lease
@@ -120,7 +120,7 @@
 	if !j.startsWithOneTask() {
 		return waiting
 	}
-	if c.hasProvenTask(j, now) {
+	if c.hasTaskPastStartup(j, now) {
 		j.clearSuspicion()
 		return waiting
 	}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -13,23 +13,23 @@
 // faultyFleet is a leader beside machines of which one may be faulty, with a faulty array and
 // other jobs.
 type faultyFleet struct {
-	t        *testing.T
-	c        *Controller
-	now      time.Time
-	sequence uint64
-	machine  string          // fails all tasks
-	jobs     map[string]bool // fail everywhere
-	failed   map[string]int  // failed attempts by job
+	t              *testing.T
+	c              *Controller
+	now            time.Time
+	sequence       uint64
+	faultyMachine  string          // fails all tasks
+	faultyJobs     map[string]bool // fail everywhere
+	failedAttempts map[string]int  // failed attempts by job
 }
 
 func newFaultyFleet(t *testing.T, machines, tasks int) (*faultyFleet, *limitedStore, *job) {
 	t.Helper()
-	b := &faultyFleet{t: t, now: time.Unix(10_000, 0), sequence: 1, jobs: map[string]bool{}, failed: map[string]int{}}
+	b := &faultyFleet{t: t, now: time.Unix(10_000, 0), sequence: 1, faultyJobs: map[string]bool{}, failedAttempts: map[string]int{}}
 	services, c, j := leaderWithArray(t, &b.now, machines, tasks, fleet.Resources{Cores: 16, RAM: 1})
 	b.c = c
 	b.c.now = func() time.Time { return b.now }
 	b.c.detector.Start(b.now.Add(time.Hour)) // idle machines stay
-	b.jobs[j.uid] = true
+	b.faultyJobs[j.uid] = true
 	return b, services, j
 }
 
@@ -38,8 +38,8 @@
 	switch {
 	case a.State >= fleet.Ended:
 		return wire.TaskEnded, a.Cause
-	case b.jobs[a.JobUID] || a.Machine.ID == b.machine:
-		b.failed[a.JobUID]++
+	case b.faultyJobs[a.JobUID] || a.Machine.ID == b.faultyMachine:
+		b.failedAttempts[a.JobUID]++
 		return wire.TaskEnded, wire.CauseError
 	case a.State == fleet.Running:
 		return wire.TaskEnded, wire.CauseDone
@@ -56,8 +56,8 @@
 	reportAll(b.t, b.c, b.sequence, b.outcome)
 }
 
-// add adds a job of some tasks that can be done.
-func (b *faultyFleet) add(uid string, tasks int) *job {
+// addHealthyJob adds a job of some tasks that can be done.
+func (b *faultyFleet) addHealthyJob(uid string, tasks int) *job {
 	return b.c.addTestJob(wire.JobSpec{
 		UID:       uid,
 		JobClass:  "good",
@@ -81,7 +81,7 @@
 	for range 20 {
 		b.step()
 	}
-	first := b.failed[j.uid]
+	first := b.failedAttempts[j.uid]
 	if first < tasks/2 {
 		t.Fatalf("%d tasks have failed", first)
 	}
@@ -96,12 +96,12 @@
 			}
 		})
 	}
-	again := b.failed[j.uid] - first
+	again := b.failedAttempts[j.uid] - first
 	if least := minutes * 60 / 31; again < least || again > 2*least+8 {
 		t.Errorf("%d tasks are tried in %d minutes", again, minutes)
 	}
 	// Once its tasks no longer fail, the whole array runs.
-	b.jobs[j.uid] = false
+	b.faultyJobs[j.uid] = false
 	for range 60 {
 		b.step()
 	}
@@ -114,23 +114,23 @@
 // its tasks work again.
 func TestFaultyMachineIsQuarantinedBesideFaultyJobs(t *testing.T) {
 	b, _, _ := newFaultyFleet(t, 6, 12)
-	b.machine = "m-000002"
+	b.faultyMachine = "m-000002"
 	good := map[string]*job{}
 	quarantined := 0
 	watch := func() {
 		b.step()
-		if m := b.c.fleet.Get(b.machine); !m.AcceptsAttempts(b.now) {
+		if m := b.c.fleet.Get(b.faultyMachine); !m.AcceptsAttempts(b.now) {
 			quarantined++
 		}
 		b.c.fleet.Each(func(m *fleet.Machine) {
-			if m.ID != b.machine && b.c.faultEvidence.IsMachineFaulty(m.ID) {
+			if m.ID != b.faultyMachine && b.c.faultEvidence.IsMachineFaulty(m.ID) {
 				t.Errorf("%s is taken for faulty", m.ID)
 			}
 		})
 	}
 	for i := range 40 {
 		uid := fmt.Sprintf("run-0010%02d", i)
-		good[uid] = b.add(uid, 8)
+		good[uid] = b.addHealthyJob(uid, 8)
 		watch()
 		watch()
 	}
@@ -145,11 +145,11 @@
 			t.Errorf("%s has done %d of 8 tasks", uid, j.done)
 		}
 	}
-	b.machine = ""
+	b.faultyMachine = ""
 	for range 70 {
 		b.step()
 	}
-	late := b.add("run-009999", 48)
+	late := b.addHealthyJob("run-009999", 48)
 	for range 20 {
 		b.step()
 	}
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -24,8 +24,8 @@
 		ReserveAfterS:    math.Inf(1),
 		Jobs: c.arrivals.HeadroomJobs(now, autoscaler.HeadroomOptions{
 			Factor:     c.Settings().Headroom,
-			BootS:      s.urgency.boot,
-			NeedsImage: func(spec *wire.JobSpec) bool { return s.urgency.startSlack(spec) < 0 },
+			BootS:      s.urgency.fastestBootS,
+			NeedsImage: func(spec *wire.JobSpec) bool { return s.urgency.startSlackS(spec) < 0 },
 		}),
 		Teams: map[string]*sched.Team{},
 	}
--- a/internal/controller/hugearray_test.go
+++ b/internal/controller/hugearray_test.go
@@ -36,8 +36,8 @@
 // taskOutcome says how a machine reports an attempt.
 type taskOutcome func(a *fleet.Attempt) (wire.TaskStatus, wire.Cause)
 
-// always reports every attempt in the same way.
-func always(status wire.TaskStatus, cause wire.Cause) taskOutcome {
+// sameOutcome reports every attempt in the same way.
+func sameOutcome(status wire.TaskStatus, cause wire.Cause) taskOutcome {
 	return func(*fleet.Attempt) (wire.TaskStatus, wire.Cause) { return status, cause }
 }
 
@@ -79,8 +79,8 @@
 		now = now.Add(3 * time.Second)
 		c.runCycle(time.Second)
 		commitAll(t, c)
-		reportAll(t, c, sequence+1, always(wire.TaskRunning, ""))
-		reportAll(t, c, sequence+2, always(wire.TaskEnded, wire.CauseDone))
+		reportAll(t, c, sequence+1, sameOutcome(wire.TaskRunning, ""))
+		reportAll(t, c, sequence+2, sameOutcome(wire.TaskEnded, wire.CauseDone))
 		sequence += 2
 	}
 	if j.done != tasks {
@@ -114,10 +114,10 @@
 	if j.live != maxTasksPerMachine {
 		t.Fatalf("%d tasks are started, want %d", j.live, maxTasksPerMachine)
 	}
-	reportAll(t, c, 2, always(wire.TaskEnded, wire.CauseDone))
+	reportAll(t, c, 2, sameOutcome(wire.TaskEnded, wire.CauseDone))
 	c.runCycle(time.Second) // nothing is reaped yet: the ends are written later
 	commitAll(t, c)
-	reportAll(t, c, 3, always(wire.TaskEnded, wire.CauseDone))
+	reportAll(t, c, 3, sameOutcome(wire.TaskEnded, wire.CauseDone))
 	if j.live != 0 {
 		t.Errorf("%d tasks are started beside %d that are not reaped", j.live, maxTasksPerMachine)
 	}
--- a/internal/controller/imagerecords.go
+++ b/internal/controller/imagerecords.go
@@ -15,27 +15,27 @@
 
 // recordedImages is how many images of a machine are recorded, and when they were recorded.
 type recordedImages struct {
-	images int
-	at     time.Time
+	count      int
+	recordedAt time.Time
 }
 
 // maxRecordedImages is how many images of a machine are recorded at most.
 const maxRecordedImages = 16
 
-// imageWriteFraction limits a commit of images to this fraction, as one in so many, of the writes
+// imageWriteDivisor limits a commit of images to this fraction, as one in so many, of the writes
 // that the state store accepts in a second: launches need the others.
-const imageWriteFraction = 8
+const imageWriteDivisor = 8
 
 // recordImages records periodically which images machines have, until ctx ends, so that a new
 // leader knows where tasks start quickly. If a record is late or missing, only time is lost.
 func (c *Controller) recordImages(ctx context.Context) {
 	for timeralign.Sleep(ctx, c.untilNext(c.Config.HeartbeatInterval())) {
-		c.recordSomeImages(ctx)
+		c.commitImageBatch(ctx)
 	}
 }
 
-// recordSomeImages records the images of as many machines as fit one commit.
-func (c *Controller) recordSomeImages(ctx context.Context) {
+// commitImageBatch records the images of as many machines as fit one commit.
+func (c *Controller) commitImageBatch(ctx context.Context) {
 	tx, recorded := c.imagesToRecord()
 	if len(tx.Changes) == 0 {
 		return
@@ -58,7 +58,7 @@
 	recorded = map[string]recordedImages{}
 	// A commit that is larger than the state store takes would be rejected, and no image
 	// would ever be recorded.
-	maxChanges := min(max(1, int(c.Config.StateLimits().WriteRps/imageWriteFraction)), c.maxBatchChanges())
+	maxChanges := min(max(1, int(c.Config.StateLimits().WriteRps/imageWriteDivisor)), c.maxBatchChanges())
 	size := 0
 	c.fleet.Each(func(m *fleet.Machine) {
 		if len(tx.Changes) >= maxChanges || size > maxCommitBytes || !c.hasUnrecordedImages(m, now) {
@@ -78,5 +78,5 @@
 // more than are recorded, and its last record is older than a worker lease. c.mu is held.
 func (c *Controller) hasUnrecordedImages(m *fleet.Machine, now time.Time) bool {
 	known := c.recordedImages[m.ID]
-	return m.State == fleet.Ready && len(m.Images) > known.images && now.Sub(known.at) > c.Config.WorkerLease()
+	return m.State == fleet.Ready && len(m.Images) > known.count && now.Sub(known.recordedAt) > c.Config.WorkerLease()
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -18,10 +18,10 @@
 	modRevision uint64 // of the record
 	need        fleet.Resources
 
-	// Its place in the graph of dependencies.
-	level           int     // its own, or the highest of the jobs that depend on it
-	dueMs           float64 // by its own deadline or theirs; +Inf if there is none
-	released        bool    // all that it depends on is done
+	// Its state in the dependency graph.
+	level           int     // priority level: its own, or the highest of the jobs that depend on it
+	dueMs           float64 // due time by its own deadline or theirs; +Inf if there is none
+	released        bool    // all jobs that it depends on are done
 	cancelled       bool    // a job that it depends on is cancelled
 	eligibleSinceMs int64   // when it was accepted or, if later, released
 
@@ -30,22 +30,22 @@
 	dirtyPlacements int                // placements that are to be written
 	done            int                // tasks that are done
 	live            int                // attempts that may be on their machines
-	freedTasks      []int              // tasks that may wait again after an attempt
-	nextUnplaced    int                // tasks from here on were not placed in this term
-	hasRun          bool               // a task of it has run, as far as this leader knows
-	waitingSince    time.Time          // since when no attempt of it may be on a machine
-	countsRevision  uint64             // of the last change of its counts of tasks
+	freedTasks      []int              // tasks that may wait again because an attempt was removed
+	nextUnplaced    int                // nextWaitingTasks has not yet looked at tasks from this index on
+	hasRun          bool               // one of its tasks has run, as far as this leader knows
+	waitingSince    time.Time          // since when none of its attempts may be on a machine
+	countsRevision  uint64             // jobTable.revision at the last change of its task counts
 
 	// Its failures: failures.go.
-	failedOn       map[string]time.Time // machines that it failed on, and when
-	failedAttempts int                  // attempts that are over without their task being done
+	failedOn       map[string]time.Time // when it last failed on a machine, by machine
+	failedAttempts int                  // attempts that were removed without their task being done
 	suspect        bool                 // it may be faulty
-	backoffs       int                  // how often in a row it was backed off
-	backoffUntil   time.Time            // no task of it is placed before
+	backoffs       int                  // consecutive backoffs
+	backoffUntil   time.Time            // none of its tasks is placed before this time
 
 	// Its writes: placementwriter.go.
-	outcomeUnknown      bool      // the outcome of its archiving is unknown
-	writesDeferredUntil time.Time // no record of it is written before: the state store rejected one
+	outcomeUnknown      bool      // the outcome of the commit that archives it is unknown
+	writesDeferredUntil time.Time // the state store rejected one of its records; none is written before this time
 }
 
 func newJob(uid string, e watchcache.Entry, now time.Time) *job {
@@ -63,7 +63,7 @@
 	}
 }
 
-// loadPlacement adds a stored placement record to the job. It returns the attempts that the
+// loadPlacement adds a stored placement record to the job. It returns the live attempts that the
 // record lists.
 func (j *job) loadPlacement(index int, row wire.KeyValue) []records.PlacedAttempt {
 	record, err := records.DecodePlacement(row.Value)
@@ -92,8 +92,8 @@
 	return wire.JobDone
 }
 
-// isOver reports whether a job can be archived: no attempt of it may be on a machine, and it is
-// final, cancelled with one that it depends on, or done with all its tasks.
+// isOver reports whether a job can be archived: none of its attempts may be on a machine, and its
+// status is final, a job that it depends on is cancelled, or all its tasks are done.
 func (j *job) isOver() bool {
 	if j.record.Status.Final() || j.cancelled {
 		return j.live == 0
@@ -101,7 +101,7 @@
 	return j.done >= j.record.Spec.TaskCount && j.live == 0
 }
 
-// placement finds or makes the placement that a task belongs to.
+// placement returns the placement that a task belongs to, and adds it if the job has none yet.
 func (j *job) placement(task int) *placement {
 	index := task / j.record.TasksPerPlacement
 	p := j.placements[index]
@@ -124,14 +124,14 @@
 	return nil
 }
 
-// addAttempt adds an attempt that may be on its machine from now on.
+// addAttempt adds an attempt, which may be on its machine from now on.
 func (j *job) addAttempt(p *placement, a *fleet.Attempt) {
 	p.live[a.TaskIndex] = a
 	j.live++
 }
 
-// removeAttempt removes an attempt that is off its machine: its task waits again, unless it is
-// done.
+// removeAttempt removes an attempt that is no longer on its machine. The attempt's task waits again
+// unless it is done.
 func (j *job) removeAttempt(p *placement, a *fleet.Attempt) {
 	delete(p.live, a.TaskIndex)
 	j.live--
@@ -158,8 +158,8 @@
 	return max(0, j.record.Spec.TaskCount-j.done-j.live)
 }
 
-// nextWaitingTasks removes up to n tasks from those that wait and returns them. A task may be both
-// in freedTasks and not before nextUnplaced: it is returned once.
+// nextWaitingTasks takes up to n tasks from those that wait and returns them. It returns a task only
+// once even if the task is in freedTasks and its index is also nextUnplaced or higher.
 func (j *job) nextWaitingTasks(n int) []int {
 	tasks := make([]int, 0, min(n, j.waitingCount()))
 	picked := map[int]bool{}
@@ -180,8 +180,8 @@
 	return tasks
 }
 
-// gangAttempt returns the attempt number that all tasks of a gang share in one start: that of the
-// tasks which are placed already, else one that none of them has used.
+// gangAttempt returns the attempt number that all tasks of a gang share in one start: the number of
+// the tasks that are already placed or, if there are none, a number that no task has used.
 func (j *job) gangAttempt() uint64 {
 	next := uint64(1)
 	for _, p := range j.placements {
@@ -202,7 +202,7 @@
 	}
 }
 
-// runningCount returns how many attempts run or write their last checkpoint.
+// runningCount returns how many attempts are running or writing their last checkpoint.
 func (j *job) runningCount() int {
 	n := 0
 	j.eachAttempt(func(a *fleet.Attempt) {
--- a/internal/controller/job_test.go
+++ b/internal/controller/job_test.go
@@ -13,10 +13,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// The same inputs every run; -rapid.seed draws others.
+// Every run draws the same inputs; another -rapid.seed draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// waitingTasksModel is a job beside a plain set of its tasks that wait.
+// waitingTasksModel compares a job with a plain set of the tasks that should wait.
 type waitingTasksModel struct {
 	t       *rapid.T
 	job     *job
@@ -33,7 +33,7 @@
 	return &waitingTasksModel{t: t, job: j, waiting: waiting}
 }
 
-// toggle adds an attempt of a task that waits, as from a record, or ends the one that it has.
+// toggle removes the attempt of a task or, if the task waits, adds one as from a placement record.
 func (m *waitingTasksModel) toggle(task int) {
 	p := m.job.placement(task)
 	if a := p.live[task]; a != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// finish lets a task that waits be done, as by a record.
+// finish marks a waiting task as done, as a placement record would.
 func (m *waitingTasksModel) finish(task int) {
 	if p := m.job.placement(task); p.live[task] == nil && m.waiting[task] {
 		m.job.markDone(p, task)
@@ -53,24 +53,24 @@
 	}
 }
 
-// place asks for n tasks that wait, and places them.
+// place takes n waiting tasks from the job, checks them and places them.
 func (m *waitingTasksModel) place(n int) {
 	got := m.job.nextWaitingTasks(n)
 	if want := min(n, len(m.waiting)); len(got) != want {
-		m.t.Fatalf("%v of %d waiting tasks are returned, want %d", got, len(m.waiting), want)
+		m.t.Fatalf("nextWaitingTasks(%d) with %d waiting tasks returned %v, want %d tasks", n, len(m.waiting), got, want)
 	}
 	for _, task := range got {
 		if !m.waiting[task] {
-			m.t.Fatalf("%v are returned; %d does not wait, or is among them twice", got, task)
+			m.t.Fatalf("nextWaitingTasks(%d) returned %v: task %d does not wait, or is returned twice", n, got, task)
 		}
 		m.job.addAttempt(m.job.placement(task), &fleet.Attempt{TaskIndex: task})
 		delete(m.waiting, task)
 	}
 }
 
-// Tasks that wait are returned once each, and all of them. A new leader once placed tasks twice
-// that an earlier term had placed and that were off again: they were in freedTasks and also not
-// before nextUnplaced. The second attempt hid the first, which occupied its room for ever.
+// Every waiting task is returned exactly once. A task that an earlier term had placed and whose
+// attempt was removed is both in freedTasks and at or after nextUnplaced. When a new leader placed
+// such tasks twice, the second attempt hid the first, whose resources were never freed.
 func TestNextWaitingTasksReturnsEachTaskOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := rapid.IntRange(1, 40).Draw(t, "tasks")
--- a/internal/controller/jobtable.go
+++ b/internal/controller/jobtable.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// maxCountsPerReply is how many jobs' counts of tasks one reply carries: the answer to a
-	// ping must not take longer the more jobs there are.
+	// maxCountsPerReply is the maximum number of jobs whose task counts one reply carries: the
+	// answer to a ping must not take longer the more jobs there are.
 	maxCountsPerReply = 2000
-	// maxFinalStatuses is how many final statuses are kept for followers: as many as counts in
-	// one reply. A follower that has not asked by then reads them from the state store.
+	// maxFinalStatuses is the maximum number of final statuses that are kept for followers. A
+	// follower that did not ask for one before it was discarded reads it from the state store.
 	maxFinalStatuses = maxCountsPerReply
 )
 
-// jobTable holds the jobs that are not archived, the graph of their dependencies and what
-// followers have yet to learn of them. It is a plain data structure: it neither locks nor waits.
+// jobTable holds the jobs that are not archived, the graph of their dependencies and the changes
+// that followers have yet to learn. It is a plain data structure: it neither locks nor blocks.
 type jobTable struct {
 	byUID map[string]*job
 	graph *jobdag.Graph
-	// revision counts the changes of jobs' counts of tasks and of final statuses.
+	// revision counts the changes of jobs' task counts and the added final statuses.
 	revision      uint64
 	finalStatuses []finalStatus // in the order of their revisions
 }
 
-// finalStatus is the committed final status of a job, and the revision of the table at which
-// it became known here.
+// finalStatus is the committed final status of a job, and the revision of the table at which it was
+// added.
 type finalStatus struct {
 	uid      string
 	status   wire.JobStatus
@@ -44,19 +44,19 @@
 
 func (t *jobTable) add(j *job) { t.byUID[j.uid] = j }
 
-// remove drops a job that is archived. It stays in the graph while others depend on it.
+// remove removes an archived job from the table. The job stays in the graph while others depend on it.
 func (t *jobTable) remove(j *job) { delete(t.byUID, j.uid) }
 
-// markCountsChanged says that a job's counts of tasks may have changed.
+// markCountsChanged records that a job's task counts may have changed.
 func (t *jobTable) markCountsChanged(j *job) {
 	t.revision++
 	j.countsRevision = t.revision
 }
 
-// addFinalStatus stores a final status that is committed, so that followers receive it with the
-// counts of tasks. Without that every node read every job's final status by itself when its
-// user asked, at the very time at which many ended. A committed final status never changes, so
-// no safety rule rests on which node sends it, or when.
+// addFinalStatus stores a committed final status, so that followers receive it with the task counts.
+// Otherwise every node would read each job's final status from the state store when a user asks for
+// it, and most of these reads would come when many jobs end. A committed final status never changes,
+// so it does not matter for safety which node sends it, or when.
 func (t *jobTable) addFinalStatus(uid string, status wire.JobStatus) {
 	t.revision++
 	if len(t.finalStatuses) >= maxFinalStatuses {
@@ -65,9 +65,9 @@
 	t.finalStatuses = append(t.finalStatuses, finalStatus{uid: uid, status: status, revision: t.revision})
 }
 
-// changesSince returns the counts of the jobs that have changed after a revision with the final
-// statuses that were added after it, and the revision to ask from next. If there are more changes
-// than maxCountsPerReply it returns the oldest, and more is true.
+// changesSince returns the task counts that have changed and the final statuses that were added after
+// a revision, and the revision to ask from next. If the counts of more than maxCountsPerReply jobs
+// have changed, it returns the oldest changes, and more is true.
 func (t *jobTable) changesSince(revision uint64) (views []wire.JobView, upTo uint64, more bool) {
 	var changed []*job
 	for _, j := range t.byUID {
--- a/internal/controller/jobtable_test.go
+++ b/internal/controller/jobtable_test.go
@@ -8,26 +8,26 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A follower that asks repeatedly learns the final status of every job that ends, without gaps, and
-// of none that has not ended; the number of final statuses stored for followers is limited.
+// A follower that asks repeatedly learns the final status of every job that ends, and of no other
+// job. The number of final statuses that are kept for followers is limited.
 func TestFollowersLearnEachFinalStatus(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
-	own := map[string]wire.JobStatus{}
-	c.Observer = fakeObserver{finished: own}
-	const jobs, atOnce = 3 * maxFinalStatuses, maxFinalStatuses / 4
+	observed := map[string]wire.JobStatus{}
+	c.Observer = fakeObserver{finished: observed}
+	const jobs, jobsPerPoll = 3 * maxFinalStatuses, maxFinalStatuses / 4
 	for i := range jobs {
 		uid := fmt.Sprintf("run-%06d", i)
 		c.addTestJob(wire.JobSpec{UID: uid, TaskCount: 1}, 1)
 	}
-	announced, revision := map[string]wire.JobStatus{}, uint64(0)
-	ask := func() {
+	learned, revision := map[string]wire.JobStatus{}, uint64(0)
+	poll := func() {
 		for more := true; more; {
 			var views []wire.JobView
 			views, revision, more = c.CountsSince(revision)
 			for _, v := range views {
 				if v.Status.Final() {
-					announced[v.UID] = v.Status
+					learned[v.UID] = v.Status
 				}
 			}
 		}
@@ -37,17 +37,18 @@
 		uid, status := fmt.Sprintf("run-%06d", i), []wire.JobStatus{wire.JobDone, wire.JobAborted}[i%2]
 		c.markFinished(uid, status, now)
 		want[uid] = status
-		if i%atOnce == 0 {
-			ask()
+		if i%jobsPerPoll == 0 {
+			poll()
 		}
 	}
-	ask()
+	poll()
 	for uid, status := range want {
-		if announced[uid] != status || own[uid] != status {
-			t.Fatalf("%s is %s: a follower learned %q, this node %q", uid, status, announced[uid], own[uid])
+		if learned[uid] != status || observed[uid] != status {
+			t.Fatalf("%s: the follower learned status %q, the observer %q, want %q", uid, learned[uid], observed[uid], status)
 		}
 	}
-	if len(announced) != len(want) || len(c.jobs.finalStatuses) > maxFinalStatuses {
-		t.Errorf("a follower learned %d statuses of %d jobs, %d are kept", len(announced), len(want), len(c.jobs.finalStatuses))
+	if len(learned) != len(want) || len(c.jobs.finalStatuses) > maxFinalStatuses {
+		t.Errorf("the follower learned %d final statuses, want %d; %d are kept, want at most %d",
+			len(learned), len(want), len(c.jobs.finalStatuses), maxFinalStatuses)
 	}
 }
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -67,7 +67,7 @@
 	f.t.Helper()
 	f.now = f.now.Add(time.Minute)
 	for range len(f.hosts)/f.services.limits.TxnOps + 1 {
-		f.leader.recordSomeImages(f.t.Context())
+		f.leader.commitImageBatch(f.t.Context())
 	}
 	if images, _, _ := f.services.List(f.t.Context(), records.ImagesPrefix); len(images) != len(f.hosts) {
 		f.t.Errorf("the images of %d of %d machines are recorded", len(images), len(f.hosts))
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -10,14 +10,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// callsPerList is the least time between two machine lists, as the number of calls that the cloud
+// minCallsBetweenLists is the least time between two machine lists, as the number of calls that the cloud
 // allows in that time: the lists leave the other calls to provisioning and releases.
-const callsPerList = 8
+const minCallsBetweenLists = 8
 
 // followCloud reads the machine list and the catalog periodically until ctx ends: the list no more
 // often than the cloud's rate of calls allows all its pages to be read.
 func (c *Controller) followCloud(ctx context.Context) {
-	minPeriod := max(c.Config.CloudListLag()*2/3, time.Duration(callsPerList*float64(time.Second)/c.Config.Cluster.Cloud.Rps))
+	minPeriod := max(c.Config.CloudListLag()*2/3, time.Duration(minCallsBetweenLists*float64(time.Second)/c.Config.Cluster.Cloud.Rps))
 	var catalogRead time.Time
 	for ctx.Err() == nil {
 		if now := c.now(); catalogRead.IsZero() || now.Sub(catalogRead) > 3*c.Config.WorkerLease() {
@@ -69,7 +69,7 @@
 		c.applyListedHost(&hosts[i], requestedAt, now)
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
-		if !listed[m.ID] && c.shouldBeListed(m, now) {
+		if !listed[m.ID] && c.isMissingFromLists(m, now) {
 			c.markFailed(m)
 		}
 		if listed[m.ID] && m.State == fleet.Gone {
@@ -99,11 +99,11 @@
 	}
 }
 
-// shouldBeListed reports whether a machine that a list does not show has failed. A list may be
+// isMissingFromLists reports whether a machine that a list does not show has failed. A list may be
 // older than a new machine: one that has been known for much longer than lists lag, whether it was
 // ever listed or not, is in every list until it is gone. One that sends heartbeats has not failed.
 // c.mu is held.
-func (c *Controller) shouldBeListed(m *fleet.Machine, now time.Time) bool {
+func (c *Controller) isMissingFromLists(m *fleet.Machine, now time.Time) bool {
 	return now.Sub(m.FirstSeen) > 4*c.Config.CloudListLag()+c.Config.WorkerLease() &&
 		now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval()
 }
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -32,7 +32,7 @@
 func (c *Controller) releaseIdle(shorts []sched.Shortfall, now time.Time) {
 	var idle []*fleet.Machine
 	c.fleet.Each(func(m *fleet.Machine) {
-		if c.isIdle(m, now) && !mayServe(m, shorts) {
+		if c.isReleasable(m, now) && !couldRunShortfall(m, shorts) {
 			idle = append(idle, m)
 		}
 	})
@@ -44,10 +44,10 @@
 	}
 }
 
-// isIdle reports whether a machine has been idle for long enough to be released: half of a boot,
+// isReleasable reports whether a machine has been idle for long enough to be released: half of a boot,
 // since a machine that is needed again by then saves a boot. It must also be older than a boot and
 // a margin, since the cloud charges a minute at least. c.mu is held.
-func (c *Controller) isIdle(m *fleet.Machine, now time.Time) bool {
+func (c *Controller) isReleasable(m *fleet.Machine, now time.Time) bool {
 	const bootMarginS = 10
 	machineType := findMachineType(c.catalog, m.Type)
 	if m.State != fleet.Ready || m.LiveCount() > 0 || c.headroomMachines[m.ID] || machineType == nil {
@@ -57,10 +57,10 @@
 	return idleS >= machineType.BootS/2 && ageS >= machineType.BootS+bootMarginS
 }
 
-// mayServe reports whether a task that has no room could run on the machine if it were empty.
+// couldRunShortfall reports whether a task that has no room could run on the machine if it were empty.
 // Machines that no waiting task can use are released even while tasks wait: otherwise they could
 // occupy the last capacity that the cloud has, for ever.
-func mayServe(m *fleet.Machine, shorts []sched.Shortfall) bool {
+func couldRunShortfall(m *fleet.Machine, shorts []sched.Shortfall) bool {
 	return slices.ContainsFunc(shorts, func(short sched.Shortfall) bool {
 		return sched.IsEligible(short.Job.Spec, m.Type, m.Zone, m.Spot) && m.Capacity.Fits(fleet.TaskResources(short.Job.Spec))
 	})
@@ -164,8 +164,8 @@
 	}
 }
 
-// cleanup is a commit that drops records of released machines.
-type cleanup struct {
+// cleanupCommit is a commit that drops records of released machines.
+type cleanupCommit struct {
 	tx       wire.Transaction
 	images   []string // machines whose image records it drops
 	releases []string // keys of the release records that it drops
@@ -174,12 +174,12 @@
 // planCleanup makes the next commit that drops records of released machines. A release record is
 // dropped only after, or together with, the image records of all its machines: with it the leader
 // forgets them. c.mu is held.
-func (c *Controller) planCleanup(now time.Time) cleanup {
+func (c *Controller) planCleanup(now time.Time) cleanupCommit {
 	maxChanges := max(minBatchChanges, c.maxBatchChanges()/3)
 	keep := 6*c.Config.CloudListLag() + 3*c.Config.WorkerLease() // longer than any machine list can lag
-	clean := cleanup{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
+	clean := cleanupCommit{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
 	for _, record := range c.releases.Expired(now, keep) {
-		if !c.dropImages(&clean, record, maxChanges) || len(clean.tx.Changes) >= maxChanges {
+		if !c.addImageDrops(&clean, record, maxChanges) || len(clean.tx.Changes) >= maxChanges {
 			break
 		}
 		clean.tx.Changes = append(clean.tx.Changes, wire.Change{Drop: record.Key})
@@ -188,11 +188,11 @@
 	return clean
 }
 
-// dropImages adds to a commit of at most maxChanges changes those that drop the image records of a
+// addImageDrops adds to a commit of at most maxChanges changes those that drop the image records of a
 // release record's machines. It returns false if there was no room for all of them. c.mu is held.
-func (c *Controller) dropImages(clean *cleanup, record autoscaler.ReleaseRecord, maxChanges int) bool {
+func (c *Controller) addImageDrops(clean *cleanupCommit, record autoscaler.ReleaseRecord, maxChanges int) bool {
 	for _, host := range record.Hosts {
-		if c.recordedImages[host].images == 0 {
+		if c.recordedImages[host].count == 0 {
 			continue
 		}
 		if len(clean.tx.Changes) >= maxChanges {
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -14,12 +14,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// provisionShare is the share of the cloud's calls that provisioning may use. The rest is left to
+// provisionCallShare is the share of the cloud's calls that provisioning may use. The rest is left to
 // machine lists and releases.
-const provisionShare = 0.25
+const provisionCallShare = 0.25
 
-// provisionAttempts is how often a request is sent before it is abandoned.
-const provisionAttempts = 4
+// maxProvisionAttempts is how often a request is sent before it is abandoned.
+const maxProvisionAttempts = 4
 
 // scale decides which machines to provision for tasks that have no room, and starts to release
 // those that are idle. It returns the requests to send. c.mu is held.
@@ -58,7 +58,7 @@
 
 // provisionCalls returns how many requests for machines a scheduling cycle may make.
 func (c *Controller) provisionCalls() int {
-	return int(provisionShare * c.Config.Cluster.Cloud.Rps * c.Settings().IntervalS)
+	return int(provisionCallShare * c.Config.Cluster.Cloud.Rps * c.Settings().IntervalS)
 }
 
 // awaitsFirstHeartbeats reports whether machines that may run tasks have not sent a heartbeat
@@ -75,7 +75,7 @@
 // some, has no capacity, or provisionAttempts are used up. The request then is no longer pending.
 func (c *Controller) provisionMachines(ctx context.Context, request wire.ProvisionRequest) {
 	pause := c.Config.CloudListLag() / 4
-	for attempt := 0; attempt < provisionAttempts && ctx.Err() == nil; attempt++ {
+	for attempt := 0; attempt < maxProvisionAttempts && ctx.Err() == nil; attempt++ {
 		hosts, err := c.Cloud.Provision(ctx, request)
 		if err == nil {
 			slog.Info("machines provisioned", append(requestAttributes(request), "hosts", hosts)...)
@@ -85,7 +85,7 @@
 		slog.Info("machines cannot be provisioned", append(requestAttributes(request), "err", err)...)
 		if errors.Is(err, cloud.ErrNoCapacity) {
 			c.mu.Lock()
-			c.refusals.Add(groupOf(request), c.now())
+			c.refusals.Add(machineGroupOf(request), c.now())
 			c.mu.Unlock()
 			break
 		}
@@ -104,9 +104,9 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	c.requests.Finish(request.RequestID)
-	c.refusals.Clear(groupOf(request))
+	c.refusals.Clear(machineGroupOf(request))
 	if len(hosts) < request.Count {
-		c.refusals.Add(groupOf(request), now)
+		c.refusals.Add(machineGroupOf(request), now)
 	}
 	for _, host := range hosts {
 		m := c.fleet.GetOrAdd(host, now)
@@ -116,7 +116,7 @@
 	}
 }
 
-func groupOf(request wire.ProvisionRequest) autoscaler.MachineGroup {
+func machineGroupOf(request wire.ProvisionRequest) autoscaler.MachineGroup {
 	return autoscaler.MachineGroup{Type: request.MachineType, Zone: request.Zone, Spot: request.Spot}
 }
 
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -16,8 +16,8 @@
 	urgency urgency
 }
 
-// machine returns the machine of a node of the cycle; nil if the node is a machine that is
-// requested and not provisioned yet.
+// machine returns the machine behind a node of the cycle, or nil if the node stands for a requested
+// machine that is not provisioned yet.
 func (s *snapshot) machine(node int) *fleet.Machine {
 	if node >= s.in.View.SlotCount() {
 		return nil
@@ -25,7 +25,7 @@
 	return s.fleet.Get(s.in.View.MachineID(node))
 }
 
-// victim returns the attempt that a preemption stops; nil if there is none.
+// victim returns the attempt that a preemption stops, or nil if there is none.
 func (s *snapshot) victim(p sched.Preemption) (victim *fleet.Attempt) {
 	if m := s.machine(p.Node); m != nil {
 		m.Each(func(a *fleet.Attempt) {
@@ -37,8 +37,8 @@
 	return victim
 }
 
-// newSnapshot makes the snapshot of a cycle. It also stops the tasks of gangs that are not whole.
-// c.mu is held, and the catalog has been read.
+// newSnapshot makes the snapshot of a cycle. It also stops the remaining tasks of each gang that has
+// lost some of its tasks. c.mu is held, and the catalog has been read.
 func (c *Controller) newSnapshot(now time.Time, interval time.Duration) snapshot {
 	c.refreshNodes(now)
 	in := &sched.Input{
@@ -49,7 +49,7 @@
 		PriorityWeights:  sched.DefaultPriorityWeights,
 		Teams:            c.schedulerTeams(),
 		WithinQuota:      c.withinQuotas(),
-		PreemptOnlyBelow: 1, // nothing is preempted while nothing waits
+		PreemptOnlyBelow: 1, // nothing is preempted while no job waits
 	}
 	s := snapshot{in: in, fleet: c.fleet, urgency: c.urgency()}
 	for _, j := range c.jobs.byUID {
@@ -77,8 +77,8 @@
 	return teams
 }
 
-// addUsage adds to a team the resources that a job of it uses; if there are quotas, also how much
-// of that belongs to attempts that are being stopped.
+// addUsage adds the resources that a job uses to the usage of its team. If there are quotas, it also
+// adds up how much of that belongs to attempts that are being stopped.
 func addUsage(team *sched.Team, j *job, hasQuotas bool) {
 	team.Used.Cores += float64(j.live) * j.need.Cores
 	team.Used.Gpus += float64(j.live) * j.need.Gpus
@@ -89,8 +89,9 @@
 	}
 }
 
-// appendWaiting appends a job that waits. If its first task is overdue, it appends two entries: one
-// for that task, which goes before others, and one for the rest. c.mu is held.
+// appendWaiting appends a waiting job to jobs. If the first task of the job is overdue, it appends
+// two entries: one for that task, which goes before the tasks of other jobs, and one for the rest.
+// c.mu is held.
 func (c *Controller) appendWaiting(jobs []*sched.Job, j *job, sj *sched.Job, now time.Time) []*sched.Job {
 	if c.isOverdueToStart(j, now) {
 		first := *sj
@@ -103,7 +104,7 @@
 	return append(jobs, sj)
 }
 
-// requestedNodes returns the machines that are requested and not provisioned yet, as nodes. c.mu is
+// requestedNodes returns a node for each machine that is requested and not provisioned yet. c.mu is
 // held.
 func (c *Controller) requestedNodes() []sched.Node {
 	var nodes []sched.Node
@@ -126,7 +127,7 @@
 }
 
 // schedulerJob returns the scheduler's view of a job, or nil if none of its tasks can be placed
-// now. withinQuota says whether the job lies within its team's quota. c.mu is held.
+// now. withinQuota tells whether the job is within its team's quota. c.mu is held.
 func (c *Controller) schedulerJob(j *job, withinQuota bool, u *urgency, now time.Time) *sched.Job {
 	spec := &j.record.Spec
 	pending := c.placeableTasks(j, now)
@@ -134,22 +135,22 @@
 		return nil
 	}
 	if spec.Kind == wire.Gang && j.live > 0 {
-		// A gang runs whole or not at all: if some of its tasks have ended, the others are
-		// stopped, and it starts again.
+		// A gang is all-or-nothing: if some of its tasks have ended, the others are stopped and
+		// the whole gang starts again.
 		j.eachAttempt(func(a *fleet.Attempt) {
-			c.stopAttempt(a, spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "its gang is not whole")
+			c.stopAttempt(a, spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "other tasks of its gang have ended")
 		})
 		return nil
 	}
-	liveByZone, known := map[string]int{}, true
+	liveByZone, allZonesKnown := map[string]int{}, true
 	if j.live > 0 && (spec.SingleZone || spec.SpreadZones) {
 		j.eachAttempt(func(a *fleet.Attempt) {
 			liveByZone[a.Machine.Zone]++
-			known = known && a.Machine.Zone != ""
+			allZonesKnown = allZonesKnown && a.Machine.Zone != ""
 		})
 	}
-	if !known {
-		return nil // a zone that a task may be in is not known yet
+	if !allZonesKnown {
+		return nil // the zone of a machine that may run one of its tasks is not known yet
 	}
 	sj := &sched.Job{
 		Spec:           spec,
@@ -160,16 +161,16 @@
 		LiveAttempts:   j.live,
 		LiveByZone:     liveByZone,
 		WaitedS:        now.Sub(j.waitingSince).Seconds(),
-		StartSlackS:    u.startSlack(spec),
-		LaxityS:        u.laxity(j, now),
+		StartSlackS:    u.startSlackS(spec),
+		LaxityS:        u.laxityS(j, now),
 		AvoidedMachine: c.avoidedMachine(j, now),
 	}
-	// A replica that is started again serves nobody until its image is fetched.
+	// A restarted replica serves no requests until its image is fetched.
 	sj.FetchDelaysStart = sj.StartSlackS < 0 || j.failedAttempts > 0 && spec.Kind == wire.Service
 	sj.SpotUnavailable = spec.AllowSpot && c.isSpotExhausted(spec, now)
-	boot := u.boot(spec)
-	sj.WaitedPastBoot = sj.WaitedS > boot
-	sj.CannotAwaitBoot = sj.WaitedPastBoot || sj.LaxityS < boot
+	bootS := u.fastestBootS(spec)
+	sj.WaitedPastBoot = sj.WaitedS > bootS
+	sj.CannotAwaitBoot = sj.WaitedPastBoot || sj.LaxityS < bootS
 	return sj
 }
 
@@ -177,11 +178,11 @@
 // goes before the tasks of other jobs of its priority.
 const overdueStartLeases = 10
 
-// isOverdueToStart reports whether no task of a job has run although it has been eligible for long,
-// and the job is a large array of its class. Users expect these, too, to begin within four minutes,
-// and these have the most left to do once they have begun; in a queue of minutes at their team's
-// limit, one of nine began in time. An array in a single zone starts whole and has no first task.
-// c.mu is held.
+// isOverdueToStart reports whether a job is an array that is large for its class, has been eligible
+// for long, and has not run any task. Users expect large arrays, too, to begin within four minutes,
+// and large arrays have the most work left once they have begun. Without this rule, one in nine began
+// in time when jobs queued for minutes at their team's limit. An array in a single zone starts all
+// its tasks together, so none of them goes first. c.mu is held.
 func (c *Controller) isOverdueToStart(j *job, now time.Time) bool {
 	spec := &j.record.Spec
 	return spec.Kind == wire.JobArray && !spec.SingleZone && !j.hasRun && j.done == 0 && j.live == 0 &&
@@ -189,9 +190,9 @@
 		c.arrivals.IsLarge(spec)
 }
 
-// avoidedMachine returns the ID of the only machine that a job failed on lately, or "". A job that
-// failed on several machines is at fault itself: if it avoided all of them, new ones would be
-// provisioned for it. c.mu is held.
+// avoidedMachine returns the ID of the machine that a job recently failed on, or "" if there is none
+// or more than one. A job that failed on several machines is probably at fault itself; if it avoided
+// them all, new machines would be provisioned for it. c.mu is held.
 func (c *Controller) avoidedMachine(j *job, now time.Time) string {
 	if len(j.failedOn) == 1 {
 		for id, at := range j.failedOn {
@@ -203,9 +204,9 @@
 	return ""
 }
 
-// isSpotExhausted reports whether the cloud has lately refused every group of spot machines that
-// may run the job: when work waited for spot machines in that state, it was only late. Refusals
-// expire, and the groups are requested again. c.mu is held.
+// isSpotExhausted reports whether the cloud has recently refused every group of spot machines that
+// may run the job. Such a job does not wait for spot machines, since that only delayed its start.
+// Refusals expire, and the groups are then requested again. c.mu is held.
 func (c *Controller) isSpotExhausted(spec *wire.JobSpec, now time.Time) bool {
 	for i := range c.catalog.MachineTypes {
 		machineType := &c.catalog.MachineTypes[i]
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -26,23 +26,23 @@
 	check := func(want bool, when string) {
 		t.Helper()
 		if got := c.isSpotExhausted(spec, now); got != want {
-			t.Errorf("%s: exhausted is %v", when, got)
+			t.Errorf("%s: isSpotExhausted is %v, want %v", when, got, want)
 		}
 	}
-	check(false, "before anything was asked")
+	check(false, "before any request")
 	c.refusals.Add(autoscaler.MachineGroup{Type: "g8", Zone: "a", Spot: true}, now)
-	check(false, "one zone of two")
+	check(false, "one of two zones refused")
 	c.refusals.Add(autoscaler.MachineGroup{Type: "g8", Zone: "b", Spot: true}, now)
-	check(true, "both zones, and the small type does not hold it")
+	check(true, "both zones refused, and the small type has no room for a task")
 	spec.MachineTypes = []string{"g1"}
 	spec.Cores, spec.Gpus, spec.RAMGb = 8, 1, 32
 	check(false, "a type that was not refused")
 	spec.MachineTypes = []string{"g8"}
 	now = now.Add(4 * c.Config.WorkerLease())
-	check(false, "a while later")
+	check(false, "after the refusals have expired")
 }
 
-// addArray adds an array that was submitted that long ago.
+// addArray adds an array of so many tasks that was submitted the given time ago.
 func (c *Controller) addArray(uid string, tasks int, ago time.Duration) *job {
 	submitted := c.now().Add(-ago)
 	spec := wire.JobSpec{
@@ -63,26 +63,26 @@
 	return j
 }
 
-// queued is a job of a cycle's queue and how many of its tasks wait.
-type queued struct {
+// queuedJob is an entry of a cycle's queue: a job and how many of its tasks wait.
+type queuedJob struct {
 	uid   string
 	tasks int
 }
 
-// queue is the order in which a cycle looks at jobs.
-func (c *Controller) queue(now time.Time) []queued {
+// queue returns the jobs in the order in which a cycle considers them.
+func (c *Controller) queue(now time.Time) []queuedJob {
 	s := c.newSnapshot(now, time.Second)
 	sched.SortQueue(s.in.Jobs, 40)
-	queue := make([]queued, 0, len(s.in.Jobs))
+	queue := make([]queuedJob, 0, len(s.in.Jobs))
 	for _, j := range s.in.Jobs {
-		queue = append(queue, queued{j.Spec.UID, j.PendingTasks})
+		queue = append(queue, queuedJob{j.Spec.UID, j.PendingTasks})
 	}
 	return queue
 }
 
-// The first task of an array that is larger than its class usually is goes before others of its
-// priority once it has waited for long, and only the first: at a team's limit, with a queue of
-// minutes, one of nine of the largest had begun after four minutes.
+// Once an array that is large for its class has waited for long, its first task, and only that one,
+// goes before other jobs of the same priority. Without this rule, one in nine of the largest arrays
+// had begun after four minutes when jobs queued for minutes at their team's limit.
 func TestFirstTaskOfOverdueLargeArrayGoesFirst(t *testing.T) {
 	now := time.Now()
 	c := newTestLeader(&now)
@@ -96,11 +96,12 @@
 	large := c.addArray("run-000100", 9, 3*time.Minute)
 	young := c.addArray("run-000101", 9, time.Minute)
 	queue := c.queue(now)
-	if len(queue) != 15 || queue[0] != (queued{large.uid, 1}) || queue[13] != (queued{large.uid, 8}) ||
-		queue[14] != (queued{young.uid, 9}) {
-		t.Errorf("the queue is %v", queue)
+	if len(queue) != 15 || queue[0] != (queuedJob{large.uid, 1}) || queue[13] != (queuedJob{large.uid, 8}) ||
+		queue[14] != (queuedJob{young.uid, 9}) {
+		t.Errorf("the queue is %v, want 15 entries: 1 task of %s, 12 small arrays, 8 tasks of %s, 9 of %s",
+			queue, large.uid, large.uid, young.uid)
 	}
-	// Once it has run, it waits its turn, also when its task has ended.
+	// Once a task of the large array has run, the array has no precedence, even after that task has ended.
 	a := &fleet.Attempt{JobUID: large.uid, TaskIndex: 0, Number: 1, Resources: large.need}
 	large.addAttempt(large.placement(0), a)
 	heartbeat := func(sequence uint64, tasks ...wire.TaskReport) {
@@ -120,6 +121,7 @@
 	heartbeat(2, wire.TaskReport{Task: a.TaskName(), Attempt: 1, Status: wire.TaskRunning, Cause: wire.CauseStopped})
 	heartbeat(3, wire.TaskReport{Task: a.TaskName(), Attempt: 1, Status: wire.TaskEnded, Cause: wire.CauseStopped})
 	if queue := c.queue(now); len(queue) != 14 || queue[0].uid == large.uid || large.live != 0 {
-		t.Errorf("after it has begun, the queue is %v", queue)
+		t.Errorf("after a task has run, the queue is %v, want 14 entries, the first not of %s; %d live attempts, want 0",
+			queue, large.uid, large.live)
 	}
 }
--- a/internal/controller/urgency.go
+++ b/internal/controller/urgency.go
@@ -24,9 +24,9 @@
 	return urgency{catalog: c.catalog, config: c.Config}
 }
 
-// boot returns how long the quickest machine boots that may run a task of the job; +Inf if there is
+// fastestBootS returns how long the quickest machine boots that may run a task of the job; +Inf if there is
 // none.
-func (u *urgency) boot(spec *wire.JobSpec) float64 {
+func (u *urgency) fastestBootS(spec *wire.JobSpec) float64 {
 	boot := math.Inf(1)
 	for i := range u.catalog.MachineTypes {
 		machineType := &u.catalog.MachineTypes[i]
@@ -38,11 +38,11 @@
 	return boot
 }
 
-// startSlack returns the time within which a job must start by the "wait" objective of its class,
+// startSlackS returns the time within which a job must start by the "wait" objective of its class,
 // less the time to fetch its image on the slowest machine that has room for a task, and one
 // heartbeat interval. It is negative if a task starts in time only where its image is present, and
 // +Inf without an objective. A fetch may take a third longer than by the rate in the catalog: 4/3.
-func (u *urgency) startSlack(spec *wire.JobSpec) float64 {
+func (u *urgency) startSlackS(spec *wire.JobSpec) float64 {
 	slack := math.Inf(1)
 	for _, o := range u.config.Cluster.Objectives {
 		if o.Kind != "wait" || o.Class != spec.JobClass {
@@ -58,7 +58,7 @@
 	return slack
 }
 
-// laxity returns how long a job can still wait and be done by its deadline, or by the next
+// laxityS returns how long a job can still wait and be done by its deadline, or by the next
 // "finished" objective of its class, if it runs half as long again as its owner expects.
 //
 // A job without either, or that is not an array, counts as due four boots after its last task
@@ -66,7 +66,7 @@
 // all its objectives and has no deadline counts like that too: when it counted by its whole age,
 // it went before arrays that could still be in time, and at a team's limit fewer of them were in
 // time.
-func (u *urgency) laxity(j *job, now time.Time) float64 {
+func (u *urgency) laxityS(j *job, now time.Time) float64 {
 	spec := &j.record.Spec
 	age := float64(now.UnixMilli()-j.eligibleSinceMs) / 1000
 	left := (j.dueMs - float64(now.UnixMilli())) / 1000
@@ -76,7 +76,7 @@
 		}
 	}
 	if math.IsInf(left, 1) || spec.Kind != wire.JobArray {
-		return 4*u.boot(spec) - now.Sub(j.waitingSince).Seconds()
+		return 4*u.fastestBootS(spec) - now.Sub(j.waitingSince).Seconds()
 	}
 	fetch := 0.0
 	for i := range u.catalog.MachineTypes {
@@ -84,7 +84,7 @@
 			fetch = max(fetch, spec.ImageGb/rate)
 		}
 	}
-	return left - fetch - runAllowance*spec.ExpectedRunS
+	return left - fetch - runTimeFactor*spec.ExpectedRunS
 }
 
 // effectiveLevel returns the priority level at which a job competes for room: its own, or the
@@ -97,8 +97,8 @@
 	if j.level <= own {
 		return own
 	}
-	left := min(u.laxity(j, now), u.startSlack(spec)-now.Sub(j.waitingSince).Seconds())
-	if left > u.boot(spec) {
+	left := min(u.laxityS(j, now), u.startSlackS(spec)-now.Sub(j.waitingSince).Seconds())
+	if left > u.fastestBootS(spec) {
 		return own
 	}
 	return j.level
