--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -12,14 +12,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// runTimeFactor is the factor by which a task is assumed to run longer than its owner expects, in
-// the time that is left until a deadline.
+// runTimeFactor is the factor by which a task is assumed to run longer than its owner expects. It
+// applies when the time left until a deadline is computed.
 const runTimeFactor = 1.5
 
-// addToGraph adds a job that this leader did not know to the graph of dependencies. A job is
-// released only on positive evidence that the end of each job that it depends on is committed: the
-// leader has read the record that says so, has committed it itself, or has read the final status.
-// That a job is unknown here proves nothing: it may have been cancelled. c.mu is held.
+// addToGraph adds a job that this leader did not know yet to the dependency graph. A job is released
+// only on positive evidence that the end of each job that it depends on is committed: the leader has
+// read the record that says so, has committed it itself, or has read the final status. An unknown
+// job is no such evidence, since it may have been cancelled. c.mu is held.
 func (c *Controller) addToGraph(j *job, now time.Time) {
 	spec := &j.record.Spec
 	vertex := jobdag.Job{
@@ -43,13 +43,13 @@
 }
 
 // stageDurationMs returns how long a job is expected to delay the jobs that depend on it, in
-// milliseconds: its run, and a heartbeat interval each for its start and its end.
+// milliseconds: its run time, plus a heartbeat interval each for its start and its end.
 func (c *Controller) stageDurationMs(spec *wire.JobSpec) float64 {
 	return 1000 * (runTimeFactor*spec.ExpectedRunS + 2*c.Config.Cluster.Workers.ReportS)
 }
 
-// markFinished records that the final status of a job is committed, and applies what follows for
-// the jobs that depend on it. c.mu is held.
+// markFinished records that the final status of a job is committed, and updates the jobs that depend
+// on it. c.mu is held.
 func (c *Controller) markFinished(uid string, status wire.JobStatus, now time.Time) {
 	c.jobs.addFinalStatus(uid, status)
 	c.Observer.JobFinished(uid, status)
@@ -60,7 +60,7 @@
 	c.applyEffects(c.jobs.graph.Finish(uid, state), now)
 }
 
-// markArchived records that a job's record no longer exists. c.mu is held.
+// markArchived records in the graph that a job's record no longer exists. c.mu is held.
 func (c *Controller) markArchived(uid string) {
 	c.jobs.graph.Archive(uid)
 	c.wakeResolver()
@@ -73,7 +73,7 @@
 	}
 }
 
-// applyEffects updates the jobs that a change of the graph affects. c.mu is held.
+// applyEffects updates the jobs that are affected by a change of the graph. c.mu is held.
 func (c *Controller) applyEffects(effects jobdag.Effects, now time.Time) {
 	for _, uid := range effects.Urgency {
 		if j := c.jobs.get(uid); j != nil {
@@ -88,7 +88,7 @@
 	}
 	for _, uid := range effects.Cancelled {
 		if j := c.jobs.get(uid); j != nil {
-			slog.Info("job cancelled with one that it depends on", "uid", uid)
+			slog.Info("job cancelled: a job that it depends on is cancelled", "uid", uid)
 			j.cancelled = true
 			c.wakeWriter()
 		}
@@ -96,7 +96,7 @@
 	c.wakeResolver()
 }
 
-// release makes a job a candidate of scheduling cycles: all that it depends on is done. c.mu is
+// release makes a job eligible for scheduling, because all jobs that it depends on are done. c.mu is
 // held.
 func (c *Controller) release(j *job, now time.Time) {
 	if j.released || j.record.Status.Final() {
@@ -104,7 +104,7 @@
 	}
 	j.released = true
 	if len(j.record.Spec.Dependencies) > 0 {
-		// Its waiting time and its class's objectives count from now; its deadline does not.
+		// The job's waiting time and the objectives of its class count from now; its deadline does not.
 		j.eligibleSinceMs = now.UnixMilli()
 		j.waitingSince = now
 		slog.Info("job released", "uid", j.uid)
@@ -113,7 +113,7 @@
 	notify(c.placementWake)
 }
 
-// runResolver reads the final statuses of archived jobs that others depend on, until ctx ends.
+// runResolver reads the final statuses of archived jobs that other jobs depend on, until ctx ends.
 func (c *Controller) runResolver(ctx context.Context) {
 	for {
 		select {
@@ -129,8 +129,8 @@
 	}
 }
 
-// resolveFinalStatuses reads the final statuses that the graph needs. It returns false if one could
-// not be read or does not exist yet, so that it has to be called again.
+// resolveFinalStatuses reads the final statuses that the graph needs. It returns false, and must be
+// called again, if one of them could not be read or does not exist yet.
 func (c *Controller) resolveFinalStatuses(ctx context.Context) bool {
 	c.mu.Lock()
 	uids := c.jobs.graph.Unresolved()
@@ -139,7 +139,7 @@
 	for _, uid := range uids {
 		item, found, err := c.Store.Get(ctx, records.FinalKey(uid))
 		if err != nil || !found {
-			slog.Debug("final status not read", "uid", uid, "found", found, "err", err)
+			slog.Debug("final status is not available", "uid", uid, "found", found, "err", err)
 			complete = false
 			continue
 		}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -9,7 +9,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// addStage adds an array of one task, with a deadline if dueS is more than 0.
+// addStage adds an array of one task that depends on the given jobs. It has a deadline if dueS is
+// more than 0.
 func (c *Controller) addStage(uid string, priority wire.Priority, dueS float64, at time.Time, modRevision uint64, dependencies ...string) {
 	spec := wire.JobSpec{
 		UID:          uid,
@@ -30,9 +31,9 @@
 	c.applyJobEventLocked(uid, watchcache.Entry{Job: record, ModRevision: modRevision})
 }
 
-// A stage does not preempt other work by the priority that it inherits from the last stage while
-// there is time to provision a machine: batch jobs lost a third of their starts to stages that
-// could have waited.
+// A stage that inherits a higher priority from a later stage does not preempt other jobs with that
+// priority while there is time to provision a machine. Without this rule, batch jobs lost a third of
+// their starts to stages that could have waited.
 func TestInheritedPriorityCountsWhenTimeIsShort(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -46,23 +47,23 @@
 		want  wire.Priority
 	}{{0, wire.BestEffort}, {100 * time.Second, wire.BestEffort}, {150 * time.Second, wire.High}} {
 		if got := urgency.effectiveLevel(first, now.Add(tc.after)); got != tc.want.Level() {
-			t.Errorf("after %v its level is %d, want %d", tc.after, got, tc.want.Level())
+			t.Errorf("after %v the first stage has level %d, want %d", tc.after, got, tc.want.Level())
 		}
 	}
 	if got := urgency.effectiveLevel(last, now); got != wire.High.Level() {
-		t.Errorf("the last stage has level %d", got)
+		t.Errorf("the last stage has level %d, want %d", got, wire.High.Level())
 	}
-	// Once the last stage is cancelled, nothing is inherited from it.
+	// Once the last stage is cancelled, the first inherits no priority from it.
 	rec := *last.record
 	rec.Status = wire.JobAborted
 	c.applyJobEventLocked(last.uid, watchcache.Entry{Job: &rec, ModRevision: 3})
 	if got := urgency.effectiveLevel(first, now.Add(150*time.Second)); got != wire.BestEffort.Level() {
-		t.Errorf("after its cancellation the first has level %d", got)
+		t.Errorf("after the last stage is cancelled, the first has level %d, want %d", got, wire.BestEffort.Level())
 	}
 }
 
-// A job waits until the ends of all jobs that it depends on are committed. That the record of one
-// is gone is no evidence of that: the job may have been cancelled.
+// A job waits until the ends of all jobs that it depends on are committed. A record that no longer
+// exists is no evidence of that, because the job may have been cancelled.
 func TestReleaseNeedsCommittedEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -70,24 +71,24 @@
 	c.addStage("run-000002", wire.High, 0, now, 2, "run-000001", "run-000009") // the second was archived long ago
 	j := c.jobs.get("run-000002")
 	if j.waitingCount() != 0 {
-		t.Fatal("it can be placed at once")
+		t.Fatalf("%d tasks wait to be placed before any dependency has ended, want 0", j.waitingCount())
 	}
-	c.applyJobEventLocked("run-000001", watchcache.Entry{ModRevision: 5}) // archived, by whom is not known
+	c.applyJobEventLocked("run-000001", watchcache.Entry{ModRevision: 5}) // archived with an unknown final status
 	c.markFinished("run-000009", wire.JobDone, now)
 	if j.waitingCount() != 0 {
-		t.Error("it can be placed although the end of a job that it needs is not known")
+		t.Errorf("%d tasks wait to be placed while the final status of a dependency is unknown, want 0", j.waitingCount())
 	}
 	if got := c.jobs.graph.Unresolved(); len(got) != 1 || got[0] != "run-000001" {
-		t.Errorf("the final statuses of %v are to be read", got)
+		t.Errorf("the final statuses of %v are to be read, want only that of run-000001", got)
 	}
 	later := now.Add(time.Minute)
 	c.markFinished("run-000001", wire.JobDone, later)
 	if j.waitingCount() != 1 || j.eligibleSinceMs != later.UnixMilli() {
-		t.Errorf("%d tasks can be placed, counted from %d", j.waitingCount(), j.eligibleSinceMs)
+		t.Errorf("%d tasks wait since %d, want 1 since %d", j.waitingCount(), j.eligibleSinceMs, later.UnixMilli())
 	}
 	c.addStage("run-000003", wire.High, 0, now, 6, "run-000008")
 	c.markFinished("run-000008", wire.JobAborted, now)
 	if other := c.jobs.get("run-000003"); other.waitingCount() != 0 || !other.isOver() || other.finalStatus() != wire.JobAborted {
-		t.Error("a job that needs a cancelled one is not over")
+		t.Errorf("a job whose dependency is cancelled has status %q, over %v, want aborted, true", other.finalStatus(), other.isOver())
 	}
 }
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -11,26 +11,27 @@
 )
 
 // This file reacts to tasks that fail. Package faultattribution estimates whether the job or the
-// machine is at fault. A faulty job is backed off for longer each time, and then starts with one
-// task; a faulty machine is quarantined for a while.
+// machine is at fault. A faulty job is backed off, for longer each time, and after a backoff starts
+// with one task only. A faulty machine is quarantined for a while.
 
 const (
-	// evidenceLeases is for how many worker leases a failure counts.
+	// evidenceLeases is the number of worker leases for which a failure counts as evidence.
 	evidenceLeases = 12
-	// suspectQuarantineLeases and faultyQuarantineLeases are for how many worker leases a machine is
-	// quarantined on which a task has failed, and one that is estimated to be faulty.
+	// suspectQuarantineLeases and faultyQuarantineLeases are the numbers of worker leases for which a
+	// machine is quarantined: after any failed task, and if the machine is estimated to be faulty.
 	suspectQuarantineLeases, faultyQuarantineLeases = 1, 6
-	// firstBackoffShare is the longest first backoff of a job, as a share of a worker lease. The
-	// longest backoff doubles each time, up to maxBackoffLeases.
+	// firstBackoffShare is the upper limit of a job's first backoff, as a fraction of a worker lease.
+	// The limit doubles with each backoff, up to maxBackoffLeases worker leases.
 	firstBackoffShare = 1. / 8
 	maxBackoffLeases  = 3
-	// maxBackoffDoublings keeps the doubling from overflowing.
+	// maxBackoffDoublings prevents an overflow of the doubled limit.
 	maxBackoffDoublings = 16
 )
 
-// attributeFailure adds the failure of a task to the evidence. It backs the job off or quarantines
-// the machine, whichever the evidence calls faulty; a machine is quarantined for a short time even
-// without that, unless the job is suspected already. c.mu is held.
+// attributeFailure adds the failure of a task to the evidence. It backs off the job if the evidence
+// shows that the job is faulty, and quarantines the machine if the evidence shows that the machine
+// is. Otherwise it quarantines the machine for a short time, unless the job is suspect already. c.mu
+// is held.
 func (c *Controller) attributeFailure(j *job, m *fleet.Machine, now time.Time) {
 	lease := c.Config.WorkerLease()
 	c.faultEvidence.RecordFailure(j.uid, m.ID, j.done > 0, now)
@@ -48,29 +49,31 @@
 	}
 }
 
-// backOff keeps a faulty job from being placed for a random time, longer each time, so that many
-// jobs are not retried at once. It does nothing during a backoff: tasks that fail then were started
-// before and are no new evidence. c.mu is held.
+// backOff prevents a faulty job from being placed for a random time, whose upper limit doubles with
+// each backoff. The time is random so that many jobs are not retried at once. During a backoff,
+// backOff does nothing: tasks that fail then were started before it and are no new evidence. c.mu is
+// held.
 func (c *Controller) backOff(j *job, now time.Time) {
 	if now.Before(j.backoffUntil) {
 		return
 	}
 	lease := c.Config.WorkerLease()
 	doublings := min(j.backoffs, maxBackoffDoublings)
-	longest := min(maxBackoffLeases*lease, time.Duration(firstBackoffShare*float64(lease))<<doublings)
-	wait := longest/2 + rand.N(longest/2)
+	maxWait := min(maxBackoffLeases*lease, time.Duration(firstBackoffShare*float64(lease))<<doublings)
+	wait := maxWait/2 + rand.N(maxWait/2)
 	j.backoffs++
 	j.suspect, j.backoffUntil = true, now.Add(wait)
 	c.views.markJob(j.uid)
-	slog.Info("job held back", "uid", j.uid, "times", j.backoffs, "for", wait.String(),
+	slog.Info("job backed off", "uid", j.uid, "times", j.backoffs, "for", wait.String(),
 		"fault_probability", c.faultEvidence.JobFaultProbability(j.uid))
 }
 
-// clearSuspicion ends the suspicion against a job, of which a task is done or has run long enough.
+// clearSuspicion records that a job is no longer suspect: one of its tasks is done or has run for long
+// enough.
 func (j *job) clearSuspicion() { j.suspect, j.backoffs = false, 0 }
 
-// quarantineMachine keeps new attempts from a machine for a while. A quarantine that ends later
-// stays as it is. c.mu is held.
+// quarantineMachine prevents new attempts on a machine for the given duration. It does not shorten a
+// quarantine that ends later. c.mu is held.
 func (c *Controller) quarantineMachine(m *fleet.Machine, duration time.Duration, now time.Time) {
 	if until := now.Add(duration); until.After(m.AvoidUntil) {
 		m.AvoidUntil, m.Quarantined = until, true
@@ -80,8 +83,8 @@
 	}
 }
 
-// endQuarantines ends the quarantine of the machines on which a faulty job has failed, but not of
-// machines that are estimated to be faulty themselves. c.mu is held.
+// endQuarantines ends the quarantine of each machine on which a faulty job has failed, unless the
+// machine is estimated to be faulty itself. c.mu is held.
 func (c *Controller) endQuarantines(j *job) {
 	for _, id := range c.faultEvidence.MachinesFailedOn(j.uid) {
 		m := c.fleet.Get(id)
@@ -93,25 +96,25 @@
 	}
 }
 
-// startsWithOneTask reports whether a job starts with one task only: it is suspected, and its
-// tasks need not start at the same time. When whole arrays were retried, they took room, image
-// fetches and changes of the state store from other jobs, only to fail.
+// startsWithOneTask reports whether a job starts with one task only: it is suspect, and its tasks
+// need not start at the same time. When whole arrays were retried, they took capacity, image fetches
+// and state store writes from other jobs, only to fail again.
 func (j *job) startsWithOneTask() bool {
 	return j.suspect && j.record.Spec.Kind == wire.JobArray && !j.record.Spec.SingleZone
 }
 
-// hasTaskPastStartup reports whether a task of the job has run for longer than a worker lease: one of a
-// faulty job fails as it starts. c.mu is held.
+// hasTaskPastStartup reports whether a task of the job has run for longer than a worker lease. A task
+// of a faulty job fails as it starts. c.mu is held.
 func (c *Controller) hasTaskPastStartup(j *job, now time.Time) bool {
-	lease, proven := c.Config.WorkerLease(), false
+	lease, found := c.Config.WorkerLease(), false
 	j.eachAttempt(func(a *fleet.Attempt) {
-		proven = proven || a.State == fleet.Running && !a.RunningSince.IsZero() && now.Sub(a.RunningSince) > lease
+		found = found || a.State == fleet.Running && !a.RunningSince.IsZero() && now.Sub(a.RunningSince) > lease
 	})
-	return proven
+	return found
 }
 
-// placeableTasks returns how many of the waiting tasks of a job may be placed now. It ends the
-// suspicion against a job of which a task has run for long enough. c.mu is held.
+// placeableTasks returns how many of a job's waiting tasks may be placed now. It clears the suspicion
+// of the job if one of the job's tasks has run for long enough. c.mu is held.
 func (c *Controller) placeableTasks(j *job, now time.Time) int {
 	waiting := j.waitingCount()
 	if waiting == 0 || now.Before(j.backoffUntil) {
@@ -127,10 +130,10 @@
 	return max(0, min(waiting, 1-j.live))
 }
 
-// suspectFromRecords marks a job as suspect from its records alone, for a new leader, which has no
-// evidence of failures: none of its tasks is done, although it has had as many attempts as tasks,
-// and two at least, that are over. It starts with one task then; if machines were at fault, that
-// costs little.
+// suspectFromRecords marks a job as suspect by its records alone, since a new leader has no other
+// evidence of failures. An array is suspect if none of its tasks is done although at least two
+// attempts, and at least as many as it has tasks, are over. It then starts with one task, which costs
+// little if the machines were at fault.
 func (j *job) suspectFromRecords() {
 	if j.record.Spec.Kind != wire.JobArray || j.done > 0 {
 		return
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -10,36 +10,37 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// faultyFleet is a leader beside machines of which one may be faulty, with a faulty array and
-// other jobs.
+// faultyFleet is a leader with a fleet in which one machine may be faulty, a faulty array and other
+// jobs.
 type faultyFleet struct {
 	t              *testing.T
 	c              *Controller
 	now            time.Time
 	sequence       uint64
-	faultyMachine  string          // fails all tasks
-	faultyJobs     map[string]bool // fail everywhere
-	failedAttempts map[string]int  // failed attempts by job
+	faultyMachine  string          // ID of the machine that fails all tasks; "" if there is none
+	faultyJobs     map[string]bool // UIDs of the jobs that fail on all machines
+	failedAttempts map[string]int  // by job UID
 }
 
 func newFaultyFleet(t *testing.T, machines, tasks int) (*faultyFleet, *limitedStore, *job) {
 	t.Helper()
-	b := &faultyFleet{t: t, now: time.Unix(10_000, 0), sequence: 1, faultyJobs: map[string]bool{}, failedAttempts: map[string]int{}}
-	services, c, j := leaderWithArray(t, &b.now, machines, tasks, fleet.Resources{Cores: 16, RAM: 1})
-	b.c = c
-	b.c.now = func() time.Time { return b.now }
-	b.c.detector.Start(b.now.Add(time.Hour)) // idle machines stay
-	b.faultyJobs[j.uid] = true
-	return b, services, j
+	f := &faultyFleet{t: t, now: time.Unix(10_000, 0), sequence: 1, faultyJobs: map[string]bool{}, failedAttempts: map[string]int{}}
+	services, c, j := leaderWithArray(t, &f.now, machines, tasks, fleet.Resources{Cores: 16, RAM: 1})
+	f.c = c
+	f.c.now = func() time.Time { return f.now }
+	f.c.detector.Start(f.now.Add(time.Hour)) // prevents the release of idle machines
+	f.faultyJobs[j.uid] = true
+	return f, services, j
 }
 
-// outcome: whoever is at fault fails tasks as they start; others run to their end in two steps.
-func (b *faultyFleet) outcome(a *fleet.Attempt) (wire.TaskStatus, wire.Cause) {
+// outcome reports how an attempt went: attempts of faulty jobs and on the faulty machine fail as they
+// start, all others are running after one step and done after two.
+func (f *faultyFleet) outcome(a *fleet.Attempt) (wire.TaskStatus, wire.Cause) {
 	switch {
 	case a.State >= fleet.Ended:
 		return wire.TaskEnded, a.Cause
-	case b.faultyJobs[a.JobUID] || a.Machine.ID == b.faultyMachine:
-		b.failedAttempts[a.JobUID]++
+	case f.faultyJobs[a.JobUID] || a.Machine.ID == f.faultyMachine:
+		f.failedAttempts[a.JobUID]++
 		return wire.TaskEnded, wire.CauseError
 	case a.State == fleet.Running:
 		return wire.TaskEnded, wire.CauseDone
@@ -47,18 +48,19 @@
 	return wire.TaskRunning, ""
 }
 
-// step is a second: a scheduling cycle, its commits, and a heartbeat of each machine.
-func (b *faultyFleet) step() {
-	b.now = b.now.Add(time.Second)
-	b.sequence++
-	b.c.runCycle(time.Second)
-	commitAll(b.t, b.c)
-	reportAll(b.t, b.c, b.sequence, b.outcome)
+// step advances the clock by a second and runs a scheduling cycle, its commits and a heartbeat of each
+// machine.
+func (f *faultyFleet) step() {
+	f.now = f.now.Add(time.Second)
+	f.sequence++
+	f.c.runCycle(time.Second)
+	commitAll(f.t, f.c)
+	reportAll(f.t, f.c, f.sequence, f.outcome)
 }
 
-// addHealthyJob adds a job of some tasks that can be done.
-func (b *faultyFleet) addHealthyJob(uid string, tasks int) *job {
-	return b.c.addTestJob(wire.JobSpec{
+// addHealthyJob adds a job whose tasks do not fail by themselves.
+func (f *faultyFleet) addHealthyJob(uid string, tasks int) *job {
+	return f.c.addTestJob(wire.JobSpec{
 		UID:       uid,
 		JobClass:  "good",
 		Team:      "crew",
@@ -71,100 +73,100 @@
 	}, 8)
 }
 
-// An array that fails everywhere is retried less and less often, and with one task at a time: 25
-// tasks once failed at the same time in each retry, in room that other jobs could have used. No
-// machine is quarantined for it for longer than the first suspicion lasts, and the array is never
-// abandoned.
+// An array that fails on all machines is retried with one task at a time, at growing intervals, and
+// is never abandoned. Without this rule, each retry started all 25 tasks, which failed on machines
+// that other jobs could have used. The array's failures quarantine machines only at the beginning,
+// until the job is known to be faulty.
 func TestFaultyArrayIsRetriedWithOneTask(t *testing.T) {
 	const tasks, minutes = 25, 5
-	b, _, j := newFaultyFleet(t, 10, tasks)
+	f, _, j := newFaultyFleet(t, 10, tasks)
 	for range 20 {
-		b.step()
+		f.step()
 	}
-	first := b.failedAttempts[j.uid]
-	if first < tasks/2 {
-		t.Fatalf("%d tasks have failed", first)
+	failedAtFirst := f.failedAttempts[j.uid]
+	if failedAtFirst < tasks/2 {
+		t.Fatalf("%d tasks failed in the first 20 s, want at least %d", failedAtFirst, tasks/2)
 	}
 	for i := range minutes * 60 {
-		b.step()
+		f.step()
 		if j.live > 1 {
-			t.Fatalf("%d tasks are tried at once", j.live)
+			t.Fatalf("%d tasks are retried at once, want at most 1", j.live)
 		}
-		b.c.fleet.Each(func(m *fleet.Machine) {
-			if i > 5 && !m.AcceptsAttempts(b.now) {
-				t.Fatalf("%s is quarantined, faulty with probability %.2f", m.ID, b.c.faultEvidence.MachineFaultProbability(m.ID))
+		f.c.fleet.Each(func(m *fleet.Machine) {
+			if i > 5 && !m.AcceptsAttempts(f.now) {
+				t.Fatalf("%s is quarantined, want not: faulty with probability %.2f", m.ID, f.c.faultEvidence.MachineFaultProbability(m.ID))
 			}
 		})
 	}
-	again := b.failedAttempts[j.uid] - first
-	if least := minutes * 60 / 31; again < least || again > 2*least+8 {
-		t.Errorf("%d tasks are tried in %d minutes", again, minutes)
+	retried := f.failedAttempts[j.uid] - failedAtFirst
+	if minRetries := minutes * 60 / 31; retried < minRetries || retried > 2*minRetries+8 {
+		t.Errorf("%d tasks are retried in %d minutes, want %d to %d", retried, minutes, minRetries, 2*minRetries+8)
 	}
 	// Once its tasks no longer fail, the whole array runs.
-	b.faultyJobs[j.uid] = false
+	f.faultyJobs[j.uid] = false
 	for range 60 {
-		b.step()
+		f.step()
 	}
-	if b.c.jobs.get(j.uid) != nil && j.done != tasks {
-		t.Errorf("%d of %d tasks are done", j.done, tasks)
+	if f.c.jobs.get(j.uid) != nil && j.done != tasks {
+		t.Errorf("%d tasks are done, want %d", j.done, tasks)
 	}
 }
 
-// A faulty machine is found while jobs fail by faults of their own, and its quarantine ends once
-// its tasks work again.
+// A faulty machine is found even while a faulty job fails on all machines, and it takes tasks again
+// once they no longer fail there.
 func TestFaultyMachineIsQuarantinedBesideFaultyJobs(t *testing.T) {
-	b, _, _ := newFaultyFleet(t, 6, 12)
-	b.faultyMachine = "m-000002"
-	good := map[string]*job{}
-	quarantined := 0
-	watch := func() {
-		b.step()
-		if m := b.c.fleet.Get(b.faultyMachine); !m.AcceptsAttempts(b.now) {
-			quarantined++
+	f, _, _ := newFaultyFleet(t, 6, 12)
+	f.faultyMachine = "m-000002"
+	healthyJobs := map[string]*job{}
+	quarantinedS := 0
+	stepAndCheck := func() {
+		f.step()
+		if m := f.c.fleet.Get(f.faultyMachine); !m.AcceptsAttempts(f.now) {
+			quarantinedS++
 		}
-		b.c.fleet.Each(func(m *fleet.Machine) {
-			if m.ID != b.faultyMachine && b.c.faultEvidence.IsMachineFaulty(m.ID) {
-				t.Errorf("%s is taken for faulty", m.ID)
+		f.c.fleet.Each(func(m *fleet.Machine) {
+			if m.ID != f.faultyMachine && f.c.faultEvidence.IsMachineFaulty(m.ID) {
+				t.Errorf("%s is estimated to be faulty, want only %s", m.ID, f.faultyMachine)
 			}
 		})
 	}
 	for i := range 40 {
 		uid := fmt.Sprintf("run-0010%02d", i)
-		good[uid] = b.addHealthyJob(uid, 8)
-		watch()
-		watch()
+		healthyJobs[uid] = f.addHealthyJob(uid, 8)
+		stepAndCheck()
+		stepAndCheck()
 	}
-	if quarantined < 60 {
-		t.Errorf("the faulty machine is quarantined for %d of 80 s", quarantined)
+	if quarantinedS < 60 {
+		t.Errorf("the faulty machine is quarantined for %d of 80 s, want at least 60 s", quarantinedS)
 	}
 	for range 30 {
-		watch()
+		stepAndCheck()
 	}
-	for uid, j := range good {
-		if b.c.jobs.get(uid) != nil && j.done < 8 {
-			t.Errorf("%s has done %d of 8 tasks", uid, j.done)
+	for uid, j := range healthyJobs {
+		if f.c.jobs.get(uid) != nil && j.done < 8 {
+			t.Errorf("%s: %d tasks are done, want 8", uid, j.done)
 		}
 	}
-	b.faultyMachine = ""
+	f.faultyMachine = ""
 	for range 70 {
-		b.step()
+		f.step()
 	}
-	late := b.addHealthyJob("run-009999", 48)
+	lateJob := f.addHealthyJob("run-009999", 48)
 	for range 20 {
-		b.step()
+		f.step()
 	}
-	m := b.c.fleet.Get("m-000002")
-	isDone := b.c.jobs.get(late.uid) == nil || late.done == 48
-	if !m.AcceptsAttempts(b.now) || b.c.faultEvidence.IsMachineFaulty(m.ID) || !isDone {
-		t.Errorf("a machine that has recovered takes work: %v, %d tasks are done", m.AcceptsAttempts(b.now), late.done)
+	m := f.c.fleet.Get("m-000002")
+	isDone := f.c.jobs.get(lateJob.uid) == nil || lateJob.done == 48
+	if !m.AcceptsAttempts(f.now) || f.c.faultEvidence.IsMachineFaulty(m.ID) || !isDone {
+		t.Errorf("the recovered machine accepts attempts: %v, want true; %d tasks are done, want 48", m.AcceptsAttempts(f.now), lateJob.done)
 	}
 }
 
-// The next leader, which has only the records, does not start all tasks of a faulty array again.
+// A new leader, which has only the records, does not start all tasks of a faulty array again.
 func TestNextLeaderSuspectsArraysThatNeverSucceeded(t *testing.T) {
-	b, services, j := newFaultyFleet(t, 10, 25)
+	f, services, j := newFaultyFleet(t, 10, 25)
 	for range 30 {
-		b.step()
+		f.step()
 	}
 	for _, tc := range []struct {
 		name    string
@@ -180,9 +182,9 @@
 			placement.MarkDone(0)
 			services.items[key] = wire.KeyValue{Key: key, Value: records.Encode(placement), ModRevision: services.revision}
 		}
-		next := services.newLeader(6, &b.now)
-		if got := next.jobs.get(j.uid); got == nil || got.suspect != tc.suspect {
-			t.Errorf("%s: %+v", tc.name, got)
+		newLeader := services.newLeader(6, &f.now)
+		if got := newLeader.jobs.get(j.uid); got == nil || got.suspect != tc.suspect {
+			t.Errorf("%s: the new leader has the job %+v, want suspect %v", tc.name, got, tc.suspect)
 		}
 	}
 }
--- a/internal/controller/jobevents.go
+++ b/internal/controller/jobevents.go
@@ -10,17 +10,17 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// applyJobEvent applies a change of a job's record: as the listener of the job cache, and for
-// records that the controller has read itself. Events may come late, repeatedly or out of order:
-// only one with a newer mod revision changes a job. An entry without a job means that there is no
-// record any more.
+// applyJobEvent applies a change of a job's record. It is the listener of the job cache, and is also
+// called for records that the controller has read itself. Events may be late, repeated or out of
+// order: only an event with a newer mod revision changes a job. An entry without a job means that
+// the record no longer exists.
 func (c *Controller) applyJobEvent(uid string, e watchcache.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applyJobEventLocked(uid, e)
 }
 
-// applyJobRecord applies a job's record as just read.
+// applyJobRecord applies a job's record that has just been read from the state store.
 func (c *Controller) applyJobRecord(uid string, item wire.KeyValue) {
 	var record records.Job
 	if err := wire.Decode(item.Value, &record); err != nil {
@@ -30,7 +30,7 @@
 	c.applyJobEvent(uid, watchcache.Entry{Job: &record, ModRevision: item.ModRevision})
 }
 
-// applyJobEventLocked is applyJobEvent with c.mu held.
+// applyJobEventLocked does the work of applyJobEvent. c.mu is held.
 func (c *Controller) applyJobEventLocked(uid string, e watchcache.Entry) {
 	now := c.now()
 	j := c.jobs.get(uid)
@@ -46,7 +46,7 @@
 	}
 }
 
-// addJob adds a job that this leader did not know. c.mu is held.
+// addJob adds a job that this leader did not know yet. c.mu is held.
 func (c *Controller) addJob(j *job, now time.Time) {
 	c.jobs.add(j)
 	spec := &j.record.Spec
@@ -82,8 +82,9 @@
 	c.recordEnds(j, now)
 }
 
-// recordEnds lets the ends of a job's attempts be acknowledged without a record: the job's own
-// record says that it is over, so none of its tasks is started again. c.mu is held.
+// recordEnds allows the ends of a job's attempts to be acknowledged to workers without a placement
+// record: the job's own record shows that the job is over, so none of its tasks is started again.
+// c.mu is held.
 func (c *Controller) recordEnds(j *job, now time.Time) {
 	for _, p := range j.placements {
 		for _, a := range p.ended {
@@ -104,8 +105,8 @@
 		"from", from.String(), "to", a.State.String(), "reason", reason)
 }
 
-// AttemptChanged updates the jobs by a change of an attempt's state. The fleet calls it for every
-// change, with c.mu held.
+// AttemptChanged updates an attempt's job after a change of the attempt's state. The fleet calls it
+// for every change, with c.mu held.
 func (c *Controller) AttemptChanged(a *fleet.Attempt, from fleet.AttemptState, reason string) {
 	logAttemptChange(a, from, reason)
 	if a.State == fleet.Committed {
@@ -113,12 +114,12 @@
 	}
 	c.views.markJob(a.JobUID)
 	if a.State == fleet.Running {
-		c.views.markMachine(a.Machine.ID) // it has the image now
+		c.views.markMachine(a.Machine.ID) // the machine has the image now
 	}
 	j := c.jobs.get(a.JobUID)
 	if j == nil {
 		if a.State == fleet.Ended {
-			c.fleet.MarkEndRecorded(a, c.now()) // its job is archived: there is nothing to record
+			c.fleet.MarkEndRecorded(a, c.now()) // the attempt's job is archived: there is nothing to record
 		}
 		return
 	}
@@ -140,10 +141,10 @@
 	}
 }
 
-// endRecordDelay returns how long the record of an end may wait for more ends of its placement.
-// Until then the worker reports the task as ended, and a new leader would learn of it from that
-// report. When each end was written at once, ends took more of the state store's budget of
-// changes than all launches.
+// endRecordDelay returns how long the end of an attempt may stay unrecorded, so that one write covers
+// several ends of the same placement. Until it is recorded, the worker keeps reporting the task as
+// ended, and a new leader would learn of the end from that report. When each end was written
+// immediately, ends used more of the state store's write budget than all launches.
 func (c *Controller) endRecordDelay() time.Duration { return 2 * c.Config.HeartbeatInterval() }
 
 // applyAttemptEnd applies the end of an attempt to its job. c.mu is held.
@@ -160,8 +161,8 @@
 		j.failedOn[a.Machine.ID] = now
 	}
 	if j.record.Status.Final() {
-		// Nothing of a cancelled job is ever launched again, so its end need not be recorded
-		// before the worker may forget it.
+		// No task of a job with a final status is launched again, so the worker may forget the
+		// attempt before its end is recorded.
 		c.fleet.MarkEndRecorded(a, now)
 		return
 	}
--- a/internal/controller/jobtable_test.go
+++ b/internal/controller/jobtable_test.go
@@ -48,7 +48,6 @@
 		}
 	}
 	if len(learned) != len(want) || len(c.jobs.finalStatuses) > maxFinalStatuses {
-		t.Errorf("the follower learned %d final statuses, want %d; %d are kept, want at most %d",
-			len(learned), len(want), len(c.jobs.finalStatuses), maxFinalStatuses)
+		t.Errorf("%d final statuses learned, want %d; kept %d of %d", len(learned), len(want), len(c.jobs.finalStatuses), maxFinalStatuses)
 	}
 }
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -98,8 +98,7 @@
 	queue := c.queue(now)
 	if len(queue) != 15 || queue[0] != (queuedJob{large.uid, 1}) || queue[13] != (queuedJob{large.uid, 8}) ||
 		queue[14] != (queuedJob{young.uid, 9}) {
-		t.Errorf("the queue is %v, want 15 entries: 1 task of %s, 12 small arrays, 8 tasks of %s, 9 of %s",
-			queue, large.uid, large.uid, young.uid)
+		t.Errorf("the queue is %v, want 1 task of %s, 12 arrays, its other 8 tasks, 9 of %s", queue, large.uid, young.uid)
 	}
 	// Once a task of the large array has run, the array has no precedence, even after that task has ended.
 	a := &fleet.Attempt{JobUID: large.uid, TaskIndex: 0, Number: 1, Resources: large.need}
@@ -121,7 +120,6 @@
 	heartbeat(2, wire.TaskReport{Task: a.TaskName(), Attempt: 1, Status: wire.TaskRunning, Cause: wire.CauseStopped})
 	heartbeat(3, wire.TaskReport{Task: a.TaskName(), Attempt: 1, Status: wire.TaskEnded, Cause: wire.CauseStopped})
 	if queue := c.queue(now); len(queue) != 14 || queue[0].uid == large.uid || large.live != 0 {
-		t.Errorf("after a task has run, the queue is %v, want 14 entries, the first not of %s; %d live attempts, want 0",
-			queue, large.uid, large.live)
+		t.Errorf("after its task has ended, %s has %d live attempts, want 0; want 14 jobs, it not first: %v", large.uid, large.live, queue)
 	}
 }
