--- a/internal/controller/launches.go
+++ b/internal/controller/launches.go
@@ -8,37 +8,38 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// maxTasksPerMachine is how many tasks a machine may have: a task takes up to a hundred bytes of a
-// heartbeat, which must fit a request body.
+// maxTasksPerMachine is the maximum number of tasks of a machine: a task takes up to a hundred bytes
+// of a heartbeat, which must fit a request body.
 const maxTasksPerMachine = wire.MaxBody / 100
 
-// reportableTasks returns how many tasks of a place its machine can list in a heartbeat in addition
-// to those that it has, including those whose end is not acknowledged. A heartbeat that does not
-// fit a request body is answered by no node, and the worker's lease ends with all its tasks. Of an
-// array as many tasks start as fit; a gang starts whole or not at all.
-func reportableTasks(m *fleet.Machine, place sched.Placement) int {
-	room := max(0, maxTasksPerMachine-m.AttemptCount())
-	if place.Job.Spec.Kind == wire.Gang && place.Count > room {
+// reportableTasks returns how many tasks of a planned placement the machine can report in a heartbeat
+// in addition to the tasks that it has, including ended ones that are not acknowledged. No node
+// answers a heartbeat that does not fit a request body; the worker's lease would expire, which ends
+// all its tasks. An array starts as many tasks as the machine can report; a gang is all-or-nothing.
+func reportableTasks(m *fleet.Machine, planned sched.Placement) int {
+	remaining := max(0, maxTasksPerMachine-m.AttemptCount())
+	if planned.Job.Spec.Kind == wire.Gang && planned.Count > remaining {
 		return 0
 	}
-	return min(place.Count, room)
+	return min(planned.Count, remaining)
 }
 
-// launch turns the places of a plan into planned attempts, within the budget of placement records;
-// the rest waits for a later cycle. It returns how many attempts it planned. c.mu is held.
-func (c *Controller) launch(places []sched.Placement, s *snapshot, now time.Time) (started int) {
+// launch turns the placements of a plan into planned attempts, as far as the budget of placement
+// records allows; the other tasks wait for a later cycle. It returns how many attempts it planned.
+// c.mu is held.
+func (c *Controller) launch(placements []sched.Placement, s *snapshot, now time.Time) (started int) {
 	budget := c.launchBudget(now)
-	for _, place := range places {
-		j := c.jobs.get(place.Job.Spec.UID)
-		m := s.machine(place.Node)
+	for _, planned := range placements {
+		j := c.jobs.get(planned.Job.Spec.UID)
+		m := s.machine(planned.Node)
 		if m == nil || budget <= 0 && !j.hasDuePlacement(now) {
 			continue
 		}
-		for _, task := range j.nextWaitingTasks(reportableTasks(m, place)) {
+		for _, task := range j.nextWaitingTasks(reportableTasks(m, planned)) {
 			p := j.placement(task)
 			if !p.hasRoom(task, m, c.maxPlacementBytes()) {
 				j.freedTasks = append(j.freedTasks, task)
-				continue // it waits until other attempts of its placement have ended
+				continue // the task waits until other attempts of its placement record have ended
 			}
 			if !p.dirty || p.due.After(now) {
 				budget--
@@ -53,10 +54,10 @@
 	return started
 }
 
-// launchBudget returns how many placement records a cycle may add to those that are due to be
+// launchBudget returns how many placement records a cycle may add to those that are already due to be
 // written. Placements of cancelled jobs do not count, since they are not written again: when they
-// did, jobs cancelled at the end of an outage kept 400 other jobs waiting, with nothing placed for
-// 12 s. An attempt in a placement that is due anyway costs nothing. c.mu is held.
+// counted, jobs cancelled at the end of an outage blocked all placements for 12 s while 400 other
+// jobs waited. An attempt in a placement that is due anyway costs nothing. c.mu is held.
 func (c *Controller) launchBudget(now time.Time) int {
 	budget := max(1, int(c.Config.StateLimits().WriteRps))
 	for _, j := range c.jobs.byUID {
@@ -72,8 +73,8 @@
 	return budget
 }
 
-// planAttempt adds a planned attempt of a task on a machine. It is launched once its placement
-// record is committed. c.mu is held.
+// planAttempt adds a planned attempt of a task on a machine. The attempt is launched once its
+// placement record is committed. c.mu is held.
 func (c *Controller) planAttempt(j *job, p *placement, task int, m *fleet.Machine, now time.Time) {
 	a := &fleet.Attempt{
 		JobUID:    j.uid,
--- a/internal/controller/launches_test.go
+++ b/internal/controller/launches_test.go
@@ -12,8 +12,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Placements of cancelled jobs, which are never written, do not use up the budget of launches. Nor
-// do those that are due to be written: a job with a placement that is due can add launches to it.
+// Placements of cancelled jobs, which are never written, do not use up the launch budget. Placements
+// that are due to be written use it up, but a job that has one can still add launches to it.
 func TestCancelledJobsDoNotDelayLaunches(t *testing.T) {
 	for _, status := range []wire.JobStatus{wire.JobAborted, wire.JobQueued} {
 		now := time.Unix(1000, 0)
@@ -52,7 +52,7 @@
 		addJob(spec, wire.JobQueued, status == wire.JobQueued)
 		c.runCycle(time.Second)
 		if c.jobs.get(spec.UID).live != 1 {
-			t.Errorf("with 250 jobs that are %s, nothing is started", status)
+			t.Errorf("with 250 jobs that are %s, %d attempts are live, want 1", status, c.jobs.get(spec.UID).live)
 		}
 	}
 }
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -16,8 +16,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// startRelease starts to release a machine to the cloud: it gets no more launches from now on, and
-// releaseMachines does the rest. c.mu is held.
+// startRelease starts the release of a machine to the cloud. The machine gets no more launches from
+// now on; releaseMachines carries out the release. c.mu is held.
 func (c *Controller) startRelease(m *fleet.Machine, now time.Time, reason string) {
 	c.fleet.MarkReturning(m, now, reason)
 	if c.releases.Start(m.ID) {
@@ -25,14 +25,14 @@
 	}
 }
 
-// releaseIdle releases machines that have been idle for a while and that are not headroom, the
-// most expensive first. It releases a quarter of them in each cycle, since the next cycle may need
-// some of the rest. It is a share and not a number: when one machine was released in each cycle, a
-// large fleet kept machines that it did not need for minutes, 250 of 450 idle. c.mu is held.
-func (c *Controller) releaseIdle(shorts []sched.Shortfall, now time.Time) {
+// releaseIdle starts the release of idle machines that no task and no headroom needs, the most
+// expensive first. It releases a quarter of them in each cycle, since the next cycle may need some of
+// the others. When it released one machine in each cycle instead, a large fleet kept 250 idle
+// machines of 450 for minutes. c.mu is held.
+func (c *Controller) releaseIdle(shortfalls []sched.Shortfall, now time.Time) {
 	var idle []*fleet.Machine
 	c.fleet.Each(func(m *fleet.Machine) {
-		if c.isReleasable(m, now) && !couldRunShortfall(m, shorts) {
+		if c.isReleasable(m, now) && !couldRunShortfall(m, shortfalls) {
 			idle = append(idle, m)
 		}
 	})
@@ -44,9 +44,10 @@
 	}
 }
 
-// isReleasable reports whether a machine has been idle for long enough to be released: half of a boot,
-// since a machine that is needed again by then saves a boot. It must also be older than a boot and
-// a margin, since the cloud charges a minute at least. c.mu is held.
+// isReleasable reports whether a machine has been idle for long enough to be released and is not
+// headroom. Half a boot time is enough: a machine that is needed again by then saves a boot. The
+// machine must also be older than a boot time and a margin, since the cloud charges for at least a
+// minute. c.mu is held.
 func (c *Controller) isReleasable(m *fleet.Machine, now time.Time) bool {
 	const bootMarginS = 10
 	machineType := findMachineType(c.catalog, m.Type)
@@ -57,26 +58,26 @@
 	return idleS >= machineType.BootS/2 && ageS >= machineType.BootS+bootMarginS
 }
 
-// couldRunShortfall reports whether a task that has no room could run on the machine if it were empty.
-// Machines that no waiting task can use are released even while tasks wait: otherwise they could
-// occupy the last capacity that the cloud has, for ever.
-func couldRunShortfall(m *fleet.Machine, shorts []sched.Shortfall) bool {
-	return slices.ContainsFunc(shorts, func(short sched.Shortfall) bool {
-		return sched.IsEligible(short.Job.Spec, m.Type, m.Zone, m.Spot) && m.Capacity.Fits(fleet.TaskResources(short.Job.Spec))
+// couldRunShortfall reports whether a task that no machine has room for could run on the machine if
+// it were empty. Machines that no such task can use are released even while tasks wait: otherwise
+// they could occupy the last capacity of the cloud forever.
+func couldRunShortfall(m *fleet.Machine, shortfalls []sched.Shortfall) bool {
+	return slices.ContainsFunc(shortfalls, func(shortfall sched.Shortfall) bool {
+		return sched.IsEligible(shortfall.Job.Spec, m.Type, m.Zone, m.Spot) && m.Capacity.Fits(fleet.TaskResources(shortfall.Job.Spec))
 	})
 }
 
-// releaseMachines carries out releases until ctx ends. For each machine it commits a record first,
-// then sends the request until the cloud confirms it, and drops the record once no machine list
-// can show the machine any more. autoscaler.Releases keeps which step comes next.
+// releaseMachines carries out releases until ctx ends. For each machine it first commits a record,
+// then sends the request until the cloud confirms it, and drops the record once no machine list can
+// show the machine any more. autoscaler.Releases keeps track of the next step.
 func (c *Controller) releaseMachines(ctx context.Context) {
-	pause := c.Config.HeartbeatInterval() / 3
+	period := c.Config.HeartbeatInterval() / 3
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.releaseWake:
-		case <-time.After(c.untilNext(pause)):
+		case <-time.After(c.untilNext(period)):
 		}
 		for c.recordReleases(ctx) {
 		}
@@ -86,9 +87,9 @@
 	}
 }
 
-// recordReleases commits a record of machines that are to be released, as many as fit one value:
-// when a fleet lost a hundred machines at once, a commit for each delayed the launches that
-// replaced their tasks. It returns false if there are none, or the commit failed.
+// recordReleases commits a record of as many machines to be released as fit one value. When a fleet
+// lost a hundred machines at once, a commit for each machine delayed the launches that replaced their
+// tasks. It returns false if there is no machine to record, or the commit failed.
 func (c *Controller) recordReleases(ctx context.Context) bool {
 	c.mu.Lock()
 	record, found := c.releases.NextRecord(c.Config.MaxValueBytes())
@@ -102,7 +103,7 @@
 	})
 	if err != nil {
 		slog.Warn("machine releases cannot be recorded", "hosts", record.Hosts, "err", err)
-		c.stepDownOnLeaderConflict(err) // takes the lock itself
+		c.stepDownOnLeaderConflict(err) // locks c.mu itself
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,8 +117,8 @@
 	return false
 }
 
-// sendReleases requests the release of machines whose release is recorded. It returns false if there
-// are none, or the cloud did not confirm it.
+// sendReleases asks the cloud to release machines whose release is recorded. It returns false if there
+// are none, or the cloud did not confirm the request.
 func (c *Controller) sendReleases(ctx context.Context) bool {
 	c.mu.Lock()
 	hosts := c.releases.Unconfirmed(wire.MaxReturn)
@@ -136,30 +137,30 @@
 		c.releases.Confirm(host, now)
 		c.fleet.MarkGone(c.fleet.Get(host), now, "released")
 	}
-	notify(c.placementWake) // their tasks can be placed again
+	notify(c.placementWake) // the tasks of these machines can be placed again
 	return true
 }
 
 // forgetReleased drops the records of machines that have been gone for so long that no machine list
-// can show them, and then forgets the machines.
+// can show them any more, and then forgets the machines.
 func (c *Controller) forgetReleased(ctx context.Context) {
 	c.mu.Lock()
-	clean := c.planCleanup(c.now())
+	commit := c.planCleanup(c.now())
 	c.mu.Unlock()
-	if len(clean.tx.Changes) == 0 {
+	if len(commit.tx.Changes) == 0 {
 		return
 	}
-	if _, err := c.Store.Commit(store.WithBackgroundLane(ctx), clean.tx); err != nil {
+	if _, err := c.Store.Commit(store.WithBackgroundLane(ctx), commit.tx); err != nil {
 		slog.Debug("records of released machines cannot be dropped", "err", err)
 		c.stepDownOnLeaderConflict(err)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, host := range clean.images {
+	for _, host := range commit.images {
 		delete(c.recordedImages, host)
 	}
-	for _, host := range c.releases.Drop(clean.releases) {
+	for _, host := range c.releases.Drop(commit.releases) {
 		c.fleet.Forget(host)
 	}
 }
@@ -172,34 +173,34 @@
 }
 
 // planCleanup makes the next commit that drops records of released machines. A release record is
-// dropped only after, or together with, the image records of all its machines: with it the leader
-// forgets them. c.mu is held.
+// dropped only together with or after the image records of all its machines, because the leader
+// forgets the machines when it drops the release record. c.mu is held.
 func (c *Controller) planCleanup(now time.Time) cleanupCommit {
 	maxChanges := max(minBatchChanges, c.maxBatchChanges()/3)
-	keep := 6*c.Config.CloudListLag() + 3*c.Config.WorkerLease() // longer than any machine list can lag
-	clean := cleanupCommit{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
-	for _, record := range c.releases.Expired(now, keep) {
-		if !c.addImageDrops(&clean, record, maxChanges) || len(clean.tx.Changes) >= maxChanges {
+	retention := 6*c.Config.CloudListLag() + 3*c.Config.WorkerLease() // longer than any machine list can lag
+	commit := cleanupCommit{tx: wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}}}
+	for _, record := range c.releases.Expired(now, retention) {
+		if !c.addImageDrops(&commit, record, maxChanges) || len(commit.tx.Changes) >= maxChanges {
 			break
 		}
-		clean.tx.Changes = append(clean.tx.Changes, wire.Change{Drop: record.Key})
-		clean.releases = append(clean.releases, record.Key)
+		commit.tx.Changes = append(commit.tx.Changes, wire.Change{Drop: record.Key})
+		commit.releases = append(commit.releases, record.Key)
 	}
-	return clean
+	return commit
 }
 
-// addImageDrops adds to a commit of at most maxChanges changes those that drop the image records of a
-// release record's machines. It returns false if there was no room for all of them. c.mu is held.
-func (c *Controller) addImageDrops(clean *cleanupCommit, record autoscaler.ReleaseRecord, maxChanges int) bool {
+// addImageDrops adds changes to a commit that drop the image records of a release record's machines.
+// It returns false if the commit would have more than maxChanges changes. c.mu is held.
+func (c *Controller) addImageDrops(commit *cleanupCommit, record autoscaler.ReleaseRecord, maxChanges int) bool {
 	for _, host := range record.Hosts {
 		if c.recordedImages[host].count == 0 {
 			continue
 		}
-		if len(clean.tx.Changes) >= maxChanges {
+		if len(commit.tx.Changes) >= maxChanges {
 			return false
 		}
-		clean.tx.Changes = append(clean.tx.Changes, wire.Change{Drop: records.ImagesKey(host)})
-		clean.images = append(clean.images, host)
+		commit.tx.Changes = append(commit.tx.Changes, wire.Change{Drop: records.ImagesKey(host)})
+		commit.images = append(commit.images, host)
 	}
 	return true
 }
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -12,8 +12,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// newLeaderReleasing is a leader that releases so many machines, beside a state store that gives
-// these answers to commits.
+// newLeaderReleasing returns a leader that releases so many machines, with a state store that gives
+// these answers to commits in turn.
 func newLeaderReleasing(machines int, answers ...error) (*Controller, *scriptedStore, *recordingCloud) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -26,13 +26,13 @@
 	return c, state, cloud
 }
 
-// A record whose outcome is unknown is not written again under its key, and no machine is released
-// before its record is known to be stored.
+// A release record whose commit has an unknown outcome is not written again under the same key, and
+// no machine is released before its record is known to be stored.
 func TestReleasesAreRecordedFirst(t *testing.T) {
 	const machines = 150
 	c, state, cloud := newLeaderReleasing(machines, store.ErrOutcomeUnknown, nil, nil)
 	if c.recordReleases(t.Context()) || c.sendReleases(t.Context()) {
-		t.Fatal("goes on although nothing is known to be recorded")
+		t.Fatal("the release goes on, want it to stop while no record is known to be stored")
 	}
 	for c.recordReleases(t.Context()) {
 	}
@@ -46,18 +46,18 @@
 		key := tx.Changes[0].Set
 		isGuarded := tx.Compares[0] == wire.Compare{Key: records.LeaderKey, ModRevision: 5} && tx.Compares[1] == wire.Compare{Key: key}
 		if keys[key] || len(tx.Changes) != 1 || !isGuarded {
-			t.Errorf("commit %+v", tx)
+			t.Errorf("commit %+v, want one change under a new key, guarded by the leader's key and its own", tx)
 		}
 		keys[key] = true
 	}
-	if len(keys) != 3 { // the unknown one, and two parts that fit a value
+	if len(keys) != 3 { // the one with the unknown outcome, and two that fit a value each
 		t.Errorf("%d records, want 3", len(keys))
 	}
 }
 
-// A leader that learns by the commit of a release record that it is deposed ends its term and still
-// answers. It once waited for a lock that it held itself, and its node waited for the end of the
-// term for ever.
+// A leader that learns from the commit of a release record that it is deposed ends its term and still
+// answers queries. Without this rule, it deadlocked on a lock that it held itself, and its node never
+// saw the term end.
 func TestLeaderDeposedWhileReleasingStepsDown(t *testing.T) {
 	c, _, cloud := newLeaderReleasing(3, &store.ConflictError{Failed: []string{records.LeaderKey}})
 	errEnded := errors.New("deposed")
@@ -72,9 +72,9 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("stuck")
+		t.Fatal("the leader does not answer within 10 s, want an answer after it is deposed")
 	}
 	if !errors.Is(context.Cause(ctx), errEnded) || len(cloud.hosts) > 0 {
-		t.Errorf("the term goes on, or %v were released", cloud.hosts)
+		t.Errorf("the term ended with %v, want %v; released %v, want no machine", context.Cause(ctx), errEnded, cloud.hosts)
 	}
 }
--- a/internal/controller/urgency.go
+++ b/internal/controller/urgency.go
@@ -11,39 +11,39 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// urgency computes how long jobs can wait, from their deadlines, the service-level objectives of
-// their classes and the boot times and fetch rates of the catalog. All its times are in seconds.
+// urgency computes how long jobs can wait from their deadlines, the service-level objectives of their
+// classes, and the boot times and fetch rates in the catalog. All its times are in seconds.
 type urgency struct {
 	catalog *wire.Catalog
 	config  *config.Config
 }
 
-// urgency returns the urgency of jobs by the newest catalog, which must have been read. c.mu is
-// held.
+// urgency returns an urgency that uses the current catalog, which must have been read. c.mu is held.
 func (c *Controller) urgency() urgency {
 	return urgency{catalog: c.catalog, config: c.Config}
 }
 
-// fastestBootS returns how long the quickest machine boots that may run a task of the job; +Inf if there is
-// none.
+// fastestBootS returns the shortest boot time among the machine types that may run a task of the job,
+// or +Inf if there is none.
 func (u *urgency) fastestBootS(spec *wire.JobSpec) float64 {
-	boot := math.Inf(1)
+	bootS := math.Inf(1)
 	for i := range u.catalog.MachineTypes {
 		machineType := &u.catalog.MachineTypes[i]
 		isAllowed := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, machineType.Name)
 		if isAllowed && holdsTask(machineType, spec) {
-			boot = min(boot, machineType.BootS)
+			bootS = min(bootS, machineType.BootS)
 		}
 	}
-	return boot
+	return bootS
 }
 
 // startSlackS returns the time within which a job must start by the "wait" objective of its class,
-// less the time to fetch its image on the slowest machine that has room for a task, and one
-// heartbeat interval. It is negative if a task starts in time only where its image is present, and
-// +Inf without an objective. A fetch may take a third longer than by the rate in the catalog: 4/3.
+// minus one heartbeat interval and the time to fetch its image on the slowest type of machine that
+// has room for a task. It is negative if a task starts in time only on machines that already have the
+// image, and +Inf if there is no such objective. The factor 4/3 allows for a fetch that takes a third
+// longer than by the rate in the catalog.
 func (u *urgency) startSlackS(spec *wire.JobSpec) float64 {
-	slack := math.Inf(1)
+	slackS := math.Inf(1)
 	for _, o := range u.config.Cluster.Objectives {
 		if o.Kind != "wait" || o.Class != spec.JobClass {
 			continue
@@ -51,54 +51,53 @@
 		for i := range u.catalog.MachineTypes {
 			machineType := &u.catalog.MachineTypes[i]
 			if machineType.FetchGbPerS > 0 && holdsTask(machineType, spec) {
-				slack = min(slack, o.WithinS-spec.ImageGb/machineType.FetchGbPerS*4/3-u.config.Cluster.Workers.ReportS)
+				slackS = min(slackS, o.WithinS-spec.ImageGb/machineType.FetchGbPerS*4/3-u.config.Cluster.Workers.ReportS)
 			}
 		}
 	}
-	return slack
+	return slackS
 }
 
 // laxityS returns how long a job can still wait and be done by its deadline, or by the next
-// "finished" objective of its class, if it runs half as long again as its owner expects.
+// "finished" objective of its class, if it runs runTimeFactor times as long as its owner expects.
 //
-// A job without either, or that is not an array, counts as due four boots after its last task
-// stopped running, so that the job that has waited longest goes first. An array that has missed
-// all its objectives and has no deadline counts like that too: when it counted by its whole age,
-// it went before arrays that could still be in time, and at a team's limit fewer of them were in
-// time.
+// A job that has neither, or is not an array, counts as due four boot times after it began to wait,
+// so that the job that has waited longest goes first. The same applies to an array that has missed
+// all its objectives and has no deadline: when its whole age counted, it went before arrays that
+// could still finish in time, and fewer of those did so at a team's limit.
 func (u *urgency) laxityS(j *job, now time.Time) float64 {
 	spec := &j.record.Spec
-	age := float64(now.UnixMilli()-j.eligibleSinceMs) / 1000
-	left := (j.dueMs - float64(now.UnixMilli())) / 1000
+	ageS := float64(now.UnixMilli()-j.eligibleSinceMs) / 1000
+	leftS := (j.dueMs - float64(now.UnixMilli())) / 1000
 	for _, o := range u.config.Cluster.Objectives {
-		if o.Kind == "finished" && o.Class == spec.JobClass && o.WithinS > age {
-			left = min(left, o.WithinS-age)
+		if o.Kind == "finished" && o.Class == spec.JobClass && o.WithinS > ageS {
+			leftS = min(leftS, o.WithinS-ageS)
 		}
 	}
-	if math.IsInf(left, 1) || spec.Kind != wire.JobArray {
+	if math.IsInf(leftS, 1) || spec.Kind != wire.JobArray {
 		return 4*u.fastestBootS(spec) - now.Sub(j.waitingSince).Seconds()
 	}
-	fetch := 0.0
+	fetchS := 0.0
 	for i := range u.catalog.MachineTypes {
 		if rate := u.catalog.MachineTypes[i].FetchGbPerS; rate > 0 {
-			fetch = max(fetch, spec.ImageGb/rate)
+			fetchS = max(fetchS, spec.ImageGb/rate)
 		}
 	}
-	return left - fetch - runTimeFactor*spec.ExpectedRunS
+	return leftS - fetchS - runTimeFactor*spec.ExpectedRunS
 }
 
-// effectiveLevel returns the priority level at which a job competes for room: its own, or the
-// level that it inherits from a job that depends on it, once its laxity or the rest of its start
-// slack is no longer than a boot. Until then it waits for room like others of its own priority,
-// and preempts nobody.
+// effectiveLevel returns the priority level at which a job competes for capacity. That is its own
+// level until its laxity, or what is left of its start slack, is no longer than a boot. From then on
+// it is the level that the job inherits from the jobs that depend on it. Until then the job does not
+// preempt others by the inherited level.
 func (u *urgency) effectiveLevel(j *job, now time.Time) int {
 	spec := &j.record.Spec
 	own := spec.Priority.Level()
 	if j.level <= own {
 		return own
 	}
-	left := min(u.laxityS(j, now), u.startSlackS(spec)-now.Sub(j.waitingSince).Seconds())
-	if left > u.fastestBootS(spec) {
+	leftS := min(u.laxityS(j, now), u.startSlackS(spec)-now.Sub(j.waitingSince).Seconds())
+	if leftS > u.fastestBootS(spec) {
 		return own
 	}
 	return j.level
