--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -10,7 +10,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// newBenchLeader is a leader with a catalog and without machines, which logs nothing.
+// newBenchLeader returns a leader with a catalog and no machines, and turns off all logging.
 func newBenchLeader(now *time.Time) *Controller {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	c := newTestLeader(now)
@@ -29,7 +29,7 @@
 	return c
 }
 
-// benchSpec is a job of eight tasks with a GPU each.
+// benchSpec returns the spec of a service of eight tasks with a GPU each.
 func benchSpec(i int, priority wire.Priority, cores float64) wire.JobSpec {
 	return wire.JobSpec{
 		UID:       fmt.Sprintf("run-%06d", i),
@@ -44,7 +44,7 @@
 	}
 }
 
-// A cycle in which nothing waits and nothing has changed.
+// A scheduling cycle in which no task waits and no machine or job has changed.
 func BenchmarkQuietRound(b *testing.B) {
 	now := time.Now()
 	c := newBenchLeader(&now)
@@ -62,7 +62,8 @@
 	}
 }
 
-// newLargeFleetLeader is a leader whose machines run eight tasks each, with so many jobs that wait.
+// newLargeFleetLeader returns a leader with a fleet whose machines run seven or eight tasks each, and
+// with so many waiting jobs.
 func newLargeFleetLeader(machines, waiting int, now *time.Time) *Controller {
 	c := newBenchLeader(now)
 	c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
@@ -97,8 +98,8 @@
 	return c
 }
 
-// A leader's whole scheduling cycle while jobs wait that no machine has room for: the nodes of
-// the machines, the plan, who is alive, headroom and scale out.
+// A whole scheduling cycle of a leader while jobs wait that no machine has room for: failure
+// detection, the nodes of the machines, the plan, headroom and scale-out.
 func BenchmarkLeaderRound(b *testing.B) {
 	for _, machines := range []int{340, 1350, 4000, 6000} {
 		for _, waiting := range []int{0, 50, 500} {
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -8,15 +8,15 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// fakePeers are controllers of which those in some zones are reached, with all that relay
-// heartbeats, and which renew no worker leases.
+// fakePeers are controllers that can be reached in the given zones and renew no worker leases. All
+// followers that relay heartbeats can be reached.
 type fakePeers struct{ zones []string }
 
 func (fakePeers) RenewedHosts() []string   { return nil }
 func (p fakePeers) ReachedZones() []string { return p.zones }
 func (fakePeers) RelayReached(string) bool { return true }
 
-// fakeObserver keeps the final statuses that it was informed of.
+// fakeObserver keeps the final statuses of the jobs that it is told are finished.
 type fakeObserver struct{ finished map[string]wire.JobStatus }
 
 func (fakeObserver) TermObserved(uint64)               { /* not followed by tests */ }
@@ -25,7 +25,7 @@
 
 func (o fakeObserver) JobFinished(uid string, status wire.JobStatus) { o.finished[uid] = status }
 
-// scriptedStore is a state store that answers commits in turn and keeps them.
+// scriptedStore is a state store that answers commits with the given errors in turn and keeps them.
 type scriptedStore struct {
 	Store
 	answers []error
@@ -39,7 +39,7 @@
 	return uint64(len(s.commits)), err
 }
 
-// recordingCloud is a cloud that takes all machines back and keeps their names.
+// recordingCloud is a cloud that accepts the release of all machines and keeps their names.
 type recordingCloud struct {
 	Cloud
 	hosts []string
--- a/internal/controller/fixtures_test.go
+++ b/internal/controller/fixtures_test.go
@@ -9,14 +9,14 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// addTestJob adds a queued job whose placement records list so many tasks each.
+// addTestJob adds a queued job whose placement records cover tasksPerPlacement tasks each.
 func (c *Controller) addTestJob(spec wire.JobSpec, tasksPerPlacement int) *job {
 	record := &records.Job{Spec: spec, Status: wire.JobQueued, TasksPerPlacement: tasksPerPlacement}
 	c.applyJobEventLocked(spec.UID, watchcache.Entry{Job: record, ModRevision: 1})
 	return c.jobs.get(spec.UID)
 }
 
-// applyTestHeartbeat applies a heartbeat of a machine of type g8 in zone a.
+// applyTestHeartbeat applies a heartbeat of a machine of type g8 in zone a that reports these tasks.
 func (c *Controller) applyTestHeartbeat(host string, sequence uint64, now time.Time, tasks ...wire.TaskReport) *fleet.Machine {
 	m, _ := c.fleet.ApplyHeartbeat(&wire.Heartbeat{
 		Host:         host,
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -9,10 +9,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// planHeadroom places the phantom jobs of work that must start at once when it arrives, into the
-// room that a scheduling cycle's plan leaves. The machines that they would use are not released
-// until the next cycle; the shortfalls of the plan are provisioned. Nothing is launched for it.
-// c.mu is held.
+// planHeadroom plans phantom jobs, which stand for jobs that may arrive and must then start at once,
+// on the capacity that the plan of a scheduling cycle leaves free. It returns a plan whose shortfalls
+// are to be provisioned. Machines that phantom jobs would use are not released until the next cycle.
+// Phantom jobs are never launched. c.mu is held.
 func (c *Controller) planHeadroom(s *snapshot, plan *sched.Plan, now time.Time) *sched.Plan {
 	in := &sched.Input{
 		Now:              now,
@@ -32,15 +32,15 @@
 	for name := range s.in.Teams {
 		in.Teams[name] = &sched.Team{}
 	}
-	headroom, kept := &sched.Plan{}, map[string]bool{}
+	headroom, headroomMachines := &sched.Plan{}, map[string]bool{}
 	if len(in.Jobs) > 0 {
 		headroom = sched.Run(in)
 	}
-	for _, place := range headroom.Placements {
-		if m := s.machine(place.Node); m != nil {
-			kept[m.ID] = true
+	for _, planned := range headroom.Placements {
+		if m := s.machine(planned.Node); m != nil {
+			headroomMachines[m.ID] = true
 		}
 	}
-	c.setHeadroomMachines(kept)
+	c.setHeadroomMachines(headroomMachines)
 	return headroom
 }
--- a/internal/controller/hugearray_test.go
+++ b/internal/controller/hugearray_test.go
@@ -10,8 +10,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// leaderWithArray is a leader beside a state store with usual limits, with machines that have sent
-// a heartbeat and an array.
+// leaderWithArray returns a leader that has an array and machines that have sent a heartbeat, and its
+// state store, which has usual limits.
 func leaderWithArray(t *testing.T, now *time.Time, machines, tasks int, need fleet.Resources) (*limitedStore, *Controller, *job) {
 	t.Helper()
 	services := newLimitedStore(t, config.StateLimits{Rps: 250, WriteRps: 100, ValueKb: 8, TxnOps: 24})
@@ -33,20 +33,20 @@
 	return services, c, c.jobs.get(spec.UID)
 }
 
-// taskOutcome says how a machine reports an attempt.
+// taskOutcome returns the status and the cause that a machine reports for an attempt.
 type taskOutcome func(a *fleet.Attempt) (wire.TaskStatus, wire.Cause)
 
-// sameOutcome reports every attempt in the same way.
+// sameOutcome returns a taskOutcome that reports every attempt in the same way.
 func sameOutcome(status wire.TaskStatus, cause wire.Cause) taskOutcome {
 	return func(*fleet.Attempt) (wire.TaskStatus, wire.Cause) { return status, cause }
 }
 
-// reportAll lets every machine report, in a heartbeat, the attempts that it has been sent.
+// reportAll lets every machine send a heartbeat that reports the attempts whose launch it was sent.
 func reportAll(t *testing.T, c *Controller, sequence uint64, outcome taskOutcome) {
 	t.Helper()
-	c.JobCache.Apply(wire.WatchResponse{}, 0, c.now()) // the jobs are read all the time
+	c.JobCache.Apply(wire.WatchResponse{}, 0, c.now()) // the job cache is up to date
 	c.fleet.Each(func(m *fleet.Machine) {
-		r := wire.Heartbeat{
+		heartbeat := wire.Heartbeat{
 			Host:         m.ID,
 			MachineType:  "g8",
 			Zone:         m.Zone,
@@ -57,25 +57,25 @@
 		m.Each(func(a *fleet.Attempt) {
 			if a.State > fleet.Committed && a.State != fleet.EndRecorded {
 				status, cause := outcome(a)
-				r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.TaskName(), Attempt: a.Number, Status: status, Cause: cause})
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{Task: a.TaskName(), Attempt: a.Number, Status: status, Cause: cause})
 			}
 		})
-		if body := len(records.Encode(r)); body > wire.MaxBody {
-			t.Errorf("%s reports %d tasks in %d bytes", m.ID, len(r.Tasks), body)
+		if body := len(records.Encode(heartbeat)); body > wire.MaxBody {
+			t.Errorf("%s reports %d tasks in %d bytes, want at most %d", m.ID, len(heartbeat.Tasks), body, wire.MaxBody)
 		}
-		c.Heartbeat(t.Context(), &r, HeartbeatOptions{})
+		c.Heartbeat(t.Context(), &heartbeat, HeartbeatOptions{})
 	})
 }
 
-// An array with more placements than a commit may have compares is done once its tasks are, their
-// ends are acknowledged to the workers, and its records are dropped. All its placements once
-// counted against the one commit that only writes its status: it stayed unfinished for ever.
+// An array with more placements than a commit may have compares is done once all its tasks are: the
+// ends are acknowledged to the workers and the records are dropped. When all placements counted
+// against the limit of the commit that only writes the status, such an array never became final.
 func TestHugeArrayIsArchived(t *testing.T) {
 	const tasks = 25_000
 	now := time.Unix(10_000, 0)
 	services, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Resources{Cores: 0.25, RAM: 1})
 	sequence := uint64(1)
-	for rounds := 0; j.done < tasks && rounds < 1000; rounds++ {
+	for cycles := 0; j.done < tasks && cycles < 1000; cycles++ {
 		now = now.Add(3 * time.Second)
 		c.runCycle(time.Second)
 		commitAll(t, c)
@@ -84,41 +84,40 @@
 		sequence += 2
 	}
 	if j.done != tasks {
-		t.Fatalf("%d tasks are done", j.done)
+		t.Fatalf("%d tasks are done, want %d", j.done, tasks)
 	}
 	now = now.Add(3 * time.Second)
 	commitAll(t, c)
 	if c.jobs.get(j.uid) != nil {
-		t.Errorf("the job is still known as %s", j.record.Status)
+		t.Errorf("the leader still has the job with status %s, want it archived", j.record.Status)
 	}
 	if left := len(services.items); left != 1 || services.items[records.FinalKey(j.uid)].ModRevision == 0 {
-		t.Errorf("%d records are left", left)
+		t.Errorf("%d records are left, want only the final status", left)
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
 		m.Each(func(a *fleet.Attempt) {
 			if a.State != fleet.EndRecorded {
-				t.Fatalf("%s is %s", a.TaskName(), a.State)
+				t.Fatalf("%s is %s, want %s", a.TaskName(), a.State, fleet.EndRecorded)
 			}
 		})
 	})
 }
 
-// A machine gets as many tasks as its heartbeat has room for and no more. Tasks whose end is not
-// acknowledged count. An array of which more would have fitted a machine once started no task at
-// all.
+// A machine gets as many tasks as its heartbeat can report and no more. Ended tasks count until their
+// end is acknowledged. An array of which a machine had capacity for more tasks once started none.
 func TestHeartbeatsOfTinyTasksFitABody(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Resources{Cores: 0.02, RAM: 0.1})
 	c.runCycle(time.Second)
 	commitAll(t, c)
 	if j.live != maxTasksPerMachine {
-		t.Fatalf("%d tasks are started, want %d", j.live, maxTasksPerMachine)
+		t.Fatalf("%d tasks are live, want %d", j.live, maxTasksPerMachine)
 	}
 	reportAll(t, c, 2, sameOutcome(wire.TaskEnded, wire.CauseDone))
-	c.runCycle(time.Second) // nothing is reaped yet: the ends are written later
+	c.runCycle(time.Second) // no end is acknowledged yet: ends are written later
 	commitAll(t, c)
 	reportAll(t, c, 3, sameOutcome(wire.TaskEnded, wire.CauseDone))
 	if j.live != 0 {
-		t.Errorf("%d tasks are started beside %d that are not reaped", j.live, maxTasksPerMachine)
+		t.Errorf("%d tasks are started, want 0 while the ends of %d are not acknowledged", j.live, maxTasksPerMachine)
 	}
 }
--- a/internal/controller/imagerecords.go
+++ b/internal/controller/imagerecords.go
@@ -13,28 +13,29 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// recordedImages is how many images of a machine are recorded, and when they were recorded.
+// recordedImages describes a machine's last image record: how many images it has, and when it was
+// written.
 type recordedImages struct {
 	count      int
 	recordedAt time.Time
 }
 
-// maxRecordedImages is how many images of a machine are recorded at most.
+// maxRecordedImages is the maximum number of images in a machine's record.
 const maxRecordedImages = 16
 
-// imageWriteDivisor limits a commit of images to this fraction, as one in so many, of the writes
-// that the state store accepts in a second: launches need the others.
+// imageWriteDivisor limits a commit of image records to the number of writes that the state store
+// accepts in a second, divided by this. Launches need the other writes.
 const imageWriteDivisor = 8
 
-// recordImages records periodically which images machines have, until ctx ends, so that a new
-// leader knows where tasks start quickly. If a record is late or missing, only time is lost.
+// recordImages periodically records which images the machines have, until ctx ends, so that a new
+// leader knows where tasks start quickly. A late or missing record only delays task starts.
 func (c *Controller) recordImages(ctx context.Context) {
 	for timeralign.Sleep(ctx, c.untilNext(c.Config.HeartbeatInterval())) {
 		c.commitImageBatch(ctx)
 	}
 }
 
-// commitImageBatch records the images of as many machines as fit one commit.
+// commitImageBatch commits the image records of as many machines as fit one commit.
 func (c *Controller) commitImageBatch(ctx context.Context) {
 	tx, recorded := c.imagesToRecord()
 	if len(tx.Changes) == 0 {
@@ -49,15 +50,16 @@
 	maps.Copy(c.recordedImages, recorded)
 }
 
-// imagesToRecord makes the next commit of machines' images.
+// imagesToRecord returns the next commit of image records, and what it records of each machine, by
+// machine ID.
 func (c *Controller) imagesToRecord() (tx wire.Transaction, recorded map[string]recordedImages) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	tx.Compares = []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}
 	recorded = map[string]recordedImages{}
-	// A commit that is larger than the state store takes would be rejected, and no image
-	// would ever be recorded.
+	// The state store would reject a larger commit each time, and no image would ever be
+	// recorded.
 	maxChanges := min(max(1, int(c.Config.StateLimits().WriteRps/imageWriteDivisor)), c.maxBatchChanges())
 	size := 0
 	c.fleet.Each(func(m *fleet.Machine) {
@@ -74,9 +76,9 @@
 	return tx, recorded
 }
 
-// hasUnrecordedImages reports whether the images of a machine are to be recorded again: it has
-// more than are recorded, and its last record is older than a worker lease. c.mu is held.
+// hasUnrecordedImages reports whether the images of a machine are to be recorded: the machine has more
+// images than its last record, which is older than a worker lease. c.mu is held.
 func (c *Controller) hasUnrecordedImages(m *fleet.Machine, now time.Time) bool {
-	known := c.recordedImages[m.ID]
-	return m.State == fleet.Ready && len(m.Images) > known.count && now.Sub(known.recordedAt) > c.Config.WorkerLease()
+	last := c.recordedImages[m.ID]
+	return m.State == fleet.Ready && len(m.Images) > last.count && now.Sub(last.recordedAt) > c.Config.WorkerLease()
 }
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -11,7 +11,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// fleetScenario is a leader of a fleet whose machines each get one task of an array.
+// fleetScenario is a leader and a fleet in which each machine gets one task of an array.
 type fleetScenario struct {
 	t        *testing.T
 	services *limitedStore
@@ -21,7 +21,7 @@
 	sequence uint64 // of the machines' next heartbeats
 }
 
-// heartbeats lets every machine send a heartbeat, and counts the launches in the answers.
+// heartbeats lets every machine send a heartbeat, and returns the number of launches in the answers.
 func (f *fleetScenario) heartbeats() (launches int) {
 	for i := range f.hosts {
 		heartbeat := wire.Heartbeat{
@@ -45,12 +45,12 @@
 	return launches
 }
 
-// placeAll runs rounds until every machine has a task that runs.
+// placeAll runs scheduling cycles until every machine runs a task of the job.
 func (f *fleetScenario) placeAll(uid string) {
 	f.t.Helper()
 	f.heartbeats()
 	launches := 0
-	for rounds := 1; launches < len(f.hosts) && rounds < 20; rounds++ {
+	for cycles := 1; launches < len(f.hosts) && cycles < 20; cycles++ {
 		f.now = f.now.Add(time.Second)
 		f.leader.runCycle(time.Second)
 		commitAll(f.t, f.leader)
@@ -58,7 +58,7 @@
 	}
 	f.heartbeats()
 	if j := f.leader.jobs.get(uid); launches != len(f.hosts) || j.runningCount() != len(f.hosts) {
-		f.t.Fatalf("%d machines: %d launches, %d running", len(f.hosts), launches, j.runningCount())
+		f.t.Fatalf("%d launches, %d running tasks, want %d of both", launches, j.runningCount(), len(f.hosts))
 	}
 }
 
@@ -70,16 +70,16 @@
 		f.leader.commitImageBatch(f.t.Context())
 	}
 	if images, _, _ := f.services.List(f.t.Context(), records.ImagesPrefix); len(images) != len(f.hosts) {
-		f.t.Errorf("the images of %d of %d machines are recorded", len(images), len(f.hosts))
+		f.t.Errorf("the images of %d machines are recorded, want %d", len(images), len(f.hosts))
 	}
 }
 
-// releaseAll releases all machines, each of which is ready and has an attempt.
+// releaseAll checks that each machine is ready and has one live attempt, and releases them all.
 func (f *fleetScenario) releaseAll() {
 	f.t.Helper()
 	f.leader.fleet.Each(func(m *fleet.Machine) {
 		if m.State != fleet.Ready || m.LiveCount() != 1 {
-			f.t.Fatalf("%s is %s with %d attempts", m.ID, m.State, m.LiveCount())
+			f.t.Fatalf("%s is %s with %d live attempts, want %s with 1", m.ID, m.State, m.LiveCount(), fleet.Ready)
 		}
 		f.leader.startRelease(m, f.now, "test")
 	})
@@ -88,13 +88,13 @@
 	for f.leader.sendReleases(f.t.Context()) {
 	}
 	if left := f.leader.fleet.Len(); len(f.services.released) != len(f.hosts) || left != 0 {
-		f.t.Errorf("%d of %d machines are released, %d are left", len(f.services.released), len(f.hosts), left)
+		f.t.Errorf("%d machines are released, want %d; %d are left, want 0", len(f.services.released), len(f.hosts), left)
 	}
 }
 
-// A fleet of 4,096 and of 6,000 machines is listed, sends heartbeats, gets a task on each machine
-// within the limits of the state store, has all its images recorded, is known to the next leader
-// with every attempt, and is released to the last machine.
+// A fleet of 4,096 or 6,000 machines is listed, sends heartbeats and gets a task on each machine. The
+// images of all machines are recorded, the next leader loads every attempt, and every machine is
+// released, all within the limits of the state store.
 func TestLargeFleetFromListToRelease(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -130,7 +130,7 @@
 				t.Fatal(err)
 			}
 			if live, known := f.leader.jobs.get(spec.UID).live, f.leader.fleet.Len(); live != machines || known != machines {
-				t.Fatalf("the next leader knows %d attempts on %d machines", live, known)
+				t.Fatalf("the next leader has %d attempts on %d machines, want %d on %d", live, known, machines, machines)
 			}
 			f.heartbeats()
 			f.releaseAll()
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -10,12 +10,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// minCallsBetweenLists is the least time between two machine lists, as the number of calls that the cloud
-// allows in that time: the lists leave the other calls to provisioning and releases.
+// minCallsBetweenLists is the minimum time between two machine lists, as the number of calls that the
+// cloud allows in that time. It leaves the other calls to provisioning and releases.
 const minCallsBetweenLists = 8
 
-// followCloud reads the machine list and the catalog periodically until ctx ends: the list no more
-// often than the cloud's rate of calls allows all its pages to be read.
+// followCloud reads the machine list and the catalog periodically until ctx ends. It leaves enough time
+// between two lists to read all pages of a list within the cloud's call rate.
 func (c *Controller) followCloud(ctx context.Context) {
 	minPeriod := max(c.Config.CloudListLag()*2/3, time.Duration(minCallsBetweenLists*float64(time.Second)/c.Config.Cluster.Cloud.Rps))
 	var catalogRead time.Time
@@ -38,8 +38,8 @@
 	}
 }
 
-// readCatalog reads the machine types and their prices. It returns false if that failed or there
-// are none; the last catalog then stays in use.
+// readCatalog reads the machine types and their prices. It returns false, and the last catalog stays
+// in use, if that failed or the new catalog has no machine types.
 func (c *Controller) readCatalog(ctx context.Context) bool {
 	catalog, err := c.Cloud.Catalog(ctx)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return true
 }
 
-// applyMachineList updates the fleet by a machine list that was requested at requestedAt. The list
-// may show an older state than the one before.
+// applyMachineList updates the fleet from a machine list that was requested at requestedAt. A list may
+// show an older state than the list before it.
 func (c *Controller) applyMachineList(hosts []wire.ListedHost, requestedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +78,7 @@
 	})
 }
 
-// applyListedHost updates a machine by its entry in a machine list. c.mu is held.
+// applyListedHost updates a machine from its entry in a machine list. c.mu is held.
 func (c *Controller) applyListedHost(host *wire.ListedHost, requestedAt, now time.Time) {
 	m := c.fleet.GetOrAdd(host.UID, now)
 	if m.State == fleet.Gone {
@@ -99,17 +99,17 @@
 	}
 }
 
-// isMissingFromLists reports whether a machine that a list does not show has failed. A list may be
-// older than a new machine: one that has been known for much longer than lists lag, whether it was
-// ever listed or not, is in every list until it is gone. One that sends heartbeats has not failed.
-// c.mu is held.
+// isMissingFromLists reports whether a machine that is not in the latest list has failed. A new machine
+// may be younger than the list. A machine that has been known for much longer than the lag of lists,
+// whether it was ever listed or not, is in every list until it is gone. A machine that sends
+// heartbeats has not failed. c.mu is held.
 func (c *Controller) isMissingFromLists(m *fleet.Machine, now time.Time) bool {
 	return now.Sub(m.FirstSeen) > 4*c.Config.CloudListLag()+c.Config.WorkerLease() &&
 		now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval()
 }
 
-// markFailed records that a machine has stopped without having been released. The next scheduling
-// cycle releases it. c.mu is held.
+// markFailed records that a machine has stopped without being released. The next scheduling cycle
+// releases it. c.mu is held.
 func (c *Controller) markFailed(m *fleet.Machine) {
 	if !m.Failed {
 		m.Failed = true
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -2,7 +2,7 @@
 
 import "lotusstile.dev/lotusstile/internal/quota"
 
-// withinQuotas returns the jobs that lie within the quotas of their teams; nil if no team has a
+// withinQuotas returns the jobs that are within the quotas of their teams, or nil if no team has a
 // quota. c.mu is held.
 func (c *Controller) withinQuotas() quota.Set {
 	quotas := map[string]quota.Amount{}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -14,20 +14,20 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// provisionCallShare is the share of the cloud's calls that provisioning may use. The rest is left to
-// machine lists and releases.
+// provisionCallShare is the share of the cloud's call rate that provisioning may use. Machine lists and
+// releases use the rest.
 const provisionCallShare = 0.25
 
-// maxProvisionAttempts is how often a request is sent before it is abandoned.
+// maxProvisionAttempts is how many times a request is sent before it is abandoned.
 const maxProvisionAttempts = 4
 
-// scale decides which machines to provision for tasks that have no room, and starts to release
-// those that are idle. It returns the requests to send. c.mu is held.
+// scale decides which machines to provision for tasks that no machine has room for, and starts the
+// release of idle machines. It returns the requests to send. c.mu is held.
 func (c *Controller) scale(s *snapshot, plan *sched.Plan, now time.Time) []wire.ProvisionRequest {
 	settled := c.detector.IsSettled(now)
 	headroom := c.planHeadroom(s, plan, now)
-	// A new leader does not know yet which machines are alive: it provisions none until they
-	// have sent heartbeats or failure detection is settled.
+	// A new leader does not know yet which machines are alive. It provisions no machines until
+	// the known ones have sent heartbeats or failure detection is settled.
 	if !settled && c.requests.Len() == 0 && c.fleet.Len() > 0 && c.awaitsFirstHeartbeats() {
 		return nil
 	}
@@ -38,8 +38,8 @@
 	return requests
 }
 
-// planRequests decides what to provision for tasks and for headroom that have no room. c.mu is
-// held.
+// planRequests decides which machines to provision for tasks and headroom that no machine has room
+// for. c.mu is held.
 func (c *Controller) planRequests(tasks, headroom []sched.Shortfall, now time.Time) []wire.ProvisionRequest {
 	machinesByZone := map[string]int{}
 	c.fleet.Each(func(m *fleet.Machine) { machinesByZone[m.Zone]++ })
@@ -71,10 +71,11 @@
 	return found
 }
 
-// provisionMachines sends a request for machines, again after an error, until the cloud provisions
-// some, has no capacity, or provisionAttempts are used up. The request then is no longer pending.
+// provisionMachines sends a request for machines and retries it after errors until the cloud
+// provisions some, reports that it has no capacity, or maxProvisionAttempts are used up. After that
+// the request is no longer pending.
 func (c *Controller) provisionMachines(ctx context.Context, request wire.ProvisionRequest) {
-	pause := c.Config.CloudListLag() / 4
+	backoff := c.Config.CloudListLag() / 4
 	for attempt := 0; attempt < maxProvisionAttempts && ctx.Err() == nil; attempt++ {
 		hosts, err := c.Cloud.Provision(ctx, request)
 		if err == nil {
@@ -89,16 +90,16 @@
 			c.mu.Unlock()
 			break
 		}
-		timeralign.Sleep(ctx, pause)
-		pause *= 2
+		timeralign.Sleep(ctx, backoff)
+		backoff *= 2
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests.Finish(request.RequestID)
 }
 
-// addProvisioned adds the machines that the cloud has provisioned to the fleet. Fewer than were
-// requested count as a refusal.
+// addProvisioned adds the machines that the cloud has provisioned to the fleet. If they are fewer than
+// were requested, that counts as a refusal.
 func (c *Controller) addProvisioned(request wire.ProvisionRequest, hosts []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +121,7 @@
 	return autoscaler.MachineGroup{Type: request.MachineType, Zone: request.Zone, Spot: request.Spot}
 }
 
-// requestAttributes returns the attributes by which log lines name a request for machines.
+// requestAttributes returns the log attributes that describe a request for machines.
 func requestAttributes(request wire.ProvisionRequest) []any {
 	return []any{
 		"request", request.RequestID,
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -5,10 +5,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// CountsSince returns the jobs whose counts of tasks have changed after a revision, and the
-// revision to ask from next: 0 until the state is loaded. If there are more changes than one reply
-// carries it returns the oldest, and more is true. A view with a final status is of a job whose
-// final status is committed.
+// CountsSince returns the task counts that have changed and the final statuses that were committed
+// after a revision, and the revision to ask from next, which is 0 until the state is loaded. If there
+// are more changes than one reply carries, it returns the oldest, and more is true.
 func (c *Controller) CountsSince(revision uint64) (views []wire.JobView, upTo uint64, more bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -18,8 +17,8 @@
 	return c.jobs.changesSince(revision)
 }
 
-// Counts returns how many tasks of a job are done and running. ok is false if the job is not
-// known, or the state not loaded yet.
+// Counts returns how many tasks of a job are done and how many are running. ok is false if the job is
+// unknown or the state is not loaded yet.
 func (c *Controller) Counts(uid string) (done, running int, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,15 +29,14 @@
 	return j.done, j.runningCount(), true
 }
 
-// Machines returns the number of machines that are not gone; known is false until the state is
-// loaded.
+// Machines returns the number of machines that are not gone. known is false until the state is loaded.
 func (c *Controller) Machines() (n int, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.fleet.Len(), c.loaded
 }
 
-// HasMachine reports whether a machine is known that is not gone.
+// HasMachine reports whether the fleet has a machine of this name that is not gone.
 func (c *Controller) HasMachine(host string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +44,7 @@
 	return m != nil && m.State != fleet.Gone
 }
 
-// Status returns the leader's part of a node's status.
+// Status returns the part of a node's status that only the leader knows.
 func (c *Controller) Status() wire.LeadStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/status_test.go
+++ b/internal/controller/status_test.go
@@ -10,7 +10,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Of more jobs than fit one reply, a follower learns the counts of all, ping by ping.
+// A follower learns the task counts of more jobs than fit one reply by several pings.
 func TestFollowerLearnsTheCountsOfManyJobs(t *testing.T) {
 	const jobs = 3*maxCountsPerReply + 1
 	now := time.Unix(1000, 0)
@@ -26,13 +26,13 @@
 		var views []wire.JobView
 		views, revision, more = c.CountsSince(revision)
 		if len(views) > maxCountsPerReply || pings > jobs/maxCountsPerReply {
-			t.Fatalf("%d counts by ping %d", len(views), pings)
+			t.Fatalf("reply %d has %d counts, want at most %d in each of %d", pings, len(views), maxCountsPerReply, jobs/maxCountsPerReply+1)
 		}
 		for _, v := range views {
 			learned[v.UID] = true
 		}
 	}
 	if len(learned) != jobs || revision != c.jobs.revision {
-		t.Errorf("%d of %d counts are learned, up to %d of %d", len(learned), jobs, revision, c.jobs.revision)
+		t.Errorf("the follower learned %d counts up to revision %d, want %d up to %d", len(learned), revision, jobs, c.jobs.revision)
 	}
 }
