--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -29,9 +29,9 @@
 )
 
 // attributeFailure adds the failure of a task to the evidence. It backs off the job if the evidence
-// shows that the job is faulty, and quarantines the machine if the evidence shows that the machine
-// is. Otherwise it quarantines the machine for a short time, unless the job is suspect already. c.mu
-// is held.
+// shows that the job is faulty, and quarantines the machine if the evidence shows that the machine is
+// faulty. A machine without such evidence is quarantined for a short time, unless the job is suspect.
+// c.mu is held.
 func (c *Controller) attributeFailure(j *job, m *fleet.Machine, now time.Time) {
 	lease := c.Config.WorkerLease()
 	c.faultEvidence.RecordFailure(j.uid, m.ID, j.done > 0, now)
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -15,12 +15,12 @@
 type job struct {
 	uid         string
 	record      *records.Job
-	modRevision uint64 // of the record
-	need        fleet.Resources
+	modRevision uint64          // of the record
+	need        fleet.Resources // of one task
 
 	// Its state in the dependency graph.
 	level           int     // priority level: its own, or the highest of the jobs that depend on it
-	dueMs           float64 // due time by its own deadline or theirs; +Inf if there is none
+	dueMs           float64 // due time by its own deadline or one of a job that depends on it; +Inf if there is none
 	released        bool    // all jobs that it depends on are done
 	cancelled       bool    // a job that it depends on is cancelled
 	eligibleSinceMs int64   // when it was accepted or, if later, released
--- a/internal/controller/jobtable_test.go
+++ b/internal/controller/jobtable_test.go
@@ -48,6 +48,6 @@
 		}
 	}
 	if len(learned) != len(want) || len(c.jobs.finalStatuses) > maxFinalStatuses {
-		t.Errorf("%d final statuses learned, want %d; kept %d of %d", len(learned), len(want), len(c.jobs.finalStatuses), maxFinalStatuses)
+		t.Errorf("learned %d final statuses, want %d; %d kept, want max %d", len(learned), len(want), len(c.jobs.finalStatuses), maxFinalStatuses)
 	}
 }
--- a/internal/controller/status_test.go
+++ b/internal/controller/status_test.go
@@ -26,7 +26,7 @@
 		var views []wire.JobView
 		views, revision, more = c.CountsSince(revision)
 		if len(views) > maxCountsPerReply || pings > jobs/maxCountsPerReply {
-			t.Fatalf("reply %d has %d counts, want at most %d in each of %d", pings, len(views), maxCountsPerReply, jobs/maxCountsPerReply+1)
+			t.Fatalf("reply %d has %d counts, want at most %d in %d replies", pings, len(views), maxCountsPerReply, jobs/maxCountsPerReply+1)
 		}
 		for _, v := range views {
 			learned[v.UID] = true
--- a/internal/controller/urgency.go
+++ b/internal/controller/urgency.go
@@ -92,13 +92,13 @@
 // preempt others by the inherited level.
 func (u *urgency) effectiveLevel(j *job, now time.Time) int {
 	spec := &j.record.Spec
-	own := spec.Priority.Level()
-	if j.level <= own {
-		return own
+	ownLevel := spec.Priority.Level()
+	if j.level <= ownLevel {
+		return ownLevel
 	}
 	leftS := min(u.laxityS(j, now), u.startSlackS(spec)-now.Sub(j.waitingSince).Seconds())
 	if leftS > u.fastestBootS(spec) {
-		return own
+		return ownLevel
 	}
 	return j.level
 }
