--- a/internal/controller/imagerecords.go
+++ b/internal/controller/imagerecords.go
@@ -13,8 +13,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// recordedImages describes a machine's last image record: how many images it has, and when it was
-// written.
+// recordedImages describes a machine's last image record: how many images the machine had then, and
+// when the record was written or loaded.
 type recordedImages struct {
 	count      int
 	recordedAt time.Time
@@ -77,7 +77,7 @@
 }
 
 // hasUnrecordedImages reports whether the images of a machine are to be recorded: the machine has more
-// images than its last record, which is older than a worker lease. c.mu is held.
+// images than at its last record, which is older than a worker lease. c.mu is held.
 func (c *Controller) hasUnrecordedImages(m *fleet.Machine, now time.Time) bool {
 	last := c.recordedImages[m.ID]
 	return m.State == fleet.Ready && len(m.Images) > last.count && now.Sub(last.recordedAt) > c.Config.WorkerLease()
