--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -15,38 +15,38 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Waits as parts of the lease's time to live: LeaseTTL divided by the constant.
+// Durations as fractions of the time to live of the leader's lease: each is LeaseTTL divided by the constant.
 const (
-	// campaignJitterDivisor bounds the random wait before a campaign, which keeps nodes from
-	// colliding at every attempt.
+	// campaignJitterDivisor gives the upper bound of the random wait before a campaign. The wait keeps nodes that
+	// notice a leader's failure together from campaigning at the same moment.
 	campaignJitterDivisor = 40
-	// delayStepDivisor gives the wait for each step of CampaignDelaySteps.
+	// delayStepDivisor gives the wait before a campaign for each step of CampaignDelaySteps.
 	delayStepDivisor = 8
-	// deferDivisor gives the time by which a node lets one go first that is better prepared to
-	// lead: longer than the random wait of either.
+	// deferDivisor gives the extra wait before a campaign while DeferToStandby is true. It is longer than the random
+	// wait of either node, so that the node that is better prepared to lead campaigns first.
 	deferDivisor = 16
-	// retryJitterDivisor bounds the random wait after a campaign that this node did not win.
+	// retryJitterDivisor gives the upper bound of the random wait after a lost campaign.
 	retryJitterDivisor = 8
-	// watchPauseDivisor gives the pause of the watch after a failed read.
+	// watchPauseDivisor gives the pause before the election's keys are read again after a failed read.
 	watchPauseDivisor = 8
 )
 
-// watchTTLs is how long one watch of the election's keys waits for a change, in units of LeaseTTL.
-const watchTTLs = 2
+// watchTimeoutTTLs is how long one watch request for the election's keys waits for a change, in multiples of LeaseTTL.
+const watchTimeoutTTLs = 2
 
-// Run takes part in elections until ctx ends. It returns once the watch of the election's keys
-// has ended too.
+// Run takes part in elections until ctx ends. It returns after the goroutine that watches the election's keys has
+// ended.
 func (e *Elector) Run(ctx context.Context) {
-	var watch sync.WaitGroup
-	defer watch.Wait()
-	watch.Go(func() {
-		watchcache.Follow(ctx, e.Store, records.ElectionPrefix, watchTTLs*e.LeaseTTL, e.LeaseTTL/watchPauseDivisor, e)
+	var watcher sync.WaitGroup
+	defer watcher.Wait()
+	watcher.Go(func() {
+		watchcache.Follow(ctx, e.Store, records.ElectionPrefix, watchTimeoutTTLs*e.LeaseTTL, e.LeaseTTL/watchPauseDivisor, e)
 	})
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.changed:
+		case <-e.viewChanged:
 		case <-time.After(e.LeaseTTL):
 		}
 		if view := e.View(); !view.Synced || view.Leader != "" {
@@ -58,22 +58,22 @@
 		if e.View().Leader != "" {
 			continue
 		}
-		e.transition(Campaigning, "nobody leads")
+		e.transition(Campaigning, "there is no leader")
 		if term, leaseID, elected := e.campaign(ctx); elected {
 			e.leadTerm(ctx, term, leaseID)
 			continue
 		}
 		e.transition(Following, "not elected")
 		timeralign.Sleep(ctx, jitter(e.LeaseTTL/retryJitterDivisor))
-		e.notifyChanged()
+		e.notifyViewChanged()
 	}
 }
 
 // jitter returns a random duration below limit.
 func jitter(limit time.Duration) time.Duration { return time.Duration(rand.Int64N(int64(limit))) }
 
-// campaignDelay returns how long to wait before a campaign, so that better placed and better
-// prepared nodes go first and equal ones do not collide.
+// campaignDelay returns how long to wait before a campaign: nodes that are better placed or better prepared to lead
+// campaign first, and equal nodes campaign at different times.
 func (e *Elector) campaignDelay() time.Duration {
 	delay := jitter(e.LeaseTTL/campaignJitterDivisor) + time.Duration(e.CampaignDelaySteps())*e.LeaseTTL/delayStepDivisor
 	if e.DeferToStandby() {
@@ -82,14 +82,14 @@
 	return delay
 }
 
-// campaign makes one attempt to become leader: it creates the leader's key on a new lease. If
-// elected is true the term and the lease are this node's. Otherwise a lease that was granted is
-// revoked, and the view shows who leads as far as the state store answers.
+// campaign makes one attempt to become leader: it creates the leader's key, attached to a new lease. If elected is
+// true, this node leads the returned term by the returned lease. Otherwise campaign revokes the lease, if one was
+// granted, and reads who leads from the state store.
 func (e *Elector) campaign(ctx context.Context) (term, leaseID uint64, elected bool) {
 	ctx = store.WithUrgentLane(ctx)
 	leaseID, err := e.Store.GrantLease(ctx, e.LeaseTTL)
 	if err != nil {
-		slog.Debug("no lease was granted for a campaign", "err", err)
+		slog.Debug("campaign failed: the state store granted no lease", "err", err)
 		return 0, 0, false
 	}
 	record := records.Encode(records.Leader{Node: e.Node})
@@ -103,25 +103,25 @@
 	if err == nil {
 		return term, leaseID, true
 	}
-	slog.Debug("campaign was not won", "err", err)
+	slog.Debug("commit of a campaign failed", "err", err)
 	if errors.Is(err, store.ErrOutcomeUnknown) {
-		// The commit may have been executed: the key is then attached to this campaign's lease.
+		// The commit may have been executed. If it was, the leader's key is attached to this campaign's lease.
 		if item, found, err := e.Store.Get(ctx, records.LeaderKey); err == nil && found && item.LeaseID == leaseID {
 			return item.ModRevision, leaseID, true
 		}
 	}
 	if err := e.Store.RevokeLease(ctx, leaseID); err != nil {
-		slog.Debug("lease of a campaign that was not won could not be revoked", "err", err) // it expires by itself
+		slog.Debug("lease of a lost campaign could not be revoked", "err", err) // the lease expires by itself
 	}
 	e.readLeader(ctx)
 	return 0, 0, false
 }
 
-// readLeader reads who leads after a campaign that this node did not win.
+// readLeader reads the leader's key after a lost campaign and applies it to the view.
 func (e *Elector) readLeader(ctx context.Context) {
 	item, found, err := e.Store.Get(ctx, records.LeaderKey)
 	if err != nil || !found {
-		return // the watch will show it
+		return // the watch will report the leader
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,8 +1,8 @@
-// Package election elects the one leader. The leader's key is attached to a lease of the state
-// store; the modification revision of that key is the term, which is the workers' fencing token.
+// Package election elects one leader among the nodes. The leader's key in the state store is attached to a lease. The
+// modification revision of that key is the term, which workers use as their fencing token.
 //
-// An Elector follows the keys of the election, campaigns when nobody leads, renews its lease while
-// it leads, and transfers the leadership to a node that is better placed.
+// An Elector watches the keys of the election, campaigns when there is no leader, renews its lease while it leads, and
+// transfers the leadership when a better placed node can lead.
 package election
 
 import (
@@ -16,10 +16,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// State is the state of a node in the election.
+// State is the role of a node in the election.
 type State int
 
-// The states of a node.
+// The states of a node in the election.
 const (
 	// Following: another node leads, or no leader is known.
 	Following State = iota
@@ -27,18 +27,18 @@
 	Campaigning
 	// Leading: the node leads, and its lease was renewed in time.
 	Leading
-	// LeadingUnconfirmed: the node leads, but its lease could not be renewed in time. Another
-	// node may lead already. Operators know the state as unproven.
+	// LeadingUnconfirmed: the node leads, but its lease could not be renewed in time, so another node may lead
+	// already. Operators see this state as "unproven".
 	LeadingUnconfirmed
 )
 
-// stateNames are the names that the administration API shows.
+// stateNames are the names of the states in the administration API.
 var stateNames = [...]string{"following", "campaigning", "leading", "unproven"}
 
 // String returns the name that operators see.
 func (s State) String() string { return stateNames[s] }
 
-// Store is what an election needs of the state store.
+// Store is the part of the state store's client that an election needs.
 type Store interface {
 	watchcache.Reader
 	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
@@ -48,57 +48,57 @@
 	RevokeLease(ctx context.Context, leaseID uint64) error
 }
 
-// View is what a node knows of the leadership.
+// View is what a node knows about the leadership.
 type View struct {
-	// Leader is the label of the leader; empty if none is known.
+	// Leader is the label of the node that leads Term; empty if no leader is known.
 	Leader string
-	// Term is the latest term that this node has observed; it is Leader's if there is one.
+	// Term is the latest term that this node has observed.
 	Term uint64
-	// ConfirmedTerm is the latest term that the state store or the leader of that term has
-	// announced; Term may be known from a worker's fencing token alone.
+	// ConfirmedTerm is the latest term that the state store or the leader of that term has announced. Term can be
+	// newer: this node may have learned it only from a worker's fencing token.
 	ConfirmedTerm uint64
-	// Synced is true once the keys of the election have been listed.
+	// Synced is true once this node has listed the keys of the election.
 	Synced bool
 }
 
-// Options say how a node takes part in elections. Store, Node, LeaseTTL and Lead are required.
+// Options configure how a node takes part in elections. Store, Node, LeaseTTL and Lead are required.
 type Options struct {
 	Store Store
 	// Node is the label of this node.
 	Node string
 	// LeaseTTL is the time to live of the leader's lease.
 	LeaseTTL time.Duration
-	// Lead is called for each term that this node leads; its context ends with the term. The
-	// term counts as ended only once it returns.
+	// Lead is called for each term that this node leads. Its context ends with the term, and this node campaigns
+	// again only after Lead has returned.
 	Lead func(ctx context.Context, term uint64)
-	// Timers aligns the renewals of the lease with the other periodic work of the process.
+	// Timers aligns the lease renewals with the other periodic work of the process.
 	Timers timeralign.Grid
-	// CampaignDelaySteps returns by how many eighths of LeaseTTL this node lets better placed ones
-	// go first; nil is none.
+	// CampaignDelaySteps returns how many eighths of LeaseTTL this node waits before a campaign, so that better
+	// placed nodes campaign first; nil means that it does not wait.
 	CampaignDelaySteps func() int
-	// DeferToStandby reports whether another node is better prepared to lead and should go first;
-	// nil is never.
+	// DeferToStandby reports whether another node is better prepared to lead and should campaign first; nil means
+	// never.
 	DeferToStandby func() bool
-	// TransferWanted reports whether a node that is better placed is well, so that this one
-	// should transfer the leadership; nil is never.
+	// TransferWanted reports whether this node should transfer the leadership because a better placed node is
+	// healthy; nil means never.
 	TransferWanted func() bool
 }
 
-// Elector runs the election at one node. It is safe for concurrent use; Run is called once.
+// Elector runs the election at one node. It is safe for concurrent use; Run must be called only once.
 type Elector struct {
 	Options
 
-	// mu guards the fields below, except that changed is set once, in New.
+	// mu guards the fields below, except viewChanged, which never changes after New.
 	mu              sync.Mutex
 	state           State
 	view            View
-	ownTerm         uint64             // the term that this node leads, or led last
-	endTerm         context.CancelFunc // ends that term; nil if this node does not lead
+	ownTerm         uint64             // the term that this node leads, or the last one that it led
+	endTerm         context.CancelFunc // ends ownTerm; nil if this node does not lead
 	leaderlessSince time.Time          // see LeaderlessSince
-	changed         chan struct{}      // wakes Run: the view may have changed
+	viewChanged     chan struct{}      // wakes Run when the view may have changed
 }
 
-// New makes an elector that follows until Run is called.
+// New returns an elector, which stays in the state Following until Run is called.
 func New(options Options) *Elector {
 	if options.CampaignDelaySteps == nil {
 		options.CampaignDelaySteps = func() int { return 0 }
@@ -109,10 +109,10 @@
 	if options.TransferWanted == nil {
 		options.TransferWanted = func() bool { return false }
 	}
-	return &Elector{Options: options, changed: make(chan struct{}, 1)}
+	return &Elector{Options: options, viewChanged: make(chan struct{}, 1)}
 }
 
-// setState is the one function that changes the state. e.mu is held.
+// setState changes the state and logs the change. No other function sets e.state. The caller holds e.mu.
 func (e *Elector) setState(to State, reason string) {
 	if e.state == to {
 		return
@@ -121,29 +121,29 @@
 	e.state = to
 }
 
-// transition is setState for callers that do not hold e.mu.
+// transition calls setState for callers that do not hold e.mu.
 func (e *Elector) transition(to State, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.setState(to, reason)
 }
 
-// View returns what is known of the leadership.
+// View returns what this node knows about the leadership.
 func (e *Elector) View() View {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.view
 }
 
-// State returns the state of this node.
+// State returns the state of this node in the election.
 func (e *Elector) State() State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state
 }
 
-// LeaderlessSince returns when this node first observed in the state store that the latest leader
-// was gone; the zero time if it has observed none.
+// LeaderlessSince returns when this node first saw in the state store that the latest leader's key was gone. It returns
+// the zero time if this node has never seen that.
 func (e *Elector) LeaderlessSince() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/election/fakes_test.go
+++ b/internal/election/fakes_test.go
@@ -10,21 +10,21 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// fakeStore is a state store that only has the leader's key. Its watches never see a change.
+// fakeStore is a state store that holds only the leader's key. Its watches never report a change.
 type fakeStore struct {
-	// rival takes the leader's key just before the first commit; nil if there is none.
+	// rival is the leader's key as another node writes it just before the first commit; nil if no other node campaigns.
 	rival *wire.KeyValue
-	// commitErr is returned by commits, which are executed all the same if nobody leads.
+	// commitErr is returned by commits. A commit is executed nevertheless if there is no leader.
 	commitErr error
-	// renewErr is returned by renewals.
+	// renewErr is returned by lease renewals.
 	renewErr error
 
 	mu       sync.Mutex
-	leader   *wire.KeyValue // nil: nobody leads
-	leases   uint64         // granted so far; the last one is the newest id
-	renewals []time.Time
-	revoked  []uint64
-	onRevoke func()
+	leader   *wire.KeyValue // the leader's key; nil if there is no leader
+	leases   uint64         // number of leases granted, which is also the newest lease's id
+	renewals []time.Time    // when each renewal was requested
+	revoked  []uint64       // ids of leases
+	onRevoke func()         // called by RevokeLease unless nil
 }
 
 func (s *fakeStore) List(context.Context, string) ([]wire.KeyValue, uint64, error) {
@@ -92,14 +92,14 @@
 	return nil
 }
 
-// setRenewErr sets what renewals return from now on.
+// setRenewErr sets the error that renewals return from now on.
 func (s *fakeStore) setRenewErr(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.renewErr = err
 }
 
-// renewalsSince counts the renewals after a moment.
+// renewalsSince counts the renewals that were requested after a time.
 func (s *fakeStore) renewalsSince(from time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// renewalsPerTTL is how often the leader's lease is renewed in its time to live.
+	// renewalsPerTTL is how many times the leader's lease is renewed in each LeaseTTL.
 	renewalsPerTTL = 4
-	// throttledRenewalsPerTTL is how many attempts there are in that time while the state store
-	// refuses them because it gets too many requests.
+	// throttledRenewalsPerTTL is how many renewals are attempted in each LeaseTTL while the state store refuses them
+	// because it receives too many requests.
 	throttledRenewalsPerTTL = 20
-	// renewalTimeoutDivisor of the time to live gives the time-out of one renewal.
+	// renewalTimeoutDivisor gives the timeout of one renewal: LeaseTTL divided by it.
 	renewalTimeoutDivisor = 2
 )
 
-// leadTerm leads a term until its lease ends, a newer term is seen, or the leadership is
-// transferred. While the lease cannot be renewed the term goes on unconfirmed: it may outlive an
-// outage of the state store, and every commit compares the leader's key.
+// leadTerm leads a term until its lease ends, this node observes a newer term, or the leadership is transferred. While
+// the lease cannot be renewed, the term continues as LeadingUnconfirmed, so that it can survive an outage of the state
+// store. That is safe because every commit compares the leader's key.
 func (e *Elector) leadTerm(ctx context.Context, term, leaseID uint64) {
 	termCtx, endTerm := context.WithCancel(ctx)
 	defer endTerm()
@@ -38,11 +38,11 @@
 	}
 	e.finishTerm(term)
 	<-done
-	e.notifyChanged()
+	e.notifyViewChanged()
 }
 
-// beginTerm records that this node leads a term; endTerm is what ends it. A term that is not the
-// newest one ends at once.
+// beginTerm records that this node leads a term, and the function that ends the term. If this node has already observed
+// a newer term, beginTerm ends the term at once.
 func (e *Elector) beginTerm(term uint64, endTerm context.CancelFunc) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,28 +65,28 @@
 	e.setState(Following, "term ended")
 }
 
-// keepLease renews the lease of a term until the term ends, or until the leadership should be
-// transferred: then it returns true, and the caller ends the term. It calls endTerm once the state
-// store says that the lease has ended.
+// keepLease renews the lease of a term until the term ends or the leadership should be transferred. In the second case
+// it returns true, and the caller must end the term. If the state store reports that the lease has ended, keepLease
+// calls endTerm.
 func (e *Elector) keepLease(termCtx context.Context, term, leaseID uint64, endTerm context.CancelFunc) (transfer bool) {
-	renewed := time.Now() // the start of the latest renewal that succeeded
-	wait := e.Timers.UntilNext(renewed, e.LeaseTTL/renewalsPerTTL)
+	lastRenewed := time.Now() // when the latest successful renewal began
+	wait := e.Timers.UntilNext(lastRenewed, e.LeaseTTL/renewalsPerTTL)
 	for termCtx.Err() == nil && timeralign.Sleep(termCtx, wait) {
-		begun := time.Now()
+		attemptedAt := time.Now()
 		err := e.renewLease(termCtx, leaseID)
 		wait = e.Timers.UntilNext(time.Now(), e.LeaseTTL/renewalsPerTTL)
 		switch {
 		case errors.Is(err, store.ErrThrottled):
-			// The store is well: another attempt may find room in its limits.
+			// The store works but limits its request rate: an earlier retry may succeed.
 			wait = e.LeaseTTL / throttledRenewalsPerTTL
 		case err == nil:
-			renewed = begun
+			lastRenewed = attemptedAt
 			e.transition(Leading, "lease renewed")
 		case errors.Is(err, store.ErrLeaseNotFound):
-			slog.Info("the leader's lease has ended, so the term ends", "term", term)
+			slog.Info("leader's lease has ended: the term ends", "term", term)
 			endTerm()
 		}
-		if time.Since(renewed) > e.LeaseTTL {
+		if time.Since(lastRenewed) > e.LeaseTTL {
 			e.transition(LeadingUnconfirmed, "lease not renewed")
 		}
 		if err == nil && e.TransferWanted() {
--- a/internal/election/lease_test.go
+++ b/internal/election/lease_test.go
@@ -15,8 +15,8 @@
 
 const leaseTTL = 4 * time.Second
 
-// runElector runs an elector in a synctest bubble and stops it, watch and term included, at the
-// end of the test.
+// runElector runs an elector in a synctest bubble. At the end of the test it stops the elector, including its watch and
+// its term.
 func runElector(t *testing.T, options Options) *Elector {
 	t.Helper()
 	options.Node, options.LeaseTTL = "a", leaseTTL
@@ -37,8 +37,8 @@
 	return elector
 }
 
-// A campaign whose commit has an unknown outcome is won if the leader's key is on the lease of this
-// campaign. A campaign that another node has won revokes its lease and learns who leads.
+// A campaign whose commit has an unknown outcome is won if the leader's key is attached to the lease of this campaign.
+// After a campaign that another node has won, the node revokes its lease and reads who leads.
 func TestCampaignReadsWhoWon(t *testing.T) {
 	rival := &wire.KeyValue{Key: records.LeaderKey, Value: records.Encode(records.Leader{Node: "b"}), ModRevision: 5, LeaseID: 99}
 	for _, tc := range []struct {
@@ -60,19 +60,19 @@
 					t.Errorf("the node is %s, want %s", got, tc.want)
 				}
 				if revoked := len(fake.revoked) > 0; revoked != (tc.rival != nil) {
-					t.Errorf("the campaign's lease is revoked: %v", revoked)
+					t.Errorf("got lease of the campaign revoked %v, want %v", revoked, tc.rival != nil)
 				}
 				if tc.rival != nil && elector.View().Leader != "b" {
-					t.Errorf("after a lost campaign the view is %+v", elector.View())
+					t.Errorf("after a lost campaign the view is %+v, want Leader b", elector.View())
 				}
 			})
 		})
 	}
 }
 
-// A lease is renewed four times in its time to live, and tried twenty times while renewals are
-// refused for too many requests. A term whose lease is not renewed goes on unconfirmed and is
-// confirmed by the next renewal; it ends when the store says that the lease has ended.
+// A lease is renewed four times in its time to live. While the store refuses renewals because it receives too many
+// requests, twenty are attempted in that time. A term whose lease is not renewed continues as LeadingUnconfirmed,
+// becomes Leading again with the next renewal, and ends when the store reports that the lease has ended.
 func TestLeaseKeeping(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := &fakeStore{}
@@ -82,7 +82,7 @@
 			name         string
 			renewErr     error
 			want         State
-			fewest, most int // renewals in the three lease times that the step lasts
+			fewest, most int // renewals in the step, which lasts three times leaseTTL
 		}{
 			{"renewed", nil, Leading, 11, 13},
 			{"throttled", store.ErrThrottled, LeadingUnconfirmed, 55, 61},
@@ -90,25 +90,25 @@
 			{"unknown outcome", store.ErrOutcomeUnknown, LeadingUnconfirmed, 11, 13},
 		} {
 			fake.setRenewErr(step.renewErr)
-			begun := time.Now()
+			stepStart := time.Now()
 			time.Sleep(3 * leaseTTL)
 			if got := elector.State(); got != step.want {
 				t.Errorf("%s: the node is %s, want %s", step.name, got, step.want)
 			}
-			if got := fake.renewalsSince(begun); got < step.fewest || got > step.most {
+			if got := fake.renewalsSince(stepStart); got < step.fewest || got > step.most {
 				t.Errorf("%s: %d renewals, want %d to %d", step.name, got, step.fewest, step.most)
 			}
 		}
 		fake.setRenewErr(store.ErrLeaseNotFound)
 		time.Sleep(leaseTTL / 2)
 		if got := elector.State(); got == Leading || got == LeadingUnconfirmed {
-			t.Errorf("the node is %s after its lease has ended", got)
+			t.Errorf("after its lease has ended the node is %s, want it not to lead", got)
 		}
 	})
 }
 
-// A leadership transfer ends the term before its lease is revoked: what the term would still begin
-// comes before the key is gone.
+// A leadership transfer ends the term before it revokes the lease, so that the term starts no commit after the leader's
+// key is gone.
 func TestTransferEndsTheTermBeforeItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := &fakeStore{}
@@ -126,17 +126,17 @@
 		})
 		time.Sleep(leaseTTL)
 		if got := elector.State(); got != Leading {
-			t.Fatalf("the node is %s", got)
+			t.Fatalf("before the transfer the node is %s, want %s", got, Leading)
 		}
 		wanted.Store(true)
 		time.Sleep(leaseTTL / 2)
 		fake.mu.Lock()
 		defer fake.mu.Unlock()
 		if len(fake.revoked) == 0 || !errors.Is(termErr, context.Canceled) {
-			t.Errorf("revoked are %v, the term's context ended with %v", fake.revoked, termErr)
+			t.Errorf("got revoked leases %v with context error %v, want some with %v", fake.revoked, termErr, context.Canceled)
 		}
 		if got := elector.State(); got == Leading {
-			t.Errorf("the node is %s after the transfer", got)
+			t.Errorf("after the transfer the node is %s, want it not to lead", got)
 		}
 	})
 }
--- a/internal/election/terms.go
+++ b/internal/election/terms.go
@@ -9,9 +9,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// ObserveTerm records a term that this node has learned of other than from the state store: from a
-// worker's heartbeat (leader is then empty) or from another node. A leader of an older term steps
-// down.
+// ObserveTerm records a term that this node has learned from a worker's heartbeat (leader is then empty) or from
+// another node, rather than from the state store. If this node leads an older term, that term ends.
 func (e *Elector) ObserveTerm(term uint64, leader string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -19,9 +18,9 @@
 		e.view.ConfirmedTerm = max(e.view.ConfirmedTerm, term)
 	}
 	if term == e.view.Term && e.view.Leader == "" && e.endTerm == nil {
-		// A worker's fencing token showed the term before the leader itself did. A node that
-		// cannot read the state store would otherwise never learn the name, and keep workers
-		// that it should redirect to the leader.
+		// A worker's fencing token has shown this term before its leader has. Without this assignment, a node that
+		// cannot read the state store would never learn the leader's name, and would keep workers that it should
+		// redirect to the leader.
 		e.view.Leader = leader
 	}
 	if term <= e.view.Term {
@@ -29,12 +28,12 @@
 	}
 	e.view.Term, e.view.Leader = term, leader
 	if e.endTerm != nil && term > e.ownTerm {
-		slog.Info("a newer term was seen, so this one ends", "term", e.ownTerm, "newer", term)
+		slog.Info("observed a newer term: this node's term ends", "term", e.ownTerm, "newer", term)
 		e.endTerm()
 	}
 }
 
-// Reset applies a listing of the keys of the election. It implements watchcache.Handler.
+// Reset updates the view from a listing of the election's keys. It implements watchcache.Handler.
 func (e *Elector) Reset(items []wire.KeyValue, _ uint64, _ time.Time) {
 	e.mu.Lock()
 	e.view.Synced = true
@@ -47,10 +46,10 @@
 		e.recordNoLeader()
 	}
 	e.mu.Unlock()
-	e.notifyChanged()
+	e.notifyViewChanged()
 }
 
-// Apply applies changes of the keys of the election. It implements watchcache.Handler.
+// Apply updates the view from changes of the election's keys. It implements watchcache.Handler.
 func (e *Elector) Apply(changes wire.WatchResponse, _ uint64, _ time.Time) {
 	e.mu.Lock()
 	for _, event := range changes.Events {
@@ -61,11 +60,11 @@
 		}
 	}
 	e.mu.Unlock()
-	e.notifyChanged()
+	e.notifyViewChanged()
 }
 
-// recordNoLeader records that nobody leads. A listing may show it again: the time of the first
-// observation stays. e.mu is held.
+// recordNoLeader records that there is no leader. If the view had no leader before, for example because a listing
+// repeats what a watch has reported, leaderlessSince keeps the time of the first observation. The caller holds e.mu.
 func (e *Elector) recordNoLeader() {
 	if e.view.Leader != "" || e.leaderlessSince.IsZero() {
 		e.leaderlessSince = time.Now()
@@ -73,15 +72,15 @@
 	e.view.Leader = ""
 }
 
-// applyRecord updates the view from the value of LeaderKey or TermKey, unless it is older than the
-// view. A leader of an older term steps down. e.mu is held.
+// applyRecord updates the view from the record of LeaderKey or TermKey, unless the record is older than the view. If
+// this node leads an older term, that term ends. The caller holds e.mu.
 func (e *Elector) applyRecord(key string, value json.RawMessage, modRevision uint64) {
 	if modRevision < e.view.Term {
 		return
 	}
 	var leader records.Leader
 	if err := json.Unmarshal(value, &leader); err != nil {
-		slog.Error("leader record cannot be read", "key", key, "err", err)
+		slog.Error("leader record cannot be decoded", "key", key, "err", err)
 		return
 	}
 	e.view.Term, e.view.ConfirmedTerm = modRevision, max(e.view.ConfirmedTerm, modRevision)
@@ -93,10 +92,11 @@
 	}
 }
 
-// notifyChanged wakes Run. It never blocks: one wake-up that is not yet seen stands for all.
-func (e *Elector) notifyChanged() {
+// notifyViewChanged wakes Run because the view may have changed. It never blocks: if Run has not received the previous
+// wake-up yet, that one is enough.
+func (e *Elector) notifyViewChanged() {
 	select {
-	case e.changed <- struct{}{}:
+	case e.viewChanged <- struct{}{}:
 	default:
 	}
 }
--- a/internal/election/transfer.go
+++ b/internal/election/transfer.go
@@ -7,12 +7,12 @@
 	"lotusstile.dev/lotusstile/internal/store"
 )
 
-// revokeForTransfer revokes the lease of a term that this node has ended for a leadership transfer,
-// so that another node is elected at once. The term ends first: nothing of it begins after the
-// leader's key is gone, and what is still in flight fails by the compare on that key.
+// revokeForTransfer revokes the lease of a term that this node has ended to transfer the leadership, so that another
+// node can be elected at once. The term must end first: then it starts no commit after the leader's key is gone, and
+// commits that are still in flight fail because they compare that key.
 func (e *Elector) revokeForTransfer(ctx context.Context, term, leaseID uint64) {
-	slog.Info("leadership is transferred to a node that is better placed", "term", term)
+	slog.Info("transferring the leadership to a better placed node", "term", term)
 	if err := e.Store.RevokeLease(store.WithUrgentLane(ctx), leaseID); err != nil {
-		slog.Warn("lease of a transferred leadership was not revoked", "term", term, "err", err) // it expires by itself
+		slog.Warn("lease could not be revoked for a leadership transfer", "term", term, "err", err) // the lease expires by itself
 	}
 }
