--- a/internal/workerlease/workerlease.go
+++ b/internal/workerlease/workerlease.go
@@ -1,6 +1,5 @@
-// Package workerlease holds the one rule that decides whether the answer to a worker's
-// heartbeat may renew the worker's lease. docs/safety.md ("Withdrawn work: cancellations")
-// argues why it suffices.
+// Package workerlease decides whether the answer to a worker's heartbeat may renew the worker's lease. No other code
+// makes that decision. docs/safety.md ("Withdrawn work: cancellations") argues why the rule suffices.
 package workerlease
 
 import (
@@ -11,15 +10,15 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// ErrStale means that no lease may be renewed now: what this node knows of cancelled
-// jobs is too old. Its text is part of the answer to the worker.
+// ErrStale means that no lease may be renewed now because this node's knowledge of cancelled jobs is too old. Its
+// text is part of the answer to the worker.
 var ErrStale = errors.New("what is known of cancellations is too old to renew a lease on")
 
-// CancelledJobs is what a node knows of cancelled jobs. It must be safe for concurrent use.
+// CancelledJobs is a node's knowledge of cancelled jobs. Implementations must be safe for concurrent use.
 type CancelledJobs interface {
-	// FreshAsOf is the time up to which every cancellation is known; zero before the first read.
+	// FreshAsOf returns the time up to which this node knows every cancellation; zero before the first read.
 	FreshAsOf() time.Time
-	// Cancelled returns which of the jobs are cancelled, and FreshAsOf of the same moment.
+	// Cancelled returns which of the jobs are cancelled, and what FreshAsOf returns at the same moment.
 	Cancelled(uids []string) (cancelled map[string]bool, freshAsOf time.Time)
 }
 
@@ -29,18 +28,18 @@
 	maxAge time.Duration
 }
 
-// NewRenewer returns the rule of a node whose knowledge of cancelled jobs may be at most maxAge
-// old: cancel_s less a worker lease and a margin (config.MaxCancellationAge).
+// NewRenewer returns a Renewer that renews leases while the node's knowledge of cancelled jobs is at most maxAge old.
+// maxAge is cancel_s minus a worker lease and a margin (config.MaxCancellationAge).
 func NewRenewer(jobs CancelledJobs, maxAge time.Duration) *Renewer {
 	return &Renewer{jobs: jobs, maxAge: maxAge}
 }
 
-// CheckFresh returns ErrStale if no lease may be renewed now. Callers use it to refuse a
-// heartbeat early; only Renew permits an answer.
+// CheckFresh returns ErrStale if no lease may be renewed now. Callers use it to refuse a heartbeat early. Its success
+// does not permit an answer: only Renew does.
 func (r *Renewer) CheckFresh() error { return r.check(r.jobs.FreshAsOf()) }
 
-// check returns ErrStale if a node that knows every cancellation up to freshAsOf, and perhaps
-// none after it, must not renew a lease.
+// check returns ErrStale if freshAsOf is too long ago to renew a lease. freshAsOf is the time up to which the node
+// knows every cancellation; it may know none of the later ones.
 func (r *Renewer) check(freshAsOf time.Time) error {
 	if time.Since(freshAsOf) > r.maxAge {
 		return ErrStale
@@ -48,19 +47,19 @@
 	return nil
 }
 
-// Renew must be called for every answer that renews a lease, whichever node and path the
-// answer comes from: this is the one place that permits it and that stops cancelled work.
-// A cancellation is either known here, and then this answer stops the task, or it was
-// committed after the last read of the cancellations, and then that read is recent enough
-// that the task ends with its lease within cancel_s. The lease counts from when the worker
-// sent the heartbeat, which was before this call: how long the answer takes from here on
-// does not matter.
+// Renew decides whether an answer may renew the worker's lease, and makes the answer stop cancelled work. It must be
+// called for every answer that renews a lease, whichever node and path the answer comes from.
 //
-// It returns ErrStale if the lease may not be renewed. Otherwise it adds the stops to
-// the answer, and removes launches of cancelled work from it.
+// Renew returns ErrStale if the lease may not be renewed. Otherwise it adds stop commands for tasks of cancelled jobs
+// to the answer, and removes their launches.
+//
+// This is why cancelled work ends within cancel_s. If this node knows of a cancellation, this answer stops the task.
+// Otherwise the cancellation was committed after the last read of the cancellations. That read is recent enough that a
+// task whose job was cancelled after it ends with its lease within cancel_s. The lease counts from when the worker sent
+// the heartbeat, which was before this call, so it does not matter how long the answer takes to arrive.
 func (r *Renewer) Renew(heartbeat *wire.Heartbeat, answer *wire.Commands) error {
-	// One call returns both: a cancellation that was applied between two calls would be
-	// missing from the set although the time read after it covers it.
+	// One call returns the set and its time. With two calls, a cancellation that was applied between them would be
+	// missing from the set, while the time would say that it is known.
 	cancelled, freshAsOf := r.jobs.Cancelled(concernedJobs(heartbeat, answer))
 	if err := r.check(freshAsOf); err != nil {
 		return err
@@ -71,8 +70,8 @@
 	return nil
 }
 
-// concernedJobs lists the jobs whose tasks the heartbeat reports as not ended or the answer
-// launches.
+// concernedJobs returns the jobs that have a task that the heartbeat reports and that has not ended, or a task that the
+// answer launches.
 func concernedJobs(heartbeat *wire.Heartbeat, answer *wire.Commands) []string {
 	uids := make([]string, 0, len(heartbeat.Tasks)+len(answer.Commands))
 	for _, task := range heartbeat.Tasks {
@@ -88,8 +87,8 @@
 	return uids
 }
 
-// stopCancelled makes the answer stop every reported task of a cancelled job, without a
-// grace period, and launch none.
+// stopCancelled makes the answer stop every reported task of a cancelled job that has not ended, without a grace
+// period, and removes the launches of such jobs from the answer.
 func stopCancelled(heartbeat *wire.Heartbeat, answer *wire.Commands, cancelled map[string]bool) {
 	isCancelled := func(task string) bool {
 		uid, _, _ := wire.SplitTaskName(task)
--- a/internal/workerlease/workerlease_test.go
+++ b/internal/workerlease/workerlease_test.go
@@ -10,13 +10,13 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// fakeJobs knows some cancelled jobs as of a time.
+// fakeJobs is a CancelledJobs with a fixed set of cancelled jobs and a settable time.
 type fakeJobs struct {
 	cancelled map[string]bool
-	fresh     time.Time
+	freshAsOf time.Time
 }
 
-func (f *fakeJobs) FreshAsOf() time.Time { return f.fresh }
+func (f *fakeJobs) FreshAsOf() time.Time { return f.freshAsOf }
 
 func (f *fakeJobs) Cancelled(uids []string) (map[string]bool, time.Time) {
 	found := map[string]bool{}
@@ -25,35 +25,35 @@
 			found[uid] = true
 		}
 	}
-	return found, f.fresh
+	return found, f.freshAsOf
 }
 
-// A lease is renewed on knowledge that is maxAge old, and not on anything older.
+// A lease is renewed while the knowledge of cancelled jobs is at most maxAge old, and not when it is older.
 func TestLeaseIsRenewedUpToTheAgeOfKnowledge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		jobs := &fakeJobs{}
-		r := NewRenewer(jobs, 29*time.Second)
-		if err := r.Renew(&wire.Heartbeat{}, &wire.Commands{}); !errors.Is(err, ErrStale) {
-			t.Errorf("renewed before the jobs are known: %v", err)
+		renewer := NewRenewer(jobs, 29*time.Second)
+		if err := renewer.Renew(&wire.Heartbeat{}, &wire.Commands{}); !errors.Is(err, ErrStale) {
+			t.Errorf("before the first read of cancelled jobs Renew returned %v, want %v", err, ErrStale)
 		}
-		jobs.fresh = time.Now()
+		jobs.freshAsOf = time.Now()
 		time.Sleep(29 * time.Second)
-		if err := errors.Join(r.CheckFresh(), r.Renew(&wire.Heartbeat{}, &wire.Commands{})); err != nil {
-			t.Errorf("not renewed on knowledge of 29 s: %v", err)
+		if err := errors.Join(renewer.CheckFresh(), renewer.Renew(&wire.Heartbeat{}, &wire.Commands{})); err != nil {
+			t.Errorf("with knowledge 29 s old CheckFresh and Renew returned %v, want nil", err)
 		}
 		time.Sleep(time.Nanosecond)
-		if err := r.CheckFresh(); !errors.Is(err, ErrStale) {
-			t.Errorf("knowledge of over 29 s passes for fresh: %v", err)
+		if err := renewer.CheckFresh(); !errors.Is(err, ErrStale) {
+			t.Errorf("with knowledge over 29 s old CheckFresh returned %v, want %v", err, ErrStale)
 		}
 		answer := wire.Commands{Commands: []wire.Command{{Verb: wire.Launch, Task: "run-000001/0", Attempt: 1}}}
-		if err := r.Renew(&wire.Heartbeat{}, &answer); !errors.Is(err, ErrStale) {
-			t.Errorf("renewed on knowledge of over 29 s: %v", err)
+		if err := renewer.Renew(&wire.Heartbeat{}, &answer); !errors.Is(err, ErrStale) {
+			t.Errorf("with knowledge over 29 s old Renew returned %v, want %v", err, ErrStale)
 		}
 	})
 }
 
-// Cancelled work is stopped once, whatever the answer says of it already, and not launched;
-// other work and what has ended are left alone.
+// The answer stops each task of a cancelled job once, also if it had a stop command for the task before, and launches
+// none. It leaves tasks of other jobs and tasks that have ended as they were.
 func TestCancelledWorkIsStoppedAndNotLaunched(t *testing.T) {
 	launch := func(task string) wire.Command { return wire.Command{Verb: wire.Launch, Task: task, Attempt: 1} }
 	stop := func(task string, graceS float64) wire.Command {
@@ -79,13 +79,13 @@
 			[]wire.Command{stop("run-000002/0", 9)}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			jobs := &fakeJobs{cancelled: map[string]bool{"run-000001": true}, fresh: time.Now()}
+			jobs := &fakeJobs{cancelled: map[string]bool{"run-000001": true}, freshAsOf: time.Now()}
 			answer := wire.Commands{Commands: tc.given}
 			if err := NewRenewer(jobs, time.Minute).Renew(&wire.Heartbeat{Tasks: tc.tasks}, &answer); err != nil {
 				t.Fatal(err)
 			}
 			if !slices.Equal(answer.Commands, tc.want) {
-				t.Errorf("commands are %+v, want %+v", answer.Commands, tc.want)
+				t.Errorf("got commands %+v, want %+v", answer.Commands, tc.want)
 			}
 		})
 	}
