--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -11,20 +11,20 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Entry is one record or one view. The names of its fields are short in CBOR, since every entry
-// carries them. An entry must not be changed once it is part of contents.
+// Entry is one record or one view. Its CBOR field names are short because every entry contains them. An entry must
+// not be modified after it has been added to contents.
 type Entry struct {
 	Key         string `cbor:"k"`
 	Value       []byte `cbor:"v,omitempty"`
 	ModRevision uint64 `cbor:"s,omitempty"` // of a record; 0 for a view
-	Dropped     bool   `cbor:"d,omitempty"` // the key is dropped; Value is empty then
+	Dropped     bool   `cbor:"d,omitempty"` // the entry deletes the key; Value is then empty
 }
 
-// recordPrefixes are the prefixes of the records that only the leader writes and that a new
-// leader needs. Jobs are not among them, since every node has a watch cache of the jobs.
+// recordPrefixes are the key prefixes of the followed records: those that only the leader writes and that a new leader
+// needs. Jobs are not among them because every node has a watch cache of the jobs.
 var recordPrefixes = []string{records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix}
 
-// isRecord reports whether a key is that of a followed record.
+// isRecord reports whether a key belongs to a followed record.
 func isRecord(key string) bool {
 	for _, prefix := range recordPrefixes {
 		if strings.HasPrefix(key, prefix) {
@@ -34,47 +34,47 @@
 	return false
 }
 
-// digest returns a hash of the entry. The digest of a set is the sum of the digests of its entries, so
-// that an update costs only as much as the change.
+// digest returns a hash of the entry. The digest of contents is the sum of the digests of its entries, so that the cost
+// of updating it depends only on the number of changed entries.
 func (e *Entry) digest() uint64 {
 	var hash xxhash.Digest
 	hash.Reset()
 	_, _ = hash.WriteString(e.Key)
-	var modRevision [9]byte // a zero byte ends the key
+	var modRevision [9]byte // the first byte is zero and terminates the key
 	binary.LittleEndian.PutUint64(modRevision[1:], e.ModRevision)
 	_, _ = hash.Write(modRevision[:])
 	_, _ = hash.Write(e.Value)
 	return hash.Sum64()
 }
 
-// size returns the bytes of the key and the value.
+// size returns the length of the key and the value in bytes.
 func (e *Entry) size() int { return len(e.Key) + len(e.Value) }
 
-// absentEntry returns the entry of a record that a read did not find: it drops the record whatever
-// mod revision that has.
+// absentEntry returns an entry that drops a record which a read did not find, whatever mod revision the contents have
+// for that record.
 func absentEntry(key string) *Entry { return &Entry{Key: key, Dropped: true, ModRevision: ^uint64(0)} }
 
-// contents is an immutable set of entries with its digest. A transfer can read it without a lock while
-// newer contents are made.
+// contents is an immutable set of entries with its digest. A transfer can read it without a lock while a contentsEditor
+// builds newer contents.
 type contents struct {
 	tree   *iradix.Tree[*Entry]
 	digest uint64 // sum of the digests of all entries
-	bytes  int    // of all keys and values
+	bytes  int    // total size of all keys and values
 }
 
 func emptyContents() contents { return contents{tree: iradix.New[*Entry]()} }
 
-// editor makes new contents from a copy of others.
-type editor struct {
+// contentsEditor builds new contents from existing ones, which stay as they are.
+type contentsEditor struct {
 	txn    *iradix.Txn[*Entry]
 	digest uint64
 	bytes  int
 }
 
-func (c contents) edit() *editor { return &editor{c.tree.Txn(), c.digest, c.bytes} }
+func (c contents) edit() *contentsEditor { return &contentsEditor{c.tree.Txn(), c.digest, c.bytes} }
 
-// apply sets or drops an entry, unless the contents have a newer record of the key.
-func (e *editor) apply(entry *Entry) {
+// apply sets or drops an entry, unless the contents have a record of the same key with a newer mod revision.
+func (e *contentsEditor) apply(entry *Entry) {
 	key := []byte(entry.Key)
 	old, known := e.txn.Get(key)
 	if known && old.ModRevision > entry.ModRevision {
@@ -95,9 +95,10 @@
 	e.bytes += entry.size()
 }
 
-func (e *editor) contents() contents { return contents{e.txn.Commit(), e.digest, e.bytes} }
+func (e *contentsEditor) contents() contents { return contents{e.txn.Commit(), e.digest, e.bytes} }
 
-// computeDigest computes the digest again from all entries, so that a corrupted copy is detected.
+// computeDigest computes the digest from all entries. If the result differs from the digest field, the copy is
+// corrupted.
 func (c contents) computeDigest() uint64 {
 	sum := uint64(0)
 	c.tree.Root().Walk(func(_ []byte, entry *Entry) bool {
@@ -107,8 +108,8 @@
 	return sum
 }
 
-// list returns the records under a prefix as the state store would list them.
-func (c contents) list(prefix string) []wire.KeyValue {
+// listRecords returns the records whose keys have a prefix, in the form and order of a listing by the state store.
+func (c contents) listRecords(prefix string) []wire.KeyValue {
 	var rows []wire.KeyValue
 	c.tree.Root().WalkPrefix([]byte(prefix), func(_ []byte, entry *Entry) bool {
 		rows = append(rows, wire.KeyValue{Key: entry.Key, Value: entry.Value, ModRevision: entry.ModRevision})
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -11,25 +11,25 @@
 
 // FollowerConfig configures a Follower.
 type FollowerConfig struct {
-	Label string // of this node
-	// Fetch requests one part from a leader, by its label. It may wait for the answer.
+	Label string // label of this node
+	// Fetch requests one part from the leader with a label. It may block until the reply arrives.
 	Fetch func(leader string, args peer.FollowArgs) (peer.FollowReply, error)
-	// BehindAfter is the age of the copy after which the follower counts as behind.
+	// BehindAfter is the age of the copy above which the state changes to Behind.
 	BehindAfter time.Duration
 }
 
-// Follower has a copy of the leader's state and keeps it up to date. It is safe for concurrent use,
-// but Pull must be called by one goroutine at a time.
+// Follower holds a copy of the leader's state and keeps it up to date. It is safe for concurrent use, except that
+// only one goroutine at a time may call Pull.
 type Follower struct {
 	FollowerConfig
 	now func() time.Time
 
 	mu            sync.Mutex
 	state         State
-	cause         string            // of the last change of state
-	copy          *stateCopy        // nil: none
-	refused       map[string]uint64 // by cause
-	receivedBytes uint64            // of bodies
+	cause         string            // cause of the last change of state
+	copy          *stateCopy        // nil if there is none
+	refused       map[string]uint64 // number of refused transfers and copies by cause
+	receivedBytes uint64            // total size of the bodies of parts
 }
 
 // stateCopy is a complete copy of a leader's state. It is immutable.
@@ -39,7 +39,7 @@
 	leader      string
 	sequence    uint64
 	position    uint64
-	requestedAt time.Time // start of the transfer that brought it
+	requestedAt time.Time // when the transfer that resulted in this copy began
 }
 
 // NewFollower returns a follower without a copy.
@@ -47,11 +47,10 @@
 	return &Follower{FollowerConfig: cfg, now: time.Now, refused: map[string]uint64{}}
 }
 
-// FollowerStatus is the state of a follower and of its copy. The fields from Leader to Bytes are zero
-// without a copy.
+// FollowerStatus describes a follower and its copy. The fields from Leader to Bytes are zero if there is no copy.
 type FollowerStatus struct {
 	State         State
-	Cause         string // of the last change of state
+	Cause         string // cause of the last change of state
 	Leader        string
 	Term          uint64
 	Sequence      uint64
@@ -59,11 +58,11 @@
 	Lag           time.Duration // age of the copy
 	Entries       int
 	Bytes         int
-	ReceivedBytes uint64
-	Refused       map[string]uint64 // transfers by cause
+	ReceivedBytes uint64            // total size of the bodies of parts
+	Refused       map[string]uint64 // number of refused transfers and copies by cause
 }
 
-// Status returns the state of the follower and of its copy.
+// Status returns the status of the follower and its copy.
 func (f *Follower) Status() FollowerStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,41 +77,40 @@
 	return status
 }
 
-// HasCopy reports whether there is a complete copy that Prove could check.
+// HasCopy reports whether the state is Following or Behind, in which there is a complete copy that Prove can check.
 func (f *Follower) HasCopy() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.copy != nil && (f.state == Following || f.state == Behind)
 }
 
-// Pull updates the copy from the leader of a term, by one transfer. A transfer that fails is logged
-// and leaves the copy as it was. If what the leader sent is wrong, that is counted too and the copy is
-// discarded.
+// Pull updates the copy by one transfer from the leader of a term. A transfer that is not completed is logged and
+// leaves the copy as it was. If what the leader has sent is wrong, Pull also counts the cause and discards the copy.
 func (f *Follower) Pull(leader string, term uint64) {
 	base, ok := f.beginPull(leader, term)
 	if !ok {
 		return
 	}
 	began := f.now()
-	next, err := f.transfer(leader, term, base)
+	next, err := f.receiveTransfer(leader, term, base)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case f.state > Behind:
-		return // this node was elected meanwhile
+		return // this node was elected during the transfer
 	case err == nil && next != nil:
 		next.requestedAt = began
 		f.copy = next
 		f.setState(Following, fmt.Sprintf("complete up to %d", next.sequence))
-	case causeOf(err) == otherCause:
+	case causeOf(err) == uncountedCause:
 		f.recordFailedTransfer(err)
 	default:
-		f.discardRefused(err)
+		f.discardAndCount(err)
 	}
 }
 
-// beginPull returns the copy that the next transfer builds on, nil for a whole transfer. ok is false
-// if no transfer may begin, since this node has been elected.
+// beginPull returns the copy that the next transfer builds on, or nil if the next transfer must contain everything.
+// ok is false if no transfer may begin because this node has been elected.
 func (f *Follower) beginPull(leader string, term uint64) (base *stateCopy, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,12 +122,12 @@
 		return nil, true
 	}
 	if f.copy.term != term || f.copy.leader != leader {
-		return nil, true // another leader: everything is pulled again, and this copy stays until then
+		return nil, true // the leader is new: pull everything, and keep this copy until that is complete
 	}
 	return f.copy, true
 }
 
-// MarkLeaderUnreachable must be called regularly while no leader is reached: the state changes once
+// MarkLeaderUnreachable must be called regularly while this node reaches no leader. It changes the state to Behind once
 // the copy is older than BehindAfter.
 func (f *Follower) MarkLeaderUnreachable() {
 	f.mu.Lock()
@@ -139,9 +137,10 @@
 	}
 }
 
-// recordFailedTransfer changes the state after a transfer that was not completed. f.mu is held.
+// recordFailedTransfer changes the state after a transfer that was not completed, to Empty if there is no copy and to
+// Behind if the copy is older than BehindAfter. The caller holds f.mu.
 func (f *Follower) recordFailedTransfer(err error) {
-	slog.Debug("standby received no state from the leader", "err", err)
+	slog.Debug("standby completed no transfer from the leader", "err", err)
 	switch {
 	case f.copy == nil:
 		f.setState(Empty, "the transfer was cut off")
@@ -150,16 +149,16 @@
 	}
 }
 
-// discardRefused discards the copy because what the leader sent, or the copy itself, is wrong. f.mu is
-// held.
-func (f *Follower) discardRefused(err error) {
-	slog.Warn("standby discards its copy and starts again", "err", err)
+// discardAndCount discards the copy because a transfer or the copy itself is wrong, and counts the cause. The caller
+// holds f.mu.
+func (f *Follower) discardAndCount(err error) {
+	slog.Warn("standby discards its copy", "err", err)
 	f.refused[causeOf(err)]++
 	f.copy = nil
 	f.setState(Empty, err.Error())
 }
 
-// Discard discards the copy, since this node's term is over or it must no longer follow.
+// Discard discards the copy. It must be called when this node's term has ended or this node must no longer follow.
 func (f *Follower) Discard(cause string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standby/leader_test.go
+++ b/internal/standby/leader_test.go
@@ -11,18 +11,18 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// leader writes the records of a term.
+// leader is a fake leader that writes the records of its term.
 type leader struct {
-	service      *service
+	fake         *fakeStore
 	store        *RecordingStore
 	source       *Source
 	term         uint64
-	modRevisions map[string]uint64 // of the records, as it knows them
+	modRevisions map[string]uint64 // mod revisions of the records that the leader knows
 }
 
-// newLeader returns a leader that has been elected and has read all records, as a controller does.
-func newLeader(s *service) *leader {
-	l := &leader{service: s, term: s.elect(), modRevisions: map[string]uint64{}}
+// newLeader elects a new leader, which reads all records as a controller does.
+func newLeader(s *fakeStore) *leader {
+	l := &leader{fake: s, term: s.elect(), modRevisions: map[string]uint64{}}
 	l.source = NewSource(l.term, []string{"n1", "n2"}, time.Minute)
 	l.store = NewRecordingStore(s, l.source)
 	lists := make([][]wire.KeyValue, 0, len(recordPrefixes))
@@ -37,8 +37,8 @@
 	return l
 }
 
-// write changes records in one commit with a controller's compares, and reads them again if
-// that fails.
+// write sets or drops records in one commit that has the same compares as a controller's, and reads the records again
+// if the commit fails.
 func (l *leader) write(value string, drop bool, keys ...string) {
 	tx := wire.Transaction{Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: l.term}}}
 	for _, key := range keys {
@@ -66,24 +66,24 @@
 // fetchFunc requests one part from a leader.
 type fetchFunc func(leader string, args peer.FollowArgs) (peer.FollowReply, error)
 
-// newFollower returns a follower that is behind after a second.
+// newFollower returns a follower that counts as behind when its copy is older than one second.
 func newFollower(label string, fetch fetchFunc) *Follower {
 	return NewFollower(FollowerConfig{Label: label, BehindAfter: time.Second, Fetch: fetch})
 }
 
-// follow returns a follower of sources by their leaders' names.
-func follow(label string, sources map[string]*Source) *Follower {
+// followSources returns a follower that fetches parts from sources, which are given by the leader's name.
+func followSources(label string, sources map[string]*Source) *Follower {
 	return newFollower(label, func(leader string, args peer.FollowArgs) (peer.FollowReply, error) {
 		source := sources[leader]
 		if source == nil {
-			return peer.FollowReply{}, errors.New("not reached")
+			return peer.FollowReply{}, errors.New("leader is unreachable")
 		}
 		return source.Follow(args)
 	})
 }
 
-// newLargeLeader returns a leader with so many records that its transfers take several parts.
-func newLargeLeader(s *service) *leader {
+// newLargeLeader returns a leader with so many records that a transfer of everything takes several parts.
+func newLargeLeader(s *fakeStore) *leader {
 	l := newLeader(s)
 	value := fmt.Sprintf("%q", make([]byte, 3000))
 	for i := range 200 {
@@ -92,11 +92,11 @@
 	return l
 }
 
-// fakeViews is a Views with a fixed list of views, each of which is drained once.
+// fakeViews is a Views with a fixed list of views and returns each of them once.
 type fakeViews struct{ entries []*Entry }
 
-func (v *fakeViews) DrainChangedViews(most int) ([]*Entry, bool) {
-	count := min(most, len(v.entries))
+func (v *fakeViews) DrainChangedViews(limit int) ([]*Entry, bool) {
+	count := min(limit, len(v.entries))
 	drained := v.entries[:count]
 	v.entries = v.entries[count:]
 	return drained, len(v.entries) > 0
--- a/internal/standby/part.go
+++ b/internal/standby/part.go
@@ -10,18 +10,19 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Limits of a part.
+// Size limits of a part, which is one message of a transfer.
 const (
-	// partBytes is the size of keys and values after which a part ends.
-	partBytes = 256 << 10
-	// runningTaskBytes is the most that a running task takes in the view of its job.
-	runningTaskBytes = 16
-	// maxPartBytes is the most that a part may take decompressed: twice partBytes, for the encoding,
-	// and one more entry, the largest of which is the view of a job all of whose tasks run.
-	maxPartBytes = 2*partBytes + wire.MaxTasks*runningTaskBytes
+	// targetPartBytes is the total size of keys and values at which a part is complete.
+	targetPartBytes = 256 << 10
+	// maxRunningTaskBytes is the most bytes that one running task takes in the view of its job.
+	maxRunningTaskBytes = 16
+	// maxPartBytes is the largest allowed size of a part before compression: twice targetPartBytes, to allow for the
+	// encoding, plus the last entry, which may exceed targetPartBytes. The largest entry is the view of a job with
+	// wire.MaxTasks running tasks.
+	maxPartBytes = 2*targetPartBytes + wire.MaxTasks*maxRunningTaskBytes
 )
 
-// encodePart returns the body of a part, and its size before compression.
+// encodePart returns the compressed body of a part, and its size before compression.
 func encodePart(entries []*Entry) (body []byte, size int, err error) {
 	plain, err := cbor.Marshal(entries)
 	if err != nil {
@@ -30,8 +31,8 @@
 	return s2.Encode(nil, plain), len(plain), nil
 }
 
-// decodePart returns the entries of a part. It checks the size before it decompresses: a wrong part
-// must not exhaust memory. An error wraps ErrUndecodable, ErrOversized or ErrTruncated.
+// decodePart returns the entries of a part. It checks the size before it decompresses the body, so that a corrupted
+// part cannot exhaust memory. Every error wraps ErrUndecodable, ErrOversized or ErrTruncated.
 func decodePart(reply *peer.FollowReply) ([]*Entry, error) {
 	size, err := s2.DecodedLen(reply.Body)
 	switch {
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -13,31 +13,31 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Proven is a copy that agrees with the state store: its records are those that a
-// listing begun after the election would show.
+// Proven is a copy that agrees with the state store: its records are those that a listing after the election would
+// return.
 type Proven struct {
 	Placements []wire.KeyValue
 	Returns    []wire.KeyValue
 	Images     []wire.KeyValue
-	// Machines, Jobs and Leader are the views of the previous leader: nothing is proven about them.
+	// Machines, Jobs and Leader are the views of the previous leader. The proof does not cover them.
 	Machines []MachineView
 	Jobs     []JobView
 	Leader   LeaderView
 
-	FollowedTerm uint64
+	FollowedTerm uint64        // term of the leader that was followed
 	Position     uint64        // revision after which the changes were read
 	Digest       uint64        // of the copy
 	Age          time.Duration // of the copy when it was proven
-	Changes      int           // number of records that had changed since Position
+	Changes      int           // number of changes of records since Position
 }
 
-// Prove checks the copy for a term that this node has been elected for. The election
-// itself shows that the previous leader can no longer change anything: the state store has ended its
-// lease, and compares refuse its commits. The changes after the followed position are read after that,
-// so all commits of earlier terms are among them or part of the copy.
+// Prove brings the copy up to date with the state store for a term that this node has been elected for. The election
+// shows that the previous leader can no longer change any record: the state store has ended its lease, and the
+// compare of the leader's key rejects its commits. Prove then reads the changes after the copy's position, so every
+// commit of an earlier term is among these changes or in the copy.
 //
-// An error that wraps ErrNoCopy, ErrDigest, ErrTooFarBehind or ErrUndecodable is final:
-// all records have to be listed. After any other error the caller can call Prove again.
+// If the error wraps ErrNoCopy, ErrDigest, ErrTooFarBehind or ErrUndecodable, the copy cannot be used and the caller
+// must list all records. After any other error the caller can call Prove again.
 func (f *Follower) Prove(ctx context.Context, r watchcache.Reader, term uint64) (*Proven, error) {
 	followed, err := f.beginVerification(term)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return proven, nil
 }
 
-// beginVerification begins the check, or repeats it, and returns the copy. ErrNoCopy means that there
-// is none of an earlier term.
+// beginVerification changes the state to Verifying and returns the copy. It returns ErrNoCopy if there is no copy of an
+// earlier term.
 func (f *Follower) beginVerification(term uint64) (*stateCopy, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,16 +78,16 @@
 	return f.copy, nil
 }
 
-// failVerification discards the copy, counts the cause and returns the error.
+// failVerification discards the copy, counts the cause of the error and returns the error.
 func (f *Follower) failVerification(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.discardRefused(err)
+	f.discardAndCount(err)
 	return err
 }
 
-// MarkPromoted must be called when the controller of this node's term has loaded the copy, which is
-// dropped then. cause is shown to operators.
+// MarkPromoted must be called when the controller of this node's term has loaded the copy. It drops the copy. cause is
+// shown to operators.
 func (f *Follower) MarkPromoted(cause string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,8 +95,8 @@
 	f.setState(Promoted, cause)
 }
 
-// changesSince reads the changes of the followed records after a position, with one request for each
-// prefix at the same time.
+// changesSince reads the changes of the followed records after a position. It sends the requests, one for each prefix,
+// in parallel.
 func changesSince(ctx context.Context, r watchcache.Reader, position uint64) ([]wire.WatchEvent, error) {
 	var wg sync.WaitGroup
 	changes := make([]wire.WatchResponse, len(recordPrefixes))
@@ -116,7 +116,7 @@
 	return events, errors.Join(errs...)
 }
 
-// applyEvents applies changes to a copy and lists the result. An error wraps ErrUndecodable.
+// applyEvents applies changes to a copy and lists the result. Every error wraps ErrUndecodable.
 func applyEvents(followed *stateCopy, events []wire.WatchEvent) (*Proven, error) {
 	edit := followed.edit()
 	for _, event := range events {
@@ -129,9 +129,9 @@
 	}
 	current := edit.contents()
 	proven := &Proven{
-		Placements:   current.list(records.PlacementPrefix),
-		Returns:      current.list(records.ScaleInPrefix),
-		Images:       current.list(records.ImagesPrefix),
+		Placements:   current.listRecords(records.PlacementPrefix),
+		Returns:      current.listRecords(records.ScaleInPrefix),
+		Images:       current.listRecords(records.ImagesPrefix),
 		FollowedTerm: followed.term,
 		Position:     followed.position,
 		Digest:       followed.digest,
--- a/internal/standby/pull.go
+++ b/internal/standby/pull.go
@@ -6,14 +6,14 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// transfer receives all parts of one transfer and returns the copy that results. It holds no lock
+// receiveTransfer receives all parts of one transfer and returns the resulting copy. It does not hold f.mu
 // while it waits for the leader.
-func (f *Follower) transfer(leader string, term uint64, base *stateCopy) (*stateCopy, error) {
+func (f *Follower) receiveTransfer(leader string, term uint64, base *stateCopy) (*stateCopy, error) {
 	args := peer.FollowArgs{From: f.Label, Term: term}
 	if base != nil {
 		args.Have = base.sequence
 	}
-	var edit *editor
+	var edit *contentsEditor
 	for {
 		reply, err := f.fetchPart(leader, args, base)
 		if err != nil {
@@ -29,7 +29,7 @@
 		for _, entry := range entries {
 			edit.apply(entry)
 		}
-		f.addReceived(len(reply.Body))
+		f.addReceivedBytes(len(reply.Body))
 		if reply.Last {
 			return finishTransfer(edit, &reply, leader)
 		}
@@ -37,7 +37,7 @@
 	}
 }
 
-// fetchPart requests one part and checks that the reply is that part.
+// fetchPart requests one part and checks that the reply contains that part.
 func (f *Follower) fetchPart(leader string, args peer.FollowArgs, base *stateCopy) (peer.FollowReply, error) {
 	reply, err := f.Fetch(leader, args)
 	switch {
@@ -51,7 +51,7 @@
 	return reply, checkPart(args, &reply, base)
 }
 
-// checkPart refuses a part that does not follow on the copy or on the part before.
+// checkPart returns an error if a part is not the next one of its transfer, or if the transfer does not build on base.
 func checkPart(args peer.FollowArgs, reply *peer.FollowReply, base *stateCopy) error {
 	switch {
 	case reply.Part != args.Part, args.Transfer != 0 && reply.Transfer != args.Transfer:
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// editorFor returns an editor of the contents that a transfer builds on. A follower that has to pull
-// everything again is marked as behind.
-func (f *Follower) editorFor(reply *peer.FollowReply, base *stateCopy) *editor {
+// editorFor returns an editor of the contents that a transfer builds on. If the leader sends everything again although
+// there is a copy, the state changes to Behind.
+func (f *Follower) editorFor(reply *peer.FollowReply, base *stateCopy) *contentsEditor {
 	if !reply.Full {
 		return base.edit()
 	}
@@ -78,9 +78,9 @@
 	return emptyContents().edit()
 }
 
-// finishTransfer returns the copy that results from a complete transfer, or ErrDigest if its digest is
-// not the leader's.
-func finishTransfer(edit *editor, reply *peer.FollowReply, leader string) (*stateCopy, error) {
+// finishTransfer returns the copy that results from a complete transfer. If the copy's digest differs from the
+// leader's, it returns an error that wraps ErrDigest.
+func finishTransfer(edit *contentsEditor, reply *peer.FollowReply, leader string) (*stateCopy, error) {
 	next := &stateCopy{
 		contents: edit.contents(),
 		term:     reply.Term,
@@ -94,7 +94,7 @@
 	return next, nil
 }
 
-func (f *Follower) addReceived(bytes int) {
+func (f *Follower) addReceivedBytes(bytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.receivedBytes += uint64(bytes)
--- a/internal/standby/recordingstore.go
+++ b/internal/standby/recordingstore.go
@@ -9,7 +9,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Store is what a controller needs of the state store.
+// Store is the part of the state store's client that a controller needs.
 type Store interface {
 	watchcache.Reader
 	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
@@ -23,11 +23,11 @@
 	source *Source
 }
 
-// NewRecordingStore returns the store of a controller whose commits the source offers to its standby.
+// NewRecordingStore returns a store for a controller. The source offers the controller's commits to its standbys.
 func NewRecordingStore(s Store, source *Source) *RecordingStore { return &RecordingStore{s, source} }
 
-// Get reads a key, and applies the record to the source: the record is at least as new as the one that
-// the source has.
+// Get reads a key and applies what it has read to the source. What a read returns is at least as new as what the source
+// has for the key.
 func (r *RecordingStore) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
 	item, found, err := r.Store.Get(ctx, key)
 	if err == nil && isRecord(key) {
@@ -36,7 +36,7 @@
 	return item, found, err
 }
 
-// Commit commits a transaction and applies its outcome to the source.
+// Commit commits a transaction and reports its outcome to the source.
 func (r *RecordingStore) Commit(ctx context.Context, tx wire.Transaction) (uint64, error) {
 	keys := recordKeys(tx)
 	if len(keys) == 0 {
@@ -66,9 +66,8 @@
 	return keys
 }
 
-// comparedKeys returns those of the keys whose mod revision the transaction compares. The others are
-// keys of hints, on which no decision depends: a machine's images are written without a compare of
-// their own.
+// comparedKeys returns those of the keys whose mod revisions the transaction compares. The other keys belong to
+// hints, on which no decision depends: a machine's list of images is written without a compare of its own key.
 func comparedKeys(tx wire.Transaction, keys []string) []string {
 	compared := map[string]bool{}
 	for _, compare := range tx.Compares {
--- a/internal/standby/size_test.go
+++ b/internal/standby/size_test.go
@@ -7,21 +7,21 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// repeatedViews is a Views that returns the same views again once drained is reset.
+// repeatedViews is a Views that returns the same views again after drained has been set to 0.
 type repeatedViews struct {
 	entries []*Entry
-	drained int
+	drained int // number of entries returned since it was last 0
 }
 
-func (v *repeatedViews) DrainChangedViews(most int) ([]*Entry, bool) {
-	count := min(most, len(v.entries)-v.drained)
+func (v *repeatedViews) DrainChangedViews(limit int) ([]*Entry, bool) {
+	count := min(limit, len(v.entries)-v.drained)
 	v.drained += count
 	return v.entries[v.drained-count : v.drained], v.drained < len(v.entries)
 }
 
-// A follower receives the views of 4,096 and of 6,000 machines, of their jobs and of the
-// largest job that is allowed, and keeps up while all of them change. That job's view was once
-// larger than the limit of a part, and the follower started again for ever.
+// A follower receives the views of 4,096 and of 6,000 machines and of the largest allowed job, and keeps up while all
+// of these views change. Once the view of such a job was larger than the limit of a part, and the follower
+// discarded its copy and started again endlessly.
 func TestLargeFleetIsFollowed(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
 		views := &repeatedViews{}
@@ -53,17 +53,17 @@
 			t.Fatal(err)
 		}
 		views.entries = append(views.entries, e)
-		l := newLeader(newService())
+		l := newLeader(newFakeStore())
 		l.source.Seed(views)
-		f := follow("n1", map[string]*Source{"l": l.source})
+		f := followSources("n1", map[string]*Source{"l": l.source})
 		for range 2 {
 			f.Pull("l", l.term)
-			st, has := f.Status(), l.source.Status()
-			if st.State != Following || st.Sequence != has.Sequence || st.Entries != machines+1 || len(st.Refused) > 0 {
-				t.Fatalf("with %d machines the follower is %s at %d of %d, has %d entries, refused %v",
-					machines, st.State, st.Sequence, has.Sequence, st.Entries, st.Refused)
+			st, offered := f.Status(), l.source.Status()
+			if st.State != Following || st.Sequence != offered.Sequence || st.Entries != machines+1 || len(st.Refused) > 0 {
+				t.Fatalf("with %d machines the follower is %s at %d with %d entries and refused %v, want following at %d with %d and none",
+					machines, st.State, st.Sequence, st.Entries, st.Refused, offered.Sequence, machines+1)
 			}
-			views.drained = 0 // all change
+			views.drained = 0 // all views count as changed
 		}
 	}
 }
--- a/internal/standby/source.go
+++ b/internal/standby/source.go
@@ -8,62 +8,62 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Views gives access to what a leader knows beyond its records.
+// Views provides the views of a leader: what it knows beyond its records.
 type Views interface {
-	// DrainChangedViews returns at most so many of the views that no call has returned since they
-	// changed, and whether there are more. The first calls of a term return all views.
-	DrainChangedViews(most int) (changed []*Entry, more bool)
+	// DrainChangedViews returns views that have changed since a call last returned them, at most limit of them, and
+	// whether there are more. The first calls of a term return all views.
+	DrainChangedViews(limit int) (changed []*Entry, more bool)
 }
 
 // Limits of a source.
 const (
-	// minLoggedChanges is the number of changes that a follower may lag behind before it has to pull
-	// everything again. It is larger in a large fleet: see maxLoggedChanges.
+	// minLoggedChanges is how many changes a follower may lag behind before it has to pull everything again. A large
+	// fleet allows more: see maxLoggedChanges.
 	minLoggedChanges = 1 << 10
-	// viewBatchSize is the most views that are drained at a time, so that the leader's scheduling
-	// cycles do not wait for longer than that takes.
+	// viewBatchSize is the most views that one call drains. It limits how long a scheduling cycle of the leader waits
+	// for a call.
 	viewBatchSize = 256
 )
 
-// change names the key that was changed at a sequence number.
-type change struct {
+// loggedChange is the sequence number of a change and the key that it changed.
+type loggedChange struct {
 	sequence uint64
 	key      string
 }
 
-// Source offers the state of a leader's term to its standby. It is safe for concurrent use.
+// Source offers the state of a leader's term to the leader's standbys. It is safe for concurrent use.
 type Source struct {
-	term     uint64
-	members  []string
-	lifetime time.Duration // of a transfer that is not requested any more
-	now      func() time.Time
+	term             uint64
+	members          []string      // labels of the other controllers
+	transferLifetime time.Duration // how long a transfer is kept after its latest request
+	now              func() time.Time
 
 	mu        sync.Mutex
-	seeded    bool
+	seeded    bool // Seed has been called
 	contents  contents
-	sequence  uint64
-	log       []change // the newest changes, oldest first
+	sequence  uint64         // number of the newest change
+	changeLog []loggedChange // the newest changes, oldest first
 	positions positionTracker
-	transfers map[string]*transfer // by the standby's label
+	transfers map[string]*outgoingTransfer // by the standby's label
 	views     Views
-	sentBytes uint64 // of bodies
+	sentBytes uint64 // total size of the bodies of parts
 }
 
-// NewSource returns the source of a term, which offers nothing until it is seeded. members are the
-// labels of the other controllers; a transfer that is not requested for the lifetime is dropped.
+// NewSource returns the source of a term. It offers nothing until Seed is called. members are the labels of the other
+// controllers. A transfer whose latest request is longer ago than lifetime is dropped.
 func NewSource(term uint64, members []string, lifetime time.Duration) *Source {
 	return &Source{
-		term:      term,
-		members:   members,
-		lifetime:  lifetime,
-		now:       time.Now,
-		contents:  emptyContents(),
-		positions: positionTracker{open: map[uint64]*openCommit{}},
-		transfers: map[string]*transfer{},
+		term:             term,
+		members:          members,
+		transferLifetime: lifetime,
+		now:              time.Now,
+		contents:         emptyContents(),
+		positions:        positionTracker{open: map[uint64]*openCommit{}},
+		transfers:        map[string]*outgoingTransfer{},
 	}
 }
 
-// Seed adds the records that a term began with: all that were committed before it did.
+// Seed adds the records that were committed before the term began, and sets the leader's views.
 func (s *Source) Seed(views Views, lists ...[]wire.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,22 +77,22 @@
 		}
 	}
 	s.contents = edit.contents()
-	// The term is the revision of its election: records of earlier terms are older, and those of
-	// this term are recorded here.
+	// The term is the revision of its election. Records of earlier terms have lower revisions, and this source records
+	// the commits of this term.
 	s.positions.newestRevision = max(s.positions.newestRevision, s.term)
 	s.seeded, s.views = true, views
 }
 
-// Status is how much a source offers and has sent.
+// Status describes what a source offers and how much it has sent.
 type Status struct {
 	Sequence  uint64
-	Position  uint64 // revision up to which all commits of the term are part of the contents
-	SentBytes uint64
+	Position  uint64 // revision up to which the contents include all commits of the term
+	SentBytes uint64 // total size of the bodies of parts
 	Entries   int
-	Bytes     int // of all keys and values
+	Bytes     int // total size of all keys and values
 }
 
-// Status returns how much the source offers and has sent.
+// Status returns what the source offers and how much it has sent.
 func (s *Source) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,10 +105,10 @@
 	}
 }
 
-// isMember reports whether a label is that of another controller.
+// isMember reports whether a label belongs to another controller.
 func (s *Source) isMember(label string) bool { return slices.Contains(s.members, label) }
 
-// apply applies entries as one change each. s.mu is held.
+// apply applies entries to the contents and logs one change for each. The caller holds s.mu.
 func (s *Source) apply(entries []*Entry) {
 	if len(entries) == 0 {
 		return
@@ -117,20 +117,21 @@
 	for _, entry := range entries {
 		edit.apply(entry)
 		s.sequence++
-		s.log = append(s.log, change{s.sequence, entry.Key})
+		s.changeLog = append(s.changeLog, loggedChange{s.sequence, entry.Key})
 	}
 	s.contents = edit.contents()
-	if keep := s.maxLoggedChanges(); len(s.log) > 2*keep {
-		s.log = append([]change(nil), s.log[len(s.log)-keep:]...)
+	if keep := s.maxLoggedChanges(); len(s.changeLog) > 2*keep {
+		s.changeLog = append([]loggedChange(nil), s.changeLog[len(s.changeLog)-keep:]...)
 	}
 }
 
-// maxLoggedChanges returns how many changes a follower may lag behind: as many as there are entries.
-// For one that lags further, pulling everything costs less than pulling the changes. s.mu is held.
+// maxLoggedChanges returns how many changes a follower may lag behind: as many as there are entries, but at least
+// minLoggedChanges. For a follower that lags further behind, pulling everything costs less than pulling the changes.
+// The caller holds s.mu.
 func (s *Source) maxLoggedChanges() int { return max(minLoggedChanges, s.contents.tree.Len()) }
 
-// applyChangedViews drains the views that have changed, viewBatchSize at a time. It holds s.mu only
-// for each batch, because commits wait for it.
+// applyChangedViews drains the changed views, viewBatchSize at a time, and applies them. It holds s.mu only while it
+// applies a batch, because commits wait for s.mu.
 func (s *Source) applyChangedViews() {
 	s.mu.Lock()
 	views := s.views
@@ -144,15 +145,15 @@
 	}
 }
 
-// beginCommit must be called before a commit is sent. It returns the id with which the caller reports
-// the outcome, by one of the three methods below.
+// beginCommit must be called before a commit is sent. It returns an id. The caller reports the commit's outcome with
+// this id, by calling commitSucceeded, commitUnknown or commitFailed.
 func (s *Source) beginCommit() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.positions.begin()
 }
 
-// commitSucceeded applies a commit that was carried out.
+// commitSucceeded applies a commit that has been executed.
 func (s *Source) commitSucceeded(id uint64, tx wire.Transaction, keys []string, revision uint64) {
 	var entries []*Entry
 	for _, c := range tx.Changes {
@@ -166,21 +167,21 @@
 	s.positions.markCommitted(id, keys, revision)
 }
 
-// commitUnknown records that a commit's outcome is unknown: it may be carried out late.
+// commitUnknown records that a commit's outcome is unknown: it may have been executed, or may be executed later.
 func (s *Source) commitUnknown(id uint64, keys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.positions.markUnknown(id, keys)
 }
 
-// commitFailed records that a commit was not carried out and will not be.
+// commitFailed records that a commit has not been executed and never will be.
 func (s *Source) commitFailed(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.positions.close(id)
 }
 
-// applyRead applies a record as a read returned it, or drops it if the read did not find it.
+// applyRead applies a record that a read has returned, or drops the record if the read did not find it.
 func (s *Source) applyRead(key string, item wire.KeyValue, found bool) {
 	entry := absentEntry(key)
 	if found {
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -1,17 +1,17 @@
-// Package standby replicates the leader's state to a warm standby, so that this node can make
-// decisions soon after the leader has failed, without reading all records again.
+// Package standby replicates the leader's state to a warm standby. When the standby is elected after the leader has
+// failed, it can soon make decisions, because it does not have to read all records first.
 //
-// At the leader a Source contains the followed records and views of what the leader
-// knows beyond them, in an immutable radix tree. The standby's Follower pulls that in
-// transfers: a whole one first, then what has changed since. Every transfer ends with a
-// sequence number, a position in the state store's history and a digest. A transfer
-// that is not complete, or whose digest disagrees, is discarded whole.
+// At the leader, a Source holds entries in an immutable radix tree: the followed records, and views, which are what
+// the leader knows beyond its records. At the standby, a Follower pulls the entries in transfers. The first transfer
+// contains everything, later ones contain what has changed since the one before. Each transfer is sent in parts and
+// results in a sequence number, a position in the state store's history and a digest. The follower never uses a
+// part of a transfer: it discards the transfer if it is not complete or if its digest differs from that of the
+// resulting copy.
 //
-// The proof rests on the position: everything that the leader's term has committed up to it
-// is part of the copy. A standby that has been elected reads the changes after
-// it from the state store, and then has what a full listing would show (see docs/standby.md).
-// Views are hints: no attempt is ever concluded to be off its machine, launched or cancelled
-// because of one.
+// The position is what proves a copy: the copy contains everything that the leader's term has committed up to that
+// revision. A standby that has been elected reads the changes after the position from the state store, and then has
+// what a full listing would return (see docs/standby.md). Views are only hints: the controller never launches or
+// cancels an attempt because of a view, and never concludes from one that an attempt is no longer on its machine.
 package standby
 
 import (
@@ -24,14 +24,14 @@
 // State is the state of a follower.
 type State int
 
-// The states of a follower. Their strings are label values of a metric.
+// The states of a follower. Their names are label values of a metric.
 const (
-	Empty     State = iota // has no copy that can be used
-	Syncing                // pulls its first whole transfer
-	Following              // has a complete copy and keeps up with the leader
-	Behind                 // has an older copy: the leader is unreachable, or no longer has changes that old
-	Verifying              // this node is elected: its copy is checked against the state store
-	Ready                  // the copy is proven: the controller loads it
+	Empty     State = iota // there is no usable copy
+	Syncing                // the first transfer, of everything, is in progress
+	Following              // the copy is complete and kept up to date
+	Behind                 // the copy is older: the leader is unreachable, or no longer has all changes since the copy
+	Verifying              // this node is elected and checks its copy against the state store
+	Ready                  // the copy is proven and the controller loads it
 	Promoted               // the controller of this node's term has loaded the copy
 )
 
@@ -43,23 +43,23 @@
 // StateNames returns the names of all states.
 func StateNames() []string { return stateNames[:] }
 
-// allowedTransitions lists the states that may follow each state.
+// allowedTransitions lists, for each state, the states that it may change to.
 var allowedTransitions = map[State][]State{
 	Empty:     {Syncing},
 	Syncing:   {Following, Empty},
 	Following: {Behind, Verifying, Empty},
 	Behind:    {Following, Verifying, Empty},
 	Verifying: {Ready, Empty},
-	Ready:     {Promoted, Verifying, Empty}, // Verifying again if the controller could not load everything else
+	Ready:     {Promoted, Verifying, Empty}, // Verifying if the controller could not load the rest of its state
 	Promoted:  {Empty},
 }
 
-// TransitionError means that a follower cannot change from one state to the other.
+// TransitionError means that a follower must not change from state From to state To.
 type TransitionError struct{ From, To State }
 
 func (e *TransitionError) Error() string { return fmt.Sprintf("%s cannot follow on %s", e.To, e.From) }
 
-// transition is the one function that changes the state of a follower. f.mu is held.
+// transition changes the state, or returns a TransitionError. No other function sets f.state. The caller holds f.mu.
 func (f *Follower) transition(to State, cause string) error {
 	from := f.state
 	if from == to {
@@ -73,14 +73,15 @@
 	return nil
 }
 
-// setState changes the state, and logs a transition that is not allowed. f.mu is held.
+// setState changes the state, or logs an error if the change is not allowed. The caller holds f.mu.
 func (f *Follower) setState(to State, cause string) {
 	if err := f.transition(to, cause); err != nil {
 		slog.Error("standby state could not be changed", "err", err)
 	}
 }
 
-// Errors for what a follower refuses. It discards its copy and starts again after each of them.
+// Errors that mean that a transfer or the copy is unusable. After each of them the follower discards its copy,
+// and its next transfer contains everything.
 var (
 	ErrWrongTerm    = errors.New("a transfer is of another term")
 	ErrOutOfOrder   = errors.New("a part is out of order")
@@ -92,17 +93,17 @@
 	ErrTooFarBehind = errors.New("the state service no longer keeps the changes since the followed position")
 )
 
-// Errors of a transfer that was not completed. The follower keeps its copy after them.
+// Errors of a transfer that was not completed. After them the follower keeps its copy.
 var (
 	errLeaderUnreachable = errors.New("no leader is reached")
 	errNotOffered        = errors.New("the leader offers nothing now")
 )
 
-// otherCause is the cause of an error that says nothing against the copy.
-const otherCause = "other"
+// uncountedCause is the cause of an error that does not make the copy unusable.
+const uncountedCause = "other"
 
-// causes names the errors that are counted, as label values of a metric.
-var causes = map[error]string{
+// causeNames maps each error that is counted to its name, which is a label value of a metric.
+var causeNames = map[error]string{
 	ErrWrongTerm:    "wrong_term",
 	ErrOutOfOrder:   "out_of_order",
 	ErrTruncated:    "truncated",
@@ -112,12 +113,12 @@
 	ErrTooFarBehind: "too_far_behind",
 }
 
-// causeOf returns the name by which an error is counted.
+// causeOf returns the name under which an error is counted, or uncountedCause if it is not counted.
 func causeOf(err error) string {
-	for known, name := range causes {
+	for known, name := range causeNames {
 		if errors.Is(err, known) {
 			return name
 		}
 	}
-	return otherCause
+	return uncountedCause
 }
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -18,49 +18,49 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// The same inputs every run; -rapid.seed draws others.
+// rapid draws the same inputs in every run; the flag -rapid.seed selects others.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 }
 
-// checkSameAsListed compares what is proven with what the state store lists.
-func checkSameAsListed(t rapid.TB, s *service, p *Proven) {
+// checkSameAsListed checks that the proven placements and scale-ins are those that the state store lists.
+func checkSameAsListed(t rapid.TB, s *fakeStore, p *Proven) {
 	t.Helper()
 	for prefix, got := range map[string][]wire.KeyValue{records.PlacementPrefix: p.Placements, records.ScaleInPrefix: p.Returns} {
 		want, _, _ := s.List(context.Background(), prefix)
 		if len(got) != len(want) {
-			t.Fatalf("%d records under %s are proven, there are %d", len(got), prefix, len(want))
+			t.Fatalf("got %d proven records under %s, want %d", len(got), prefix, len(want))
 		}
 		for i := range want {
 			if got[i].Key != want[i].Key || got[i].ModRevision != want[i].ModRevision || string(got[i].Value) != string(want[i].Value) {
-				t.Fatalf("%+v is proven, there is %+v", got[i], want[i])
+				t.Fatalf("got proven record %+v, want %+v", got[i], want[i])
 			}
 		}
 	}
 }
 
-// After an election the proven records are those that a listing shows, whatever the outcome of the
-// old leader's commits, even of those that were carried out late or whose outcome it never knew:
-// while the leader is followed, after it was deposed, and by either of two standbys.
+// After an election the proven records are those that a listing returns, whatever the outcome of the old leaders'
+// commits, including commits that were executed late or whose outcome their leader never learned. This holds for two
+// standbys that pull at any time, also from a leader that has been deposed.
 func TestWhatIsProvenIsWhatIsListed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newService()
+		s := newFakeStore()
 		sources := map[string]*Source{}
 		leaders := []*leader{newLeader(s)}
 		sources["leader-0"] = leaders[0].source
-		followers := []*Follower{follow("n1", sources), follow("n2", sources)}
+		followers := []*Follower{followSources("n1", sources), followSources("n2", sources)}
 		key := rapid.SampledFrom([]string{"p/run-1/000000", "p/run-1/000001", "p/run-2/000000", "r/7-1", "r/7-2", "i/m-1"})
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			// A deposed leader may not know that yet, and continues to write.
+			// A deposed leader may not know yet that it is deposed, and continues to write.
 			l := leaders[len(leaders)-1-rapid.IntRange(0, min(1, len(leaders)-1)).Draw(t, "leader")]
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1, 2, 3, 4:
-				s.next = outcome(rapid.IntRange(0, int(outcomes)-1).Draw(t, "outcome"))
+				s.nextOutcome = outcome(rapid.IntRange(0, int(outcomeCount)-1).Draw(t, "outcome"))
 				keys := rapid.SliceOfNDistinct(key, 1, 3, rapid.ID[string]).Draw(t, "keys")
 				l.write(fmt.Sprint(i), rapid.IntRange(0, 3).Draw(t, "drop") == 0, keys...)
 			case 5, 6:
-				s.deliverLate(rapid.IntRange(0, 9).Draw(t, "late"))
+				s.executeDelayed(rapid.IntRange(0, 9).Draw(t, "late"))
 			case 7, 8:
 				at := slices.Index(leaders, l)
 				followers[rapid.IntRange(0, 1).Draw(t, "follower")].Pull(fmt.Sprintf("leader-%d", at), l.term)
@@ -72,8 +72,8 @@
 			}
 		}
 		term := s.elect()
-		for len(s.late) > 0 {
-			s.deliverLate(0) // the compare of the leader's key refuses it
+		for len(s.delayed) > 0 {
+			s.executeDelayed(0) // the compare of the leader's key rejects the commit
 		}
 		for _, f := range followers {
 			if !f.HasCopy() {
@@ -81,27 +81,27 @@
 			}
 			p, err := f.Prove(context.Background(), s, term)
 			if err != nil {
-				t.Fatalf("not proven: %v", err)
+				t.Fatalf("Prove returned %v, want nil", err)
 			}
 			checkSameAsListed(t, s, p)
 		}
 	})
 }
 
-// A commit whose outcome is unknown keeps the position below it until its keys are written
-// again. Otherwise a standby would miss it when it is carried out late.
+// A commit whose outcome is unknown keeps the position below any revision that it can get, until its keys are written
+// again. Otherwise a standby would miss the commit if it is executed late.
 func TestUnknownOutcomeHoldsThePositionBack(t *testing.T) {
-	s := newService()
+	s := newFakeStore()
 	l := newLeader(s)
-	s.next = lateRequest
+	s.nextOutcome = delayedRequest
 	l.write("late", false, "p/run-1/000000")
 	l.write("other", false, "p/run-2/000000")
 	if at := l.source.Status().Position; at != l.term {
-		t.Errorf("the position is %d, the commit may be carried out at any revision after %d", at, l.term)
+		t.Errorf("with a commit of unknown outcome the position is %d, want %d", at, l.term)
 	}
-	f := follow("n1", map[string]*Source{"l": l.source})
+	f := followSources("n1", map[string]*Source{"l": l.source})
 	f.Pull("l", l.term)
-	s.deliverLate(0)
+	s.executeDelayed(0)
 	p, err := f.Prove(context.Background(), s, s.elect())
 	if err != nil {
 		t.Fatal(err)
@@ -111,12 +111,12 @@
 	l.term = s.items[records.LeaderKey].ModRevision
 	l.write("again", false, "p/run-1/000000")
 	if at := l.source.Status().Position; at != s.revision {
-		t.Errorf("the position is %d once all is settled, expected %d", at, s.revision)
+		t.Errorf("after all commits are settled the position is %d, want %d", at, s.revision)
 	}
 }
 
-// A wrong part is refused with a sentinel error and counted, and none of it is used: the
-// standby starts again, and a node that is elected then lists all records.
+// A wrong part is refused with an exported error and counted, and the follower discards its copy. If its node is
+// elected then, Prove returns ErrNoCopy, so that the node lists all records; otherwise the next pull starts again.
 func TestWrongPartsAreRefused(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -138,7 +138,7 @@
 			t.Errorf("%v is counted as %s, want %s", tc.want, cause, tc.name)
 		}
 		for _, first := range []bool{true, false} {
-			l := newLargeLeader(newService())
+			l := newLargeLeader(newFakeStore())
 			corrupt := first
 			f := newFollower("n1", func(_ string, args peer.FollowArgs) (peer.FollowReply, error) {
 				r, err := l.source.Follow(args)
@@ -150,7 +150,7 @@
 			f.Pull("l", l.term)
 			if !first {
 				if !f.HasCopy() {
-					t.Fatalf("%s: there is no copy", tc.name)
+					t.Fatalf("%s: there is no copy after the first pull, want one", tc.name)
 				}
 				l.write("new", false, "p/run-1/000000")
 				corrupt = true
@@ -158,25 +158,24 @@
 			}
 			st := f.Status()
 			if st.State != Empty || st.Entries != 0 || st.Refused[tc.name] != 1 {
-				t.Errorf("%s: the state is %s with %d entries, refused %v", tc.name, st.State, st.Entries, st.Refused)
+				t.Errorf("%s: got state %s, %d entries, refused %v; want empty, 0, one refused", tc.name, st.State, st.Entries, st.Refused)
 			}
-			if _, err := f.Prove(context.Background(), l.service, l.service.elect()); !errors.Is(err, ErrNoCopy) {
-				t.Errorf("%s: proven with %v", tc.name, err)
+			if _, err := f.Prove(context.Background(), l.fake, l.fake.elect()); !errors.Is(err, ErrNoCopy) {
+				t.Errorf("%s: Prove returned %v, want %v", tc.name, err, ErrNoCopy)
 			}
 			corrupt = false
 			f.Discard("no longer leading")
 			f.Pull("l", l.term)
 			if !f.HasCopy() {
-				t.Errorf("%s: it does not start again", tc.name)
+				t.Errorf("%s: there is no copy after the next pull, want one", tc.name)
 			}
 		}
 	}
 }
 
-// However the bytes are changed on their way, the follower never has a copy whose digest is not the
-// leader's.
+// Whichever byte of a part is changed in transit, the follower never has a copy whose digest differs from the leader's.
 func TestCorruptedBytesAreNeverAccepted(t *testing.T) {
-	l := newLargeLeader(newService())
+	l := newLargeLeader(newFakeStore())
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFollower("n1", func(_ string, args peer.FollowArgs) (peer.FollowReply, error) {
 			r, err := l.source.Follow(args)
@@ -189,37 +188,37 @@
 		})
 		f.Pull("l", l.term)
 		if f.HasCopy() && f.copy.computeDigest() != l.source.contents.digest {
-			t.Fatalf("the copy differs from what the leader has")
+			t.Fatalf("got copy with digest %x, want %x", f.copy.computeDigest(), l.source.contents.digest)
 		}
 	})
 }
 
-// A stream that is cut in the middle of a transfer leaves the copy as it was, or none.
+// A transfer that is cut off leaves the copy as it was, or no copy if it was the first transfer.
 func TestCutTransferKeepsTheCopy(t *testing.T) {
-	s := newService()
+	s := newFakeStore()
 	l := newLargeLeader(s)
 	cutAt := 1
 	f := newFollower("n1", func(_ string, args peer.FollowArgs) (peer.FollowReply, error) {
 		if args.Part == cutAt {
-			return peer.FollowReply{}, errors.New("cut")
+			return peer.FollowReply{}, errors.New("connection was cut off")
 		}
 		return l.source.Follow(args)
 	})
 	f.BehindAfter = time.Minute
 	f.Pull("l", l.term)
 	if st := f.Status(); st.State != Empty || st.Entries != 0 {
-		t.Errorf("after a cut first transfer the state is %s with %d entries", st.State, st.Entries)
+		t.Errorf("after the first transfer was cut off the state is %s with %d entries, want empty with 0", st.State, st.Entries)
 	}
 	cutAt = -1
 	f.Pull("l", l.term)
-	was := f.Status()
+	before := f.Status()
 	for i := range 200 {
 		l.write(fmt.Sprintf("%q", make([]byte, 2000)), false, fmt.Sprintf("p/run-%d/000000", i))
 	}
 	cutAt = 1
 	f.Pull("l", l.term)
-	if st := f.Status(); st.State != Following || st.Sequence != was.Sequence || st.Position != was.Position {
-		t.Errorf("after a cut transfer it is %s at %d, was at %d", st.State, st.Sequence, was.Sequence)
+	if st := f.Status(); st.State != Following || st.Sequence != before.Sequence || st.Position != before.Position {
+		t.Errorf("after a cut-off transfer got %s at %d, want following at %d", st.State, st.Sequence, before.Sequence)
 	}
 	p, err := f.Prove(context.Background(), s, s.elect())
 	if err != nil {
@@ -228,17 +227,17 @@
 	checkSameAsListed(t, s, p)
 }
 
-// A standby that cannot reach the leader falls behind; its copy can be proven as long as the
-// state store still has the changes since then, and not after that. If the leader no longer has
-// the changes when the standby comes back, it pulls everything again.
+// A standby that cannot reach the leader falls behind. Its copy can be proven only while the state store still has
+// the changes since the copy's position. A standby that reaches the leader again pulls everything if the leader no
+// longer has the changes since the copy.
 func TestFollowerFallsBehindAndCatchesUp(t *testing.T) {
-	s := newService()
+	s := newFakeStore()
 	l := newLeader(s)
 	l.write("1", false, "p/run-1/000000")
 	sources := map[string]*Source{"l": l.source}
-	f, g, h := follow("n1", sources), follow("n2", sources), follow("n1", sources)
+	prover, lateProver, reconnecting := followSources("n1", sources), followSources("n2", sources), followSources("n1", sources)
 	now := time.Unix(1000, 0)
-	for _, x := range []*Follower{f, g, h} {
+	for _, x := range []*Follower{prover, lateProver, reconnecting} {
 		x.now = func() time.Time { return now }
 		x.Pull("l", l.term)
 	}
@@ -247,89 +246,90 @@
 	for i := range 2*minLoggedChanges + 10 {
 		l.write(fmt.Sprint(i), false, fmt.Sprintf("p/run-%d/000000", i%20))
 	}
-	for _, x := range []*Follower{f, g, h} {
+	for _, x := range []*Follower{prover, lateProver, reconnecting} {
 		x.Pull("l", l.term)
 		if st := x.Status(); st.State != Behind || st.Lag != 5*time.Minute {
-			t.Fatalf("the state is %s, the lag %s", st.State, st.Lag)
+			t.Fatalf("got state %s and lag %s, want behind and 5m0s", st.State, st.Lag)
 		}
 	}
 	sources["l"] = l.source
-	h.Pull("l", l.term)
-	if st := h.Status(); st.State != Following || st.Sequence != l.source.Status().Sequence {
-		t.Errorf("back again, the state is %s at %d", st.State, st.Sequence)
+	reconnecting.Pull("l", l.term)
+	if st := reconnecting.Status(); st.State != Following || st.Sequence != l.source.Status().Sequence {
+		t.Errorf("got state %s at %d, want following at %d", st.State, st.Sequence, l.source.Status().Sequence)
 	}
 	term := s.elect()
-	p, err := f.Prove(context.Background(), s, term)
+	p, err := prover.Prove(context.Background(), s, term)
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkSameAsListed(t, s, p)
-	s.oldestKnown = s.revision - 100
-	if _, err := g.Prove(context.Background(), s, term); !errors.Is(err, ErrTooFarBehind) {
-		t.Errorf("proven with %v", err)
+	s.compactedUpTo = s.revision - 100
+	if _, err := lateProver.Prove(context.Background(), s, term); !errors.Is(err, ErrTooFarBehind) {
+		t.Errorf("Prove returned %v, want %v", err, ErrTooFarBehind)
 	}
-	if st := g.Status(); st.State != Empty || st.Refused["too_far_behind"] != 1 {
-		t.Errorf("the state is %s, refused %v", st.State, st.Refused)
+	if st := lateProver.Status(); st.State != Empty || st.Refused["too_far_behind"] != 1 {
+		t.Errorf("got state %s and refused %v, want empty and one too_far_behind", st.State, st.Refused)
 	}
 }
 
-// While the state store refuses this node alone, the proof waits: nothing is ready, and
-// nothing is discarded.
+// While the state store refuses the elected node's reads, Prove returns the store's error, the follower keeps its
+// copy, and its state stays Verifying. A later Prove can succeed.
 func TestStateServiceRefusesTheStandby(t *testing.T) {
-	s := newService()
+	s := newFakeStore()
 	l := newLeader(s)
 	l.write("1", false, "p/run-1/000000")
-	f := follow("n1", map[string]*Source{"l": l.source})
+	f := followSources("n1", map[string]*Source{"l": l.source})
 	f.Pull("l", l.term)
 	term := s.elect()
-	s.down = errors.New("503")
-	if _, err := f.Prove(context.Background(), s, term); !errors.Is(err, s.down) || f.Status().State != Verifying {
-		t.Errorf("proven with %v, the state is %s", err, f.Status().State)
+	s.readErr = errors.New("503")
+	if _, err := f.Prove(context.Background(), s, term); !errors.Is(err, s.readErr) || f.Status().State != Verifying {
+		t.Errorf("Prove returned %v in state %s, want %v in state verifying", err, f.Status().State, s.readErr)
 	}
-	s.down = nil
+	s.readErr = nil
 	if _, err := f.Prove(context.Background(), s, term); err != nil || f.Status().State != Ready {
-		t.Errorf("proven with %v, the state is %s", err, f.Status().State)
+		t.Errorf("Prove returned %v in state %s, want nil in state ready", err, f.Status().State)
 	}
 	f.MarkPromoted("decides")
-	f.Pull("l", l.term) // the old leader goes on, and is not followed any more
+	f.Pull("l", l.term) // the old leader continues to offer its state, but is no longer followed
 	if f.Status().State != Promoted {
-		t.Errorf("the state is %s", f.Status().State)
+		t.Errorf("got state %s, want promoted", f.Status().State)
 	}
 	f.Discard("over")
 	if f.Status().State != Empty {
-		t.Errorf("the state is %s", f.Status().State)
+		t.Errorf("got state %s, want empty", f.Status().State)
 	}
 }
 
-// A copy that was corrupted in memory is detected before any decision depends on it.
+// A copy that has been corrupted in memory is discarded instead of proven.
 func TestCorruptedCopyIsNotProven(t *testing.T) {
-	s := newService()
+	s := newFakeStore()
 	l := newLeader(s)
 	l.write("1", false, "p/run-1/000000")
-	f := follow("n1", map[string]*Source{"l": l.source})
+	f := followSources("n1", map[string]*Source{"l": l.source})
 	f.Pull("l", l.term)
 	entry, _ := f.copy.tree.Get([]byte("p/run-1/000000"))
 	entry.Value = []byte("2")
 	if _, err := f.Prove(context.Background(), s, s.elect()); !errors.Is(err, ErrDigest) || f.Status().State != Empty {
-		t.Errorf("proven with %v, the state is %s", err, f.Status().State)
+		t.Errorf("Prove returned %v in state %s, want %v in state empty", err, f.Status().State, ErrDigest)
 	}
 }
 
-// A copy of a term that is not older than the new one is not proven.
+// A copy is only proven for a newer term than its own.
 func TestCopyOfTheSameTermIsNotProven(t *testing.T) {
-	s := newService()
+	s := newFakeStore()
 	l := newLeader(s)
-	f := follow("n1", map[string]*Source{"l": l.source})
+	f := followSources("n1", map[string]*Source{"l": l.source})
 	f.Pull("l", l.term)
 	if _, err := f.Prove(context.Background(), s, l.term); !errors.Is(err, ErrNoCopy) {
-		t.Errorf("proven with %v", err)
+		t.Errorf("Prove returned %v, want %v", err, ErrNoCopy)
 	}
 }
 
-// Views arrive unchanged, and dropped views are absent.
+// The standby receives the leader's machine views and job views, the latter with unchanged running tasks, and no
+// views that have been dropped.
 func TestViewsArrive(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	s := newService()
+	s := newFakeStore()
 	l := newLeader(s)
 	views := &fakeViews{}
 	want := map[string][]RunningTask{}
@@ -357,39 +357,39 @@
 	views.entries = append(views.entries, DroppedMachineView("m-7"), DroppedJobView("run-000007"))
 	delete(want, "run-000007")
 	l.source.Seed(views)
-	f := follow("n1", map[string]*Source{"l": l.source})
+	f := followSources("n1", map[string]*Source{"l": l.source})
 	f.Pull("l", l.term)
 	p, err := f.Prove(context.Background(), s, s.elect())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(p.Jobs) != 699 || len(p.Machines) != 299 {
-		t.Fatalf("%d jobs and %d machines arrive", len(p.Jobs), len(p.Machines))
+		t.Fatalf("got %d jobs and %d machines, want 699 and 299", len(p.Jobs), len(p.Machines))
 	}
 	for i := range p.Jobs {
 		tasks, err := p.Jobs[i].RunningTasks()
 		if err != nil || !slices.Equal(tasks, want[p.Jobs[i].UID]) {
-			t.Errorf("%s: %v arrive (%v), expected %v", p.Jobs[i].UID, tasks, err, want[p.Jobs[i].UID])
+			t.Errorf("%s: got running tasks %v and error %v, want %v and nil", p.Jobs[i].UID, tasks, err, want[p.Jobs[i].UID])
 		}
 	}
 }
 
 // A transfer that is no longer requested is dropped, and a node that is not a member gets nothing.
 func TestSourceDropsAbandonedTransfersAndRefusesStrangers(t *testing.T) {
-	l := newLargeLeader(newService())
+	l := newLargeLeader(newFakeStore())
 	now := time.Unix(1000, 0)
 	l.source.now = func() time.Time { return now }
 	first, err := l.source.Follow(peer.FollowArgs{From: "n1", Term: l.term})
 	if err != nil || first.Last || first.Transfer == 0 {
-		t.Fatalf("the first part is %+v, %v", first, err)
+		t.Fatalf("got first part %+v and error %v, want a part that is not the last, and nil", first, err)
 	}
 	now = now.Add(2 * time.Minute)
 	if r, _ := l.source.Follow(peer.FollowArgs{From: "n1", Term: l.term, Transfer: first.Transfer, Part: 1}); r.Transfer != 0 {
-		t.Errorf("part %d of an old transfer is sent", r.Part)
+		t.Errorf("got part %d of an abandoned transfer, want none", r.Part)
 	}
 	for _, args := range []peer.FollowArgs{{From: "n9", Term: l.term}, {From: "n1", Term: l.term - 1}} {
 		if r, _ := l.source.Follow(args); r.Leading || len(r.Body) > 0 {
-			t.Errorf("%+v gets %d bytes", args, len(r.Body))
+			t.Errorf("%+v: got Leading %v and %d bytes, want false and 0", args, r.Leading, len(r.Body))
 		}
 	}
 }
--- a/internal/standby/transfer.go
+++ b/internal/standby/transfer.go
@@ -6,20 +6,20 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// transfer is a transfer that is under way at the source. It sends the contents as they were when it
-// began. The Source's mu guards it.
-type transfer struct {
+// outgoingTransfer is a transfer that a source is sending. It sends the contents as they were when it began.
+// Source.mu guards it.
+type outgoingTransfer struct {
 	id            uint64
 	nextPart      int
 	contents      contents
-	remainingKeys []string         // of entries that no part has contained yet
-	header        peer.FollowReply // the fields that are the same in all parts
-	lastRequested time.Time
+	remainingKeys []string         // keys of the entries that have not been sent yet
+	header        peer.FollowReply // the fields of the reply that are the same in all parts
+	lastRequested time.Time        // when the standby last requested a part
 }
 
-// Follow returns the part of a transfer that a standby requests. The reply has Leading false and no part
-// if the request is for another term, not from a member, or comes before the source is seeded; it has no
-// part if the transfer is no longer known.
+// Follow returns the part of a transfer that a standby requests. The reply has no part and Leading is false if the
+// request is for another term, does not come from a member, or arrives before the source is seeded. The reply has no
+// part and Leading is true if the transfer is no longer known.
 func (s *Source) Follow(args peer.FollowArgs) (peer.FollowReply, error) {
 	if args.Term != s.term || !s.isMember(args.From) {
 		return peer.FollowReply{Term: s.term}, nil
@@ -45,20 +45,21 @@
 	return s.sendPart(t, args)
 }
 
-// dropAbandonedTransfers drops transfers that are not requested any more. s.mu is held.
+// dropAbandonedTransfers drops transfers whose latest request is longer ago than s.transferLifetime. The caller holds
+// s.mu.
 func (s *Source) dropAbandonedTransfers() {
 	for label, t := range s.transfers {
-		if s.now().Sub(t.lastRequested) > s.lifetime {
+		if s.now().Sub(t.lastRequested) > s.transferLifetime {
 			delete(s.transfers, label)
 		}
 	}
 }
 
-// beginTransfer begins a transfer of what has changed since a sequence number, or of everything.
-// s.mu is held.
-func (s *Source) beginTransfer(have uint64) *transfer {
+// beginTransfer begins a transfer of what has changed since the sequence number have, or of everything if these changes
+// are not all logged. The caller holds s.mu.
+func (s *Source) beginTransfer(have uint64) *outgoingTransfer {
 	s.positions.lastID++
-	t := &transfer{id: s.positions.lastID, contents: s.contents}
+	t := &outgoingTransfer{id: s.positions.lastID, contents: s.contents}
 	t.header = peer.FollowReply{
 		Term:     s.term,
 		Leading:  true,
@@ -81,15 +82,15 @@
 	return t
 }
 
-// changedSince returns the keys that have changed since a sequence number, each once. ok is
-// false if the log does not reach back that far. s.mu is held.
+// changedSince returns the keys that have changed since the sequence number have, each key once. ok is false if have
+// is 0 or newer than the contents, or if the log no longer has all these changes. The caller holds s.mu.
 func (s *Source) changedSince(have uint64) (keys []string, ok bool) {
-	if have == 0 || have > s.sequence || have < s.sequence && (len(s.log) == 0 || s.log[0].sequence > have+1) {
+	if have == 0 || have > s.sequence || have < s.sequence && (len(s.changeLog) == 0 || s.changeLog[0].sequence > have+1) {
 		return nil, false
 	}
 	seen := map[string]bool{}
-	for i := len(s.log) - 1; i >= 0 && s.log[i].sequence > have; i-- {
-		if key := s.log[i].key; !seen[key] {
+	for i := len(s.changeLog) - 1; i >= 0 && s.changeLog[i].sequence > have; i-- {
+		if key := s.changeLog[i].key; !seen[key] {
 			seen[key] = true
 			keys = append(keys, key)
 		}
@@ -97,9 +98,9 @@
 	return keys, true
 }
 
-// sendPart returns the next part of a transfer. A request for any other part ends the transfer: the
-// standby has to begin another one. s.mu is held.
-func (s *Source) sendPart(t *transfer, args peer.FollowArgs) (peer.FollowReply, error) {
+// sendPart returns the next part of a transfer. A request for any other part ends the transfer, and the standby has to
+// begin a new one. The caller holds s.mu.
+func (s *Source) sendPart(t *outgoingTransfer, args peer.FollowArgs) (peer.FollowReply, error) {
 	if args.Part != t.nextPart {
 		delete(s.transfers, args.From)
 		return peer.FollowReply{Term: s.term, Leading: true}, nil
@@ -120,11 +121,10 @@
 	return reply, nil
 }
 
-// takeEntries removes keys from those that remain until their entries fill a part, and returns the
-// entries.
-func (t *transfer) takeEntries() []*Entry {
+// takeEntries removes keys from remainingKeys until their entries fill a part, and returns these entries.
+func (t *outgoingTransfer) takeEntries() []*Entry {
 	var entries []*Entry
-	for size := 0; len(t.remainingKeys) > 0 && size < partBytes; t.remainingKeys = t.remainingKeys[1:] {
+	for size := 0; len(t.remainingKeys) > 0 && size < targetPartBytes; t.remainingKeys = t.remainingKeys[1:] {
 		key := t.remainingKeys[0]
 		entry, ok := t.contents.tree.Get([]byte(key))
 		if !ok {
--- a/internal/standby/views.go
+++ b/internal/standby/views.go
@@ -10,66 +10,66 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Keys of views. No record has a key with this prefix.
+// Key prefixes of views, and the key of the leader's view. No record has a key that begins with "view/".
 const (
-	machineViews  = "view/machine/"
-	jobViews      = "view/job/"
+	machinePrefix = "view/machine/"
+	jobPrefix     = "view/job/"
 	leaderViewKey = "view/leader"
 )
 
-// MachineView is what a leader knows of a machine from its heartbeats and from the cloud.
-// Times are milliseconds of the Unix time, 0 for none.
+// MachineView is what a leader knows about a machine from its heartbeats and from the cloud. Fields that end in Ms are
+// Unix times in milliseconds; 0 means none.
 type MachineView struct {
 	Host         string   `cbor:"1,keyasint"`
 	Address      string   `cbor:"2,keyasint,omitempty"`
 	Type         string   `cbor:"3,keyasint,omitempty"`
 	Zone         string   `cbor:"4,keyasint,omitempty"`
 	Spot         bool     `cbor:"5,keyasint,omitempty"`
-	Incarnation  uint64   `cbor:"6,keyasint,omitempty"` // of its worker, by the newest heartbeat
-	FencingToken uint64   `cbor:"7,keyasint,omitempty"` // the leader's term, if the worker has its fencing token
+	Incarnation  uint64   `cbor:"6,keyasint,omitempty"` // of the machine's worker, from its newest heartbeat
+	FencingToken uint64   `cbor:"7,keyasint,omitempty"` // the leader's term, if the worker has that term as its fencing token
 	FirstSeenMs  int64    `cbor:"8,keyasint,omitempty"`
-	AvoidMs      int64    `cbor:"9,keyasint,omitempty"` // gets no new attempts until then
+	AvoidMs      int64    `cbor:"9,keyasint,omitempty"` // until then the machine gets no new attempts
 	SpotNotice   bool     `cbor:"10,keyasint,omitempty"`
 	Images       []string `cbor:"12,keyasint,omitempty"`
 }
 
-// JobView is what a leader knows of a job from heartbeats. Times are of the Unix time, 0 for none: in
-// milliseconds or, with a name in S, in seconds.
+// JobView is what a leader knows about a job from heartbeats. Fields that end in Ms are Unix times in milliseconds, and
+// EarliestStartS is one in seconds; 0 means none.
 type JobView struct {
 	UID          string `cbor:"1,keyasint"`
-	HasRun       bool   `cbor:"2,keyasint,omitempty"` // a task of it has run
-	BackoffCount int    `cbor:"3,keyasint,omitempty"` // how many times in a row it was delayed because it failed
-	NotBeforeMs  int64  `cbor:"4,keyasint,omitempty"` // it is not placed before then
-	WaitMs       int64  `cbor:"5,keyasint,omitempty"` // since when none of its tasks has run
-	Running      []byte `cbor:"6,keyasint,omitempty"` // bitmap of its running tasks, see RunningTasks
-	// Attempts and AfterS have an element a running task, in order: the number of the attempt, and since
-	// when it runs, in seconds after SinceS.
-	Attempts []uint64 `cbor:"7,keyasint,omitempty"`
-	SinceS   int64    `cbor:"8,keyasint,omitempty"`
-	AfterS   []uint32 `cbor:"9,keyasint,omitempty"`
+	HasRun       bool   `cbor:"2,keyasint,omitempty"` // one of its tasks has run
+	BackoffCount int    `cbor:"3,keyasint,omitempty"` // number of consecutive delays after failures
+	NotBeforeMs  int64  `cbor:"4,keyasint,omitempty"` // the job is not placed before this time
+	WaitMs       int64  `cbor:"5,keyasint,omitempty"` // since when none of its tasks runs
+	Running      []byte `cbor:"6,keyasint,omitempty"` // Roaring bitmap of its running tasks, see RunningTasks
+	// Attempts and StartOffsetsS have one element for each running task, in ascending order of tasks: the number of the
+	// attempt, and its start in seconds after EarliestStartS, the earliest start of all running tasks.
+	Attempts       []uint64 `cbor:"7,keyasint,omitempty"`
+	EarliestStartS int64    `cbor:"8,keyasint,omitempty"`
+	StartOffsetsS  []uint32 `cbor:"9,keyasint,omitempty"`
 }
 
-// RunningTask is a task that has been reported running.
+// RunningTask is a task that a heartbeat has reported as running.
 type RunningTask struct {
 	Task    int
 	Attempt uint64
-	SinceS  int64 // since when it runs, in seconds of the Unix time
+	SinceS  int64 // when the attempt started running, as a Unix time in seconds
 }
 
-// SetRunning sets the running tasks, which must be in ascending order. It must be called once at most.
+// SetRunning sets the running tasks, which must be in ascending order. It must be called at most once.
 func (v *JobView) SetRunning(tasks []RunningTask) error {
 	if len(tasks) == 0 {
 		return nil
 	}
 	set := roaring.New()
-	v.SinceS = tasks[0].SinceS
+	v.EarliestStartS = tasks[0].SinceS
 	for _, t := range tasks {
-		v.SinceS = min(v.SinceS, t.SinceS)
+		v.EarliestStartS = min(v.EarliestStartS, t.SinceS)
 	}
 	for _, t := range tasks {
 		set.Add(uint32(t.Task))
 		v.Attempts = append(v.Attempts, t.Attempt)
-		v.AfterS = append(v.AfterS, uint32(t.SinceS-v.SinceS))
+		v.StartOffsetsS = append(v.StartOffsetsS, uint32(t.SinceS-v.EarliestStartS))
 	}
 	set.RunOptimize()
 	body, err := set.ToBytes()
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// RunningTasks returns the running tasks, in order. An error wraps ErrUndecodable.
+// RunningTasks returns the running tasks in ascending order. Every error wraps ErrUndecodable.
 func (v *JobView) RunningTasks() ([]RunningTask, error) {
 	if len(v.Running) == 0 {
 		return nil, nil
@@ -92,26 +92,26 @@
 	if err := set.Validate(); err != nil {
 		return nil, fmt.Errorf("%w: tasks of %s: %w", ErrUndecodable, v.UID, err)
 	}
-	if n := int(set.GetCardinality()); n != len(v.Attempts) || n != len(v.AfterS) {
+	if n := int(set.GetCardinality()); n != len(v.Attempts) || n != len(v.StartOffsetsS) {
 		return nil, fmt.Errorf("%w: %d tasks of %s have %d attempts", ErrUndecodable, n, v.UID, len(v.Attempts))
 	}
 	var tasks []RunningTask
 	for i, task := range set.ToArray() {
-		tasks = append(tasks, RunningTask{int(task), v.Attempts[i], v.SinceS + int64(v.AfterS[i])})
+		tasks = append(tasks, RunningTask{int(task), v.Attempts[i], v.EarliestStartS + int64(v.StartOffsetsS[i])})
 	}
 	return tasks, nil
 }
 
-// LeaderView is what a leader has learned that belongs to no machine or job. Its elements travel by
-// the Go names of their fields.
+// LeaderView is what a leader has learned that does not belong to one machine or job. Refusal and Arrival have no cbor
+// tags, so the Go names of their fields are the names in the encoding.
 type LeaderView struct {
 	Window   int       `cbor:"1,keyasint,omitempty"`
 	Refusals []Refusal `cbor:"2,keyasint,omitempty"`
 	Arrivals []Arrival `cbor:"3,keyasint,omitempty"`
 }
 
-// Refusal is a machine type in a zone of which the cloud had no more. UntilMs is in milliseconds of
-// the Unix time, PauseMs a duration in milliseconds.
+// Refusal is a machine type in a zone for which the cloud had no capacity left. UntilMs is a Unix time in milliseconds,
+// PauseMs a duration in milliseconds.
 type Refusal struct {
 	Type, Zone string
 	Spot       bool
@@ -119,29 +119,29 @@
 	PauseMs    int64
 }
 
-// Arrival counts the submissions of jobs of a class, of which older ones count less.
+// Arrival is a weighted count of the jobs of a class that were submitted: older submissions count less.
 type Arrival struct {
 	Class       string
-	Job         wire.JobSpec // one of them
+	Job         wire.JobSpec // one of the jobs
 	Count       float64
-	TasksSquare float64 // mean of the squared number of tasks of a job
+	TasksSquare float64 // mean of the square of a job's number of tasks
 	AtMs        int64
 }
 
 // Entry returns the entry of the view.
-func (v *MachineView) Entry() (*Entry, error) { return viewEntry(machineViews+v.Host, v) }
+func (v *MachineView) Entry() (*Entry, error) { return viewEntry(machinePrefix+v.Host, v) }
 
 // Entry returns the entry of the view.
-func (v *JobView) Entry() (*Entry, error) { return viewEntry(jobViews+v.UID, v) }
+func (v *JobView) Entry() (*Entry, error) { return viewEntry(jobPrefix+v.UID, v) }
 
 // Entry returns the entry of the view.
 func (v *LeaderView) Entry() (*Entry, error) { return viewEntry(leaderViewKey, v) }
 
 // DroppedMachineView returns the entry that drops the view of a machine.
-func DroppedMachineView(host string) *Entry { return &Entry{Key: machineViews + host, Dropped: true} }
+func DroppedMachineView(host string) *Entry { return &Entry{Key: machinePrefix + host, Dropped: true} }
 
 // DroppedJobView returns the entry that drops the view of a job.
-func DroppedJobView(uid string) *Entry { return &Entry{Key: jobViews + uid, Dropped: true} }
+func DroppedJobView(uid string) *Entry { return &Entry{Key: jobPrefix + uid, Dropped: true} }
 
 func viewEntry(key string, view any) (*Entry, error) {
 	value, err := cbor.Marshal(view)
@@ -151,8 +151,8 @@
 	return &Entry{Key: key, Value: value}, nil
 }
 
-// decodeViews decodes all views into proven, up to the first that cannot be decoded. The error wraps
-// ErrUndecodable.
+// decodeViews decodes the views and adds them to proven. It stops at the first view that cannot be decoded and
+// returns an error that wraps ErrUndecodable.
 func (c contents) decodeViews(proven *Proven) error {
 	var failed error
 	decode := func(entry *Entry, into any) {
@@ -162,10 +162,10 @@
 	}
 	c.tree.Root().WalkPrefix([]byte("view/"), func(_ []byte, entry *Entry) bool {
 		switch {
-		case strings.HasPrefix(entry.Key, machineViews):
+		case strings.HasPrefix(entry.Key, machinePrefix):
 			proven.Machines = append(proven.Machines, MachineView{})
 			decode(entry, &proven.Machines[len(proven.Machines)-1])
-		case strings.HasPrefix(entry.Key, jobViews):
+		case strings.HasPrefix(entry.Key, jobPrefix):
 			proven.Jobs = append(proven.Jobs, JobView{})
 			decode(entry, &proven.Jobs[len(proven.Jobs)-1])
 		case entry.Key == leaderViewKey:
