--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -118,7 +118,7 @@
 	record := *j.record
 	record.Status = write.status
 	j.record, j.modRevision = &record, revision
-	c.recordEnds(j, now) // the final status is recorded, so no task of the job is launched again
+	c.acknowledgeEnds(j, now) // the final status is recorded, so no task of the job is launched again
 }
 
 func (c *Controller) markOutcomeUnknown(b *batch) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -139,7 +139,7 @@
 	for _, run := range []func(context.Context){
 		c.writer.run,
 		c.runCycles,
-		c.followCloud,
+		c.pollCloud,
 		c.releaseMachines,
 		c.announceToken,
 		c.recordImages,
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -105,7 +105,7 @@
 		c.detector.Reset(c.fleet, now)
 	}
 	c.pauseDetectionWhileStale(now)
-	c.renewFromPeers(now)
+	c.recordRenewalsByPeers(now)
 	c.fleet.MarkSuspected(now)
 	c.releaseDead(now)
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -38,7 +38,7 @@
 		c.markFinished(j.uid, j.record.Status, now)
 	}
 	if c.jobs.graph.Ready(j.uid) {
-		c.release(j, now)
+		c.releaseJob(j, now)
 	}
 }
 
@@ -83,7 +83,7 @@
 	}
 	for _, uid := range effects.Released {
 		if j := c.jobs.get(uid); j != nil {
-			c.release(j, now)
+			c.releaseJob(j, now)
 		}
 	}
 	for _, uid := range effects.Cancelled {
@@ -96,9 +96,9 @@
 	c.wakeResolver()
 }
 
-// release makes a job eligible for scheduling, because all jobs that it depends on are done. c.mu is
+// releaseJob makes a job eligible for scheduling, because all jobs that it depends on are done. c.mu is
 // held.
-func (c *Controller) release(j *job, now time.Time) {
+func (c *Controller) releaseJob(j *job, now time.Time) {
 	if j.released || j.record.Status.Final() {
 		return
 	}
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -44,7 +44,7 @@
 func (r *failoverReport) recordProofFailure(err error) { r.record.Cause = err.Error() }
 
 // recordProof records that the state comes from this node's warm standby, and what the warm standby had followed.
-func (r *failoverReport) recordProof(p *standby.Proven) {
+func (r *failoverReport) recordProof(p *standby.ProvenCopy) {
 	r.record.Warm, r.record.Cause = true, ""
 	r.record.FollowedTerm, r.record.Position, r.record.Digest = p.FollowedTerm, p.Position, fmt.Sprintf("%016x", p.Digest)
 	r.record.AgeMs, r.record.Changes = p.Age.Milliseconds(), p.Changes
@@ -86,7 +86,7 @@
 		"age_ms", record.AgeMs, "changes", record.Changes, "machines", record.Machines, "attempts", record.Attempts,
 		"elected_ms", record.ElectedMs, "loaded_ms", record.LoadedMs, "ready_ms", record.ReadyMs, "decided_ms", record.DecidedMs)
 	c.Observer.FailoverFinished(record)
-	if c.Prove == nil {
+	if c.ProveStandbyCopy == nil {
 		return nil
 	}
 	return &record
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -34,7 +34,7 @@
 // c.mu is held.
 func (c *Controller) attributeFailure(j *job, m *fleet.Machine, now time.Time) {
 	lease := c.Config.WorkerLease()
-	c.faultEvidence.RecordFailure(j.uid, m.ID, j.done > 0, now)
+	c.faultEvidence.RecordFailure(j.uid, m.ID, j.doneTasks > 0, now)
 	maps.DeleteFunc(j.failedOn, func(_ string, at time.Time) bool { return now.Sub(at) > evidenceLeases*lease })
 	j.failedOn[m.ID] = now
 	if c.faultEvidence.IsJobFaulty(j.uid) {
@@ -127,7 +127,7 @@
 		j.clearSuspicion()
 		return waiting
 	}
-	return max(0, min(waiting, 1-j.live))
+	return max(0, min(waiting, 1-j.liveAttempts))
 }
 
 // suspectFromRecords marks a job as suspect by its records alone, since a new leader has no other
@@ -135,10 +135,10 @@
 // attempts, and at least as many as it has tasks, are over. It then starts with one task, which costs
 // little if the machines were at fault.
 func (j *job) suspectFromRecords() {
-	if j.record.Spec.Kind != wire.JobArray || j.done > 0 {
+	if j.record.Spec.Kind != wire.JobArray || j.doneTasks > 0 {
 		return
 	}
-	attempts := -j.live
+	attempts := -j.liveAttempts
 	for _, p := range j.placements {
 		attempts += int(p.nextAttempt) - 1
 	}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -38,7 +38,7 @@
 func (f *faultyFleet) outcome(a *fleet.Attempt) (wire.TaskStatus, wire.Cause) {
 	switch {
 	case a.State >= fleet.Ended:
-		return wire.TaskEnded, a.Cause
+		return wire.TaskEnded, a.EndCause
 	case f.faultyJobs[a.JobUID] || a.Machine.ID == f.faultyMachine:
 		f.failedAttempts[a.JobUID]++
 		return wire.TaskEnded, wire.CauseError
@@ -89,8 +89,8 @@
 	}
 	for i := range minutes * 60 {
 		f.step()
-		if j.live > 1 {
-			t.Fatalf("%d tasks are retried at once, want at most 1", j.live)
+		if j.liveAttempts > 1 {
+			t.Fatalf("%d tasks are retried at once, want at most 1", j.liveAttempts)
 		}
 		f.c.fleet.Each(func(m *fleet.Machine) {
 			if i > 5 && !m.AcceptsAttempts(f.now) {
@@ -107,8 +107,8 @@
 	for range 60 {
 		f.step()
 	}
-	if f.c.jobs.get(j.uid) != nil && j.done != tasks {
-		t.Errorf("%d tasks are done, want %d", j.done, tasks)
+	if f.c.jobs.get(j.uid) != nil && j.doneTasks != tasks {
+		t.Errorf("%d tasks are done, want %d", j.doneTasks, tasks)
 	}
 }
 
@@ -143,8 +143,8 @@
 		stepAndCheck()
 	}
 	for uid, j := range healthyJobs {
-		if f.c.jobs.get(uid) != nil && j.done < 8 {
-			t.Errorf("%s: %d tasks are done, want 8", uid, j.done)
+		if f.c.jobs.get(uid) != nil && j.doneTasks < 8 {
+			t.Errorf("%s: %d tasks are done, want 8", uid, j.doneTasks)
 		}
 	}
 	f.faultyMachine = ""
@@ -156,9 +156,9 @@
 		f.step()
 	}
 	m := f.c.fleet.Get("m-000002")
-	isDone := f.c.jobs.get(lateJob.uid) == nil || lateJob.done == 48
+	isDone := f.c.jobs.get(lateJob.uid) == nil || lateJob.doneTasks == 48
 	if !m.AcceptsAttempts(f.now) || f.c.faultEvidence.IsMachineFaulty(m.ID) || !isDone {
-		t.Errorf("the recovered machine accepts attempts: %v, want true; %d tasks are done, want 48", m.AcceptsAttempts(f.now), lateJob.done)
+		t.Errorf("the recovered machine accepts attempts: %v, want true; %d tasks are done, want 48", m.AcceptsAttempts(f.now), lateJob.doneTasks)
 	}
 }
 
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -12,9 +12,9 @@
 // followers that relay heartbeats can be reached.
 type fakePeers struct{ zones []string }
 
-func (fakePeers) RenewedHosts() []string   { return nil }
-func (p fakePeers) ReachedZones() []string { return p.zones }
-func (fakePeers) RelayReached(string) bool { return true }
+func (fakePeers) RenewedHosts() []string     { return nil }
+func (p fakePeers) ReachableZones() []string { return p.zones }
+func (fakePeers) RelayReachable(string) bool { return true }
 
 // fakeObserver keeps the final statuses of the jobs that it is told are finished.
 type fakeObserver struct{ finished map[string]wire.JobStatus }
--- a/internal/controller/fixtures_test.go
+++ b/internal/controller/fixtures_test.go
@@ -34,7 +34,7 @@
 // placeTestAttempt places the first attempt of a task on a machine, as if its placement record
 // were committed.
 func (c *Controller) placeTestAttempt(j *job, task int, m *fleet.Machine, now time.Time) *fleet.Attempt {
-	a := &fleet.Attempt{JobUID: j.uid, TaskIndex: task, Number: 1, Resources: j.need, Image: j.record.Spec.Image}
+	a := &fleet.Attempt{JobUID: j.uid, TaskIndex: task, Number: 1, Resources: j.taskResources, Image: j.record.Spec.Image}
 	j.addAttempt(j.placement(task), a)
 	c.fleet.AddAttempt(m, a, now)
 	c.fleet.MarkCommitted(a, now)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -10,11 +10,11 @@
 
 // HeartbeatOptions describe how a heartbeat has arrived and how it may be answered.
 type HeartbeatOptions struct {
-	// Relayed is true if another controller has forwarded this heartbeat on its own, not in a batch.
-	Relayed bool
-	// Via is the label of the follower that receives the worker's heartbeats and relays them in batches; "" if there is
+	// Forwarded is true if another controller has forwarded this heartbeat on its own, not in a batch.
+	Forwarded bool
+	// RelayedBy is the label of the follower that receives the worker's heartbeats and relays them in batches; "" if there is
 	// none.
-	Via string
+	RelayedBy string
 	// MayWait lets an answer without commands wait for commands. The worker lease runs from the time when the heartbeat
 	// was sent, so the wait does not extend the lease.
 	MayWait bool
@@ -70,8 +70,8 @@
 		return m, false
 	}
 	c.setCapacity(m)
-	m.RelayedBy = opts.Via
-	if opts.Relayed || wasDirect && opts.Via != "" {
+	m.RelayedBy = opts.RelayedBy
+	if opts.Forwarded || wasDirect && opts.RelayedBy != "" {
 		// The worker may no longer reach this node: its heartbeat was forwarded on its own, or a follower now relays the
 		// heartbeats that came here directly before.
 		m.LastRelayedHeartbeat = now
--- a/internal/controller/hugearray_test.go
+++ b/internal/controller/hugearray_test.go
@@ -75,7 +75,7 @@
 	now := time.Unix(10_000, 0)
 	services, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Resources{Cores: 0.25, RAM: 1})
 	sequence := uint64(1)
-	for cycles := 0; j.done < tasks && cycles < 1000; cycles++ {
+	for cycles := 0; j.doneTasks < tasks && cycles < 1000; cycles++ {
 		now = now.Add(3 * time.Second)
 		c.runCycle(time.Second)
 		commitAll(t, c)
@@ -83,8 +83,8 @@
 		reportAll(t, c, sequence+2, sameOutcome(wire.TaskEnded, wire.CauseDone))
 		sequence += 2
 	}
-	if j.done != tasks {
-		t.Fatalf("%d tasks are done, want %d", j.done, tasks)
+	if j.doneTasks != tasks {
+		t.Fatalf("%d tasks are done, want %d", j.doneTasks, tasks)
 	}
 	now = now.Add(3 * time.Second)
 	commitAll(t, c)
@@ -110,14 +110,14 @@
 	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Resources{Cores: 0.02, RAM: 0.1})
 	c.runCycle(time.Second)
 	commitAll(t, c)
-	if j.live != maxTasksPerMachine {
-		t.Fatalf("%d tasks are live, want %d", j.live, maxTasksPerMachine)
+	if j.liveAttempts != maxTasksPerMachine {
+		t.Fatalf("%d tasks are live, want %d", j.liveAttempts, maxTasksPerMachine)
 	}
 	reportAll(t, c, 2, sameOutcome(wire.TaskEnded, wire.CauseDone))
 	c.runCycle(time.Second) // no end is acknowledged yet: ends are written later
 	commitAll(t, c)
 	reportAll(t, c, 3, sameOutcome(wire.TaskEnded, wire.CauseDone))
-	if j.live != 0 {
-		t.Errorf("%d tasks are started, want 0 while the ends of %d are not acknowledged", j.live, maxTasksPerMachine)
+	if j.liveAttempts != 0 {
+		t.Errorf("%d tasks are started, want 0 while the ends of %d are not acknowledged", j.liveAttempts, maxTasksPerMachine)
 	}
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -13,10 +13,10 @@
 
 // job is the leader's state of a job.
 type job struct {
-	uid         string
-	record      *records.Job
-	modRevision uint64          // of the record
-	need        fleet.Resources // of one task
+	uid           string
+	record        *records.Job
+	modRevision   uint64          // of the record
+	taskResources fleet.Resources // of one task
 
 	// Its state in the dependency graph.
 	level           int     // priority level: its own, or the highest of the jobs that depend on it
@@ -28,8 +28,8 @@
 	// Its tasks.
 	placements      map[int]*placement // by index
 	dirtyPlacements int                // placements that are to be written
-	done            int                // tasks that are done
-	live            int                // attempts that may be on their machines
+	doneTasks       int                // tasks that are done
+	liveAttempts    int                // attempts that may be on their machines
 	freedTasks      []int              // tasks that may wait again because an attempt was removed
 	nextUnplaced    int                // nextWaitingTasks has not yet looked at tasks from this index on
 	hasRun          bool               // one of its tasks has run, as far as this leader knows
@@ -53,7 +53,7 @@
 		uid:             uid,
 		record:          e.Job,
 		modRevision:     e.ModRevision,
-		need:            fleet.TaskResources(&e.Job.Spec),
+		taskResources:   fleet.TaskResources(&e.Job.Spec),
 		level:           e.Job.Spec.Priority.Level(),
 		dueMs:           math.Inf(1),
 		eligibleSinceMs: e.Job.AcceptedAtMs,
@@ -75,7 +75,7 @@
 	p.modRevision, p.nextAttempt, p.done.DoneBits = row.ModRevision, record.NextAttempt, record.DoneBits
 	for i := range j.record.TasksPerPlacement {
 		if index*j.record.TasksPerPlacement+i < j.record.Spec.TaskCount && record.IsDone(i) {
-			j.done++
+			j.doneTasks++
 		}
 	}
 	return record.Live
@@ -96,9 +96,9 @@
 // status is final, a job that it depends on is cancelled, or all its tasks are done.
 func (j *job) isOver() bool {
 	if j.record.Status.Final() || j.cancelled {
-		return j.live == 0
+		return j.liveAttempts == 0
 	}
-	return j.done >= j.record.Spec.TaskCount && j.live == 0
+	return j.doneTasks >= j.record.Spec.TaskCount && j.liveAttempts == 0
 }
 
 // placement returns the placement that a task belongs to, and adds it if the job has none yet.
@@ -127,16 +127,16 @@
 // addAttempt adds an attempt, which may be on its machine from now on.
 func (j *job) addAttempt(p *placement, a *fleet.Attempt) {
 	p.live[a.TaskIndex] = a
-	j.live++
+	j.liveAttempts++
 }
 
 // removeAttempt removes an attempt that is no longer on its machine. The attempt's task waits again
 // unless it is done.
 func (j *job) removeAttempt(p *placement, a *fleet.Attempt) {
 	delete(p.live, a.TaskIndex)
-	j.live--
+	j.liveAttempts--
 	j.freedTasks = append(j.freedTasks, a.TaskIndex)
-	if a.Cause != wire.CauseDone {
+	if a.EndCause != wire.CauseDone {
 		j.failedAttempts++
 	}
 }
@@ -146,7 +146,7 @@
 	bit := task % j.record.TasksPerPlacement
 	if !p.done.IsDone(bit) {
 		p.done.MarkDone(bit)
-		j.done++
+		j.doneTasks++
 	}
 }
 
@@ -155,7 +155,7 @@
 	if j.record.Status.Final() || !j.released {
 		return 0
 	}
-	return max(0, j.record.Spec.TaskCount-j.done-j.live)
+	return max(0, j.record.Spec.TaskCount-j.doneTasks-j.liveAttempts)
 }
 
 // nextWaitingTasks takes up to n tasks from those that wait and returns them. It returns a task only
--- a/internal/controller/jobevents.go
+++ b/internal/controller/jobevents.go
@@ -79,13 +79,13 @@
 	c.views.markJob(j.uid)
 	c.markArchived(j.uid)
 	j.eachAttempt(func(a *fleet.Attempt) { c.stopAttempt(a, 0, now, "job is archived") })
-	c.recordEnds(j, now)
+	c.acknowledgeEnds(j, now)
 }
 
-// recordEnds allows the ends of a job's attempts to be acknowledged to workers without a placement
+// acknowledgeEnds allows the ends of a job's attempts to be acknowledged to workers without a placement
 // record: the job's own record shows that the job is over, so none of its tasks is started again.
 // c.mu is held.
-func (c *Controller) recordEnds(j *job, now time.Time) {
+func (c *Controller) acknowledgeEnds(j *job, now time.Time) {
 	for _, p := range j.placements {
 		for _, a := range p.ended {
 			c.fleet.MarkEndRecorded(a, now)
@@ -128,7 +128,7 @@
 	p := j.placement(a.TaskIndex)
 	if from < fleet.Ended && !a.Live() && p.live[a.TaskIndex] == a {
 		j.removeAttempt(p, a)
-		if j.live == 0 {
+		if j.liveAttempts == 0 {
 			j.waitingSince = c.now()
 		}
 		p.markChanged(c.now().Add(c.endRecordDelay()))
@@ -150,7 +150,7 @@
 // applyAttemptEnd applies the end of an attempt to its job. c.mu is held.
 func (c *Controller) applyAttemptEnd(j *job, p *placement, a *fleet.Attempt) {
 	now := c.now()
-	switch a.Cause {
+	switch a.EndCause {
 	case wire.CauseDone:
 		j.markDone(p, a.TaskIndex)
 		c.faultEvidence.RecordSuccess(j.uid, a.Machine.ID)
--- a/internal/controller/jobtable.go
+++ b/internal/controller/jobtable.go
@@ -83,7 +83,7 @@
 	}
 	views = make([]wire.JobView, 0, len(changed))
 	for _, j := range changed {
-		views = append(views, wire.JobView{UID: j.uid, Done: j.done, Running: j.runningCount()})
+		views = append(views, wire.JobView{UID: j.uid, Done: j.doneTasks, Running: j.runningCount()})
 	}
 	for _, f := range t.finalStatuses {
 		if f.revision > revision && f.revision <= upTo {
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -129,7 +129,7 @@
 			if err := f.leader.loadState(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			if live, known := f.leader.jobs.get(spec.UID).live, f.leader.fleet.Len(); live != machines || known != machines {
+			if live, known := f.leader.jobs.get(spec.UID).liveAttempts, f.leader.fleet.Len(); live != machines || known != machines {
 				t.Fatalf("the next leader has %d attempts on %d machines, want %d on %d", live, known, machines, machines)
 			}
 			f.heartbeats()
--- a/internal/controller/launches.go
+++ b/internal/controller/launches.go
@@ -80,7 +80,7 @@
 		JobUID:    j.uid,
 		TaskIndex: task,
 		Number:    p.nextAttempt,
-		Resources: j.need,
+		Resources: j.taskResources,
 		Image:     j.record.Spec.Image,
 	}
 	if j.record.Spec.Kind == wire.Gang {
--- a/internal/controller/launches_test.go
+++ b/internal/controller/launches_test.go
@@ -51,8 +51,8 @@
 		spec.UID, spec.Priority = "run-000250", wire.Critical
 		addJob(spec, wire.JobQueued, status == wire.JobQueued)
 		c.runCycle(time.Second)
-		if c.jobs.get(spec.UID).live != 1 {
-			t.Errorf("with 250 jobs that are %s, %d attempts are live, want 1", status, c.jobs.get(spec.UID).live)
+		if c.jobs.get(spec.UID).liveAttempts != 1 {
+			t.Errorf("with 250 jobs that are %s, %d attempts are live, want 1", status, c.jobs.get(spec.UID).liveAttempts)
 		}
 	}
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -46,8 +46,8 @@
 	}
 	j := c.addTestJob(spec, tasksPerPlacement)
 	c.runCycle(time.Second)
-	if j.live == 0 || j.live == spec.TaskCount {
-		t.Fatalf("%d of %d tasks are placed, want some but not all", j.live, spec.TaskCount)
+	if j.liveAttempts == 0 || j.liveAttempts == spec.TaskCount {
+		t.Fatalf("%d of %d tasks are placed, want some but not all", j.liveAttempts, spec.TaskCount)
 	}
 	builder := newBatchBuilder(c.term, c.batchLimits(now), now)
 	for _, p := range j.placements {
@@ -56,21 +56,21 @@
 		}
 	}
 	// After half of the placed tasks have ended, others are placed.
-	placed := j.live
+	placed := j.liveAttempts
 	for _, p := range j.placements {
 		for task, a := range p.live {
 			if task%2 == 0 {
 				c.fleet.MarkCommitted(a, now)
-				a.Cause, a.State = wire.CauseDone, fleet.Ended
+				a.EndCause, a.State = wire.CauseDone, fleet.Ended
 				delete(p.live, task)
 				p.done.MarkDone(task % tasksPerPlacement)
-				j.live--
-				j.done++
+				j.liveAttempts--
+				j.doneTasks++
 			}
 		}
 	}
 	c.runCycle(time.Second)
-	if j.live <= placed/2+1 {
-		t.Errorf("%d tasks are placed after half of %d have ended, want more than %d", j.live, placed, placed/2+1)
+	if j.liveAttempts <= placed/2+1 {
+		t.Errorf("%d tasks are placed after half of %d have ended, want more than %d", j.liveAttempts, placed, placed/2+1)
 	}
 }
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -24,9 +24,9 @@
 	})
 }
 
-// renewFromPeers records a heartbeat of every machine whose worker lease another node has renewed lately, according to
+// recordRenewalsByPeers records a heartbeat of every machine whose worker lease another node has renewed lately, according to
 // that node's answers to pings. c.mu is held.
-func (c *Controller) renewFromPeers(now time.Time) {
+func (c *Controller) recordRenewalsByPeers(now time.Time) {
 	c.recordHeartbeatsElsewhere(c.Peers.RenewedHosts(), now)
 }
 
@@ -82,9 +82,9 @@
 // releaseDead releases the machines that the failure detector declares dead. It also stops the tasks of the machines
 // that the cloud is about to reclaim. c.mu is held.
 func (c *Controller) releaseDead(now time.Time) {
-	judgement := c.detector.Judge(failuredetector.Observation{Now: now, Machines: c.fleet, Peers: c.Peers})
+	evaluation := c.detector.Evaluate(failuredetector.Observation{Now: now, Machines: c.fleet, Peers: c.Peers})
 	c.fleet.Each(func(m *fleet.Machine) {
-		if cause := judgement.CauseOfDeath(m); cause != failuredetector.NotDead {
+		if cause := evaluation.CauseOfDeath(m); cause != failuredetector.NotDead {
 			c.startRelease(m, now, string(cause))
 		}
 		if m.SpotNotice {
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -57,8 +57,8 @@
 			j.eachAttempt(func(a *fleet.Attempt) { c.stopAttempt(a, 0, now, "job is cancelled") })
 		}
 	}
-	if c.Source != nil {
-		c.Source.Seed(c, stored.placements, stored.releases, stored.images)
+	if c.StandbySource != nil {
+		c.StandbySource.Seed(c, stored.placements, stored.releases, stored.images)
 	}
 	c.loaded = true
 	c.loader = nil
@@ -123,7 +123,7 @@
 				TaskIndex:   placed.Task,
 				Number:      placed.Attempt,
 				Incarnation: placed.Incarnation,
-				Resources:   j.need,
+				Resources:   j.taskResources,
 				Image:       j.record.Spec.Image,
 				Inherited:   true,
 			}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -57,20 +57,20 @@
 // misleadingProof returns a proof with wrong views. They say that machine m-1 is in a later incarnation, that m-3, which
 // is being released, accepts attempts, and that m-4, which no record names, exists. Of the running tasks that they list,
 // one has another attempt number than its record, and one does not exist.
-func misleadingProof(t *testing.T, rows map[string][]wire.KeyValue) *standby.Proven {
+func misleadingProof(t *testing.T, rows map[string][]wire.KeyValue) *standby.ProvenCopy {
 	t.Helper()
 	job := standby.JobView{UID: "run-000001", HasRun: true}
 	running := []standby.RunningTask{
-		{Task: 0, Attempt: 1, SinceS: 900},
-		{Task: 1, Attempt: 9, SinceS: 900},
-		{Task: 7, Attempt: 1, SinceS: 900},
+		{Task: 0, Attempt: 1, StartedS: 900},
+		{Task: 1, Attempt: 9, StartedS: 900},
+		{Task: 7, Attempt: 1, StartedS: 900},
 	}
 	if err := job.SetRunning(running); err != nil {
 		t.Fatal(err)
 	}
-	return &standby.Proven{
+	return &standby.ProvenCopy{
 		Placements: rows[records.PlacementPrefix],
-		Returns:    rows[records.ScaleInPrefix],
+		ScaleIns:   rows[records.ScaleInPrefix],
 		Jobs:       []standby.JobView{job},
 		Machines: []standby.MachineView{
 			{Host: "m-1", Type: "g8", Zone: "a", Incarnation: 9, FencingToken: 4, Images: []string{"img"}},
@@ -97,7 +97,7 @@
 		c.Store = store
 		c.JobCache.Reset(rows[records.JobPrefix], 4, time.Now().Add(-time.Second))
 		c.JobCache.SetListener(c.applyJobEvent)
-		c.Prove = func(context.Context, uint64) (*standby.Proven, error) { return misleadingProof(t, rows), tc.err }
+		c.ProveStandbyCopy = func(context.Context, uint64) (*standby.ProvenCopy, error) { return misleadingProof(t, rows), tc.err }
 		if err := c.loadState(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -105,8 +105,8 @@
 			t.Errorf("%s: %d lists, want %d; record %+v, want Warm %t", tc.name, store.listCount, tc.wantLists, c.failover.record, tc.err == nil)
 		}
 		j := c.jobs.get("run-000001")
-		if j.live != 2 || c.fleet.Get("m-3").State != fleet.Returning {
-			t.Errorf("%s: got %d attempts and machine m-3 %s, want 2 attempts and m-3 returning", tc.name, j.live, c.fleet.Get("m-3").State)
+		if j.liveAttempts != 2 || c.fleet.Get("m-3").State != fleet.Returning {
+			t.Errorf("%s: got %d attempts and machine m-3 %s, want 2 attempts and m-3 returning", tc.name, j.liveAttempts, c.fleet.Get("m-3").State)
 		}
 		j.eachAttempt(func(a *fleet.Attempt) {
 			if a.State != fleet.Committed || !a.Inherited || a.Machine.State != fleet.Booting {
@@ -130,7 +130,7 @@
 	store := &listOnlyStore{rows: recordsOfTwoTasks()}
 	c.Store = store
 	attempts := 0
-	c.Prove = func(context.Context, uint64) (*standby.Proven, error) { attempts++; return nil, errors.New("503") }
+	c.ProveStandbyCopy = func(context.Context, uint64) (*standby.ProvenCopy, error) { attempts++; return nil, errors.New("503") }
 	for range maxProofAttempts {
 		if err := c.loadState(context.Background()); err == nil || store.listCount > 0 {
 			t.Fatalf("after %d proof attempts: loadState returned %v after %d lists, want an error and no list", attempts, err, store.listCount)
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -14,9 +14,9 @@
 // cloud allows in that time. It leaves the other calls to provisioning and releases.
 const minCallsBetweenLists = 8
 
-// followCloud reads the machine list and the catalog periodically until ctx ends. It leaves enough time
+// pollCloud reads the machine list and the catalog periodically until ctx ends. It leaves enough time
 // between two lists to read all pages of a list within the cloud's call rate.
-func (c *Controller) followCloud(ctx context.Context) {
+func (c *Controller) pollCloud(ctx context.Context) {
 	minPeriod := max(c.Config.CloudListLag()*2/3, time.Duration(minCallsBetweenLists*float64(time.Second)/c.Config.Cluster.Cloud.Rps))
 	var catalogRead time.Time
 	for ctx.Err() == nil {
--- a/internal/controller/nodebuilder.go
+++ b/internal/controller/nodebuilder.go
@@ -30,7 +30,7 @@
 		HourlyPrice: hourlyPrice(b.catalog, m.Type, m.Spot),
 	}
 	switch {
-	case m.AcceptsAttempts(now) && m.UnknownTasks() == 0:
+	case m.AcceptsAttempts(now) && m.UnknownTaskCount() == 0:
 		b.addContents(&node, m)
 		return node, true
 	case b.isExpectedSoon(m, now):
@@ -77,7 +77,7 @@
 			v.MaxLossS = j.record.Spec.CheckpointOnStopS
 		}
 	case isReplica:
-		v.LossGrowsFrom, v.MaxLossS = a.Since, math.Inf(1)
+		v.LossGrowsFrom, v.MaxLossS = a.StateSince, math.Inf(1)
 	}
 	return v
 }
--- a/internal/controller/nodecache_test.go
+++ b/internal/controller/nodecache_test.go
@@ -136,7 +136,7 @@
 	}
 	for _, task := range j.nextWaitingTasks(1) {
 		p := j.placement(task)
-		a := &fleet.Attempt{JobUID: j.uid, TaskIndex: task, Number: p.nextAttempt, Resources: j.need, Image: j.record.Spec.Image}
+		a := &fleet.Attempt{JobUID: j.uid, TaskIndex: task, Number: p.nextAttempt, Resources: j.taskResources, Image: j.record.Spec.Image}
 		p.nextAttempt++
 		j.addAttempt(p, a)
 		m.c.fleet.AddAttempt(machine, a, m.now)
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -30,11 +30,11 @@
 
 	// LeaderlessSince is when this node detected that there was no leader; zero if it did not detect that.
 	LeaderlessSince time.Time
-	// Prove checks the copy that this node has followed as a warm standby against the state store, for a new term; nil
+	// ProveStandbyCopy checks the copy that this node has followed as a warm standby against the state store, for a new term; nil
 	// if this node is not a warm standby.
-	Prove func(ctx context.Context, term uint64) (*standby.Proven, error)
-	// Source sends the state of this term to a warm standby; nil if no warm standby is to be served.
-	Source *standby.Source
+	ProveStandbyCopy func(ctx context.Context, term uint64) (*standby.ProvenCopy, error)
+	// StandbySource sends the state of this term to a warm standby; nil if no warm standby is to be served.
+	StandbySource *standby.Source
 }
 
 // Store is the part of the state store's client that a controller uses.
@@ -71,10 +71,10 @@
 type Peers interface {
 	// RenewedHosts lists the machines whose worker leases other controllers have renewed lately.
 	RenewedHosts() []string
-	// ReachedZones lists the zones of the reachable controllers, including the zone of this one.
-	ReachedZones() []string
-	// RelayReached reports whether the follower with this label, which relays heartbeats, is reachable.
-	RelayReached(label string) bool
+	// ReachableZones lists the zones of the reachable controllers, including the zone of this one.
+	ReachableZones() []string
+	// RelayReachable reports whether the follower with this label, which relays heartbeats, is reachable.
+	RelayReachable(label string) bool
 }
 
 // Observer receives the events of a term. All its methods except TermObserved are called with the controller's lock
--- a/internal/controller/recordloader.go
+++ b/internal/controller/recordloader.go
@@ -18,7 +18,7 @@
 // controller gets the job records from the job cache.
 type termRecords struct {
 	jobs, placements, releases, images []wire.KeyValue
-	hints                              *standby.Proven // nil if all records were listed
+	hints                              *standby.ProvenCopy // nil if all records were listed
 }
 
 // recordLoader reads the records that a term begins with: from the copy that this node has followed as a warm standby if
@@ -38,7 +38,7 @@
 
 // read reads the records. After a failure it can be called again.
 func (l *recordLoader) read(ctx context.Context) (*termRecords, error) {
-	if l.options.Prove != nil && l.proofAttempts < maxProofAttempts {
+	if l.options.ProveStandbyCopy != nil && l.proofAttempts < maxProofAttempts {
 		proven, err := l.readProven(ctx)
 		if err == nil {
 			return proven, nil
@@ -80,7 +80,7 @@
 // readProven returns the copy that this node has followed, if the proof of the copy succeeds. It also refreshes the job
 // cache by a read in this term; the controller receives every change of the cache.
 func (l *recordLoader) readProven(ctx context.Context) (*termRecords, error) {
-	proven, err := l.options.Prove(ctx, l.term)
+	proven, err := l.options.ProveStandbyCopy(ctx, l.term)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	l.failover.recordProof(proven)
-	return &termRecords{placements: proven.Placements, releases: proven.Returns, images: proven.Images, hints: proven}, nil
+	return &termRecords{placements: proven.Placements, releases: proven.ScaleIns, images: proven.Images, hints: proven}, nil
 }
 
 // isPermanentProofError reports whether the proof would fail again if it were retried.
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -80,12 +80,12 @@
 // addUsage adds the resources that a job uses to the usage of its team. If there are quotas, it also
 // adds up how much of that belongs to attempts that are being stopped.
 func addUsage(team *sched.Team, j *job, hasQuotas bool) {
-	team.Used.Cores += float64(j.live) * j.need.Cores
-	team.Used.Gpus += float64(j.live) * j.need.Gpus
+	team.Used.Cores += float64(j.liveAttempts) * j.taskResources.Cores
+	team.Used.Gpus += float64(j.liveAttempts) * j.taskResources.Gpus
 	if hasQuotas {
 		stopping := float64(j.stoppingCount())
-		team.Stopping.Cores += stopping * j.need.Cores
-		team.Stopping.Gpus += stopping * j.need.Gpus
+		team.Stopping.Cores += stopping * j.taskResources.Cores
+		team.Stopping.Gpus += stopping * j.taskResources.Gpus
 	}
 }
 
@@ -134,7 +134,7 @@
 	if pending == 0 {
 		return nil
 	}
-	if spec.Kind == wire.Gang && j.live > 0 {
+	if spec.Kind == wire.Gang && j.liveAttempts > 0 {
 		// A gang is all-or-nothing: if some of its tasks have ended, the others are stopped and
 		// the whole gang starts again.
 		j.eachAttempt(func(a *fleet.Attempt) {
@@ -143,7 +143,7 @@
 		return nil
 	}
 	liveByZone, allZonesKnown := map[string]int{}, true
-	if j.live > 0 && (spec.SingleZone || spec.SpreadZones) {
+	if j.liveAttempts > 0 && (spec.SingleZone || spec.SpreadZones) {
 		j.eachAttempt(func(a *fleet.Attempt) {
 			liveByZone[a.Machine.Zone]++
 			allZonesKnown = allZonesKnown && a.Machine.Zone != ""
@@ -158,7 +158,7 @@
 		Level:          u.effectiveLevel(j, now),
 		QueuedSinceMs:  j.eligibleSinceMs,
 		PendingTasks:   pending,
-		LiveAttempts:   j.live,
+		LiveAttempts:   j.liveAttempts,
 		LiveByZone:     liveByZone,
 		WaitedS:        now.Sub(j.waitingSince).Seconds(),
 		StartSlackS:    u.startSlackS(spec),
@@ -185,7 +185,7 @@
 // its tasks together, so none of them goes first. c.mu is held.
 func (c *Controller) isOverdueToStart(j *job, now time.Time) bool {
 	spec := &j.record.Spec
-	return spec.Kind == wire.JobArray && !spec.SingleZone && !j.hasRun && j.done == 0 && j.live == 0 &&
+	return spec.Kind == wire.JobArray && !spec.SingleZone && !j.hasRun && j.doneTasks == 0 && j.liveAttempts == 0 &&
 		now.Sub(time.UnixMilli(j.eligibleSinceMs)) > overdueStartLeases*c.Config.WorkerLease() &&
 		c.arrivals.IsLarge(spec)
 }
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -101,7 +101,7 @@
 		t.Errorf("the queue is %v, want 1 task of %s, 12 arrays, its other 8 tasks, 9 of %s", queue, large.uid, young.uid)
 	}
 	// Once a task of the large array has run, the array has no precedence, even after that task has ended.
-	a := &fleet.Attempt{JobUID: large.uid, TaskIndex: 0, Number: 1, Resources: large.need}
+	a := &fleet.Attempt{JobUID: large.uid, TaskIndex: 0, Number: 1, Resources: large.taskResources}
 	large.addAttempt(large.placement(0), a)
 	heartbeat := func(sequence uint64, tasks ...wire.TaskReport) {
 		c.fleet.ApplyHeartbeat(&wire.Heartbeat{
@@ -119,7 +119,10 @@
 	c.fleet.MarkCommitted(a, now)
 	heartbeat(2, wire.TaskReport{Task: a.TaskName(), Attempt: 1, Status: wire.TaskRunning, Cause: wire.CauseStopped})
 	heartbeat(3, wire.TaskReport{Task: a.TaskName(), Attempt: 1, Status: wire.TaskEnded, Cause: wire.CauseStopped})
-	if queue := c.queue(now); len(queue) != 14 || queue[0].uid == large.uid || large.live != 0 {
-		t.Errorf("after its task has ended, %s has %d live attempts, want 0; want 14 jobs, it not first: %v", large.uid, large.live, queue)
+	if queue := c.queue(now); len(queue) != 14 || queue[0].uid == large.uid || large.liveAttempts != 0 {
+		t.Errorf(
+			"after its task has ended, %s has %d live attempts, want 0; want 14 jobs, it not first: %v",
+			large.uid, large.liveAttempts, queue,
+		)
 	}
 }
--- a/internal/controller/standbyhints.go
+++ b/internal/controller/standbyhints.go
@@ -11,7 +11,7 @@
 
 // applyMachineHints applies what the earlier leader knew of machines and of the cloud beyond its records. Hints prove
 // nothing: only a machine's heartbeat in this term shows that the machine exists and may get launches. c.mu is held.
-func (c *Controller) applyMachineHints(proven *standby.Proven, now time.Time) {
+func (c *Controller) applyMachineHints(proven *standby.ProvenCopy, now time.Time) {
 	if proven == nil {
 		return
 	}
@@ -45,7 +45,7 @@
 		return
 	}
 	m.Address, m.Type, m.Zone, m.Spot = view.Address, view.Type, view.Zone, view.Spot
-	m.IncarnationHint, m.SpotNotice, m.AvoidUntil = view.Incarnation, view.SpotNotice, fromUnixMilli(view.AvoidMs)
+	m.IncarnationHint, m.SpotNotice, m.AvoidUntil = view.Incarnation, view.SpotNotice, fromUnixMilli(view.AvoidUntilMs)
 	if firstSeen := fromUnixMilli(view.FirstSeenMs); !firstSeen.IsZero() && firstSeen.Before(m.FirstSeen) {
 		m.FirstSeen = firstSeen
 	}
@@ -57,7 +57,7 @@
 }
 
 // applyJobHints applies what the earlier leader knew of jobs beyond its records. c.mu is held.
-func (c *Controller) applyJobHints(proven *standby.Proven, now time.Time) {
+func (c *Controller) applyJobHints(proven *standby.ProvenCopy, now time.Time) {
 	if proven == nil {
 		return
 	}
@@ -79,7 +79,7 @@
 	}
 	j.hasRun, j.backoffs, j.backoffUntil = j.hasRun || v.HasRun, max(j.backoffs, v.BackoffCount), fromUnixMilli(v.NotBeforeMs)
 	j.suspect = j.suspect || j.backoffs > 0
-	if since := fromUnixMilli(v.WaitMs); !since.IsZero() && since.Before(j.waitingSince) {
+	if since := fromUnixMilli(v.WaitingSinceMs); !since.IsZero() && since.Before(j.waitingSince) {
 		j.waitingSince = since
 	}
 	for _, task := range tasks {
@@ -87,7 +87,7 @@
 			continue
 		}
 		if a := j.attempt(task.Task); a != nil && a.Number == task.Attempt {
-			a.RunningSince = time.Unix(min(task.SinceS, now.Unix()), 0)
+			a.RunningSince = time.Unix(min(task.StartedS, now.Unix()), 0)
 			c.fleet.MarkChanged(a.Machine)
 		}
 	}
--- a/internal/controller/standbyviews.go
+++ b/internal/controller/standbyviews.go
@@ -123,16 +123,16 @@
 		return standby.DroppedMachineView(host), nil
 	}
 	v := standby.MachineView{
-		Host:        host,
-		Address:     m.Address,
-		Type:        m.Type,
-		Zone:        m.Zone,
-		Spot:        m.Spot,
-		Incarnation: m.Incarnation,
-		FirstSeenMs: unixMilli(m.FirstSeen),
-		AvoidMs:     unixMilli(m.AvoidUntil),
-		SpotNotice:  m.SpotNotice,
-		Images:      slices.Sorted(maps.Keys(m.Images)),
+		Host:         host,
+		Address:      m.Address,
+		Type:         m.Type,
+		Zone:         m.Zone,
+		Spot:         m.Spot,
+		Incarnation:  m.Incarnation,
+		FirstSeenMs:  unixMilli(m.FirstSeen),
+		AvoidUntilMs: unixMilli(m.AvoidUntil),
+		SpotNotice:   m.SpotNotice,
+		Images:       slices.Sorted(maps.Keys(m.Images)),
 	}
 	if m.State == fleet.Ready {
 		v.FencingToken = c.term
@@ -147,16 +147,16 @@
 		return standby.DroppedJobView(uid), nil
 	}
 	v := standby.JobView{
-		UID:          uid,
-		HasRun:       j.hasRun,
-		BackoffCount: j.backoffs,
-		NotBeforeMs:  unixMilli(j.backoffUntil),
-		WaitMs:       unixMilli(j.waitingSince),
+		UID:            uid,
+		HasRun:         j.hasRun,
+		BackoffCount:   j.backoffs,
+		NotBeforeMs:    unixMilli(j.backoffUntil),
+		WaitingSinceMs: unixMilli(j.waitingSince),
 	}
 	var running []standby.RunningTask
 	j.eachAttempt(func(a *fleet.Attempt) {
 		if !a.RunningSince.IsZero() {
-			running = append(running, standby.RunningTask{Task: a.TaskIndex, Attempt: a.Number, SinceS: a.RunningSince.Unix()})
+			running = append(running, standby.RunningTask{Task: a.TaskIndex, Attempt: a.Number, StartedS: a.RunningSince.Unix()})
 		}
 	})
 	slices.SortFunc(running, func(a, b standby.RunningTask) int { return cmp.Compare(a.Task, b.Task) })
@@ -170,7 +170,7 @@
 func (c *Controller) leaderView() *standby.LeaderView {
 	v := &standby.LeaderView{Window: c.window}
 	c.refusals.Each(func(group autoscaler.MachineGroup, refusal autoscaler.Refusal) {
-		v.Refusals = append(v.Refusals, standby.Refusal{
+		v.Refusals = append(v.Refusals, standby.CapacityRefusal{
 			Type:    group.Type,
 			Zone:    group.Zone,
 			Spot:    group.Spot,
@@ -179,7 +179,7 @@
 		})
 	})
 	c.arrivals.Each(func(class string, a *autoscaler.ClassArrivals) {
-		v.Arrivals = append(v.Arrivals, standby.Arrival{
+		v.Arrivals = append(v.Arrivals, standby.ArrivalStats{
 			Class:       class,
 			Job:         *a.Spec,
 			Count:       a.Jobs,
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -26,7 +26,7 @@
 	if j == nil || !c.loaded {
 		return 0, 0, false
 	}
-	return j.done, j.runningCount(), true
+	return j.doneTasks, j.runningCount(), true
 }
 
 // Machines returns the number of machines that are not gone. known is false until the state is loaded.
@@ -73,7 +73,7 @@
 		class := status.Classes[j.record.Spec.JobClass]
 		class.Jobs++
 		class.Waiting += j.waitingCount()
-		class.Placed += j.live
+		class.Placed += j.liveAttempts
 		status.Classes[j.record.Spec.JobClass] = class
 	}
 	return status
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -55,10 +55,10 @@
 
 // Peers tells which of the other controllers are reachable from this one.
 type Peers interface {
-	// ReachedZones lists the zones of the reachable controllers, including this one.
-	ReachedZones() []string
-	// RelayReached reports whether the relay with this label is reachable.
-	RelayReached(label string) bool
+	// ReachableZones lists the zones of the reachable controllers, including this one.
+	ReachableZones() []string
+	// RelayReachable reports whether the relay with this label is reachable.
+	RelayReachable(label string) bool
 }
 
 // Observation is the input of an evaluation.
@@ -109,7 +109,7 @@
 }
 
 // SetPaused records whether failure detection is paused, and reports whether that is a change. It does
-// not disable Judge: while detection is paused, the caller calls Reset in every scheduling cycle, so
+// not disable Evaluate: while detection is paused, the caller calls Reset in every scheduling cycle, so
 // that no machine reaches a timeout.
 //
 // The caller pauses detection while this node cannot answer heartbeats because its cancellation data is
@@ -122,11 +122,11 @@
 	return changed
 }
 
-// Judge evaluates an observation. The result is valid for the time of the observation only.
-func (d *Detector) Judge(observation Observation) *Evaluation {
+// Evaluate evaluates an observation. The result is valid for the time of the observation only.
+func (d *Detector) Evaluate(observation Observation) *Evaluation {
 	now := observation.Now
 	e := d.gatherEvidence(observation.Machines, now)
-	reachedZones := observation.Peers.ReachedZones()
+	reachedZones := observation.Peers.ReachableZones()
 	d.updatePartitionedZones(e, reachedZones, now)
 	d.updateUnreachableRelays(e, observation.Peers, now)
 	return d.newEvaluation(e, len(reachedZones), now)
@@ -163,7 +163,7 @@
 		return
 	}
 	for relay, newest := range e.newestHeartbeat {
-		if now.Sub(newest) > d.options.HeartbeatInterval/2 || relay != "" && !peers.RelayReached(relay) {
+		if now.Sub(newest) > d.options.HeartbeatInterval/2 || relay != "" && !peers.RelayReachable(relay) {
 			d.relayUnreachableAt[relay] = now
 		}
 	}
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -55,8 +55,8 @@
 	unreachableRelay string
 }
 
-func (p fakePeers) ReachedZones() []string         { return p.zones }
-func (p fakePeers) RelayReached(label string) bool { return label != p.unreachableRelay }
+func (p fakePeers) ReachableZones() []string         { return p.zones }
+func (p fakePeers) RelayReachable(label string) bool { return label != p.unreachableRelay }
 
 // observe returns the observation of a controller that can reach the controllers in some zones, and all
 // relays but one.
@@ -123,7 +123,7 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			evaluation := newTestDetector(now).Judge(observe(tc.machines, now, tc.unreachableRelay, tc.reachable...))
+			evaluation := newTestDetector(now).Evaluate(observe(tc.machines, now, tc.unreachableRelay, tc.reachable...))
 			got := countCauses(evaluation, tc.machines)
 			for _, cause := range []Cause{NotDead, SilentAlone, LeaseExpired, Failed, NeverBooted, SpotReclaimed} {
 				if got[cause] != tc.want[cause] {
@@ -151,7 +151,7 @@
 		{"booting for longer than the limit of an unknown type", fleet.Machine{FirstSeen: now.Add(-211 * time.Second)}, NeverBooted},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			evaluation := newTestDetector(now).Judge(observe(machines{&tc.machine}, now, "", "a", "b", "c"))
+			evaluation := newTestDetector(now).Evaluate(observe(machines{&tc.machine}, now, "", "a", "b", "c"))
 			if got := evaluation.CauseOfDeath(&tc.machine); got != tc.want {
 				t.Errorf("cause is %q, want %q", got, tc.want)
 			}
@@ -171,7 +171,7 @@
 		m.State = fleet.Suspected
 	}
 	ms = append(ms, partitioned...)
-	if got := countCauses(d.Judge(observe(ms, now, "", "a")), ms); got[NotDead] != len(ms) {
+	if got := countCauses(d.Evaluate(observe(ms, now, "", "a")), ms); got[NotDead] != len(ms) {
 		t.Errorf("during the partition: causes %v, want %d machines not dead", got, len(ms))
 	}
 	last := partitioned[0]
@@ -184,19 +184,19 @@
 	}
 	now = now.Add(lease - 1)
 	sendHeartbeats()
-	if got := d.Judge(observe(ms, now, "", "a")).CauseOfDeath(last); got != NotDead {
+	if got := d.Evaluate(observe(ms, now, "", "a")).CauseOfDeath(last); got != NotDead {
 		t.Errorf("just before a lease after the partition: cause %q, want %q", got, NotDead)
 	}
 	now = now.Add(1)
 	sendHeartbeats()
-	if got := d.Judge(observe(ms, now, "", "a")).CauseOfDeath(last); got != LeaseExpired {
+	if got := d.Evaluate(observe(ms, now, "", "a")).CauseOfDeath(last); got != LeaseExpired {
 		t.Errorf("a lease after the partition: cause %q, want %q", got, LeaseExpired)
 	}
 	d = newTestDetector(now)
 	for _, m := range partitioned {
 		m.State, m.LastHeartbeat, m.LastHeartbeatHere = fleet.Suspected, now.Add(-4*lease-1), now.Add(-4*lease-1)
 	}
-	if got := countCauses(d.Judge(observe(ms, now, "", "a")), partitioned); got[LeaseExpired] != len(partitioned) {
+	if got := countCauses(d.Evaluate(observe(ms, now, "", "a")), partitioned); got[LeaseExpired] != len(partitioned) {
 		t.Errorf("after all their tasks must have ended: causes %v, want %d with %q", got, len(partitioned), LeaseExpired)
 	}
 }
@@ -225,7 +225,7 @@
 	now := time.Unix(10_000, 0)
 	d := newTestDetector(now)
 	ms := machines{}.withGroup(9, "a", "", now, interval).withGroup(1, "a", "", now, 4*interval)
-	if got := countCauses(d.Judge(observe(ms, now, "", "a", "b", "c")), ms); got[SilentAlone] != 1 {
+	if got := countCauses(d.Evaluate(observe(ms, now, "", "a", "b", "c")), ms); got[SilentAlone] != 1 {
 		t.Fatalf("before the reset: causes %v, want one %q", got, SilentAlone)
 	}
 	d.Reset(ms, now)
@@ -234,7 +234,7 @@
 			t.Fatalf("LastHeartbeat %s, LastHeartbeatHere %s, want %s for both", m.LastHeartbeat, m.LastHeartbeatHere, now)
 		}
 	}
-	if got := countCauses(d.Judge(observe(ms, now, "", "a", "b", "c")), ms); got[NotDead] != len(ms) {
+	if got := countCauses(d.Evaluate(observe(ms, now, "", "a", "b", "c")), ms); got[NotDead] != len(ms) {
 		t.Errorf("after the reset: causes %v, want %d machines not dead", got, len(ms))
 	}
 	now = now.Add(lease)
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -50,9 +50,9 @@
 	Inherited      bool       // decided in an earlier term
 	Stopping       bool       // a stop was requested
 	GracePeriodS   float64    // seconds that it may take to stop, if Stopping
-	Cause          wire.Cause // why it ended; set from state Ended on
+	EndCause       wire.Cause // why it ended; set from state Ended on
 	Checkpointed   bool       // a checkpoint was saved before it ended
-	Since          time.Time  // when State last changed
+	StateSince     time.Time  // when State last changed
 	RunningSince   time.Time  // when a heartbeat first reported it as running
 }
 
@@ -74,7 +74,7 @@
 	m := a.Machine
 	f.MarkChanged(m)
 	from, wasLive := a.State, a.Live()
-	a.State, a.Since = to, now
+	a.State, a.StateSince = to, now
 	if wasLive && !a.Live() {
 		m.used = m.used.Sub(a.Resources)
 		if m.liveAttempts--; m.liveAttempts == 0 {
@@ -94,7 +94,7 @@
 // Machine, State, Since and Serial, and for an attempt of this term also Incarnation.
 func (f *Fleet) AddAttempt(m *Machine, a *Attempt, now time.Time) {
 	f.lastSerial++
-	a.Machine, a.Since, a.Serial = m, now, f.lastSerial
+	a.Machine, a.StateSince, a.Serial = m, now, f.lastSerial
 	f.MarkChanged(m)
 	if a.Inherited {
 		a.State = Committed
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -63,7 +63,7 @@
 		State:             Booting,
 		LastHeartbeat:     now,
 		LastHeartbeatHere: now,
-		Since:             now,
+		StateSince:        now,
 		FirstSeen:         now,
 		IdleSince:         now,
 		attempts:          map[attemptKey]*Attempt{},
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -161,7 +161,7 @@
 	case wire.TaskSaving:
 		f.setAttemptState(a, Saving, now, reason)
 	case wire.TaskEnded:
-		a.Cause, a.Checkpointed = report.Cause, report.Checkpointed
+		a.EndCause, a.Checkpointed = report.Cause, report.Checkpointed
 		f.setAttemptState(a, Ended, now, string(report.Cause))
 	}
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -40,7 +40,7 @@
 	LastHeartbeatHere    time.Time            // when this leader last answered one, directly or through a relay
 	LastRelayedHeartbeat time.Time            // when a follower last relayed one to this leader
 	RelayedBy            string               // label of the follower that relays its heartbeats; "" if none does
-	Since                time.Time            // when State last changed
+	StateSince           time.Time            // when State last changed
 	FirstSeen            time.Time            // when it was first known, in this term or an earlier one
 	Listed               bool                 // it has appeared in the cloud's machine list
 	Failed               bool                 // the cloud lists it as failed
@@ -71,10 +71,10 @@
 // ended and that the worker has not forgotten yet.
 func (m *Machine) AttemptCount() int { return len(m.attempts) }
 
-// UnknownTasks returns the number of tasks that the machine reports, that have not ended and that no
+// UnknownTaskCount returns the number of tasks that the machine reports, that have not ended and that no
 // record lists. Such tasks use resources that Free does not account for: the machine gets no new
 // attempts until they have ended.
-func (m *Machine) UnknownTasks() int {
+func (m *Machine) UnknownTaskCount() int {
 	count := 0
 	for _, task := range m.unknownTasks {
 		if !task.ended {
@@ -117,7 +117,7 @@
 }
 
 // AcceptsAttempts reports whether the state of the machine allows new attempts. The caller also checks
-// UnknownTasks and Free.
+// UnknownTaskCount and Free.
 func (m *Machine) AcceptsAttempts(now time.Time) bool {
 	return m.State == Ready && !m.SpotNotice && !m.Failed && m.Capacity.Cores > 0 && !now.Before(m.AvoidUntil)
 }
@@ -130,7 +130,7 @@
 		return
 	}
 	from := m.State
-	m.State, m.Since = to, now
+	m.State, m.StateSince = to, now
 	f.MarkChanged(m)
 	f.observer.MachineChanged(m, from, reason)
 }
--- a/internal/node/controlleroptions.go
+++ b/internal/node/controlleroptions.go
@@ -21,8 +21,8 @@
 	return hosts
 }
 
-// ReachedZones lists the zones of the controllers that answer, this one's own included.
-func (p controllerPeers) ReachedZones() []string {
+// ReachableZones lists the zones of the controllers that answer, this one's own included.
+func (p controllerPeers) ReachableZones() []string {
 	zones := []string{p.cfg.Location}
 	for _, other := range p.peers {
 		if _, ok := other.LastPing(p.cfg.LeaderLeaseTTL()); ok {
@@ -32,8 +32,8 @@
 	return zones
 }
 
-// RelayReached reports whether a follower that relays heartbeats answers pings.
-func (p controllerPeers) RelayReached(label string) bool {
+// RelayReachable reports whether a follower that relays heartbeats answers pings.
+func (p controllerPeers) RelayReachable(label string) bool {
 	return p.isReached(label, p.cfg.LeaderLeaseTTL())
 }
 
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -137,9 +137,9 @@
 		}
 	}
 	options := controller.HeartbeatOptions{
-		Relayed: single,
-		Via:     from.follower,
-		MayWait: !single && from.pressure == relay.Relaxed && !h.load.IsOverloaded(),
+		Forwarded: single,
+		RelayedBy: from.follower,
+		MayWait:   !single && from.pressure == relay.Relaxed && !h.load.IsOverloaded(),
 	}
 	if commands, ok := c.Heartbeat(ctx, heartbeat, options); ok {
 		return &commands, nil
--- a/internal/node/warmstandby.go
+++ b/internal/node/warmstandby.go
@@ -79,8 +79,8 @@
 		members = append(members, p.Label)
 	}
 	source := standby.NewSource(term, members, 2*w.cfg.LeaderLeaseTTL())
-	options.Source, options.Store = source, standby.NewRecordingStore(w.store, source)
-	options.Prove = func(ctx context.Context, term uint64) (*standby.Proven, error) {
+	options.StandbySource, options.Store = source, standby.NewRecordingStore(w.store, source)
+	options.ProveStandbyCopy = func(ctx context.Context, term uint64) (*standby.ProvenCopy, error) {
 		return w.follower.Prove(ctx, w.store, term)
 	}
 	w.source.Store(source)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -33,8 +33,8 @@
 	return Amount{Cores: a.Cores - other.Cores, Gpus: a.Gpus - other.Gpus}
 }
 
-// Set holds the UIDs of the jobs that lie within quotas.
-type Set map[string]bool
+// JobSet holds the UIDs of the jobs that lie within quotas.
+type JobSet map[string]bool
 
 // JobsWithinQuota returns the jobs that lie within the quotas of their teams. It takes the jobs of a team by
 // priority, highest first, and within a priority by age, oldest first, as long as the sum of their needs
@@ -42,14 +42,14 @@
 // unfinished jobs of a team fit, all of them are within the quota. A team without a quota, or with one of 0
 // cores and 0 GPUs, has no job within its quota. If only one of the two is 0, jobs that need that resource
 // are beyond the quota.
-func JobsWithinQuota(quotas map[string]Amount, jobs []Job) Set {
+func JobsWithinQuota(quotas map[string]Amount, jobs []Job) JobSet {
 	remaining := map[string]Amount{}
 	for team, amount := range quotas {
 		if amount != (Amount{}) {
 			remaining[team] = amount
 		}
 	}
-	within := Set{}
+	within := JobSet{}
 	if len(remaining) == 0 {
 		return within
 	}
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -13,11 +13,11 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Proven is a copy that agrees with the state store: its records are those that a listing after the election would
+// ProvenCopy is a copy that agrees with the state store: its records are those that a listing after the election would
 // return.
-type Proven struct {
+type ProvenCopy struct {
 	Placements []wire.KeyValue
-	Returns    []wire.KeyValue
+	ScaleIns   []wire.KeyValue
 	Images     []wire.KeyValue
 	// Machines, Jobs and Leader are the views of the previous leader. The proof does not cover them.
 	Machines []MachineView
@@ -38,7 +38,7 @@
 //
 // If the error wraps ErrNoCopy, ErrDigest, ErrTooFarBehind or ErrUndecodable, the copy cannot be used and the caller
 // must list all records. After any other error the caller can call Prove again.
-func (f *Follower) Prove(ctx context.Context, r watchcache.Reader, term uint64) (*Proven, error) {
+func (f *Follower) Prove(ctx context.Context, r watchcache.Reader, term uint64) (*ProvenCopy, error) {
 	followed, err := f.beginVerification(term)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 }
 
 // applyEvents applies changes to a copy and lists the result. Every error wraps ErrUndecodable.
-func applyEvents(followed *stateCopy, events []wire.WatchEvent) (*Proven, error) {
+func applyEvents(followed *stateCopy, events []wire.WatchEvent) (*ProvenCopy, error) {
 	edit := followed.edit()
 	for _, event := range events {
 		edit.apply(&Entry{
@@ -128,9 +128,9 @@
 		})
 	}
 	current := edit.contents()
-	proven := &Proven{
+	proven := &ProvenCopy{
 		Placements:   current.listRecords(records.PlacementPrefix),
-		Returns:      current.listRecords(records.ScaleInPrefix),
+		ScaleIns:     current.listRecords(records.ScaleInPrefix),
 		Images:       current.listRecords(records.ImagesPrefix),
 		FollowedTerm: followed.term,
 		Position:     followed.position,
--- a/internal/standby/size_test.go
+++ b/internal/standby/size_test.go
@@ -43,7 +43,7 @@
 		largest := JobView{UID: "run-000001"}
 		tasks := make([]RunningTask, 0, wire.MaxTasks)
 		for i := range wire.MaxTasks {
-			tasks = append(tasks, RunningTask{Task: i, Attempt: 1 << 40, SinceS: int64(i) << 10})
+			tasks = append(tasks, RunningTask{Task: i, Attempt: 1 << 40, StartedS: int64(i) << 10})
 		}
 		if err := largest.SetRunning(tasks); err != nil {
 			t.Fatal(err)
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -25,9 +25,9 @@
 }
 
 // checkSameAsListed checks that the proven placements and scale-ins are those that the state store lists.
-func checkSameAsListed(t rapid.TB, s *fakeStore, p *Proven) {
+func checkSameAsListed(t rapid.TB, s *fakeStore, p *ProvenCopy) {
 	t.Helper()
-	for prefix, got := range map[string][]wire.KeyValue{records.PlacementPrefix: p.Placements, records.ScaleInPrefix: p.Returns} {
+	for prefix, got := range map[string][]wire.KeyValue{records.PlacementPrefix: p.Placements, records.ScaleInPrefix: p.ScaleIns} {
 		want, _, _ := s.List(context.Background(), prefix)
 		if len(got) != len(want) {
 			t.Fatalf("got %d proven records under %s, want %d", len(got), prefix, len(want))
--- a/internal/standby/views.go
+++ b/internal/standby/views.go
@@ -28,7 +28,7 @@
 	Incarnation  uint64   `cbor:"6,keyasint,omitempty"` // of the machine's worker, from its newest heartbeat
 	FencingToken uint64   `cbor:"7,keyasint,omitempty"` // the leader's term, if the worker has that term as its fencing token
 	FirstSeenMs  int64    `cbor:"8,keyasint,omitempty"`
-	AvoidMs      int64    `cbor:"9,keyasint,omitempty"` // until then the machine gets no new attempts
+	AvoidUntilMs int64    `cbor:"9,keyasint,omitempty"` // until then the machine gets no new attempts
 	SpotNotice   bool     `cbor:"10,keyasint,omitempty"`
 	Images       []string `cbor:"12,keyasint,omitempty"`
 }
@@ -36,12 +36,12 @@
 // JobView is what a leader knows about a job from heartbeats. Fields that end in Ms are Unix times in milliseconds, and
 // EarliestStartS is one in seconds; 0 means none.
 type JobView struct {
-	UID          string `cbor:"1,keyasint"`
-	HasRun       bool   `cbor:"2,keyasint,omitempty"` // one of its tasks has run
-	BackoffCount int    `cbor:"3,keyasint,omitempty"` // number of consecutive delays after failures
-	NotBeforeMs  int64  `cbor:"4,keyasint,omitempty"` // the job is not placed before this time
-	WaitMs       int64  `cbor:"5,keyasint,omitempty"` // since when none of its tasks runs
-	Running      []byte `cbor:"6,keyasint,omitempty"` // Roaring bitmap of its running tasks, see RunningTasks
+	UID            string `cbor:"1,keyasint"`
+	HasRun         bool   `cbor:"2,keyasint,omitempty"` // one of its tasks has run
+	BackoffCount   int    `cbor:"3,keyasint,omitempty"` // number of consecutive delays after failures
+	NotBeforeMs    int64  `cbor:"4,keyasint,omitempty"` // the job is not placed before this time
+	WaitingSinceMs int64  `cbor:"5,keyasint,omitempty"` // since when none of its tasks runs
+	Running        []byte `cbor:"6,keyasint,omitempty"` // Roaring bitmap of its running tasks, see RunningTasks
 	// Attempts and StartOffsetsS have one element for each running task, in ascending order of tasks: the number of the
 	// attempt, and its start in seconds after EarliestStartS, the earliest start of all running tasks.
 	Attempts       []uint64 `cbor:"7,keyasint,omitempty"`
@@ -51,9 +51,9 @@
 
 // RunningTask is a task that a heartbeat has reported as running.
 type RunningTask struct {
-	Task    int
-	Attempt uint64
-	SinceS  int64 // when the attempt started running, as a Unix time in seconds
+	Task     int
+	Attempt  uint64
+	StartedS int64 // when the attempt started running, as a Unix time in seconds
 }
 
 // SetRunning sets the running tasks, which must be in ascending order. It must be called at most once.
@@ -62,14 +62,14 @@
 		return nil
 	}
 	set := roaring.New()
-	v.EarliestStartS = tasks[0].SinceS
+	v.EarliestStartS = tasks[0].StartedS
 	for _, t := range tasks {
-		v.EarliestStartS = min(v.EarliestStartS, t.SinceS)
+		v.EarliestStartS = min(v.EarliestStartS, t.StartedS)
 	}
 	for _, t := range tasks {
 		set.Add(uint32(t.Task))
 		v.Attempts = append(v.Attempts, t.Attempt)
-		v.StartOffsetsS = append(v.StartOffsetsS, uint32(t.SinceS-v.EarliestStartS))
+		v.StartOffsetsS = append(v.StartOffsetsS, uint32(t.StartedS-v.EarliestStartS))
 	}
 	set.RunOptimize()
 	body, err := set.ToBytes()
@@ -105,22 +105,22 @@
 // LeaderView is what a leader has learned that does not belong to one machine or job. Refusal and Arrival have no cbor
 // tags, so the Go names of their fields are the names in the encoding.
 type LeaderView struct {
-	Window   int       `cbor:"1,keyasint,omitempty"`
-	Refusals []Refusal `cbor:"2,keyasint,omitempty"`
-	Arrivals []Arrival `cbor:"3,keyasint,omitempty"`
+	Window   int               `cbor:"1,keyasint,omitempty"`
+	Refusals []CapacityRefusal `cbor:"2,keyasint,omitempty"`
+	Arrivals []ArrivalStats    `cbor:"3,keyasint,omitempty"`
 }
 
-// Refusal is a machine type in a zone for which the cloud had no capacity left. UntilMs is a Unix time in milliseconds,
+// CapacityRefusal is a machine type in a zone for which the cloud had no capacity left. UntilMs is a Unix time in milliseconds,
 // PauseMs a duration in milliseconds.
-type Refusal struct {
+type CapacityRefusal struct {
 	Type, Zone string
 	Spot       bool
 	UntilMs    int64
 	PauseMs    int64
 }
 
-// Arrival is a weighted count of the jobs of a class that were submitted: older submissions count less.
-type Arrival struct {
+// ArrivalStats is a weighted count of the jobs of a class that were submitted: older submissions count less.
+type ArrivalStats struct {
 	Class       string
 	Job         wire.JobSpec // one of the jobs
 	Count       float64
@@ -153,7 +153,7 @@
 
 // decodeViews decodes the views and adds them to proven. It stops at the first view that cannot be decoded and
 // returns an error that wraps ErrUndecodable.
-func (c contents) decodeViews(proven *Proven) error {
+func (c contents) decodeViews(proven *ProvenCopy) error {
 	var failed error
 	decode := func(entry *Entry, into any) {
 		if err := cbor.Unmarshal(entry.Value, into); err != nil && failed == nil {
