--- a/internal/controller/imagerecords.go
+++ b/internal/controller/imagerecords.go
@@ -13,29 +13,30 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// recordedImages is how many images of a machine are recorded, and when they were recorded.
+// recordedImages describes a machine's last image record: how many images the machine had then, and
+// when the record was written or loaded.
 type recordedImages struct {
-	images int
-	at     time.Time
+	count      int
+	recordedAt time.Time
 }
 
-// maxRecordedImages is how many images of a machine are recorded at most.
+// maxRecordedImages is the maximum number of images in a machine's record.
 const maxRecordedImages = 16
 
-// imageWriteFraction limits a commit of images to this fraction, as one in so many, of the writes
-// that the state store accepts in a second: launches need the others.
-const imageWriteFraction = 8
+// imageWriteDivisor limits a commit of image records to the number of writes that the state store
+// accepts in a second, divided by this. Launches need the other writes.
+const imageWriteDivisor = 8
 
-// recordImages records periodically which images machines have, until ctx ends, so that a new
-// leader knows where tasks start quickly. If a record is late or missing, only time is lost.
+// recordImages periodically records which images the machines have, until ctx ends, so that a new
+// leader knows where tasks start quickly. A late or missing record only delays task starts.
 func (c *Controller) recordImages(ctx context.Context) {
 	for timeralign.Sleep(ctx, c.untilNext(c.Config.HeartbeatInterval())) {
-		c.recordSomeImages(ctx)
+		c.commitImageBatch(ctx)
 	}
 }
 
-// recordSomeImages records the images of as many machines as fit one commit.
-func (c *Controller) recordSomeImages(ctx context.Context) {
+// commitImageBatch commits the image records of as many machines as fit one commit.
+func (c *Controller) commitImageBatch(ctx context.Context) {
 	tx, recorded := c.imagesToRecord()
 	if len(tx.Changes) == 0 {
 		return
@@ -49,16 +50,17 @@
 	maps.Copy(c.recordedImages, recorded)
 }
 
-// imagesToRecord makes the next commit of machines' images.
+// imagesToRecord returns the next commit of image records, and what it records of each machine, by
+// machine ID.
 func (c *Controller) imagesToRecord() (tx wire.Transaction, recorded map[string]recordedImages) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	tx.Compares = []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}}
 	recorded = map[string]recordedImages{}
-	// A commit that is larger than the state store takes would be rejected, and no image
-	// would ever be recorded.
-	maxChanges := min(max(1, int(c.Config.StateLimits().WriteRps/imageWriteFraction)), c.maxBatchChanges())
+	// The state store would reject a larger commit each time, and no image would ever be
+	// recorded.
+	maxChanges := min(max(1, int(c.Config.StateLimits().WriteRps/imageWriteDivisor)), c.maxBatchChanges())
 	size := 0
 	c.fleet.Each(func(m *fleet.Machine) {
 		if len(tx.Changes) >= maxChanges || size > maxCommitBytes || !c.hasUnrecordedImages(m, now) {
@@ -74,9 +76,9 @@
 	return tx, recorded
 }
 
-// hasUnrecordedImages reports whether the images of a machine are to be recorded again: it has
-// more than are recorded, and its last record is older than a worker lease. c.mu is held.
+// hasUnrecordedImages reports whether the images of a machine are to be recorded: the machine has more
+// images than at its last record, which is older than a worker lease. c.mu is held.
 func (c *Controller) hasUnrecordedImages(m *fleet.Machine, now time.Time) bool {
-	known := c.recordedImages[m.ID]
-	return m.State == fleet.Ready && len(m.Images) > known.images && now.Sub(known.at) > c.Config.WorkerLease()
+	last := c.recordedImages[m.ID]
+	return m.State == fleet.Ready && len(m.Images) > last.count && now.Sub(last.recordedAt) > c.Config.WorkerLease()
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -7,21 +7,21 @@
 	"lotusstile.dev/lotusstile/internal/records"
 )
 
-// placement is the leader's state of one placement record: a range of a job's tasks, and where
-// their attempts are.
+// placement is the leader's state of one placement record: a range of a job's tasks, and the machines of their
+// attempts.
 type placement struct {
 	job         *job
 	index       int                    // among the job's placements
 	modRevision uint64                 // of the record; 0 while there is none
-	nextAttempt uint64                 // a number that no attempt of these tasks has used
+	nextAttempt uint64                 // the number of the next attempt; no attempt of these tasks has used it
 	done        records.Placement      // only its DoneBits are used
 	live        map[int]*fleet.Attempt // attempts that may be on their machines, by task
-	ended       []*fleet.Attempt       // ended, and not recorded so yet
+	ended       []*fleet.Attempt       // attempts whose end is not recorded yet
 
-	changes        int       // counts changes, to detect those that come during a commit
-	dirty          bool      // see setDirty
+	changeCount    int       // counts changes, to detect those made during a commit
+	dirty          bool      // has changes that are not written; set by setDirty
 	due            time.Time // when a dirty placement is to be written
-	outcomeUnknown bool      // the outcome of a commit is unknown: the record is read before it is written
+	outcomeUnknown bool      // the outcome of a commit is unknown: the record must be read before it is written
 }
 
 // newPlacement adds an empty placement to a job.
@@ -31,8 +31,8 @@
 	return p
 }
 
-// placed returns an attempt as a placement record lists it.
-func placed(a *fleet.Attempt) records.PlacedAttempt {
+// toPlacedAttempt returns an attempt in the form that a placement record lists.
+func toPlacedAttempt(a *fleet.Attempt) records.PlacedAttempt {
 	return records.PlacedAttempt{Task: a.TaskIndex, Attempt: a.Number, Host: a.Machine.ID, Incarnation: a.Incarnation}
 }
 
@@ -40,13 +40,13 @@
 func (p *placement) record() records.Placement {
 	record := records.Placement{NextAttempt: p.nextAttempt, DoneBits: p.done.DoneBits}
 	for _, a := range p.live {
-		record.Live = append(record.Live, placed(a))
+		record.Live = append(record.Live, toPlacedAttempt(a))
 	}
 	return record
 }
 
-// hasRoom reports whether the placement record still fits a value with one more attempt of a
-// task on a machine.
+// hasRoom reports whether the placement record still fits into valueBytes with one more attempt: of this task, on this
+// machine.
 func (p *placement) hasRoom(task int, m *fleet.Machine, valueBytes int) bool {
 	tasks := p.job.record.TasksPerPlacement
 	if records.FitsPlain(tasks, valueBytes) {
@@ -55,12 +55,12 @@
 	added := records.PlacedAttempt{Task: task, Attempt: p.nextAttempt, Host: m.ID, Incarnation: m.Incarnation}
 	bytes := records.DenseAttemptBytes(added, tasks)
 	for _, a := range p.live {
-		bytes += records.DenseAttemptBytes(placed(a), tasks)
+		bytes += records.DenseAttemptBytes(toPlacedAttempt(a), tasks)
 	}
 	return bytes <= records.DenseAttemptsRoom(valueBytes, tasks)
 }
 
-// plannedAttempts returns the attempts whose launch is decided and not recorded yet.
+// plannedAttempts returns the attempts whose launch is decided but not recorded yet.
 func (p *placement) plannedAttempts() []*fleet.Attempt {
 	var planned []*fleet.Attempt
 	for _, a := range p.live {
@@ -71,17 +71,17 @@
 	return planned
 }
 
-// markChanged counts a change that is to be written at due or earlier, with an earlier change.
+// markChanged counts a change that is to be written at due, or earlier if an earlier write is already due.
 func (p *placement) markChanged(due time.Time) {
-	p.changes++
+	p.changeCount++
 	if !p.dirty || due.Before(p.due) {
 		p.due = due
 	}
 	p.setDirty(true)
 }
 
-// setDirty sets whether a placement is to be written. Most jobs have no such placement, and
-// scheduling cycles and the writer skip them.
+// setDirty sets whether a placement has changes that are to be written. It also counts the job's dirty placements:
+// scheduling cycles and the writer skip jobs that have none, which are most.
 func (p *placement) setDirty(dirty bool) {
 	switch {
 	case dirty && !p.dirty:
@@ -110,9 +110,9 @@
 	return false
 }
 
-// hasUnknownPlacement reports whether some placement record has to be read again before the job
-// can be archived.
-func (j *job) hasUnknownPlacement() bool {
+// hasUnknownOutcome reports whether the outcome of a commit of some placement is unknown. The placement's record has
+// to be read again before the job can be archived.
+func (j *job) hasUnknownOutcome() bool {
 	for _, p := range j.placements {
 		if p.outcomeUnknown {
 			return true
--- a/internal/controller/recordloader.go
+++ b/internal/controller/recordloader.go
@@ -10,41 +10,41 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// maxProofAttempts is how often the proof of the warm standby is attempted while the state store
-// does not answer; after that all records are listed.
+// maxProofAttempts is how often the proof of the warm standby's copy is attempted while the state store does not answer.
+// After that, all records are listed.
 const maxProofAttempts = 3
 
-// termRecords are the records that a term begins with. With a warm standby the job records are
-// missing: the controller has them from the job cache.
+// termRecords are the records that a term begins with. If they come from a warm standby's copy, jobs is empty: the
+// controller gets the job records from the job cache.
 type termRecords struct {
 	jobs, placements, releases, images []wire.KeyValue
-	hints                              *standby.Proven // nil if all records were listed
+	hints                              *standby.ProvenCopy // nil if all records were listed
 }
 
-// recordLoader reads the records that a term begins with: from the copy that this node has
-// followed as a warm standby, if its proof succeeds, else by listing them. It keeps the listings
-// that have succeeded from one call of read to the next.
+// recordLoader reads the records that a term begins with: from the copy that this node has followed as a warm standby if
+// the proof of the copy succeeds, and otherwise by listing them. The results of list requests are kept from one call of
+// read to the next.
 type recordLoader struct {
 	options       *Options
 	term          uint64
 	failover      *failoverReport
-	proofAttempts int                        // proofs that the state store did not answer
-	listings      map[string][]wire.KeyValue // by prefix
+	proofAttempts int                        // attempts at a proof that the state store did not answer
+	listings      map[string][]wire.KeyValue // results of list requests, by prefix
 }
 
 func newRecordLoader(options *Options, term uint64, failover *failoverReport) *recordLoader {
 	return &recordLoader{options: options, term: term, failover: failover, listings: map[string][]wire.KeyValue{}}
 }
 
-// read reads the records. If it fails it can be called again.
+// read reads the records. After a failure it can be called again.
 func (l *recordLoader) read(ctx context.Context) (*termRecords, error) {
-	if l.options.Prove != nil && l.proofAttempts < maxProofAttempts {
+	if l.options.ProveStandbyCopy != nil && l.proofAttempts < maxProofAttempts {
 		proven, err := l.readProven(ctx)
 		if err == nil {
 			return proven, nil
 		}
-		l.failover.recordCold(err)
-		if !isFinalProofError(err) {
+		l.failover.recordProofFailure(err)
+		if !isPermanentProofError(err) {
 			l.proofAttempts++
 			return nil, err
 		}
@@ -54,10 +54,10 @@
 	return l.list(ctx)
 }
 
-// list lists all records. A listing of this term stays valid while others are retried: only this
-// term changes such records, but for jobs, whose changes come through the job cache. When an
-// overloaded state store refused one of the four listings in each attempt, all four were read
-// again and again for 12 s.
+// list lists all records. The result of a list request of this term stays valid while other requests are retried: only
+// this term changes such records, except those of jobs, whose changes arrive through the job cache. When results were
+// not kept and an overloaded state store refused one of the four requests in each attempt, the leader repeated all four
+// for 12 s.
 func (l *recordLoader) list(ctx context.Context) (*termRecords, error) {
 	for _, prefix := range []string{records.JobPrefix, records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix} {
 		if _, known := l.listings[prefix]; known {
@@ -77,24 +77,24 @@
 	}, nil
 }
 
-// readProven returns the copy that this node has followed, once its proof succeeds. It brings the
-// job cache up to date by a read of this term; every change of it reaches the controller.
+// readProven returns the copy that this node has followed, if the proof of the copy succeeds. It also refreshes the job
+// cache by a read in this term; the controller receives every change of the cache.
 func (l *recordLoader) readProven(ctx context.Context) (*termRecords, error) {
-	proven, err := l.options.Prove(ctx, l.term)
+	proven, err := l.options.ProveStandbyCopy(ctx, l.term)
 	if err != nil {
 		return nil, err
 	}
 	if err := l.options.JobCache.Refresh(ctx, l.options.Store); err != nil {
 		return nil, err
 	}
-	l.failover.recordWarm(proven)
-	return &termRecords{placements: proven.Placements, releases: proven.Returns, images: proven.Images, hints: proven}, nil
+	l.failover.recordProof(proven)
+	return &termRecords{placements: proven.Placements, releases: proven.ScaleIns, images: proven.Images, hints: proven}, nil
 }
 
-// isFinalProofError reports whether the proof would fail again if it were retried.
-func isFinalProofError(err error) bool {
-	for _, final := range []error{standby.ErrNoCopy, standby.ErrDigest, standby.ErrTooFarBehind, standby.ErrUndecodable} {
-		if errors.Is(err, final) {
+// isPermanentProofError reports whether the proof would fail again if it were retried.
+func isPermanentProofError(err error) bool {
+	for _, permanent := range []error{standby.ErrNoCopy, standby.ErrDigest, standby.ErrTooFarBehind, standby.ErrUndecodable} {
+		if errors.Is(err, permanent) {
 			return true
 		}
 	}
--- a/internal/node/controlleroptions.go
+++ b/internal/node/controlleroptions.go
@@ -21,9 +21,9 @@
 	return hosts
 }
 
-// ReachedZones lists the zones of the reachable controllers, including this node's own zone. A zone is listed
+// ReachableZones lists the zones of the reachable controllers, including this node's own zone. A zone is listed
 // once per controller.
-func (p controllerPeers) ReachedZones() []string {
+func (p controllerPeers) ReachableZones() []string {
 	zones := []string{p.cfg.Location}
 	for _, other := range p.peers {
 		if _, ok := other.LastPing(p.cfg.LeaderLeaseTTL()); ok {
@@ -33,8 +33,8 @@
 	return zones
 }
 
-// RelayReached reports whether the follower with a label, which relays heartbeats, answers pings.
-func (p controllerPeers) RelayReached(label string) bool {
+// RelayReachable reports whether the follower with a label, which relays heartbeats, answers pings.
+func (p controllerPeers) RelayReachable(label string) bool {
 	return p.isReachable(label, p.cfg.LeaderLeaseTTL())
 }
 
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -137,9 +137,9 @@
 		}
 	}
 	options := controller.HeartbeatOptions{
-		Relayed: relayedSingly,
-		Via:     from.follower,
-		MayWait: !relayedSingly && from.pressure == relay.Relaxed && !h.load.IsOverloaded(),
+		Forwarded: relayedSingly,
+		RelayedBy: from.follower,
+		MayWait:   !relayedSingly && from.pressure == relay.Relaxed && !h.load.IsOverloaded(),
 	}
 	if commands, ok := c.Heartbeat(ctx, heartbeat, options); ok {
 		return &commands, nil
