--- a/internal/relay/departure.go
+++ b/internal/relay/departure.go
@@ -6,36 +6,42 @@
 )
 
 const (
-	stayLeases    = 3    // leases for which a worker stays that may not reach the controller it left
-	stayIntervals = 2    // heartbeat intervals for which one stays that only met a slow answer
-	censusShare   = 0.25 // share of a heartbeat interval for which a census is used again
+	// stayLeases is the number of worker leases for which a worker is not sent back to a controller that may be
+	// unreachable for it.
+	stayLeases = 3
+	// stayIntervals is the number of heartbeat intervals before a worker that probably left because of one slow
+	// answer may be sent back. It also limits the age of the last heartbeat of a worker that counts as reporting.
+	stayIntervals = 2
+	// countsMaxAgeShare is the maximum age of the workerCounts, as a share of a heartbeat interval.
+	countsMaxAgeShare = 0.25
 )
 
-// departure records that a worker has left a controller on its own: its heartbeats arrive at another
-// one to which the router did not send it.
+// departure records that a worker has left a controller by its own decision: its heartbeats arrive at another
+// controller to which the router has not sent it.
 type departure struct {
-	label    string
-	at       time.Time
-	repeated bool // it had left the same controller before
+	controller string
+	leftAt     time.Time
+	repeated   bool // the worker had left the same controller before
 }
 
-// recordDeparture records that a worker has left its controller on its own. The departures from all
-// controllers are kept, not only the last: a late copy of a heartbeat may look as if the worker had
-// been at another controller in between.
+// recordDeparture records that a worker has left its controller by its own decision. It keeps the last departure
+// from each controller, since a delayed copy of a heartbeat can look like a stay at another controller in between.
 func (w *workerState) recordDeparture(now time.Time) {
 	for i := range w.departures {
-		if w.departures[i].label == w.controller {
+		if w.departures[i].controller == w.controller {
 			w.departures[i] = departure{w.controller, now, true}
 			return
 		}
 	}
-	w.departures = append(w.departures, departure{label: w.controller, at: now})
+	w.departures = append(w.departures, departure{controller: w.controller, leftAt: now})
 }
 
-// isRecent reports whether a departure still counts: it is less than stayLeases worker leases old.
-func (r *Router) isRecent(d departure, now time.Time) bool { return now.Sub(d.at) < stayLeases*r.Lease }
+// isRecent reports whether a departure is less than stayLeases worker leases old. Older ones have no effect.
+func (r *Router) isRecent(d departure, now time.Time) bool {
+	return now.Sub(d.leftAt) < stayLeases*r.Lease
+}
 
-// dropOldDepartures drops the departures of a worker that no longer count. Most workers have none.
+// dropOldDepartures removes the departures of a worker that are not recent. Most workers have none.
 func (r *Router) dropOldDepartures(worker *workerState, now time.Time) {
 	if len(worker.departures) == 0 {
 		return
@@ -43,51 +49,52 @@
 	worker.departures = slices.DeleteFunc(worker.departures, func(d departure) bool { return !r.isRecent(d, now) })
 }
 
-// hasRecentDeparture reports whether a departure of the worker still counts.
+// hasRecentDeparture reports whether any departure of the worker is recent.
 func (r *Router) hasRecentDeparture(worker *workerState, now time.Time) bool {
 	return slices.ContainsFunc(worker.departures, func(d departure) bool { return r.isRecent(d, now) })
 }
 
-// shouldStay reports whether a worker that has moved on its own is left where it is: it may be unable
-// to reach the controller that it has left, and sent back at once, its lease would end on the way. If
-// that controller receives heartbeats of most of its workers, and the worker has not left it before,
-// the worker has probably met a slow answer and may go back after stayIntervals: one that stayed away
-// from its zone for three leases lost its tasks when the zone was cut off meanwhile. r.mu is held.
+// shouldStay reports whether a worker that has recently left a controller by its own decision must not be moved.
+// It may be unable to reach that controller, and its lease would expire if it were sent back at once. The worker
+// may go back after stayIntervals if it has left that controller only once and most other workers still reach the
+// controller: the reason was probably one slow answer. Workers that stayed out of their zone for three leases lost
+// their tasks when the zone was partitioned from the network meanwhile. r.mu must be held.
 func (r *Router) shouldStay(worker *workerState, now time.Time) bool {
 	return slices.ContainsFunc(worker.departures, func(d departure) bool {
-		return d.repeated || now.Sub(d.at) < stayIntervals*r.HeartbeatInterval || !r.currentCensus(now).isReachable(d.label)
+		return d.repeated || now.Sub(d.leftAt) < stayIntervals*r.HeartbeatInterval || !r.currentCounts(now).isReachable(d.controller)
 	})
 }
 
-// census counts the workers of each controller: those with a recent heartbeat there, and those that
-// have left it on their own.
-type census struct {
+// workerCounts holds two numbers for each controller: the workers that send it heartbeats (reporting), and those
+// that have recently left it by their own decision (left).
+type workerCounts struct {
 	countedAt       time.Time
-	reporting, left map[string]int // by label
+	reporting, left map[string]int // by label of the controller
 }
 
-// isReachable reports whether a controller receives heartbeats of most of its workers, so that one
-// that has left it has probably met a slow answer and not a broken path.
-func (c *census) isReachable(label string) bool {
+// isReachable reports whether a controller receives heartbeats from most of its workers. A worker that has left it
+// then probably received one slow answer and has not lost its network path to the controller.
+func (c *workerCounts) isReachable(label string) bool {
 	return c.reporting[label] > 1 && c.reporting[label] > c.left[label]
 }
 
-// currentCensus returns the census, no older than censusShare of a heartbeat interval. r.mu is held.
-func (r *Router) currentCensus(now time.Time) *census {
-	c := &r.census
-	if now.Sub(c.countedAt) < time.Duration(censusShare*float64(r.HeartbeatInterval)) {
-		return c
+// currentCounts returns the worker counts, and recounts if they are older than countsMaxAgeShare of a heartbeat
+// interval. r.mu must be held.
+func (r *Router) currentCounts(now time.Time) *workerCounts {
+	counts := &r.counts
+	if now.Sub(counts.countedAt) < time.Duration(countsMaxAgeShare*float64(r.HeartbeatInterval)) {
+		return counts
 	}
-	*c = census{countedAt: now, reporting: map[string]int{}, left: map[string]int{}}
+	*counts = workerCounts{countedAt: now, reporting: map[string]int{}, left: map[string]int{}}
 	for _, worker := range r.workers {
 		if now.Sub(worker.lastHeartbeat) <= stayIntervals*r.HeartbeatInterval {
-			c.reporting[worker.controller]++
+			counts.reporting[worker.controller]++
 		}
 		for _, d := range worker.departures {
-			if d.label != worker.controller && r.isRecent(d, now) {
-				c.left[d.label]++
+			if d.controller != worker.controller && r.isRecent(d, now) {
+				counts.left[d.controller]++
 			}
 		}
 	}
-	return c
+	return counts
 }
--- a/internal/relay/pressure.go
+++ b/internal/relay/pressure.go
@@ -1,16 +1,17 @@
 package relay
 
-// Pressure is how short of connections the controller is that a heartbeat arrived at.
+// Pressure is the connection pressure at a controller when a heartbeat arrived there: how many of its connections
+// were in use.
 type Pressure uint8
 
-// The degrees of pressure. Their values travel in batches.
+// The levels of pressure. Their numeric values are sent in batches to other controllers.
 const (
-	Relaxed       Pressure = iota // connections are free
-	UnderPressure                 // nearly all are taken: answers do not wait, and then close their connection
-	Full                          // the heartbeat came on a connection of the reserve: the worker has to move
+	Relaxed       Pressure = iota // enough connections are free
+	UnderPressure                 // nearly all are in use: answers are sent without waiting, and their connections closed
+	Full                          // the heartbeat arrived on a reserve connection: the worker has to move
 )
 
 var pressureNames = [...]string{"relaxed", "crowded", "full"}
 
-// String returns the name of the degree.
+// String returns the name of the level.
 func (p Pressure) String() string { return pressureNames[min(int(p), len(pressureNames)-1)] }
--- a/internal/relay/receiver.go
+++ b/internal/relay/receiver.go
@@ -14,24 +14,24 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// AnswerFunc decides the answer to a heartbeat that a follower relays. relay is the label of the
-// follower, pressure that of the follower's connections. It may wait for commands until ctx ends, and
-// is called by many goroutines at a time.
+// AnswerFunc decides the answer to a heartbeat that a follower relays. relay is the label of the follower, and
+// pressure its connection pressure. The function may wait for commands until ctx ends. Many goroutines call it
+// concurrently.
 type AnswerFunc func(ctx context.Context, heartbeat *wire.Heartbeat, relay string, pressure Pressure) peer.HeartbeatAnswer
 
-// Receiver answers the batches of a leader's followers, for one term. It is safe for concurrent use.
+// Receiver answers the batches from a leader's followers during one term. It is safe for concurrent use.
 type Receiver struct {
 	ctx    context.Context // ends with the term
 	term   uint64
 	answer AnswerFunc
-	// bases holds, by host, the last heartbeat that was received: the one that the next may repeat.
+	// bases holds the last heartbeat received from each host, to which the next one may refer.
 	bases *xsync.Map[string, *wire.Heartbeat]
 
 	mu       sync.Mutex
-	outboxes map[string]map[string]peer.HeartbeatAnswer // by relay and host: answers that are ready
+	outboxes map[string]map[string]peer.HeartbeatAnswer // answers that are ready, by label of the relaying follower and by host
 }
 
-// NewReceiver returns the receiver of a term. members are the labels of the other nodes.
+// NewReceiver returns the receiver for a term, which ends with ctx. members are the labels of the other nodes.
 func NewReceiver(ctx context.Context, term uint64, members []string, answer AnswerFunc) *Receiver {
 	r := &Receiver{
 		ctx:      ctx,
@@ -46,31 +46,30 @@
 	return r
 }
 
-// Exchange accepts a batch and returns the answers that are ready for its sender. A goroutine of its
-// own answers each heartbeat: the answer goes with this exchange if it is ready in time, else with a
-// later one. A batch of another term is not accepted, and Leading is false in the reply. A batch that
-// is malformed or not from a member is refused with an error that wraps ErrMalformedBatch or
-// ErrUnknownRelay.
-func (r *Receiver) Exchange(args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
+// Exchange accepts a batch and returns the answers that are ready for its sender. Each heartbeat is answered in a
+// separate goroutine; the answer is returned by this exchange if it is ready in time, otherwise by a later one. A
+// batch for another term is not accepted, and the reply has Leading set to false. A batch that is malformed or does
+// not come from a member is rejected with an error that wraps ErrMalformedBatch or ErrUnknownRelay.
+func (r *Receiver) Exchange(batch peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
 	reply := peer.HeartbeatBatchReply{Term: r.term}
-	if args.Term != r.term || r.ctx.Err() != nil {
+	if batch.Term != r.term || r.ctx.Err() != nil {
 		return reply, nil
 	}
-	if !r.isMember(args.From) {
+	if !r.isMember(batch.From) {
 		return reply, ErrUnknownRelay
 	}
-	bodies, err := splitBodies(&args)
+	bodies, err := splitBodies(&batch)
 	if err != nil {
-		slog.Error("heartbeat batch was refused", "relay", args.From, "err", err)
+		slog.Error("rejected a malformed heartbeat batch", "relay", batch.From, "err", err)
 		return reply, err
 	}
 	reply.Leading = true
 	for i, body := range bodies {
-		header := &args.Heartbeats[i]
+		header := &batch.Heartbeats[i]
 		heartbeat, err := r.resolve(header, body)
 		switch {
 		case err != nil:
-			r.deliver(args.From, peer.HeartbeatAnswer{
+			r.queueAnswer(batch.From, peer.HeartbeatAnswer{
 				Host:        header.Host,
 				Incarnation: header.Incarnation,
 				Sequence:    header.Sequence,
@@ -80,16 +79,16 @@
 			reply.Resend = append(reply.Resend, header.Host)
 		default:
 			go func() {
-				r.deliver(args.From, r.answer(r.ctx, heartbeat, args.From, min(Pressure(header.Pressure), Full)))
+				r.queueAnswer(batch.From, r.answer(r.ctx, heartbeat, batch.From, min(Pressure(header.Pressure), Full)))
 			}()
 		}
 	}
-	reply.Answers = r.drainAnswers(args.From)
+	reply.Answers = r.drainAnswers(batch.From)
 	return reply, nil
 }
 
-// resolve returns the heartbeat that a batch contains in full or by reference. It returns nil without
-// an error if a reference cannot be resolved, so that the sender has to send the heartbeat in full.
+// resolve returns a heartbeat that a batch contains in full or as a reference to the previous one. It returns nil
+// without an error if the reference cannot be resolved; the sender then has to send the heartbeat in full.
 func (r *Receiver) resolve(header *peer.RelayedHeartbeat, body []byte) (*wire.Heartbeat, error) {
 	if header.RepeatOf > 0 {
 		base, ok := r.bases.Load(header.Host)
@@ -112,7 +111,7 @@
 	return &heartbeat, nil
 }
 
-// Retain forgets the hosts for which keep returns false.
+// Retain deletes the last heartbeat of each host for which keep returns false.
 func (r *Receiver) Retain(keep func(host string) bool) {
 	r.bases.Range(func(host string, _ *wire.Heartbeat) bool {
 		if !keep(host) {
@@ -122,7 +121,7 @@
 	})
 }
 
-// isMember reports whether a label is that of another node.
+// isMember reports whether the label belongs to one of the other nodes.
 func (r *Receiver) isMember(label string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,9 +129,9 @@
 	return ok
 }
 
-// deliver keeps an answer until its relay exchanges the next batch. A newer answer to the same host
-// replaces it: that is the only one that the worker still waits for.
-func (r *Receiver) deliver(relay string, answer peer.HeartbeatAnswer) {
+// queueAnswer stores an answer until its relay sends the next batch. Of several answers for the same host it keeps
+// the newest, the only one for which the worker still waits.
+func (r *Receiver) queueAnswer(relay string, answer peer.HeartbeatAnswer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old, ok := r.outboxes[relay][answer.Host]
@@ -146,15 +145,15 @@
 func (r *Receiver) drainAnswers(relay string) []peer.HeartbeatAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ready := r.outboxes[relay]
-	if len(ready) == 0 {
+	outbox := r.outboxes[relay]
+	if len(outbox) == 0 {
 		return nil
 	}
-	answers := make([]peer.HeartbeatAnswer, 0, len(ready))
-	for _, answer := range ready {
+	answers := make([]peer.HeartbeatAnswer, 0, len(outbox))
+	for _, answer := range outbox {
 		answers = append(answers, answer)
 	}
-	clear(ready)
+	clear(outbox)
 	slices.SortFunc(answers, func(a, b peer.HeartbeatAnswer) int { return strings.Compare(a.Host, b.Host) })
 	return answers
 }
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -10,13 +10,13 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Mode is how the heartbeats of the fleet reach the leader.
+// Mode is the path by which the heartbeats of the fleet reach the leader.
 type Mode int
 
 // The modes. Their strings are part of the administration API.
 const (
-	Direct  Mode = iota // all workers send their heartbeats to the leader
-	Relayed             // workers send them to followers too, which relay them to the leader
+	Direct  Mode = iota // all workers send heartbeats to the leader
+	Relayed             // workers also send heartbeats to followers, which relay them to the leader
 )
 
 var modeNames = [...]string{"direct", "relayed"}
@@ -24,22 +24,22 @@
 // String returns the name of the mode.
 func (m Mode) String() string { return modeNames[m] }
 
-// moveIntervals is the number of heartbeat intervals in which the whole fleet may be moved.
+// moveIntervals is the minimum number of heartbeat intervals over which a move of the whole fleet is spread.
 const moveIntervals = 4
 
 // RouterConfig configures a Router.
 type RouterConfig struct {
 	Self              string            // label of this node
 	Zones             map[string]string // zone by label, this node's included
-	Connections       int               // that a node may have
-	HeartbeatInterval time.Duration     // of workers
-	Lease             time.Duration     // of workers
+	Connections       int               // maximum number for each node
+	HeartbeatInterval time.Duration     // between heartbeats of a worker
+	Lease             time.Duration     // duration of a worker lease
 }
 
-// Router decides at the leader which controller each worker sends its heartbeats to. Once the fleet
-// is larger than the connections of one controller allow, workers are sent to a
-// controller of their own zone, so that their leases continue while the zone is cut off; those
-// of zones without a controller go to the least loaded one. It is safe for concurrent use.
+// Router runs at the leader and decides to which controller each worker sends its heartbeats. Once the fleet is too
+// large for the connections of one controller, the router sends workers to a controller in their own zone, which
+// can renew their leases during a network partition of the zone. Workers in a zone without a controller go to the
+// least loaded follower. A Router is safe for concurrent use.
 type Router struct {
 	RouterConfig
 
@@ -47,25 +47,25 @@
 	mode           Mode
 	fleetSize      int
 	workers        map[string]*workerState // by host
-	load           map[string]int          // workers by label
-	usable         map[string]bool         // followers that are reached and can relay
-	fullUntil      map[string]time.Time    // by label: until then a controller that was Full gets no workers
-	growth         float64                 // factor of the usual shares, which then end at maxShare
-	moves          *rate.Limiter           // of workers that may stay but had better move
-	staleCheckedAt time.Time               // when forgetStale last searched
-	census         census                  // use currentCensus
+	load           map[string]int          // number of workers by label of their controller
+	usable         map[string]bool         // by label: the follower is reachable and can relay
+	fullUntil      map[string]time.Time    // by label: the controller was Full and is assigned no workers until then
+	shareFactor    float64                 // multiplies the usual shares, up to maxShare
+	moveLimiter    *rate.Limiter           // limits moves of workers whose current controller is not overloaded
+	staleCheckedAt time.Time               // when forgetStale last searched for stale workers
+	counts         workerCounts            // may be out of date: use currentCounts
 }
 
-// workerState is what is known of where a worker sends its heartbeats.
+// workerState records to which controller a worker sends its heartbeats.
 type workerState struct {
 	incarnation   uint64 // of the newest heartbeat
 	sequence      uint64 // of the newest heartbeat
-	controller    string // label of the one that it was sent to, else of the one it sends heartbeats to
+	controller    string // label of the controller last assigned by the router or, if later, seen in a heartbeat
 	lastHeartbeat time.Time
-	departures    []departure // from controllers that it has left on its own, in the last stayLeases
+	departures    []departure // from controllers that the worker left by its own decision, in the last stayLeases
 }
 
-// NewRouter returns a router that starts in a mode: that of the previous leader, if it is known.
+// NewRouter returns a router that starts in the given mode: that of the previous leader, if it is known.
 func NewRouter(cfg RouterConfig, mode Mode) *Router {
 	return &Router{
 		RouterConfig: cfg,
@@ -74,19 +74,19 @@
 		load:         map[string]int{},
 		usable:       map[string]bool{},
 		fullUntil:    map[string]time.Time{},
-		growth:       1,
-		moves:        rate.NewLimiter(0, 1),
+		shareFactor:  1,
+		moveLimiter:  rate.NewLimiter(0, 1),
 	}
 }
 
-// Mode returns the mode, which pings announce to followers.
+// Mode returns the current mode. Answers to pings announce it to followers.
 func (r *Router) Mode() Mode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.mode
 }
 
-// setMode is the one function that changes the mode. r.mu is held.
+// setMode changes the mode; no other function may assign r.mode. r.mu must be held.
 func (r *Router) setMode(to Mode, workers int) {
 	if r.mode == to {
 		return
@@ -97,7 +97,8 @@
 	clear(r.load)
 }
 
-// SetFleetSize sets the number of workers that the leader knows of.
+// SetFleetSize sets the number of workers that the leader knows, and adjusts the mode, the shares of the controllers
+// and the rate of moves to it.
 func (r *Router) SetFleetSize(workers int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,23 +109,23 @@
 		r.setMode(Direct, workers)
 	}
 	r.fleetSize = workers
-	r.adjustGrowth()
-	perSecond := float64(workers) / (moveIntervals * r.HeartbeatInterval.Seconds())
-	r.moves.SetLimit(rate.Limit(perSecond))
-	r.moves.SetBurst(max(1, int(perSecond)))
+	r.adjustShares()
+	movesPerSecond := float64(workers) / (moveIntervals * r.HeartbeatInterval.Seconds())
+	r.moveLimiter.SetLimit(rate.Limit(movesPerSecond))
+	r.moveLimiter.SetBurst(max(1, int(movesPerSecond)))
 }
 
-// SetUsable sets whether a follower is reached and can relay.
+// SetUsable sets whether a follower is reachable and can relay.
 func (r *Router) SetUsable(label string, usable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.usable[label] != usable {
 		r.usable[label] = usable
-		r.adjustGrowth()
+		r.adjustShares()
 	}
 }
 
-// Load returns the number of workers by the label of the controller that they send heartbeats to.
+// Load returns the number of workers that send heartbeats to each controller, by label.
 func (r *Router) Load() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,38 +136,39 @@
 	return load
 }
 
-// Route records that a worker's heartbeat arrived at a controller, and returns the label of the one that
-// the worker has to move to, or "" if it stays. A late copy of a heartbeat changes nothing, since it does
-// not show where the worker is now. A worker for which its controller has no connection left moves at
-// once if another controller has room; others move at a limited rate.
-func (r *Router) Route(heartbeat *wire.Heartbeat, at string, pressure Pressure, now time.Time) string {
+// Route records that a worker's heartbeat arrived at the controller current, and returns the label of the
+// controller to which the worker has to move, or "" if it stays. A delayed copy of a heartbeat changes nothing,
+// since it does not show which controller the worker uses now. A worker of an overloaded controller moves at once
+// if another controller has free capacity; other workers move at a limited rate.
+func (r *Router) Route(heartbeat *wire.Heartbeat, current string, pressure Pressure, now time.Time) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.mode == Direct {
-		return "" // all workers stay at the leader: nothing is counted
+		return "" // all workers stay at the leader, and the load is not counted
 	}
 	r.forgetStale(now)
-	worker, fresh := r.recordHeartbeat(heartbeat, at, now)
+	worker, fresh := r.recordHeartbeat(heartbeat, current, now)
 	if !fresh || r.shouldStay(worker, now) {
 		return ""
 	}
 	if pressure == Full {
-		r.fullUntil[at] = now.Add(r.Lease)
+		r.fullUntil[current] = now.Add(r.Lease)
 	}
-	to := r.chooseController(heartbeat.Zone, at, pressure, now)
-	if to == at {
+	to := r.chooseController(heartbeat.Zone, current, pressure, now)
+	if to == current {
 		return ""
 	}
-	// Workers of an overloaded controller are exempt from the rate limit: it has no connections left.
-	if !r.isOverloaded(at, heartbeat.Zone, pressure) && !r.moves.AllowN(now, 1) {
+	// Workers of an overloaded controller are exempt from the rate limit, since it has no connections left.
+	if !r.isOverloaded(current, heartbeat.Zone, pressure) && !r.moveLimiter.AllowN(now, 1) {
 		return ""
 	}
 	r.assign(worker, to)
 	return to
 }
 
-// recordHeartbeat records where a worker's heartbeat arrived. fresh is false for a late copy. r.mu is held.
-func (r *Router) recordHeartbeat(heartbeat *wire.Heartbeat, at string, now time.Time) (worker *workerState, fresh bool) {
+// recordHeartbeat records that a worker's heartbeat arrived at the controller current. fresh is false for a delayed
+// copy. r.mu must be held.
+func (r *Router) recordHeartbeat(heartbeat *wire.Heartbeat, current string, now time.Time) (worker *workerState, fresh bool) {
 	worker = r.workers[heartbeat.Host]
 	if worker == nil {
 		worker = &workerState{}
@@ -178,14 +180,14 @@
 	}
 	worker.incarnation, worker.sequence, worker.lastHeartbeat = heartbeat.Incarnation, heartbeat.Sequence, now
 	r.dropOldDepartures(worker, now)
-	if worker.controller != "" && at != worker.controller {
+	if worker.controller != "" && current != worker.controller {
 		worker.recordDeparture(now)
 	}
-	r.assign(worker, at)
+	r.assign(worker, current)
 	return worker, true
 }
 
-// assign records and counts a worker at a controller, and no longer at the one before. r.mu is held.
+// assign records a worker's controller and updates the load of that one and the previous one. r.mu must be held.
 func (r *Router) assign(worker *workerState, to string) {
 	if worker.controller == to {
 		return
@@ -197,8 +199,8 @@
 	r.load[to]++
 }
 
-// forgetStale forgets workers without a heartbeat for a lease, unless one of their departures still
-// counts. r.mu is held.
+// forgetStale deletes the state of workers that have sent no heartbeat for a lease, unless they have a recent
+// departure. r.mu must be held.
 func (r *Router) forgetStale(now time.Time) {
 	if now.Sub(r.staleCheckedAt) < r.Lease/2 {
 		return
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -16,52 +16,51 @@
 
 // The states of a heartbeat.
 const (
-	queued   heartbeatState = iota // waits for the next batch
-	sent                           // in a batch that is under way, or that the leader has received
-	answered                       // its answer, or the error without one, is delivered
+	queued   heartbeatState = iota // in the queue for the next batch
+	sent                           // in a batch that is being sent, or that the leader has received
+	answered                       // its answer, or an error, was delivered
 )
 
-// pendingHeartbeat is a heartbeat whose worker waits for an answer.
+// pendingHeartbeat is a heartbeat for which a worker waits for an answer.
 type pendingHeartbeat struct {
 	heartbeat *wire.Heartbeat
 	body      []byte
 	pressure  Pressure // of this node when the heartbeat arrived
 	state     heartbeatState
-	result    chan result // has room for the one result
+	result    chan result // buffered: holds the only result
 }
 
-// result is the answer to a heartbeat, or the error if there is none.
+// result is the answer to a heartbeat, or an error if there is no answer.
 type result struct {
 	answer peer.HeartbeatAnswer
 	err    error
 }
 
-// setState is the one function that changes the state of a heartbeat. The Sender's mu is held.
+// setState changes the state; no other function may assign p.state. The mu of the Sender must be held.
 func (p *pendingHeartbeat) setState(to heartbeatState) { p.state = to }
 
-// ExchangeFunc sends a batch to the leader and returns its reply. It is called by one goroutine at a
-// time.
+// ExchangeFunc sends a batch to the leader and returns its reply. A Sender never calls it concurrently.
 type ExchangeFunc func(to Leader, args peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error)
 
 // SenderConfig configures a Sender.
 type SenderConfig struct {
 	Label         string                         // of this node
 	Exchange      ExchangeFunc                   // sends a batch
-	Grid          timeralign.Grid                // batches are sent at its moments
-	Period        time.Duration                  // from batch to batch
-	AnswerTimeout time.Duration                  // how long a heartbeat waits for its answer
-	Observe       func(kind DeliveryKind, n int) // counts heartbeats, for metrics
+	Grid          timeralign.Grid                // aligns the moments at which batches are sent
+	Period        time.Duration                  // between batches
+	AnswerTimeout time.Duration                  // how long Relay waits for an answer
+	Observe       func(kind DeliveryKind, n int) // reports n more heartbeats of a kind, for metrics
 }
 
-// DeliveryKind is how a heartbeat was relayed, for metrics.
+// DeliveryKind says how a heartbeat was relayed, for metrics.
 type DeliveryKind string
 
 // The kinds of delivery. Their values are label values of a metric.
 const (
 	KindFull     DeliveryKind = "full"     // sent in full
-	KindRepeated DeliveryKind = "repeated" // sent as a repetition
-	KindResent   DeliveryKind = "resent"   // sent again in full, since the leader lacked what it repeats
-	KindFailed   DeliveryKind = "failed"   // the leader was not reached
+	KindRepeated DeliveryKind = "repeated" // sent as a reference to the previous one
+	KindResent   DeliveryKind = "resent"   // sent again in full, because the leader did not have the one that it refers to
+	KindFailed   DeliveryKind = "failed"   // not answered: the leader was unreachable or replaced
 )
 
 // Sender relays the heartbeats of a follower's workers to the leader. It is safe for concurrent use.
@@ -72,7 +71,7 @@
 	mu           sync.Mutex
 	leader       Leader
 	pending      map[string]*pendingHeartbeat // by host
-	queue        []*pendingHeartbeat          // in the order of arrival; some may be answered already
+	queue        []*pendingHeartbeat          // in order of arrival; may include heartbeats that are already answered
 	acknowledged map[string]*wire.Heartbeat   // by host: the last heartbeat that the leader has received
 }
 
@@ -86,9 +85,8 @@
 	}
 }
 
-// Relay relays one heartbeat to the leader and waits for the answer, up to AnswerTimeout. body is
-// what the heartbeat was parsed from. The error is ErrLeaderUnreachable, ErrSuperseded, ErrNoAnswer or
-// that of ctx.
+// Relay relays one heartbeat to the leader and waits up to AnswerTimeout for the answer. body is the text from
+// which the heartbeat was parsed. The error is ErrLeaderUnreachable, ErrSuperseded, ErrNoAnswer or ctx.Err().
 func (s *Sender) Relay(
 	ctx context.Context, to Leader, heartbeat *wire.Heartbeat, body []byte, pressure Pressure,
 ) (peer.HeartbeatAnswer, error) {
@@ -110,12 +108,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.finish(p, result{err: err})
-	res := <-p.result // an answer may have come at the last moment
+	res := <-p.result // an answer that arrived meanwhile takes precedence over err
 	return res.answer, res.err
 }
 
-// enqueue queues a heartbeat for the next batch. If the leader or its term has changed, the heartbeats
-// that wait for the previous one fail. A heartbeat for an older term fails itself.
+// enqueue adds a heartbeat to the queue for the next batch. If the leader or its term has changed, it fails the
+// heartbeats that wait for the previous leader. It returns an error if the heartbeat itself is for an older term,
+// or is not newer than the pending one of the same worker.
 func (s *Sender) enqueue(to Leader, p *pendingHeartbeat) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,12 +140,12 @@
 	return nil
 }
 
-// isNewer reports whether a heartbeat is newer than another one of the same worker.
-func isNewer(h, than *wire.Heartbeat) bool {
-	return h.Incarnation > than.Incarnation || h.Incarnation == than.Incarnation && h.Sequence > than.Sequence
+// isNewer reports whether h is newer than another heartbeat of the same worker.
+func isNewer(h, other *wire.Heartbeat) bool {
+	return h.Incarnation > other.Incarnation || h.Incarnation == other.Incarnation && h.Sequence > other.Sequence
 }
 
-// finish delivers the result of a heartbeat. Only the first call for it does. s.mu is held.
+// finish delivers the result of a heartbeat. Later calls for the same heartbeat have no effect. s.mu must be held.
 func (s *Sender) finish(p *pendingHeartbeat, res result) {
 	if p.state == answered {
 		return
@@ -158,8 +157,8 @@
 	p.result <- res
 }
 
-// failAll fails all pending heartbeats: the leader is not reached, or another one leads. What that
-// leader has acknowledged is forgotten. s.mu is held.
+// failAll fails all pending heartbeats, because the leader is unreachable or was replaced. It also discards the
+// record of what that leader has acknowledged. s.mu must be held.
 func (s *Sender) failAll(err error) {
 	s.Observe(KindFailed, len(s.pending))
 	for _, p := range s.pending {
@@ -169,7 +168,7 @@
 	clear(s.acknowledged)
 }
 
-// Run sends batches, one at a time, until ctx ends. While no worker waits for an answer it sends none.
+// Run sends batches, one at a time, until ctx ends. It sends none while no worker waits for an answer.
 func (s *Sender) Run(ctx context.Context) {
 	for {
 		select {
@@ -187,25 +186,25 @@
 	}
 }
 
-// hasPending reports whether a worker waits for an answer.
+// hasPending reports whether any worker waits for an answer.
 func (s *Sender) hasPending() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.pending) > 0
 }
 
-// exchange sends one batch, which may be empty to fetch answers, and delivers the answers that come
-// back. It reports whether the batch was full and more heartbeats have to be sent at once.
+// exchange sends one batch and delivers the answers in the reply. An empty batch is sent too, to fetch answers.
+// exchange reports whether the batch was full and the queue holds more heartbeats, which have to be sent at once.
 func (s *Sender) exchange() (more bool) {
 	to, b, inBatch := s.takeBatch()
-	reply, err := s.Exchange(to, b.args(s.Label, to.Term))
+	reply, err := s.Exchange(to, b.encode(s.Label, to.Term))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leader != to {
-		return false // the heartbeats that waited for the other leader have failed already
+		return false // enqueue has failed the heartbeats that waited for the previous leader
 	}
 	if err != nil || !reply.Leading {
-		slog.Warn("heartbeats could not be relayed",
+		slog.Warn("failed to relay heartbeats to the leader",
 			"leader", to.Label, "term", to.Term, "heartbeats", len(b.heartbeats), "waiting", len(s.pending), "err", err)
 		s.failAll(ErrLeaderUnreachable)
 		return false
@@ -220,8 +219,8 @@
 	return len(s.queue) > 0 && b.isFull()
 }
 
-// takeBatch removes the next batch from the queue. Heartbeats in the queue that are answered already
-// are dropped.
+// takeBatch removes the heartbeats of the next batch from the queue, and drops those that are already answered. It
+// returns the current leader, the batch, and the heartbeats in it.
 func (s *Sender) takeBatch() (to Leader, b batch, inBatch []*pendingHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,16 +248,16 @@
 	return s.leader, b, inBatch
 }
 
-// recordAcknowledged records the heartbeats of a batch that the leader has received, and queues those
-// again that it needs in full. s.mu is held.
+// recordAcknowledged records which heartbeats of a batch the leader has received. It adds the heartbeats of the
+// hosts in resend to the queue again, since the leader needs them in full. s.mu must be held.
 func (s *Sender) recordAcknowledged(inBatch []*pendingHeartbeat, resend []string) {
-	needed := make(map[string]bool, len(resend))
+	needsFull := make(map[string]bool, len(resend))
 	for _, host := range resend {
-		needed[host] = true
+		needsFull[host] = true
 	}
 	for _, p := range inBatch {
 		host := p.heartbeat.Host
-		if !needed[host] {
+		if !needsFull[host] {
 			s.acknowledged[host] = p.heartbeat
 			continue
 		}
