--- a/internal/relay/main_test.go
+++ b/internal/relay/main_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestMain keeps the log out of the tests' output.
+// TestMain discards the log, and makes rapid draw the same inputs in every run.
 func TestMain(m *testing.M) {
-	// The same inputs every run; -rapid.seed draws others.
+	// The flag -rapid.seed selects other inputs.
 	_ = flag.Set("rapid.seed", "1")
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	os.Exit(m.Run())
--- a/internal/relay/pressure_test.go
+++ b/internal/relay/pressure_test.go
@@ -8,98 +8,98 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A worker that has met one slow answer of its zone's controller, which receives the heartbeats of
-// the others all the time, is back there within a few intervals. When such workers stayed away for
-// three leases, they lost their tasks when their zone was cut off: 347 on one day. A worker that
-// leaves a second time cannot reach that controller, and stays away.
+// A worker that leaves the controller in its zone after one slow answer returns within a few heartbeat intervals,
+// if the controller still receives the heartbeats of other workers. When such workers stayed away for three leases,
+// they lost their tasks during a network partition of their zone: 347 tasks in one day. A worker that leaves a
+// second time probably cannot reach the controller, and stays away.
 func TestWorkerReturnsAfterOneSlowAnswer(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(100)
-	var sent heartbeatSource
+	var source heartbeatSource
 	now := time.Unix(1000, 0)
-	others := func() {
+	routeOthers := func() {
 		now = now.Add(time.Second)
 		for i := range 10 {
-			r.Route(sent.next(fmt.Sprint("other-", i), "b"), "n1", Relaxed, now)
+			r.Route(source.next(fmt.Sprint("other-", i), "b"), "n1", Relaxed, now)
 		}
 	}
-	away := func() (intervals int) {
+	intervalsAway := func() (intervals int) {
 		for range 60 {
-			others()
-			if r.Route(sent.next("m", "b"), "n2", Relaxed, now) == "n1" {
+			routeOthers()
+			if r.Route(source.next("m", "b"), "n2", Relaxed, now) == "n1" {
 				return intervals
 			}
 			intervals++
 		}
 		return intervals
 	}
-	others()
-	r.Route(sent.next("m", "b"), "n1", Relaxed, now)
-	if intervals := away(); intervals > 2*moveIntervals {
-		t.Errorf("after a slow answer it is away for %d intervals", intervals)
+	routeOthers()
+	r.Route(source.next("m", "b"), "n1", Relaxed, now)
+	if intervals := intervalsAway(); intervals > 2*moveIntervals {
+		t.Errorf("after one slow answer the worker returns after %d intervals, want at most %d", intervals, 2*moveIntervals)
 	}
-	r.Route(sent.next("m", "b"), "n1", Relaxed, now)
-	if intervals := away(); intervals < stayLeases*9 {
-		t.Errorf("it is sent back after %d intervals to where it has left twice", intervals)
+	r.Route(source.next("m", "b"), "n1", Relaxed, now)
+	if intervals := intervalsAway(); intervals < stayLeases*9 {
+		t.Errorf("after leaving twice the worker returns after %d intervals, want at least %d", intervals, stayLeases*9)
 	}
 }
 
-// A worker whose controller no longer receives heartbeats is not sent back, however many workers
-// that controller had.
+// A worker whose controller no longer receives any heartbeats is not sent back to it, however many workers the
+// controller had.
 func TestUnreachableControllerGetsNoWorkers(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(100)
-	var sent heartbeatSource
+	var source heartbeatSource
 	now := time.Unix(1000, 0)
 	for i := range 10 {
-		r.Route(sent.next(fmt.Sprint("m-", i), "b"), "n1", Relaxed, now)
+		r.Route(source.next(fmt.Sprint("m-", i), "b"), "n1", Relaxed, now)
 	}
 	for second := range stayLeases*10 - 1 {
 		now = now.Add(time.Second)
 		for i := range 10 {
 			if second < i {
-				continue // it still looks for another controller
+				continue // the worker has not found another controller yet
 			}
-			if to := r.Route(sent.next(fmt.Sprint("m-", i), "b"), "n2", Relaxed, now); to != "" {
-				t.Fatalf("m-%d is sent to %s after %d s", i, to, second)
+			if to := r.Route(source.next(fmt.Sprint("m-", i), "b"), "n2", Relaxed, now); to != "" {
+				t.Fatalf("m-%d is sent to %s after %d s, want it to stay at n2", i, to, second)
 			}
 		}
 	}
 }
 
-// A worker whose heartbeat comes on a connection of the reserve is sent to a controller that has room,
-// at once and past the rate limit of moves, and not back for a lease; if no other controller has room,
-// it stays and its heartbeats are answered in turn.
+// A worker whose heartbeat arrives on a reserve connection is sent to a controller with free capacity, at once and
+// regardless of the rate limit of moves, and is not sent back for a lease. If no other controller has free capacity,
+// it stays.
 func TestFullControllerSendsWorkersElsewhere(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(60)
-	var sent heartbeatSource
+	var source heartbeatSource
 	now := time.Unix(1000, 0)
 	for i := range 30 {
-		if to := r.Route(sent.next(fmt.Sprint("m-", i), "b"), "n1", Full, now); to != "n2" {
-			t.Fatalf("worker %d of a full controller is sent to %q", i, to)
+		if to := r.Route(source.next(fmt.Sprint("m-", i), "b"), "n1", Full, now); to != "n2" {
+			t.Fatalf("worker %d of a full controller is sent to %q, want n2", i, to)
 		}
 	}
 	for second := range 8 {
 		now = now.Add(time.Second)
-		if to := r.Route(sent.next("m-0", "b"), "n2", Relaxed, now); to != "" {
-			t.Fatalf("it is sent to %s after %d s", to, second)
+		if to := r.Route(source.next("m-0", "b"), "n2", Relaxed, now); to != "" {
+			t.Fatalf("the worker is sent to %s after %d s, want it to stay at n2", to, second)
 		}
 	}
 	r.SetUsable("n2", false)
 	r.load["n0"] = testConnections
-	if to := r.Route(sent.next("m-99", "b"), "n1", Full, now); to != "" {
-		t.Errorf("with no room anywhere it is sent to %q", to)
+	if to := r.Route(source.next("m-99", "b"), "n1", Full, now); to != "" {
+		t.Errorf("without free capacity at any controller a worker is sent to %q, want it to stay", to)
 	}
 }
 
-// Controllers take as many workers as the fleet needs: of 4,000 and of 6,000 workers, with the
-// connections of the large deployments, on five controllers and on three, all get a controller as
-// long as the connections allow it. With fixed shares, three controllers had room for 3,235 workers.
+// Controllers accept as many workers as the fleet needs, up to maxShare of their connections. The cases have about
+// 4,000 and 6,000 workers, three and five controllers, and mostly the connection limits of the large deployments.
+// With fixed shares, three controllers had capacity for only 3,235 workers.
 func TestRoomGrowsWithTheFleet(t *testing.T) {
 	for _, tc := range []struct {
 		controllers, connections, workers int
-		all                               bool // the connections are enough for all workers
+		fits                              bool // the connections suffice for all workers
 	}{
 		{5, 2589, 4096, true},
 		{5, 2589, 6000, true},
@@ -123,77 +123,77 @@
 			r.SetUsable(label, true)
 		}
 		r.SetFleetSize(tc.workers)
-		at := map[int]string{}
+		controllerOf := map[int]string{} // by worker
 		for i := range tc.workers {
-			at[i] = "n0"
+			controllerOf[i] = "n0"
 		}
-		now, moved := time.Unix(1000, 0), 0
+		now, moves := time.Unix(1000, 0), 0
 		for sequence := uint64(1); sequence <= 20; sequence++ {
-			now, moved = now.Add(time.Second), 0
+			now, moves = now.Add(time.Second), 0
 			for i := range tc.workers {
 				heartbeat := &wire.Heartbeat{Host: fmt.Sprint("m-", i), Zone: fmt.Sprint("zone-", i%8), Incarnation: 1, Sequence: sequence}
-				if to := r.Route(heartbeat, at[i], Relaxed, now); to != "" {
-					at[i] = to
-					moved++
+				if to := r.Route(heartbeat, controllerOf[i], Relaxed, now); to != "" {
+					controllerOf[i] = to
+					moves++
 				}
 			}
 		}
-		most, over := int(maxShare*float64(tc.connections)), 0
-		for label, n := range r.Load() {
-			if n > most {
-				over += n - most
+		maxWorkers, excess := int(maxShare*float64(tc.connections)), 0
+		for label, load := range r.Load() {
+			if load > maxWorkers {
+				excess += load - maxWorkers
 			}
-			if usual := max(r.capacity(label), tc.workers/8+1); tc.all && n > usual { // or all of its own zone
-				t.Errorf("%s has %d workers of %d that it is to take", label, n, usual)
+			if limit := max(r.capacity(label), tc.workers/8+1); tc.fits && load > limit { // or all workers in its own zone
+				t.Errorf("%s has %d workers, want at most %d", label, load, limit)
 			}
 		}
-		if tc.all != (over == 0) || moved > 0 {
-			t.Errorf("%d workers on %d controllers of %d connections: %v, %d are too many, %d still move",
-				tc.workers, tc.controllers, tc.connections, r.Load(), over, moved)
+		if tc.fits != (excess == 0) || moves > 0 {
+			t.Errorf("%d workers, %d controllers, %d connections each: load %v, %d above the maximum (want 0: %v), %d late moves (want 0)",
+				tc.workers, tc.controllers, tc.connections, r.Load(), excess, tc.fits, moves)
 		}
 	}
 }
 
-// A late copy of a heartbeat that the leader has not received before looks as if its worker had been at
-// another controller in between. Even so the worker is not sent back to the one that it cannot reach:
-// when only the last departure counted, a machine was declared dead in 11 of 120 runs in which a leader
-// became unreachable for its workers.
+// A delayed copy of a heartbeat that the leader receives for the first time looks as if the worker had been at
+// another controller in between. The worker is nevertheless not sent back to the controller that it cannot reach.
+// When only the last departure counted, a machine was declared dead in 11 of 120 runs in which a leader became
+// unreachable for its workers.
 func TestLateCopyDoesNotHideADeparture(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(100)
-	var sent heartbeatSource
+	var source heartbeatSource
 	now := time.Unix(1000, 0)
-	r.Route(sent.next("m", "b"), "n1", Relaxed, now)
-	r.Route(sent.next("m", "b"), "n2", Relaxed, now.Add(2*time.Second)) // the copy
+	r.Route(source.next("m", "b"), "n1", Relaxed, now)
+	r.Route(source.next("m", "b"), "n2", Relaxed, now.Add(2*time.Second)) // the delayed copy
 	for second := range 20 {
 		now = now.Add(time.Second)
 		for i := range 10 {
-			r.Route(sent.next(fmt.Sprint("other-", i), "c"), "n2", Relaxed, now)
+			r.Route(source.next(fmt.Sprint("other-", i), "c"), "n2", Relaxed, now)
 		}
 		if second < 5 {
-			continue // it still looks for a controller
+			continue // the worker has not found a controller yet
 		}
-		if to := r.Route(sent.next("m", "b"), "n0", Relaxed, now); to == "n1" {
-			t.Fatalf("it is sent to the controller that it cannot reach after %d s", second)
+		if to := r.Route(source.next("m", "b"), "n0", Relaxed, now); to == "n1" {
+			t.Fatalf("the worker is sent to %s, which it cannot reach, after %d s", to, second)
 		}
 	}
 }
 
-// Workers of a controller's own zone stay there beyond its usual share, the leader's too: when
-// the zone is cut off, it is the only controller that they reach.
+// A controller, also the leader, accepts workers from its own zone beyond its usual share: during a network
+// partition of the zone it is the only controller that they can reach.
 func TestOwnZoneGoesBeyondTheUsualShare(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(60)
-	var sent heartbeatSource
-	now, at, zones := time.Unix(1000, 0), map[string]string{}, map[string]string{}
+	var source heartbeatSource
+	now, controllerOf, zones := time.Unix(1000, 0), map[string]string{}, map[string]string{}
 	for i := range 60 {
 		host := fmt.Sprint("m-", i)
-		at[host], zones[host] = "n0", []string{"a", "a", "a", "b"}[i%4]
+		controllerOf[host], zones[host] = "n0", []string{"a", "a", "a", "b"}[i%4]
 	}
-	settle(r, &sent, at, func(host string) string { return zones[host] }, &now, 20)
-	for host, label := range at {
-		if home := map[string]string{"a": "n0", "b": "n1"}[zones[host]]; label != home {
-			t.Errorf("%s of zone %s is at %s", host, zones[host], label)
+	settle(r, &source, controllerOf, func(host string) string { return zones[host] }, &now, 20)
+	for host, label := range controllerOf {
+		if want := map[string]string{"a": "n0", "b": "n1"}[zones[host]]; label != want {
+			t.Errorf("%s in zone %s is at %s, want %s", host, zones[host], label, want)
 		}
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,10 +18,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Whichever messages between followers and leader get lost, and whichever follower a worker sends its
-// heartbeats to, the leader gets each heartbeat as its worker sent it, a repeated one too, and each worker
-// gets the answer to its own heartbeat: it names the incarnation and sequence, and the launch in it is the
-// one for that sequence.
+// The leader receives each heartbeat exactly as its worker sent it, also one that is sent as a reference. Each worker
+// gets the answer to its own heartbeat, with its incarnation, sequence number and command. Both hold whichever
+// messages between followers and leader are lost, and whichever follower a worker uses.
 func TestHeartbeatsArriveAsSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -35,7 +34,7 @@
 	})
 }
 
-// exchangeFault is what happens to a batch on its way.
+// exchangeFault is a network fault during the exchange of a batch.
 type exchangeFault int
 
 const (
@@ -44,19 +43,19 @@
 	replyDropped
 )
 
-// relayTrial has three workers, two followers and the leaders of one term after the other.
+// relayTrial simulates three workers, two followers and a leader that changes from term to term.
 type relayTrial struct {
 	ctx      context.Context
 	receiver *Receiver
 	term     uint64
 	senders  []*Sender
-	fault    exchangeFault     // of the next batch
-	last     []*wire.Heartbeat // by worker
+	fault    exchangeFault     // in the next exchange
+	last     []*wire.Heartbeat // last heartbeat sent, by worker
 	waiting  []*pendingHeartbeat
 
 	mu    sync.Mutex
-	sent  map[string]wire.Heartbeat // by host, incarnation and sequence
-	wrong []string                  // heartbeats that did not arrive as they were sent
+	sent  map[string]wire.Heartbeat // by heartbeatKey
+	wrong []string                  // descriptions of heartbeats that were not received as sent
 }
 
 func newRelayTrial(ctx context.Context) *relayTrial {
@@ -75,21 +74,21 @@
 	return fmt.Sprintf("%s %d %d", h.Host, h.Incarnation, h.Sequence)
 }
 
-// newReceiver returns a receiver of the current term that checks what it gets.
+// newReceiver returns a receiver for the current term that compares each heartbeat with the one sent.
 func (tr *relayTrial) newReceiver() *Receiver {
 	term := tr.term
 	answer := func(_ context.Context, h *wire.Heartbeat, _ string, _ Pressure) peer.HeartbeatAnswer {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		if want := tr.sent[heartbeatKey(h)]; !reflect.DeepEqual(*h, want) {
-			tr.wrong = append(tr.wrong, fmt.Sprintf("received %+v, sent was %+v", *h, want))
+			tr.wrong = append(tr.wrong, fmt.Sprintf("received heartbeat %+v, want %+v", *h, want))
 		}
-		reply := okAnswer(h)
-		reply.Response = wire.Commands{
+		answer := okAnswer(h)
+		answer.Response = wire.Commands{
 			FencingToken: term,
 			Commands:     []wire.Command{{Verb: wire.Launch, Task: h.Host + "/0", Attempt: h.Sequence}},
 		}
-		return reply
+		return answer
 	}
 	return NewReceiver(tr.ctx, term, []string{"n1", "n2"}, answer)
 }
@@ -99,14 +98,14 @@
 		return peer.HeartbeatBatchReply{}, errors.New("lost")
 	}
 	reply, err := tr.receiver.Exchange(args)
-	time.Sleep(time.Millisecond) // the answers of this batch come with a later one
+	time.Sleep(time.Millisecond) // the answers to this batch become ready for a later exchange
 	if tr.fault == replyDropped {
 		return peer.HeartbeatBatchReply{}, errors.New("lost")
 	}
 	return reply, err
 }
 
-// step lets a worker send a heartbeat to a follower, and the follower exchange a batch.
+// step makes a worker send a heartbeat to a follower, and the follower exchange a batch with the leader.
 func (tr *relayTrial) step(t *rapid.T) {
 	worker := rapid.IntRange(0, len(tr.last)-1).Draw(t, "host")
 	h := nextHeartbeat(t, tr.last[worker])
@@ -144,24 +143,24 @@
 			sender.exchange()
 		}
 		if sender.hasPending() {
-			t.Fatal("heartbeats are left without a result")
+			t.Fatal("heartbeats are still pending after three exchanges, want a result for each")
 		}
 	}
 }
 
-// check fails the test if a worker was given the answer to another heartbeat, or a heartbeat has
-// arrived in another way than it was sent.
+// check fails the test if a worker got the answer to another heartbeat, or a heartbeat was not received as it was
+// sent.
 func (tr *relayTrial) check(t *rapid.T) {
 	t.Helper()
 	for _, p := range tr.waiting {
 		res := <-p.result
 		if res.err != nil {
-			continue // the leader was not reached: the node renews the lease itself
+			continue // the leader was unreachable: the follower renews the lease on its own
 		}
 		answer, h := res.answer, p.heartbeat
 		matches := answer.Host == h.Host && answer.Incarnation == h.Incarnation && answer.Sequence == h.Sequence
 		if !matches || answer.Response.Commands[0].Attempt != answer.Sequence {
-			t.Fatalf("the heartbeat %+v is answered %+v", h, answer)
+			t.Fatalf("heartbeat %+v got the answer %+v, want the one with its host, incarnation and sequence", h, answer)
 		}
 	}
 	tr.mu.Lock()
@@ -171,7 +170,7 @@
 	}
 }
 
-// nextHeartbeat draws what a worker sends next: often the same as before.
+// nextHeartbeat draws the next heartbeat of a worker, which often differs only in its sequence number.
 func nextHeartbeat(t *rapid.T, last *wire.Heartbeat) wire.Heartbeat {
 	h := *last
 	h.Sequence += uint64(rapid.IntRange(1, 3).Draw(t, "sequences"))
@@ -190,8 +189,8 @@
 	return h
 }
 
-// A heartbeat that repeats one that the leader does not have, as after a batch that did not arrive, is
-// sent again in full and answered.
+// A heartbeat that refers to one that the leader does not have, for instance after the loss of a batch, is sent again
+// in full and answered.
 func TestHeartbeatWithUnknownBaseIsResentInFull(t *testing.T) {
 	receiver := NewReceiver(context.Background(), 1, []string{"n1"}, answerOK)
 	kinds := map[DeliveryKind]int{}
@@ -205,8 +204,8 @@
 		if sequence == 3 {
 			receiver.Retain(func(string) bool { return false })
 		}
-		r := wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, Tasks: []wire.TaskReport{}}
-		p := pendingOf(&r)
+		heartbeat := wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence, Tasks: []wire.TaskReport{}}
+		p := pendingOf(&heartbeat)
 		if err := s.enqueue(Leader{"n0", 1}, p); err != nil {
 			t.Fatal(err)
 		}
@@ -214,42 +213,42 @@
 			s.exchange()
 		}
 		if res := <-p.result; res.err != nil || res.answer.Sequence != sequence {
-			t.Errorf("heartbeat %d ends with %+v", sequence, res)
+			t.Errorf("the result of heartbeat %d is %+v, want the answer to it", sequence, res)
 		}
 	}
 	want := map[DeliveryKind]int{KindFull: 2, KindRepeated: 2, KindResent: 1}
 	for kind, count := range want {
 		if kinds[kind] != count {
-			t.Errorf("%d heartbeats are %s, want %d", kinds[kind], kind, count)
+			t.Errorf("%d heartbeats counted as %s, want %d", kinds[kind], kind, count)
 		}
 	}
 }
 
-// A heartbeat for a leader that is replaced or does not answer in time, or of a worker that has sent a
-// newer one, fails with the error for that case, at once or at the time-out.
+// A heartbeat fails with the error for its case if the leader is replaced or unreachable, if the worker has sent a
+// newer heartbeat, or at the timeout if the leader does not answer.
 func TestHeartbeatsWithoutAnswerEndWithTypedErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		var refuses atomic.Bool
+		var exchangeFails atomic.Bool
 		s := testSender(func(Leader, peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
-			if refuses.Load() {
+			if exchangeFails.Load() {
 				return peer.HeartbeatBatchReply{}, errors.New("refused")
 			}
 			return peer.HeartbeatBatchReply{Leading: true}, nil
 		})
 		go s.Run(ctx)
 		relay := func(to Leader, sequence uint64) (took time.Duration, err error) {
-			began := time.Now()
+			startedAt := time.Now()
 			heartbeat := &wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence}
 			_, err = s.Relay(ctx, to, heartbeat, []byte("{}"), Relaxed)
-			return time.Since(began), err
+			return time.Since(startedAt), err
 		}
 		if took, err := relay(Leader{"n0", 2}, 1); !errors.Is(err, ErrNoAnswer) || took != s.AnswerTimeout {
-			t.Errorf("without an answer: %v after %s", err, took)
+			t.Errorf("without an answer: %v after %s, want ErrNoAnswer after %s", err, took, s.AnswerTimeout)
 		}
 		if took, err := relay(Leader{"n9", 1}, 2); !errors.Is(err, ErrLeaderUnreachable) || took != 0 {
-			t.Errorf("a leader of an older term: %v after %s", err, took)
+			t.Errorf("leader of an older term: %v after %s, want ErrLeaderUnreachable at once", err, took)
 		}
 		for _, tc := range []struct {
 			name     string
@@ -268,24 +267,24 @@
 			select {
 			case err := <-first:
 				if !errors.Is(err, tc.want) {
-					t.Errorf("%s: %v", tc.name, err)
+					t.Errorf("%s: got %v, want %v", tc.name, err, tc.want)
 				}
 			default:
-				t.Errorf("%s: the older heartbeat still waits", tc.name)
+				t.Errorf("%s: the older heartbeat still waits, want %v", tc.name, tc.want)
 			}
 			time.Sleep(2 * s.AnswerTimeout)
 		}
-		refuses.Store(true)
+		exchangeFails.Store(true)
 		if took, err := relay(Leader{"n2", 3}, 20); !errors.Is(err, ErrLeaderUnreachable) || took > s.Period {
-			t.Errorf("a leader that refuses: %v after %s", err, took)
+			t.Errorf("failed exchange: %v after %s, want ErrLeaderUnreachable within %s", err, took, s.Period)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// A batch that cannot be decoded, or comes from a node that is not a member, is refused whole with an
-// error; one malformed heartbeat in a batch is answered 400, and the others are accepted.
+// A batch that cannot be decoded, or comes from a node that is not a member, is rejected as a whole with an error. A
+// single malformed heartbeat in a batch is answered with status 400, and the others are accepted.
 func TestMalformedBatches(t *testing.T) {
 	receiver := NewReceiver(context.Background(), 1, []string{"n1"}, answerOK)
 	body := []byte(`{"Host":"m","Shift":1,"Tick":1,"Legs":[]}`)
@@ -298,37 +297,37 @@
 		Heartbeats: []peer.RelayedHeartbeat{full("m", len(body))},
 		Bodies:     s2.Encode(nil, body),
 	}
-	change := func(f func(a *peer.HeartbeatBatch)) peer.HeartbeatBatch {
-		a := valid
-		a.Heartbeats = append([]peer.RelayedHeartbeat{}, valid.Heartbeats...)
-		f(&a)
-		return a
+	with := func(f func(b *peer.HeartbeatBatch)) peer.HeartbeatBatch {
+		b := valid
+		b.Heartbeats = append([]peer.RelayedHeartbeat{}, valid.Heartbeats...)
+		f(&b)
+		return b
 	}
 	for _, tc := range []struct {
 		name string
 		args peer.HeartbeatBatch
 		want error
 	}{
-		{"truncated", change(func(a *peer.HeartbeatBatch) { a.Bodies = a.Bodies[:len(a.Bodies)-2] }), ErrMalformedBatch},
-		{"no bodies", change(func(a *peer.HeartbeatBatch) { a.Bodies = nil }), ErrMalformedBatch},
-		{"a size below 0", change(func(a *peer.HeartbeatBatch) { a.Heartbeats[0].Size = -1 }), ErrMalformedBatch},
-		{"a size over a body's", change(func(a *peer.HeartbeatBatch) { a.Heartbeats[0].Size = wire.MaxBody + 1 }), ErrMalformedBatch},
-		{"neither in full nor repeated", change(func(a *peer.HeartbeatBatch) { a.Heartbeats[0].Size = 0 }), ErrMalformedBatch},
-		{"both", change(func(a *peer.HeartbeatBatch) { a.Heartbeats[0].RepeatOf = 1 }), ErrMalformedBatch},
-		{"more decoded than said", change(func(a *peer.HeartbeatBatch) { a.Bodies = s2.Encode(nil, make([]byte, 10<<20)) }), ErrMalformedBatch},
-		{"a stranger", change(func(a *peer.HeartbeatBatch) { a.From = "n7" }), ErrUnknownRelay},
+		{"truncated", with(func(b *peer.HeartbeatBatch) { b.Bodies = b.Bodies[:len(b.Bodies)-2] }), ErrMalformedBatch},
+		{"no bodies", with(func(b *peer.HeartbeatBatch) { b.Bodies = nil }), ErrMalformedBatch},
+		{"negative size", with(func(b *peer.HeartbeatBatch) { b.Heartbeats[0].Size = -1 }), ErrMalformedBatch},
+		{"size above the maximum", with(func(b *peer.HeartbeatBatch) { b.Heartbeats[0].Size = wire.MaxBody + 1 }), ErrMalformedBatch},
+		{"neither full nor a reference", with(func(b *peer.HeartbeatBatch) { b.Heartbeats[0].Size = 0 }), ErrMalformedBatch},
+		{"both full and a reference", with(func(b *peer.HeartbeatBatch) { b.Heartbeats[0].RepeatOf = 1 }), ErrMalformedBatch},
+		{"more decoded than stated", with(func(b *peer.HeartbeatBatch) { b.Bodies = s2.Encode(nil, make([]byte, 10<<20)) }), ErrMalformedBatch},
+		{"sender not a member", with(func(b *peer.HeartbeatBatch) { b.From = "n7" }), ErrUnknownRelay},
 	} {
 		if reply, err := receiver.Exchange(tc.args); !errors.Is(err, tc.want) || reply.Leading {
-			t.Errorf("%s: %+v, %v", tc.name, reply, err)
+			t.Errorf("%s: reply %+v, error %v, want error %v", tc.name, reply, err, tc.want)
 		}
 	}
-	if reply, err := receiver.Exchange(change(func(a *peer.HeartbeatBatch) { a.Term = 2 })); err != nil || reply.Leading {
-		t.Errorf("another term: %+v, %v", reply, err)
+	if reply, err := receiver.Exchange(with(func(b *peer.HeartbeatBatch) { b.Term = 2 })); err != nil || reply.Leading {
+		t.Errorf("another term: reply %+v, error %v, want a reply without Leading", reply, err)
 	}
 	mixed := valid
-	bad := []byte(`{"Host":7}`)
-	mixed.Heartbeats = append([]peer.RelayedHeartbeat{full("x", len(bad)), full("y", len(body))}, valid.Heartbeats...)
-	mixed.Bodies = s2.Encode(nil, append(append(append([]byte{}, bad...), body...), body...))
+	malformed := []byte(`{"Host":7}`)
+	mixed.Heartbeats = append([]peer.RelayedHeartbeat{full("x", len(malformed)), full("y", len(body))}, valid.Heartbeats...)
+	mixed.Bodies = s2.Encode(nil, append(append(append([]byte{}, malformed...), body...), body...))
 	status := map[string]int{}
 	for _, args := range []peer.HeartbeatBatch{mixed, {From: "n1", Term: 1}} {
 		reply, err := receiver.Exchange(args)
@@ -341,6 +340,6 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if want := map[string]int{"m": 200, "x": 400, "y": 400}; !reflect.DeepEqual(status, want) {
-		t.Errorf("answers %v, want %v", status, want)
+		t.Errorf("statuses of the answers are %v, want %v", status, want)
 	}
 }
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -26,7 +26,7 @@
 	return r
 }
 
-// heartbeatSource makes the heartbeats of a test's workers, each newer than the one before.
+// heartbeatSource creates the heartbeats of a test's workers, each newer than the previous one.
 type heartbeatSource struct{ sequence uint64 }
 
 func (s *heartbeatSource) next(host, zone string) *wire.Heartbeat {
@@ -34,16 +34,16 @@
 	return &wire.Heartbeat{Host: host, Zone: zone, Incarnation: 1, Sequence: s.sequence}
 }
 
-// settle lets workers send heartbeats once a second to the controllers that the router chooses, and
-// returns the number of moves. at is the controller of each worker, by host.
+// settle lets workers send heartbeats once a second to the controllers that the router chooses, and returns the
+// number of moves. controllerOf holds the controller of each worker, by host, and is updated.
 func settle(
-	r *Router, sent *heartbeatSource, at map[string]string, zoneOf func(host string) string, now *time.Time, seconds int,
+	r *Router, source *heartbeatSource, controllerOf map[string]string, zoneOf func(host string) string, now *time.Time, seconds int,
 ) (moves int) {
 	for range seconds {
 		*now = now.Add(time.Second)
-		for host := range at {
-			if to := r.Route(sent.next(host, zoneOf(host)), at[host], Relaxed, *now); to != "" {
-				at[host] = to
+		for host := range controllerOf {
+			if to := r.Route(source.next(host, zoneOf(host)), controllerOf[host], Relaxed, *now); to != "" {
+				controllerOf[host] = to
 				moves++
 			}
 		}
@@ -51,7 +51,7 @@
 	return moves
 }
 
-// The mode changes with the size of the fleet, and does not alternate near the limit.
+// The mode follows the size of the fleet, with hysteresis: it does not alternate near the limit.
 func TestModeFollowsTheFleetSize(t *testing.T) {
 	r := testRouter(Direct)
 	for _, step := range []struct {
@@ -59,34 +59,34 @@
 		want    Mode
 	}{{50, Direct}, {51, Relayed}, {45, Relayed}, {41, Relayed}, {39, Direct}, {45, Direct}} {
 		if r.SetFleetSize(step.workers); r.Mode() != step.want {
-			t.Errorf("with %d workers the mode is %s", step.workers, r.Mode())
+			t.Errorf("with %d workers the mode is %s, want %s", step.workers, r.Mode(), step.want)
 		}
 	}
 	if to := r.Route(&wire.Heartbeat{Host: "m", Zone: "b", Incarnation: 1, Sequence: 1}, "n0", Relaxed, time.Now()); to != "" {
-		t.Errorf("a small fleet's worker is sent to %s", to)
+		t.Errorf("a worker of a small fleet is sent to %s, want it to stay at the leader", to)
 	}
 }
 
-// Workers end up at a controller of their zone, or spread over the followers if their zone has none;
-// no controller takes more than its share, no worker is sent to a follower that is not usable, and
-// once they have settled they stay. The workers of a follower that becomes unreachable move away, and
-// those of its zone come back.
+// Workers end up at the controller in their zone, or are spread over the followers if their zone has no controller.
+// No controller accepts more workers than its share, no worker is sent to an unusable follower, and workers no
+// longer move once they have settled. The workers of a follower that becomes unreachable move away, and those in its
+// zone return when it is reachable again.
 func TestWorkersSettleInTheirZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newZonedFleet(t)
 		f.settle(20)
 		f.check(t, "")
 		if moves := f.settle(10); moves > 0 {
-			t.Fatalf("%d moves after they have settled", moves)
+			t.Fatalf("%d moves after the workers have settled, want 0", moves)
 		}
 		f.router.SetUsable("n2", false)
-		for host, label := range f.at {
+		for host, label := range f.controllerOf {
 			if label == "n2" {
-				f.at[host] = "n1" // its connection failed, and it tried another one
+				f.controllerOf[host] = "n1" // the worker's connection failed, and it tried another controller
 			}
 		}
-		const alone = 30 // seconds for which those that moved by themselves are left alone
-		f.settle(alone + 20)
+		const staySeconds = 30 // stayLeases: how long the router does not move workers that left a controller
+		f.settle(staySeconds + 20)
 		f.check(t, "n2")
 		f.router.SetUsable("n2", true)
 		f.settle(20)
@@ -96,51 +96,51 @@
 
 // zonedFleet is a fleet of workers in four zones, three of which have a controller.
 type zonedFleet struct {
-	router *Router
-	sent   heartbeatSource
-	now    time.Time
-	zones  map[string]string // by host
-	at     map[string]string // controller by host
+	router       *Router
+	source       heartbeatSource
+	now          time.Time
+	zones        map[string]string // by host
+	controllerOf map[string]string // by host
 }
 
-// newZonedFleet draws how many workers each zone has. Each begins at any controller.
+// newZonedFleet draws the number of workers in each zone. Each worker starts at a random controller.
 func newZonedFleet(t *rapid.T) *zonedFleet {
 	f := &zonedFleet{
-		router: testRouter(Relayed),
-		now:    time.Unix(1000, 0),
-		zones:  map[string]string{},
-		at:     map[string]string{},
+		router:       testRouter(Relayed),
+		now:          time.Unix(1000, 0),
+		zones:        map[string]string{},
+		controllerOf: map[string]string{},
 	}
 	nodes := []string{"n0", "n1", "n2"}
-	chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
+	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 	for _, zone := range []string{"a", "b", "c", "d"} {
-		most := 20
+		maxWorkers := 20
 		if zone == "d" {
-			most = 10
+			maxWorkers = 10
 		}
-		for i := range rapid.IntRange(0, most).Draw(t, zone) {
+		for i := range rapid.IntRange(0, maxWorkers).Draw(t, zone) {
 			host := fmt.Sprintf("m-%s-%d", zone, i)
-			f.zones[host], f.at[host] = zone, nodes[chance.IntN(len(nodes))]
+			f.zones[host], f.controllerOf[host] = zone, nodes[random.IntN(len(nodes))]
 		}
 	}
-	f.router.SetFleetSize(len(f.at))
-	f.router.mode = Relayed // however few there are
+	f.router.SetFleetSize(len(f.controllerOf))
+	f.router.mode = Relayed // even if the fleet is small
 	return f
 }
 
 func (f *zonedFleet) settle(seconds int) (moves int) {
-	return settle(f.router, &f.sent, f.at, func(host string) string { return f.zones[host] }, &f.now, seconds)
+	return settle(f.router, &f.source, f.controllerOf, func(host string) string { return f.zones[host] }, &f.now, seconds)
 }
 
-// check fails the test if a worker is not where it belongs. unreachable is a controller that is not
-// reached, or "".
+// check fails the test if a worker is at the wrong controller, or a controller has too many workers. unreachable is
+// the controller that cannot be reached, or "".
 func (f *zonedFleet) check(t *rapid.T, unreachable string) {
 	t.Helper()
 	load := map[string]int{}
-	for _, label := range f.at {
+	for _, label := range f.controllerOf {
 		load[label]++
 	}
-	for host, label := range f.at {
+	for host, label := range f.controllerOf {
 		if label == unreachable {
 			t.Fatalf("%s is at %s, which is unreachable", host, unreachable)
 		}
@@ -148,90 +148,90 @@
 	f.checkZones(t, load, unreachable)
 	for label, workers := range load {
 		if workers > f.router.capacity(label) {
-			t.Fatalf("%s has %d workers", label, workers)
+			t.Fatalf("%s has %d workers, want at most %d", label, workers, f.router.capacity(label))
 		}
 	}
 }
 
-// checkZones fails the test if a worker is neither in its zone nor, without one, at a follower, and
-// there is room.
+// checkZones fails the test if a worker is outside its zone although the controller there has free capacity, or if
+// a worker in a zone without a controller is at the leader although a follower has free capacity.
 func (f *zonedFleet) checkZones(t *rapid.T, load map[string]int, unreachable string) {
 	t.Helper()
-	hasRoom := func(label string) bool { return load[label] < f.router.capacity(label) }
-	room := hasRoom("n1") || unreachable != "n2" && hasRoom("n2")
-	homes := map[string]string{"a": "n0", "b": "n1", "c": "n2"}
-	for host, label := range f.at {
+	hasCapacity := func(label string) bool { return load[label] < f.router.capacity(label) }
+	followerHasCapacity := hasCapacity("n1") || unreachable != "n2" && hasCapacity("n2")
+	controllers := map[string]string{"a": "n0", "b": "n1", "c": "n2"} // by zone
+	for host, label := range f.controllerOf {
 		zone := f.zones[host]
-		home := homes[zone]
-		homeHasRoom := load[home] < f.router.capacityFor(home, zone)
-		if home != "" && home != unreachable && label != home && homeHasRoom {
-			t.Fatalf("%s of zone %s is at %s", host, zone, label)
+		sameZone := controllers[zone]
+		sameZoneHasCapacity := load[sameZone] < f.router.capacityFor(sameZone, zone)
+		if sameZone != "" && sameZone != unreachable && label != sameZone && sameZoneHasCapacity {
+			t.Fatalf("%s in zone %s is at %s, want %s", host, zone, label, sameZone)
 		}
-		if zone == "d" && label == "n0" && room {
-			t.Fatalf("%s of a zone without controller is at the leader, and a follower has room", host)
+		if zone == "d" && label == "n0" && followerHasCapacity {
+			t.Fatalf("%s in a zone without a controller is at the leader, want it at a follower, since one has free capacity", host)
 		}
 	}
 }
 
-// A worker that comes back from the controller to which it was sent cannot reach that one: sent there
-// again and again, its lease would end on the way.
+// A worker that was sent to a controller but still sends its heartbeats to the previous one cannot reach the new one.
+// It is not sent there again for three leases: its lease would expire if it were sent there again and again.
 func TestWorkerThatComesBackIsNotSentAgain(t *testing.T) {
 	r := testRouter(Relayed)
-	var sent heartbeatSource
+	var source heartbeatSource
 	r.SetFleetSize(300)
 	now := time.Unix(1000, 0)
-	if to := r.Route(sent.next("m", "b"), "n2", Relaxed, now); to != "n1" {
-		t.Fatalf("sent to %q", to)
+	if to := r.Route(source.next("m", "b"), "n2", Relaxed, now); to != "n1" {
+		t.Fatalf("the worker is sent to %q, want n1", to)
 	}
 	for second := range 30 {
 		now = now.Add(time.Second)
-		if to := r.Route(sent.next("m", "b"), "n2", Relaxed, now); to != "" {
-			t.Fatalf("sent to %s again after %d s", to, second)
+		if to := r.Route(source.next("m", "b"), "n2", Relaxed, now); to != "" {
+			t.Fatalf("the worker is sent to %s after %d s, want it to stay at n2", to, second)
 		}
 	}
 	now = now.Add(time.Second)
-	if to := r.Route(sent.next("m", "b"), "n2", Relaxed, now); to != "n1" {
-		t.Errorf("sent to %q three leases later", to)
+	if to := r.Route(source.next("m", "b"), "n2", Relaxed, now); to != "n1" {
+		t.Errorf("after three leases the worker is sent to %q, want n1", to)
 	}
 }
 
-// A fleet is not moved all at once, since each move costs the controllers a connection. Only the
-// workers that are too many for a controller move at once: while a leader was short of connections,
-// users whose requests it got waited for seconds.
+// The workers of a fleet are moved at a limited rate, since each move costs the controllers a connection. Only
+// workers of an overloaded controller move at once: when a leader ran short of connections, user requests to it
+// took seconds.
 func TestMovesAreSpread(t *testing.T) {
 	r := testRouter(Relayed)
-	var sent heartbeatSource
+	var source heartbeatSource
 	r.SetFleetSize(40)
 	r.mode = Relayed
 	now := time.Unix(1000, 0)
 	moved := 0
 	for i := range 40 {
-		if r.Route(sent.next(fmt.Sprintf("m-%d", i), "b"), "n2", Relaxed, now) != "" {
+		if r.Route(source.next(fmt.Sprintf("m-%d", i), "b"), "n2", Relaxed, now) != "" {
 			moved++
 		}
 	}
-	if most := 40 / moveIntervals; moved > most || moved == 0 {
-		t.Errorf("%d of 40 are moved at once, want at most %d", moved, most)
+	if limit := 40 / moveIntervals; moved > limit || moved == 0 {
+		t.Errorf("%d of 40 workers are moved at once, want 1 to %d", moved, limit)
 	}
 }
 
-// A late copy of a heartbeat that arrives at another controller moves no worker: when it counted as
-// the worker's own move, the router left the worker where it was for three leases.
+// A delayed copy of a heartbeat that arrives at another controller does not move the worker. When such a copy
+// counted as a departure, the router did not move the worker for three leases.
 func TestLateCopiesMoveNobody(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(300)
 	now := time.Unix(1000, 0)
-	var sent heartbeatSource
-	old := sent.next("m", "b")
-	for _, heartbeat := range []*wire.Heartbeat{old, sent.next("m", "b")} {
+	var source heartbeatSource
+	old := source.next("m", "b")
+	for _, heartbeat := range []*wire.Heartbeat{old, source.next("m", "b")} {
 		if to := r.Route(heartbeat, "n1", Relaxed, now); to != "" {
-			t.Fatalf("a worker at home is sent to %s", to)
+			t.Fatalf("a worker at the controller in its zone is sent to %s, want it to stay", to)
 		}
 	}
 	if to := r.Route(old, "n2", Relaxed, now.Add(time.Second)); to != "" {
-		t.Errorf("a late copy is sent to %s", to)
+		t.Errorf("after a delayed copy the worker is sent to %s, want it to stay", to)
 	}
 	if load := r.Load(); load["n1"] != 1 || load["n2"] != 0 {
-		t.Errorf("after a late copy the load is %v", load)
+		t.Errorf("after a delayed copy the load is %v, want one worker at n1 and none at n2", load)
 	}
 }
--- a/internal/relay/sender_test.go
+++ b/internal/relay/sender_test.go
@@ -11,7 +11,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// testSender returns a sender that sends a batch once in 250 ms.
+// testSender returns a sender that sends a batch every 250 ms.
 func testSender(exchange ExchangeFunc) *Sender {
 	const unit = 250 * time.Millisecond
 	return NewSender(SenderConfig{
@@ -24,7 +24,7 @@
 	})
 }
 
-// pendingOf returns a heartbeat that waits for its answer.
+// pendingOf returns a heartbeat as a pendingHeartbeat.
 func pendingOf(h *wire.Heartbeat) *pendingHeartbeat {
 	body, err := json.Marshal(h)
 	if err != nil {
@@ -33,12 +33,12 @@
 	return &pendingHeartbeat{heartbeat: h, body: body, result: make(chan result, 1)}
 }
 
-// okAnswer returns an answer with status 200 to a heartbeat.
+// okAnswer returns the answer to a heartbeat, with status 200.
 func okAnswer(h *wire.Heartbeat) peer.HeartbeatAnswer {
 	return peer.HeartbeatAnswer{Host: h.Host, Incarnation: h.Incarnation, Sequence: h.Sequence, Status: http.StatusOK}
 }
 
-// answerOK is an AnswerFunc.
+// answerOK is an AnswerFunc that answers each heartbeat with status 200 at once.
 func answerOK(_ context.Context, h *wire.Heartbeat, _ string, _ Pressure) peer.HeartbeatAnswer {
 	return okAnswer(h)
 }
--- a/internal/relay/size_test.go
+++ b/internal/relay/size_test.go
@@ -10,9 +10,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// All workers of a fleet of 4,096 and of 6,000 machines send their heartbeats to one follower within one
-// interval, in full and then as repetitions: each gets the answer to its heartbeat, over as many
-// batches as it takes.
+// In fleets of 4,096 and 6,000 machines, all workers send their heartbeats to one follower within one interval, first
+// in full and then as references. Each gets the answer to its heartbeat, over as many batches as needed.
 func TestWholeFleetReportsAtOneFollower(t *testing.T) {
 	for _, workers := range []int{4096, 6000} {
 		receiver := NewReceiver(context.Background(), 1, []string{"n1"}, answerOK)
@@ -28,7 +27,7 @@
 		})
 		for sequence := uint64(1); sequence <= 2; sequence++ {
 			waiting := enqueueFleet(t, sender, workers, sequence)
-			// The leader decides answers concurrently with the exchanges.
+			// The leader decides its answers concurrently with the exchanges.
 			for deadline := time.Now().Add(30 * time.Second); sender.hasPending() && time.Now().Before(deadline); {
 				if !sender.exchange() {
 					time.Sleep(time.Millisecond)
@@ -39,12 +38,12 @@
 			}
 		}
 		if batches < 2 || largest > maxBatchBytes {
-			t.Errorf("%d batches, the largest of %d bytes", batches, largest)
+			t.Errorf("%d batches, the largest with %d bytes, want at least 2 of at most %d bytes", batches, largest, maxBatchBytes)
 		}
 	}
 }
 
-// enqueueFleet enqueues a heartbeat with eight tasks of each worker.
+// enqueueFleet enqueues one heartbeat of each worker, with eight tasks.
 func enqueueFleet(t *testing.T, sender *Sender, workers int, sequence uint64) []*pendingHeartbeat {
 	t.Helper()
 	waiting := make([]*pendingHeartbeat, workers)
@@ -62,15 +61,15 @@
 	return waiting
 }
 
-// checkAnswered fails the test unless a heartbeat has got its own answer.
+// checkAnswered fails the test unless a heartbeat has received its own answer.
 func checkAnswered(t *testing.T, p *pendingHeartbeat, name string) {
 	t.Helper()
 	select {
 	case res := <-p.result:
 		if res.err != nil || res.answer.Host != p.heartbeat.Host || res.answer.Sequence != p.heartbeat.Sequence {
-			t.Fatalf("%s ends with %+v", name, res)
+			t.Fatalf("the result of %s is %+v, want the answer to it", name, res)
 		}
 	default:
-		t.Fatalf("%s gets no answer", name)
+		t.Fatalf("%s has no answer", name)
 	}
 }
