--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -12,12 +12,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// due is a deadline that messages can point to.
-var due = 900.5
+// deadline is a value for pointer fields.
+var deadline = 900.5
 
-// messages has one of each message as the release before cluster version 2 wrote it
-// into testdata/release1.
-var messages = map[string]any{
+// release1Messages holds one message of each type, as the release before cluster version 2 encoded it in
+// testdata/release1.
+var release1Messages = map[string]any{
 	"ping-args": PingArgs{From: "n0", Term: 7, CountsTerm: 6, CountsRevision: 5},
 	"ping-reply": PingReply{
 		Term:           7,
@@ -56,7 +56,7 @@
 				ExpectS:  240,
 				MarkS:    30,
 				StowS:    4,
-				DueS:     &due,
+				DueS:     &deadline,
 			},
 			Status: wire.JobAborted,
 			AtMs:   1,
@@ -67,9 +67,9 @@
 	"lead-reply": LeadReply{Lead: &LeadStatusMessage{Term: 7, Loaded: true}},
 }
 
-// What a node of the previous release sends is decoded with its meaning unchanged.
+// This release decodes the messages of the previous one correctly.
 func TestMessagesOfTheReleaseBeforeAreRead(t *testing.T) {
-	for name, want := range messages {
+	for name, want := range release1Messages {
 		data, err := os.ReadFile(filepath.Join("testdata", "release1", name+".gob"))
 		if err != nil {
 			t.Fatal(err)
@@ -78,12 +78,12 @@
 		if err := gob.NewDecoder(bytes.NewReader(data)).DecodeValue(got); err != nil {
 			t.Errorf("%s: %v", name, err)
 		} else if !reflect.DeepEqual(got.Elem().Interface(), want) {
-			t.Errorf("%s is read as %+v, want %+v", name, got.Elem().Interface(), want)
+			t.Errorf("%s is decoded as %+v, want %+v", name, got.Elem().Interface(), want)
 		}
 	}
 }
 
-// The messages whose types have changed since, as the previous release has them.
+// The message types that have changed since the previous release, as that release defines them.
 type (
 	pingArgs1 struct {
 		From                       string
@@ -125,8 +125,8 @@
 	}
 )
 
-// work1Sent is the job of messages["withdrawn-args"] as the previous release decodes it.
-var work1Sent = work1{
+// expectedWork1 is the job in release1Messages["withdrawn-args"] as the previous release decodes it.
+var expectedWork1 = work1{
 	UID:      "run-000412",
 	Berth:    "train",
 	Crew:     "vision",
@@ -146,17 +146,17 @@
 	ExpectS:  240,
 	MarkS:    30,
 	StowS:    4,
-	DueS:     &due,
+	DueS:     &deadline,
 }
 
-// A node of the previous release decodes what this one sends, and ignores what it does
-// not know: the version, and the dependencies of a job.
+// The previous release decodes the messages of this one, and ignores the fields that it does not know: the version,
+// and the dependencies of a job.
 func TestReleaseBeforeReadsMessages(t *testing.T) {
-	cancelled, ok := messages["withdrawn-args"].(WithdrawnArgs)
+	cancellation, ok := release1Messages["withdrawn-args"].(WithdrawnArgs)
 	if !ok {
-		t.Fatal("no message of a cancellation")
+		t.Fatal("release1Messages has no WithdrawnArgs")
 	}
-	cancelled.Rec.Spec.Awaits = []string{"run-000001"}
+	cancellation.Rec.Spec.Awaits = []string{"run-000001"}
 	reply := PingReply{Term: 7, Leading: true, Serving: true, Heard: []string{"m-1"}, CountsRevision: 9, Version: 2}
 	for name, tc := range map[string]struct{ sent, want any }{
 		"ping-args": {
@@ -168,24 +168,24 @@
 			pingReply1{Term: 7, Leading: true, Serving: true, Heard: []string{"m-1"}, CountsRevision: 9},
 		},
 		"withdrawn-args": {
-			cancelled,
-			withdrawnArgs1{"run-000412", job1{work1Sent, wire.JobAborted, 1, 85}, 12},
+			cancellation,
+			withdrawnArgs1{"run-000412", job1{expectedWork1, wire.JobAborted, 1, 85}, 12},
 		},
 	} {
-		var sent bytes.Buffer
-		if err := gob.NewEncoder(&sent).Encode(tc.sent); err != nil {
+		var encoded bytes.Buffer
+		if err := gob.NewEncoder(&encoded).Encode(tc.sent); err != nil {
 			t.Fatal(err)
 		}
 		got := reflect.New(reflect.TypeOf(tc.want))
-		if err := gob.NewDecoder(&sent).DecodeValue(got); err != nil {
+		if err := gob.NewDecoder(&encoded).DecodeValue(got); err != nil {
 			t.Errorf("%s: %v", name, err)
 		} else if !reflect.DeepEqual(got.Elem().Interface(), tc.want) {
-			t.Errorf("%s is read as %+v, want %+v", name, got.Elem().Interface(), tc.want)
+			t.Errorf("%s is decoded as %+v, want %+v", name, got.Elem().Interface(), tc.want)
 		}
 	}
 }
 
-// Values with every field set, so that the test fails if a conversion omits a field.
+// The following values have every field set, so that TestConversionsLoseNothing fails if a conversion omits a field.
 
 var fullCommand = wire.Command{Verb: wire.Stop, Task: "run-000412/3", Attempt: 2, GracePeriodS: 10}
 
@@ -209,7 +209,7 @@
 	ExpectedRunS:        240,
 	CheckpointIntervalS: 30,
 	CheckpointOnStopS:   4,
-	DeadlineS:           &due,
+	DeadlineS:           &deadline,
 	Dependencies:        []string{"run-000001"},
 }
 
@@ -278,23 +278,23 @@
 	QuarantinedMachines: 2,
 }
 
-// A value that a node sends as a message is the same at the node that receives it.
+// A value that is converted to a message and back is unchanged.
 func TestConversionsLoseNothing(t *testing.T) {
-	sentCancellation, sentBatch, sentReply := fullCancellation.message(), fullBatch.message(), fullReply.message()
+	cancellationMessage, batchMessage, replyMessage := fullCancellation.message(), fullBatch.message(), fullReply.message()
 	for name, tc := range map[string]struct{ got, want any }{
 		"ping":         {fullPing.message().result(), fullPing},
-		"cancellation": {sentCancellation.cancellation(), fullCancellation},
-		"batch":        {sentBatch.batch(), fullBatch},
-		"reply":        {sentReply.reply(), fullReply},
+		"cancellation": {cancellationMessage.cancellation(), fullCancellation},
+		"batch":        {batchMessage.batch(), fullBatch},
+		"reply":        {replyMessage.reply(), fullReply},
 		"status":       {leadStatusMessage(fullStatus).status(), fullStatus},
 	} {
 		if !reflect.DeepEqual(tc.got, tc.want) {
-			t.Errorf("%s comes back as %+v, want %+v", name, tc.got, tc.want)
+			t.Errorf("%s is converted back to %+v, want %+v", name, tc.got, tc.want)
 		}
 		value := reflect.Indirect(reflect.ValueOf(tc.want))
 		for i := range value.NumField() {
 			if value.Field(i).IsZero() {
-				t.Errorf("%s: the test has no value for %s", name, value.Type().Field(i).Name)
+				t.Errorf("%s: the test value does not set the field %s", name, value.Type().Field(i).Name)
 			}
 		}
 	}
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// errTimeout means that a call got no answer within its time-out.
+// errTimeout means that the peer did not answer a call within the timeout.
 var errTimeout = errors.New("peer did not answer in time")
 
-// call calls a method of the peer. After an error, a time-out included, the connection is closed,
-// and the next call opens another one.
+// call calls a method of the peer. After any error, also a timeout, it closes the connection, and the next call opens
+// a new one.
 func (p *Peer) call(method string, args, reply any, timeout time.Duration) error {
 	client, err := p.connect()
 	if err != nil {
@@ -32,8 +32,8 @@
 	return fmt.Errorf("%s.%s at %s: %w", serviceName, method, p.Label, err)
 }
 
-// connect returns the client of the open connection, or of a new one. It dials without p.mu, so that
-// LastPing and others do not wait for a peer that is not reached.
+// connect returns the client of the open connection, or of a new one. It dials without holding p.mu, so that LastPing
+// and other methods do not wait for an unreachable peer.
 func (p *Peer) connect() (*rpc.Client, error) {
 	p.mu.Lock()
 	client := p.client
@@ -48,7 +48,7 @@
 	client = rpc.NewClient(conn)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.client != nil { // another call was faster
+	if p.client != nil { // a concurrent call has connected first
 		closeClient(client)
 		return p.client, nil
 	}
@@ -56,7 +56,7 @@
 	return client, nil
 }
 
-// disconnect closes a connection, and forgets it if it is still the peer's.
+// disconnect closes a client's connection. If it is the peer's current one, the next call opens a new one.
 func (p *Peer) disconnect(client *rpc.Client) {
 	p.mu.Lock()
 	if p.client == client {
@@ -76,6 +76,6 @@
 	}
 }
 
-// closeClient closes a connection that is not used any more. An error only says that it was closed
-// or broken before.
+// closeClient closes a connection that is no longer used. It ignores the error, which only means that the connection
+// was already closed or broken.
 func closeClient(client *rpc.Client) { _ = client.Close() }
--- a/internal/peer/liveness.go
+++ b/internal/peer/liveness.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Ping asks the peer for its state and records the answer, with the time before the call: the state is
-// at least that recent.
+// Ping asks the peer for its state. It records the answer with the time before the call, since the state is at least
+// that recent.
 func (p *Peer) Ping(args PingArgs) (PingResult, error) {
-	begun := time.Now()
+	startedAt := time.Now()
 	var message PingReply
 	err := p.call("Ping", args, &message, p.timeout)
 	result := message.result()
@@ -15,16 +15,16 @@
 	case err != nil || !result.Serving:
 		p.servingSince = time.Time{}
 	case p.servingSince.IsZero():
-		p.servingSince = begun
+		p.servingSince = startedAt
 	}
 	if err == nil {
-		p.lastPing, p.lastPingAt = result, begun
+		p.lastPing, p.lastPingAt = result, startedAt
 	}
 	return result, err
 }
 
-// ServingFor returns for how long every ping has found the peer serving; zero if the last one failed or
-// found it not serving.
+// ServingFor returns for how long every ping has found the peer serving. It is zero if the last ping failed, or found
+// that the peer was not serving.
 func (p *Peer) ServingFor() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -34,8 +34,8 @@
 	return time.Since(p.servingSince)
 }
 
-// LastPing returns the answer to the last ping that was answered. ok is false if there is none, or if
-// that ping was sent more than maxAge ago; the result is then not to be used.
+// LastPing returns the last answer to a ping. ok is false if there is none, or if that ping was sent more than maxAge
+// ago. The caller must not use the result then.
 func (p *Peer) LastPing(maxAge time.Duration) (result PingResult, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -5,34 +5,34 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// This file and messages_relay.go are the edge to the other controllers: every message of the net/rpc
-// service, and the conversions to and from the types that the rest of the program uses. encoding/gob
-// matches fields by their Go names, and nodes of two releases serve side by side, so the fields here
-// retain the names with which they were first sent. The fixtures in testdata/release1 pin them. Fields
-// may be added: a receiver ignores those that it does not know.
+// This file and messages_relay.go define every message of the net/rpc service between controllers, and convert the
+// messages to and from the types that the rest of the program uses. encoding/gob matches fields by their Go names, and
+// nodes of two releases run at the same time. The fields must therefore keep the names of the first release, even
+// where the rest of the program has other names for them. The fixtures in testdata/release1 check this. Fields may be
+// added, since a receiver ignores fields that it does not know.
 
-// PingArgs is the state of the caller of a ping.
+// PingArgs tells the callee of a ping what the caller knows.
 type PingArgs struct {
 	From string // label of the caller
 	Term uint64 // newest term that the caller knows
-	// The term and revision up to which the caller already has the callee's counts of jobs' tasks.
+	// The caller already has the callee's task counts of all jobs up to this term and revision.
 	CountsTerm, CountsRevision uint64
-	Version                    int // cluster version that the caller understands; 0: an older release
+	Version                    int // newest cluster version that the caller understands; 0: an older release
 }
 
-// PingReply is the message form of PingResult.
+// PingReply is the message form of PingResult, which documents the fields.
 type PingReply struct {
 	Term           uint64
 	Leading        bool
 	Serving        bool
-	Heard          []string
+	Heard          []string // PingResult.RenewedHosts
 	Counts         []wire.JobView
 	CountsRevision uint64
 	CountsMore     bool
 	Version        int
-	Relays         bool
-	Relaying       bool
-	Follows        bool
+	Relays         bool // PingResult.CanRelay
+	Relaying       bool // PingResult.WantsRelays
+	Follows        bool // PingResult.CanFollow
 	Standby        string
 }
 
@@ -70,25 +70,25 @@
 	}
 }
 
-// CountsArgs asks the leader for the number of finished and running tasks of a job.
+// CountsArgs asks the leader for the numbers of finished and running tasks of a job.
 type CountsArgs struct{ UID string }
 
 // CountsReply answers CountsArgs. Known is false if the callee does not lead or has no such job.
 type CountsReply struct {
 	Known         bool
-	Done, Running int
+	Done, Running int // tasks
 }
 
-// CheckInArgs relays a single worker's heartbeat to the leader.
+// CheckInArgs relays a single heartbeat to the leader. Body is the heartbeat's JSON.
 type CheckInArgs struct{ Body []byte }
 
-// CheckInReply is the leader's HTTP answer to the heartbeat.
+// CheckInReply is the leader's HTTP answer to a single relayed heartbeat.
 type CheckInReply struct {
 	Status int
 	Body   []byte
 }
 
-// UserArgs forwards a user's request that the caller cannot serve.
+// UserArgs forwards a user's HTTP request that the caller cannot serve itself.
 type UserArgs struct {
 	Method, Path string
 	Body         []byte
@@ -97,14 +97,14 @@
 // UserReply is the HTTP answer to a forwarded request.
 type UserReply struct {
 	Status     int
-	RetryAfter string
+	RetryAfter string // value of the Retry-After header
 	Body       []byte
 }
 
-// LeadReply is the leader's status; Lead is nil from a node that does not lead.
+// LeadReply is the leader's status. Lead is nil if the callee does not lead.
 type LeadReply struct{ Lead *LeadStatusMessage }
 
-// LeadStatusMessage is the message form of wire.LeadStatus.
+// LeadStatusMessage is the message form of wire.LeadStatus, which documents the fields.
 type LeadStatusMessage struct {
 	Term     uint64
 	Loaded   bool
@@ -112,10 +112,10 @@
 	Round    RoundStatusMessage
 	Machines map[string]int
 	Classes  map[string]ClassStatusMessage
-	CheckIns string
+	CheckIns string // wire.LeadStatus.HeartbeatRouting
 	Workers  map[string]int
-	Suspects int
-	Blamed   int
+	Suspects int // wire.LeadStatus.SuspectJobs
+	Blamed   int // wire.LeadStatus.QuarantinedMachines
 }
 
 // RoundStatusMessage is the message form of wire.RoundStatus.
@@ -189,8 +189,8 @@
 // WithdrawnArgs is the message form of Cancellation.
 type WithdrawnArgs struct {
 	UID   string
-	Rec   JobMessage
-	Stamp uint64
+	Rec   JobMessage // Cancellation.Record
+	Stamp uint64     // Cancellation.ModRevision
 }
 
 // WithdrawnReply is empty.
@@ -200,25 +200,25 @@
 type JobMessage struct {
 	Spec   WorkMessage
 	Status wire.JobStatus
-	AtMs   int64
-	Per    int
+	AtMs   int64 // records.Job.AcceptedAtMs
+	Per    int   // records.Job.TasksPerPlacement
 }
 
-// WorkMessage is the message form of wire.JobSpec.
+// WorkMessage is the message form of wire.JobSpec. The comments name the fields of wire.JobSpec, which documents them.
 type WorkMessage struct {
-	UID, Berth, Crew           string
-	Shape                      wire.JobKind
-	Rank                       wire.Priority
-	Legs                       int
+	UID, Berth, Crew           string        // UID, JobClass, Team
+	Shape                      wire.JobKind  // Kind
+	Rank                       wire.Priority // Priority
+	Legs                       int           // TaskCount
 	Cores, Gpus, RAMGb         float64
-	Rollout                    string
+	Rollout                    string // Image
 	ImageGb                    float64
-	Rigs                       []string
-	Yard                       string
-	Together, Scatter, Standby bool
-	ExpectS, MarkS, StowS      float64
-	DueS                       *float64
-	Awaits                     []string
+	Rigs                       []string // MachineTypes
+	Yard                       string   // Zone
+	Together, Scatter, Standby bool     // SingleZone, SpreadZones, AllowSpot
+	ExpectS, MarkS, StowS      float64  // ExpectedRunS, CheckpointIntervalS, CheckpointOnStopS
+	DueS                       *float64 // DeadlineS
+	Awaits                     []string // Dependencies
 }
 
 func (c Cancellation) message() WithdrawnArgs {
@@ -293,12 +293,12 @@
 	}
 }
 
-// FollowArgs asks the leader for one part of a transfer of its state.
+// FollowArgs is a warm standby's request for one part of a transfer of the leader's state.
 type FollowArgs struct {
 	From string // label of the standby
-	Term uint64 // term of the leader that it means
-	// Transfer and Part name the part. Transfer 0 begins a new transfer, of what has
-	// changed since Have; of everything if Have is 0 or too old.
+	Term uint64 // term of the leader that the standby follows
+	// Transfer and Part identify the part. Transfer 0 begins a new transfer, which contains the changes since Have, or
+	// the whole state if Have is 0 or too old.
 	Transfer uint64
 	Part     int
 	Have     uint64 // sequence number up to which the standby has all changes of this term
@@ -307,17 +307,17 @@
 // FollowReply is one part of a transfer of the leader's state.
 type FollowReply struct {
 	Term    uint64
-	Leading bool // leads the term that was requested, and has something to follow
-	// Transfer is 0 if the transfer that was requested is no longer known: the standby begins another.
+	Leading bool // the callee leads the requested term and has state to transfer
+	// Transfer is 0 if the leader no longer knows the requested transfer. The standby then begins a new one.
 	Transfer uint64
 	Part     int
-	Last     bool   // the transfer ends with this part
-	Full     bool   // the transfer contains everything, not only changes since Base
-	Base     uint64 // sequence number of the copy to which the changes apply
-	// The state once the last part is applied: its sequence number, the position in the state
-	// store's history up to which it has all records, and its digest.
+	Last     bool   // this is the last part of the transfer
+	Full     bool   // the transfer contains the whole state, not only the changes since Base
+	Base     uint64 // sequence number of the state to which the changes apply
+	// The state after the last part is applied: its sequence number, the revision of the state store up to which it
+	// includes every commit of the leader's term, and its digest.
 	Sequence, Position, Digest uint64
-	Entries                    int // in Body
-	Size                       int // of Body, decompressed
+	Entries                    int // number of entries in Body
+	Size                       int // of Body after decompression, in bytes
 	Body                       []byte
 }
--- a/internal/peer/messages_relay.go
+++ b/internal/peer/messages_relay.go
@@ -2,21 +2,21 @@
 
 import "lotusstile.dev/lotusstile/wire"
 
-// The messages of relayed heartbeats. The rule of messages.go about the names of fields applies here too.
+// This file has the messages of relayed heartbeats. Their fields must keep their names too, as messages.go explains.
 
-// RelayArgs is the message form of HeartbeatBatch.
+// RelayArgs is the message form of HeartbeatBatch, which documents the fields.
 type RelayArgs struct {
 	From    string
 	Term    uint64
-	Reports []RelayedReport
+	Reports []RelayedReport // HeartbeatBatch.Heartbeats
 	Bodies  []byte
 }
 
-// RelayedReport is the message form of RelayedHeartbeat.
+// RelayedReport is the message form of RelayedHeartbeat, which documents the fields.
 type RelayedReport struct {
 	Host        string
-	Shift, Tick uint64
-	Repeats     uint64
+	Shift, Tick uint64 // RelayedHeartbeat.Incarnation, RelayedHeartbeat.Sequence
+	Repeats     uint64 // RelayedHeartbeat.RepeatOf
 	Size        int
 	Pressure    uint8
 }
@@ -51,7 +51,7 @@
 	return batch
 }
 
-// RelayReply is the message form of HeartbeatBatchReply.
+// RelayReply is the message form of HeartbeatBatchReply, which documents the fields.
 type RelayReply struct {
 	Term    uint64
 	Leading bool
@@ -59,30 +59,30 @@
 	Resend  []string
 }
 
-// RelayedAnswer is the message form of HeartbeatAnswer.
+// RelayedAnswer is the message form of HeartbeatAnswer, which documents the fields.
 type RelayedAnswer struct {
 	Host        string
-	Shift, Tick uint64
+	Shift, Tick uint64 // HeartbeatAnswer.Incarnation, HeartbeatAnswer.Sequence
 	Status      int
-	Orders      OrdersMessage
+	Orders      OrdersMessage // HeartbeatAnswer.Response
 	Redirect    RedirectMessage
 }
 
 // OrdersMessage is the message form of wire.Commands.
 type OrdersMessage struct {
-	Baton  uint64
-	Orders []OrderMessage
+	Baton  uint64         // wire.Commands.FencingToken
+	Orders []OrderMessage // wire.Commands.Commands
 }
 
 // OrderMessage is the message form of wire.Command.
 type OrderMessage struct {
 	Verb    wire.Verb
-	Leg     string
-	Try     uint64
-	LeewayS float64
+	Leg     string  // wire.Command.Task
+	Try     uint64  // wire.Command.Attempt
+	LeewayS float64 // wire.Command.GracePeriodS
 }
 
-// RedirectMessage is the message form of wire.Redirect.
+// RedirectMessage is the message form of wire.Redirect. Dispatcher is wire.Redirect.Leader.
 type RedirectMessage struct{ Dispatcher string }
 
 func (r *HeartbeatBatchReply) message() RelayReply {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -10,7 +10,7 @@
 	"lotusstile.dev/lotusstile/internal/config"
 )
 
-// OlderRelease is the service of a release that registers it under another name.
+// OlderRelease is the service of a release that uses another service name.
 type OlderRelease struct{}
 
 // Ping answers a ping.
@@ -19,28 +19,28 @@
 	return nil
 }
 
-// A node of a release whose messages would be misread counts as one that cannot be
-// reached: its answers are not used.
+// A node of a release with incompatible messages has another service name and is treated as unreachable: its answers
+// are not used.
 func TestReleaseWithAnotherServiceNameIsUnreachable(t *testing.T) {
 	srv := rpc.NewServer()
 	if err := srv.RegisterName("Node", OlderRelease{}); err != nil {
 		t.Fatal(err)
 	}
 	dial := func(string, time.Duration) (net.Conn, error) {
-		near, far := net.Pipe()
-		go srv.ServeConn(far)
-		return near, nil
+		clientConn, serverConn := net.Pipe()
+		go srv.ServeConn(serverConn)
+		return clientConn, nil
 	}
 	p := NewPeers(&config.Config{Members: []config.Member{{Label: "old"}}}, time.Second, dial)[0]
 	defer p.Close()
-	var refused rpc.ServerError
-	if _, err := p.Ping(PingArgs{From: "new"}); !errors.As(err, &refused) {
-		t.Errorf("the ping ends with %v", err)
+	var serverErr rpc.ServerError
+	if _, err := p.Ping(PingArgs{From: "new"}); !errors.As(err, &serverErr) {
+		t.Errorf("the error of Ping is %v, want an rpc.ServerError", err)
 	}
 	if _, ok := p.LastPing(time.Hour); ok {
-		t.Error("its answer is used")
+		t.Error("LastPing has an answer, want none")
 	}
 	if p.ServingFor() != 0 {
-		t.Error("it counts as serving")
+		t.Error("ServingFor is positive, want 0")
 	}
 }
