--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -4,8 +4,8 @@
 
 // Limits on the number of workers, as shares of a node's maximum number of connections.
 const (
-	relayAboveShare  = 0.5  // a fleet with more workers has its heartbeats relayed
-	directBelowShare = 0.4  // one with fewer workers sends them directly; the gap prevents frequent mode changes
+	relayAboveShare  = 0.5  // the heartbeats of a larger fleet are relayed
+	directBelowShare = 0.4  // those of a smaller fleet go directly to the leader; the gap prevents frequent mode changes
 	followerShare    = 0.5  // workers that a follower usually accepts
 	leaderShare      = 0.25 // workers that the leader usually accepts itself while followers relay
 	maxShare         = 0.65 // upper limit for any controller, if the usual shares do not suffice for the fleet
@@ -14,7 +14,7 @@
 // Factors that are applied to numbers of workers.
 const (
 	capacityFactor  = 1.05 // the controllers together should have capacity for this many times the fleet
-	maxImbalance    = 1.25 // a follower with more than this many times the workers of the least loaded one hands workers over
+	maxImbalance    = 1.25 // a follower hands workers over if it has more than this many times those of the least loaded one
 	shareFactorStep = 1.1  // the usual shares are multiplied by this until they suffice for the fleet
 )
 
--- a/internal/relay/departure.go
+++ b/internal/relay/departure.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// stayLeases is the number of worker leases for which a worker is not sent back to a controller that may be
-	// unreachable for it.
+	// stayLeases is the number of worker leases during which a worker that has left a controller, which may be
+	// unreachable for it, is not sent back.
 	stayLeases = 3
 	// stayIntervals is the number of heartbeat intervals before a worker that probably left because of one slow
 	// answer may be sent back. It also limits the age of the last heartbeat of a worker that counts as reporting.
--- a/internal/relay/pressure_test.go
+++ b/internal/relay/pressure_test.go
@@ -69,7 +69,7 @@
 
 // A worker whose heartbeat arrives on a reserve connection is sent to a controller with free capacity, at once and
 // regardless of the rate limit of moves, and is not sent back for a lease. If no other controller has free capacity,
-// it stays.
+// the worker stays and its heartbeats are answered in turn.
 func TestFullControllerSendsWorkersElsewhere(t *testing.T) {
 	r := testRouter(Relayed)
 	r.SetFleetSize(60)
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -86,7 +86,7 @@
 	return r.mode
 }
 
-// setMode changes the mode; no other function may assign r.mode. r.mu must be held.
+// setMode is the only method that changes the mode. r.mu must be held.
 func (r *Router) setMode(to Mode, workers int) {
 	if r.mode == to {
 		return
--- a/internal/relay/sender.go
+++ b/internal/relay/sender.go
@@ -36,7 +36,7 @@
 	err    error
 }
 
-// setState changes the state; no other function may assign p.state. The mu of the Sender must be held.
+// setState is the only function that changes the state. The mu of the Sender must be held.
 func (p *pendingHeartbeat) setState(to heartbeatState) { p.state = to }
 
 // ExchangeFunc sends a batch to the leader and returns its reply. A Sender never calls it concurrently.
