--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -11,13 +11,13 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// RecordWriteShare is the share of the store's write limit that the leader has for records.
+// RecordWriteShare is the share of the store's write limit that the leader may use for records.
 const RecordWriteShare = 0.6
 
-// Shares of any single node. They are not divided by the number of nodes, so that one node can use
-// over half of the store's limits. Several nodes may therefore ask for more than the store allows
-// when many users come at once. No budget reserves room for records then: the store refuses what
-// is above its limits (ErrThrottled), whoever sent it.
+// Shares that each node may use. They are not divided by the number of nodes, so that one node can use
+// over half of the store's limits. When many users send requests at once, several nodes together may
+// therefore exceed the limits. No part of the limits is reserved for records then: the store refuses
+// every request above its limits (ErrThrottled), whichever node sent it.
 const (
 	// RequestShare is the share of the store's request limit.
 	RequestShare = 0.6
@@ -25,31 +25,30 @@
 	userWriteShare = 0.6
 )
 
-// Shares of the store's request limit that all nodes together have for users' reads. With what the
-// leader takes they stay below the limit: each node once asked up to RequestShare for users
-// alone, and when they asked eight times as often the leader's lease was not renewed, a new
-// leader could not read the records for 12 s, and users got 503.
+// Shares of the store's request limit that all nodes together may use for users' reads. Their sum and
+// the leader's RequestShare stay below the limit. When each node could use RequestShare for users
+// alone and users sent eight times as many requests, the leader's lease was not renewed, a new leader
+// could not read the records for 12 s, and users got 503.
 const (
 	sharedReadShare = 0.15
 	lookupShare     = 0.2
 )
 
-// maxRetryAfterTimeouts, in request time-outs from now, bounds how far the queue of retry times
-// given to refused users may reach.
+// maxRetryAfterTimeouts bounds how far in the future nextRetryAt may be, in request timeouts from now.
 const maxRetryAfterTimeouts = 5
 
 // Limits are the rate limits of the state store, which all nodes share.
 type Limits struct {
 	RequestsPerSecond float64
 	WritesPerSecond   float64 // changes in commits; a commit may have several
-	Nodes             int     // how many nodes share the limits
+	Nodes             int     // number of nodes that share the limits
 }
 
-// budget is one node's share of the store's limits, by kind of request.
+// budget holds one node's share of the store's limits, with one limiter per kind of request.
 type budget struct {
 	requests     *rate.Limiter
 	recordWrites *rate.Limiter // recordsLane and backgroundLane
-	userWrites   *rate.Limiter // userLane; nobody waits for it
+	userWrites   *rate.Limiter // userLane, which never waits
 	sharedReads  *aimd.Limiter // sharedReadLane
 	lookups      *aimd.Limiter // lookupLane
 }
@@ -68,14 +67,14 @@
 	}
 }
 
-// SharedReadLimiter paces the reads that answer many users at once.
+// SharedReadLimiter returns the limiter of the reads that answer many users at once.
 func (c *Client) SharedReadLimiter() *aimd.Limiter { return c.budget.sharedReads }
 
-// LookupLimiter paces the reads of single records that answer users.
+// LookupLimiter returns the limiter of the reads of single records that answer a user.
 func (c *Client) LookupLimiter() *aimd.Limiter { return c.budget.lookups }
 
-// waitForRequestBudget waits for room for one request in the budget of the context's lane. Its
-// error wraps ErrRefused, and for lookupLane *aimd.BusyError or ctx's error.
+// waitForRequestBudget waits until the budget of ctx's lane allows one request. Its error wraps
+// ErrRefused, and in lookupLane also an *aimd.BusyError or the error of ctx.
 func (c *Client) waitForRequestBudget(ctx context.Context) error {
 	switch laneOf(ctx) {
 	case sharedReadLane:
@@ -95,10 +94,10 @@
 	return nil
 }
 
-// cutReadBudgets cuts the budgets of users' reads after the store has refused a request with body
-// because it gets too many. They give way first, whatever was refused: a leader whose lease is not
-// renewed helps nobody. A commit that changes something cuts no budget, since it may have been
-// refused for exceeding the write limit, on which reads do not count.
+// cutReadBudgets cuts the budgets of users' reads after the store has refused a request, whose body is
+// given, because it receives too many. Users' reads are cut whichever request was refused, so that the
+// leader can still renew its lease: without a leader, users are not served at all. A commit that
+// changes something cuts no budget: it may have exceeded the write limit, to which reads do not count.
 func (c *Client) cutReadBudgets(body any) {
 	if tx, ok := body.(wire.Transaction); ok && len(tx.Changes) > 0 {
 		return
@@ -108,8 +107,8 @@
 	c.budget.lookups.OnThrottled(now)
 }
 
-// growReadBudget lets the budget of ctx's lane grow back after the store has executed a request,
-// if that is a budget of users' reads.
+// growReadBudget lets the budget of ctx's lane grow back after the store has executed a request. In
+// lanes other than those of users' reads it does nothing.
 func (c *Client) growReadBudget(ctx context.Context) {
 	switch laneOf(ctx) {
 	case sharedReadLane:
@@ -119,9 +118,9 @@
 	}
 }
 
-// reserveWrites takes room for a number of changes from the write budget of the context's lane.
-// recordsLane waits for it, up to the client's timeout; the other lanes never wait. Its error is
-// a *BusyError (userLane) or wraps ErrRefused.
+// reserveWrites takes tokens for a number of changes from the write budget of ctx's lane. In
+// recordsLane it waits for them, up to the client's timeout; in the other lanes it never waits. Its
+// error is a *BusyError (userLane) or wraps ErrRefused.
 func (c *Client) reserveWrites(ctx context.Context, changes int) error {
 	switch laneOf(ctx) {
 	case urgentLane:
@@ -133,44 +132,44 @@
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	// One wait for all changes: a commit that took its room in parts and failed on a later part
-	// would spend the budget on nothing, again and again.
+	// Take the tokens for all changes at once. If a commit took them in parts and timed out waiting
+	// for a later part, the tokens taken before would be wasted, and so they would be at each retry.
 	if err := c.budget.recordWrites.WaitN(waitCtx, min(changes, c.budget.recordWrites.Burst())); err != nil {
 		return fmt.Errorf("%w: over this node's write budget: %w", ErrRefused, err)
 	}
 	return nil
 }
 
-// reserveUserWrites takes room for a user's changes, or returns a *BusyError at once. Part of the
-// burst is left to users of higher priority; see WithUserLane.
+// reserveUserWrites takes tokens for a user's changes, or returns a *BusyError at once. It leaves part
+// of the burst to users of higher priority; see WithUserLane.
 func (c *Client) reserveUserWrites(ctx context.Context, changes int) error {
 	now := time.Now()
 	limiter := c.budget.userWrites
 	reservedShare, _ := ctx.Value(reservedShareKey{}).(float64)
-	missing := float64(changes) + reservedShare*float64(limiter.Burst()) - limiter.TokensAt(now)
-	if missing <= 0 && limiter.AllowN(now, changes) {
+	missingTokens := float64(changes) + reservedShare*float64(limiter.Burst()) - limiter.TokensAt(now)
+	if missingTokens <= 0 && limiter.AllowN(now, changes) {
 		return nil
 	}
-	wait := time.Duration(max(missing, 0) / float64(limiter.Limit()) * float64(time.Second))
+	wait := time.Duration(max(missingTokens, 0) / float64(limiter.Limit()) * float64(time.Second))
 	return &BusyError{RetryAfter: c.nextRetryAfter(now, wait)}
 }
 
-// reserveBackgroundWrites takes room for changes if half of the burst is left to records after it.
-// Its error wraps ErrRefused.
+// reserveBackgroundWrites takes tokens for changes if that leaves half of the burst to records.
+// Otherwise it returns an error that wraps ErrRefused.
 func (c *Client) reserveBackgroundWrites(changes int) error {
 	now := time.Now()
 	limiter := c.budget.recordWrites
 	burst := limiter.Burst()
 	changes = min(changes, max(1, burst/2))
 	if limiter.TokensAt(now) < float64(changes+burst/2) || !limiter.AllowN(now, changes) {
-		return fmt.Errorf("%w: write budget is left to records", ErrRefused)
+		return fmt.Errorf("%w: the rest of the write budget is reserved for records", ErrRefused)
 	}
 	return nil
 }
 
-// nextRetryAfter returns how long after now a refused user should come back: after wait at the
-// earliest. Each user gets a later time than the one before, at the pace of the user write budget,
-// so that they do not all come back at once; see maxRetryAfterTimeouts for the bound.
+// nextRetryAfter returns how long a refused user should wait before trying again; at least wait. Each
+// user gets a later time than the previous one, at the rate of the user write budget, so that they do
+// not all try again at once. maxRetryAfterTimeouts bounds how late that is.
 func (c *Client) nextRetryAfter(now time.Time, wait time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -9,15 +9,15 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Whatever is refused for too many requests cuts the budgets of users' reads, also a read that is a
-// transaction without changes; a commit that changes something does not, since it may have been refused
-// for its changes. The transaction was once taken for such a commit.
+// A request that the store refuses because it receives too many cuts the budgets of users' reads. This
+// includes a transaction without changes, which is a read; it was once mistaken for a commit. A commit
+// with changes cuts no budget, since it may have exceeded the write limit.
 func TestThrottledRequestsCutUserReads(t *testing.T) {
 	compares := []wire.Compare{{Key: "j/run-000001"}}
 	for _, tc := range []struct {
-		name string
-		send func(c *Client) error
-		cut  bool
+		name    string
+		send    func(c *Client) error
+		wantCut bool
 	}{
 		{"renewal of the leader's lease", func(c *Client) error {
 			return c.RenewLease(WithUrgentLane(t.Context()), 1)
@@ -37,15 +37,15 @@
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			throttling := fixedStore{status: http.StatusTooManyRequests}
-			client := New("state:1", Limits{RequestsPerSecond: 100, WritesPerSecond: 100, Nodes: 1}, time.Second, throttling)
+			throttlingStore := fixedStore{status: http.StatusTooManyRequests}
+			client := New("state:1", Limits{RequestsPerSecond: 100, WritesPerSecond: 100, Nodes: 1}, time.Second, throttlingStore)
 			before := client.LookupLimiter().Rate()
 			if err := tc.send(client); !errors.Is(err, ErrThrottled) || !errors.Is(err, ErrRefused) {
-				t.Errorf("the request ends with %v", err)
+				t.Errorf("the request returned error %v, want %v", err, ErrThrottled)
 			}
 			cut := client.LookupLimiter().Rate() < before && client.SharedReadLimiter().Cuts() == 1
-			if cut != tc.cut || client.ThrottledRequests() != 1 {
-				t.Errorf("users' reads are cut: %v, want %v", cut, tc.cut)
+			if cut != tc.wantCut || client.ThrottledRequests() != 1 {
+				t.Errorf("budgets of users' reads cut: %v, want %v; %d throttled requests, want 1", cut, tc.wantCut, client.ThrottledRequests())
 			}
 		})
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,8 +1,9 @@
 // Package store is a client of the state store, a consensus-backed key-value store: reads,
 // transactions, watches and leases, within this node's share of the store's rate limits.
 //
-// Requests go by priority lanes (WithUrgentLane and the others) that share the node's budget. The
-// errors tell what a caller may conclude about a request that failed; see ErrRefused.
+// Each request has a priority lane (see WithUrgentLane and the other With functions), which decides
+// how the request shares the node's budget with others. The type of an error tells the caller
+// whether a failed request may have been executed; see ErrRefused.
 package store
 
 import (
@@ -18,19 +19,19 @@
 	"time"
 )
 
-// neverExecuted is the age of the last executed request before there is one.
+// neverExecuted is what SinceLastExecuted returns before the first executed request.
 const neverExecuted = time.Duration(math.MaxInt64 / 2)
 
 // Client is a client of the state store. It is safe for concurrent use.
 type Client struct {
-	base    string // scheme and address: "http://host:port"
+	baseURL string // "http://host:port"
 	http    *http.Client
-	timeout time.Duration // see New
+	timeout time.Duration // of one request; see New
 	budget  budget
 
-	// created is the origin of lastExecuted.
+	// created is the time from which lastExecuted counts.
 	created time.Time
-	// lastExecuted is the start of the latest-begun request that the store has executed, in
+	// lastExecuted is the latest start time of all requests that the store has executed, in
 	// nanoseconds since created; 0 before the first one.
 	lastExecuted atomic.Int64
 
@@ -38,31 +39,30 @@
 	throttledRequests atomic.Uint64 // see ThrottledRequests
 	outOfOrderPages   atomic.Uint64 // see OutOfOrderPages
 
-	mu sync.Mutex
-	// nextRetryAt is the earliest retry time to give to the next refused user; see
-	// nextRetryAfter. mu guards it.
+	mu sync.Mutex // guards nextRetryAt
+	// nextRetryAt is the earliest retry time to give to the next refused user; see nextRetryAfter.
 	nextRetryAt time.Time
 }
 
-// New makes a client of the store at addr (host:port) that sends its requests over rt.
+// New makes a client of the store at addr (host:port) that sends its requests over transport.
 //
-// timeout bounds one request, with the wait for this node's request budget. Two calls may take
-// longer: a watch, by the time that it waits for a change, and a commit, which may wait for the
-// write budget for up to another timeout first.
-func New(addr string, limits Limits, timeout time.Duration, rt http.RoundTripper) *Client {
+// timeout bounds one request, including the wait for this node's request budget. Two kinds of request
+// may take longer: a watch, by the time that it waits for a change, and a commit, which may first
+// wait for the write budget for up to another timeout.
+func New(addr string, limits Limits, timeout time.Duration, transport http.RoundTripper) *Client {
 	return &Client{
-		base:    "http://" + addr,
-		http:    &http.Client{Transport: rt},
+		baseURL: "http://" + addr,
+		http:    &http.Client{Transport: transport},
 		timeout: timeout,
 		budget:  newBudget(limits),
 		created: time.Now(),
 	}
 }
 
-// SinceLastExecuted returns the time since the start of the latest-begun request that the store
-// has executed for this node, which is the proof that this node reaches the store. Before the
-// first one it is longer than any time limit. Every answer but 429 and 503 counts as executed;
-// answers to watches do not count.
+// SinceLastExecuted returns the time since the latest start of a request that the store has executed
+// for this node. A short time proves that this node reaches the store. Before the first executed
+// request, the result is longer than any time limit. A request counts as executed if the store
+// answers it with a status other than 429 and 503. Watches do not count.
 func (c *Client) SinceLastExecuted() time.Duration {
 	last := c.lastExecuted.Load()
 	if last == 0 {
@@ -71,8 +71,8 @@
 	return time.Since(c.created) - time.Duration(last)
 }
 
-// advanceLastExecuted moves lastExecuted up to start, the start of a request that the store has
-// executed. It never moves back: requests may end in another order than they began.
+// advanceLastExecuted sets lastExecuted to start, the start time of a request that the store has
+// executed. It never moves lastExecuted back: requests may end in another order than they started.
 func (c *Client) advanceLastExecuted(start time.Time) {
 	at := int64(start.Sub(c.created))
 	for {
@@ -83,35 +83,36 @@
 	}
 }
 
-// RejectedCommits counts the commits that ended with a *RejectedError: the store takes them for
+// RejectedCommits returns how many commits ended with a *RejectedError: the store rejected them as
 // malformed or too large.
 func (c *Client) RejectedCommits() uint64 { return c.rejectedCommits.Load() }
 
-// ThrottledRequests counts the requests that ended with ErrThrottled: the store gets too many.
+// ThrottledRequests returns how many requests ended with ErrThrottled: the store received too many.
 func (c *Client) ThrottledRequests() uint64 { return c.throttledRequests.Load() }
 
-// OutOfOrderPages counts the listings that ended with ErrPageOutOfOrder.
+// OutOfOrderPages returns how many listings ended with ErrPageOutOfOrder.
 func (c *Client) OutOfOrderPages() uint64 { return c.outOfOrderPages.Load() }
 
-// call waits for the request budget, sends one request, and returns the status and the body of
-// its answer. Its error wraps ErrRefused or ErrOutcomeUnknown; if the request cannot even be
-// encoded it wraps neither. The error is nil for every other status: the caller tells them apart.
-// watchFor is how long the store may wait for a change before it answers; 0 for all requests but
-// watches.
+// call waits for the request budget, sends one request, and returns the status and the body of the
+// answer. If the store refuses the request or the request exceeds the budget, the error wraps
+// ErrRefused. If no answer arrives, the error wraps ErrOutcomeUnknown. If the request cannot be
+// encoded, the error wraps neither. For every status but 429 and 503 the error is nil, and the caller
+// handles the status. maxWait is how long the store may wait for a change before it answers a watch;
+// it is 0 for all other requests.
 func (c *Client) call(
-	ctx context.Context, method, path string, body any, watchFor time.Duration,
+	ctx context.Context, method, path string, body any, maxWait time.Duration,
 ) (status int, answer []byte, err error) {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout+watchFor)
+	ctx, cancel := context.WithTimeout(ctx, c.timeout+maxWait)
 	defer cancel()
 	if err := c.waitForRequestBudget(ctx); err != nil {
 		return 0, nil, err
 	}
 	if path == commitPath {
 		var stop context.CancelFunc
-		ctx, stop = c.withOvertakenCancel(ctx)
+		ctx, stop = c.cancelWhenOvertaken(ctx)
 		defer stop()
 	}
-	req, err := newRequest(ctx, method, c.base+path, body)
+	req, err := newRequest(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -120,19 +121,20 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	if err := c.refusalOf(status, body); err != nil {
+	if err := c.refusalError(status, body); err != nil {
 		return status, nil, err
 	}
 	c.growReadBudget(ctx)
-	if watchFor == 0 { // a watch may have waited through an outage: its answer proves nothing about its start
+	if maxWait == 0 { // the store may have been unreachable since a watch started, so a watch proves nothing
 		c.advanceLastExecuted(start)
 	}
 	return status, answer, nil
 }
 
-// refusalOf returns the error for a status by which the store refuses a request with body, and
-// cuts the read budgets if that is for too many requests; nil for every other status.
-func (c *Client) refusalOf(status int, body any) error {
+// refusalError returns the error for a status with which the store refuses a request; nil for every
+// other status. If the store refuses the request because it receives too many, refusalError also
+// cuts the read budgets; see cutReadBudgets for body.
+func (c *Client) refusalError(status int, body any) error {
 	switch status {
 	case http.StatusServiceUnavailable:
 		return fmt.Errorf("%w: status %d", ErrRefused, status)
@@ -144,7 +146,7 @@
 	return nil
 }
 
-// newRequest makes a request with body as JSON; nil is no body.
+// newRequest makes a request whose body is the JSON encoding of body; if body is nil, it has none.
 func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
 	var content io.Reader
 	if body != nil {
--- a/internal/store/fakes_test.go
+++ b/internal/store/fakes_test.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// lossyStore is a state store that never answers commits, and reads only if it is reachable.
+// lossyStore is a state store that never answers commits. It answers reads only if it is reachable.
 type lossyStore struct{ reachable bool }
 
 func (s *lossyStore) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -14,7 +14,7 @@
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
-	return answer(http.StatusOK, "{}"), nil
+	return newResponse(http.StatusOK, "{}"), nil
 }
 
 // fixedStore is a state store that gives every request the same answer.
@@ -24,13 +24,13 @@
 }
 
 func (s fixedStore) RoundTrip(*http.Request) (*http.Response, error) {
-	return answer(s.status, s.body), nil
+	return newResponse(s.status, s.body), nil
 }
 
-// answer makes the response of a fake store.
-func answer(status int, body string) *http.Response {
+// newResponse makes the response of a fake store.
+func newResponse(status int, body string) *http.Response {
 	recorder := httptest.NewRecorder()
 	recorder.WriteHeader(status)
-	_, _ = recorder.WriteString(body) // the recorder writes to memory
+	_, _ = recorder.WriteString(body) // it writes to memory, which cannot fail
 	return recorder.Result()
 }
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -10,12 +10,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// leasesPath is where leases of the state store are granted; each has a path below it. The
-// protocol calls them holds.
+// leasesPath is the path at which the state store grants leases; each lease has a path below it. The
+// protocol calls leases holds.
 const leasesPath = "/holds"
 
-// GrantLease opens a lease that expires unless it is renewed within ttl, and returns its id. The
-// store drops the keys that are attached to it when it ends.
+// GrantLease opens a lease that expires unless it is renewed within ttl, and returns its id. When the
+// lease ends, the store drops the keys that are attached to it.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (leaseID uint64, err error) {
 	status, answer, err := c.call(ctx, http.MethodPost, leasesPath, wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, 0)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return lease.LeaseID, nil
 }
 
-// RenewLease renews a lease for its time to live. Its error wraps ErrLeaseNotFound if the lease has
-// ended; after any other error the lease may still last.
+// RenewLease extends a lease by its time to live from now. Its error wraps ErrLeaseNotFound if the
+// lease has ended; after any other error the lease may still be valid.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
 	status, _, err := c.call(ctx, http.MethodPost, leasePath(leaseID)+"/touch", nil, 0)
 	if err != nil {
@@ -47,9 +47,9 @@
 	return fmt.Errorf("renew lease: status %d", status)
 }
 
-// RevokeLease ends a lease at once. Its error wraps ErrRefused or ErrOutcomeUnknown; any other
-// answer is success, whatever its status. A lease that has ended already (404) is what the caller
-// wants, and a lease that could not be revoked expires by itself.
+// RevokeLease ends a lease at once. Its error wraps ErrRefused or ErrOutcomeUnknown. Every status but
+// 429 and 503 counts as success: status 404 means that the lease has ended already, and a lease that
+// could not be revoked expires by itself.
 func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
 	_, _, err := c.call(ctx, http.MethodDelete, leasePath(leaseID), nil, 0)
 	if err != nil {
--- a/internal/store/overtaken.go
+++ b/internal/store/overtaken.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	// overtakenPatienceDivisor of the request time-out is the patience with a commit: how long it
-	// waits for its answer at least before it counts as overtaken.
-	overtakenPatienceDivisor = 5
-	// overtakenLeadDivisor of the patience is by how much a request must have begun later than the
-	// commit to overtake it: one that began at about the same time may have been executed before
-	// the commit's trouble began.
-	overtakenLeadDivisor = 2
-	// overtakenCheckDivisor of the patience is the interval of the checks once it has passed.
-	overtakenCheckDivisor = 4
+	// minCommitWaitDivisor: a commit waits for its answer for at least the request timeout divided by
+	// this before it may count as overtaken.
+	minCommitWaitDivisor = 5
+	// overtakeMarginDivisor: a request overtakes a commit only if it started later by more than that
+	// minimum wait divided by this. A request that started at about the same time as the commit may
+	// have been executed before the fault that delays the commit's answer.
+	overtakeMarginDivisor = 2
+	// overtakeCheckDivisor: after the minimum wait, the commit is checked at intervals of the minimum
+	// wait divided by this.
+	overtakeCheckDivisor = 4
 )
 
-// withOvertakenCancel returns a context for a commit that is sent now. The context ends when the
-// commit is overtaken: it has no answer after its patience, and the store has executed a request
-// that was begun well after it. The commit's answer is then lost or delayed by the store, and to
-// wait longer would only delay what waits for its outcome. While nothing else is answered either,
-// as on a slow node or link, a missing answer proves nothing: to give up would only add requests.
+// cancelWhenOvertaken returns a context for a commit that is sent now. The context ends when the commit
+// is overtaken: the commit has no answer after its minimum wait, although the store has executed a
+// request that started well after it. The store has then lost or delayed the answer, and waiting
+// longer would only delay the callers that need the outcome. While no other request is answered
+// either, for instance on a slow node or link, a missing answer proves nothing, and giving up would
+// only add requests.
 //
-// The caller calls the returned function when the commit has ended; it stops the checks.
-func (c *Client) withOvertakenCancel(ctx context.Context) (context.Context, context.CancelFunc) {
+// The caller must call the returned function when the commit has ended, to stop the checks.
+func (c *Client) cancelWhenOvertaken(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	patience := c.timeout / overtakenPatienceDivisor
-	// overtakenAfter is compared with lastExecuted, so it counts from created too.
-	overtakenAfter := time.Since(c.created) + patience/overtakenLeadDivisor
-	var mu sync.Mutex // guards timer, also while it is first set
+	minWait := c.timeout / minCommitWaitDivisor
+	// overtakenAfter is a time since c.created, as lastExecuted is.
+	overtakenAfter := time.Since(c.created) + minWait/overtakeMarginDivisor
+	var mu sync.Mutex // guards timer: check may run before timer is set
 	var timer *time.Timer
 	check := func() {
 		mu.Lock()
@@ -39,14 +41,14 @@
 		case time.Duration(c.lastExecuted.Load()) > overtakenAfter:
 			cancel()
 		case ctx.Err() == nil:
-			timer.Reset(patience / overtakenCheckDivisor)
+			timer.Reset(minWait / overtakeCheckDivisor)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	timer = time.AfterFunc(patience, check)
+	timer = time.AfterFunc(minWait, check)
 	return ctx, func() {
-		cancel() // first: a check that runs now starts no other
+		cancel() // before timer.Stop, so that a check that is running now does not reset the timer
 		mu.Lock()
 		defer mu.Unlock()
 		timer.Stop()
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -11,7 +11,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// ListPageSize is how many keys a page of a listing has at most.
+// ListPageSize is the maximum number of keys in a page of a listing.
 const ListPageSize = 500
 
 // Get reads one key; found is false if the key does not exist.
@@ -32,19 +32,19 @@
 	return wire.KeyValue{}, false, fmt.Errorf("get %s: status %d", key, status)
 }
 
-// List reads all keys under a prefix, page by page. The revision is that of the first page: a
-// watch from there sees every later change.
+// List reads all keys under a prefix, page by page. It returns the revision of the first page, so that
+// a watch from this revision on returns every change that the later pages may have missed.
 func (c *Client) List(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
-	after := ""
+	afterKey := ""
 	for {
-		page, err := c.listPage(ctx, prefix, after)
+		page, err := c.listPage(ctx, prefix, afterKey)
 		if err != nil {
 			return nil, 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
 		if revision == 0 {
 			revision = page.Revision
 		}
-		if err := checkPage(page, prefix, after); err != nil {
+		if err := checkPage(page, prefix, afterKey); err != nil {
 			c.outOfOrderPages.Add(1)
 			return nil, 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
@@ -52,15 +52,15 @@
 		if !page.More {
 			return items, revision, nil
 		}
-		after = page.KeyValues[len(page.KeyValues)-1].Key
+		afterKey = page.KeyValues[len(page.KeyValues)-1].Key
 	}
 }
 
-// listPage reads the page of a listing that starts behind the key after.
-func (c *Client) listPage(ctx context.Context, prefix, after string) (*wire.KeyValueList, error) {
+// listPage reads the page of a listing that starts after afterKey, or the first page if that is empty.
+func (c *Client) listPage(ctx context.Context, prefix, afterKey string) (*wire.KeyValueList, error) {
 	query := url.Values{"Under": {prefix}, "Most": {strconv.Itoa(ListPageSize)}}
-	if after != "" {
-		query.Set("After", after)
+	if afterKey != "" {
+		query.Set("After", afterKey)
 	}
 	status, answer, err := c.call(ctx, http.MethodGet, "/kv?"+query.Encode(), nil, 0)
 	if err != nil {
@@ -76,18 +76,18 @@
 	return &page, nil
 }
 
-// checkPage returns ErrPageOutOfOrder for a page that repeats or leaves out keys, as far as the
-// page shows it: a new leader would not know of the records under them.
-func checkPage(page *wire.KeyValueList, prefix, after string) error {
+// checkPage returns an error that wraps ErrPageOutOfOrder if a page visibly repeats or omits keys. A
+// leader that used such a page could miss the records of the omitted keys.
+func checkPage(page *wire.KeyValueList, prefix, afterKey string) error {
 	if page.More && len(page.KeyValues) == 0 {
-		return fmt.Errorf("%w: it is empty, and there are more", ErrPageOutOfOrder)
+		return fmt.Errorf("%w: the page is empty but not the last one", ErrPageOutOfOrder)
 	}
 	for i := range page.KeyValues {
 		key := page.KeyValues[i].Key
-		if key <= after || !strings.HasPrefix(key, prefix) {
-			return fmt.Errorf("%w: %q follows on %q", ErrPageOutOfOrder, key, after)
+		if key <= afterKey || !strings.HasPrefix(key, prefix) {
+			return fmt.Errorf("%w: key %q follows %q", ErrPageOutOfOrder, key, afterKey)
 		}
-		after = key
+		afterKey = key
 	}
 	return nil
 }
--- a/internal/store/transactions_test.go
+++ b/internal/store/transactions_test.go
@@ -12,9 +12,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A commit whose answer is lost is given up once later requests are answered,
-// and its outcome is unknown; on a store that answers nothing it waits for its
-// time-out, so that a slow one is not asked twice.
+// A commit whose answer is lost ends with an unknown outcome soon after later requests are answered.
+// If the store answers no request at all, the commit waits for the whole timeout: the store may only
+// be slow, and giving up early would send it more requests.
 func TestOvertakenCommitsAreGivenUp(t *testing.T) {
 	for _, reachable := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -24,19 +24,19 @@
 			go func() {
 				for ctx.Err() == nil {
 					readCtx, stop := context.WithTimeout(ctx, 100*time.Millisecond)
-					_, _, _ = client.Get(readCtx, "e/term") // only whether it is answered matters
+					_, _, _ = client.Get(readCtx, "e/term") // only whether it is answered matters, not the result
 					stop()
 					time.Sleep(100 * time.Millisecond)
 				}
 			}()
-			begun := time.Now()
+			startedAt := time.Now()
 			_, err := client.Commit(ctx, wire.Transaction{Changes: []wire.Change{{Drop: "x"}}})
-			took := time.Since(begun)
+			elapsed := time.Since(startedAt)
 			if !errors.Is(err, ErrOutcomeUnknown) {
-				t.Errorf("store reachable %v: the commit ends with %v", reachable, err)
+				t.Errorf("store reachable %v: the commit returned error %v, want %v", reachable, err, ErrOutcomeUnknown)
 			}
-			if reachable && took > 700*time.Millisecond || !reachable && took != 2*time.Second {
-				t.Errorf("store reachable %v: given up after %s", reachable, took)
+			if reachable && elapsed > 700*time.Millisecond || !reachable && elapsed != 2*time.Second {
+				t.Errorf("store reachable %v: the commit ended after %s, want at most 700ms if reachable, else 2s", reachable, elapsed)
 			}
 			cancel()
 			time.Sleep(time.Second)
@@ -44,14 +44,13 @@
 	}
 }
 
-// The error of a commit says what the caller may conclude: whether it was executed, and what was
-// wrong with it.
+// The error of a commit tells the caller whether the commit was executed and why it failed.
 func TestCommitErrorsSayWhatHappened(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		status int
-		body   string
-		is     error // matched with errors.Is; nil for the typed errors
+		name    string
+		status  int
+		body    string
+		wantErr error // compared with errors.Is; nil for *ConflictError and *RejectedError
 	}{
 		{"unavailable", http.StatusServiceUnavailable, "", ErrRefused},
 		{"throttled", http.StatusTooManyRequests, "", ErrThrottled},
@@ -64,21 +63,21 @@
 		t.Run(tc.name, func(t *testing.T) {
 			client := New("state:1", Limits{RequestsPerSecond: 100, WritesPerSecond: 100}, time.Second, fixedStore{tc.status, tc.body})
 			_, err := client.Commit(t.Context(), wire.Transaction{Changes: []wire.Change{{Drop: "j/run-000001"}}})
-			if tc.is != nil && !errors.Is(err, tc.is) {
-				t.Errorf("error is %v, want %v", err, tc.is)
+			if tc.wantErr != nil && !errors.Is(err, tc.wantErr) {
+				t.Errorf("error is %v, want %v", err, tc.wantErr)
 			}
-			if isUnknown := errors.Is(err, ErrOutcomeUnknown); isUnknown != errors.Is(tc.is, ErrOutcomeUnknown) {
-				t.Errorf("outcome is unknown: %v, by %v", isUnknown, err)
+			if isUnknown := errors.Is(err, ErrOutcomeUnknown); isUnknown != errors.Is(tc.wantErr, ErrOutcomeUnknown) {
+				t.Errorf("outcome is unknown: %v, want %v; error is %v", isUnknown, !isUnknown, err)
 			}
 			var conflict *ConflictError
 			isConflict := errors.As(err, &conflict) && slices.Equal(conflict.Failed, []string{"j/run-000001"})
 			if want := tc.status == http.StatusConflict; isConflict != want {
-				t.Errorf("is a conflict on the key: %v, want %v: %v", isConflict, want, err)
+				t.Errorf("error names the conflicting key: %v, want %v; error is %v", isConflict, want, err)
 			}
 			var rejected *RejectedError
 			isRejected := errors.As(err, &rejected) && slices.Equal(rejected.Keys, []string{"j/run-000001"})
 			if want := tc.name == "rejected"; isRejected != want || (client.RejectedCommits() == 1) != want {
-				t.Errorf("is rejected: %v, want %v: %v", isRejected, want, err)
+				t.Errorf("error names the rejected key: %v, want %v; counted %d; error is %v", isRejected, want, client.RejectedCommits(), err)
 			}
 		})
 	}
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -11,15 +11,15 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Watch returns the changes under a prefix after a revision. If there are none yet it waits up to
-// wait for the first. Its error wraps ErrCompacted if the store no longer keeps all of them.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.WatchResponse, error) {
+// Watch returns the changes under a prefix after a revision. If there are none yet, it waits for the
+// first for up to maxWait. Its error wraps ErrCompacted if the store no longer keeps all of them.
+func (c *Client) Watch(ctx context.Context, prefix string, afterRevision uint64, maxWait time.Duration) (wire.WatchResponse, error) {
 	query := url.Values{
 		"Under":  {prefix},
-		"After":  {strconv.FormatUint(after, 10)},
-		"HoldMs": {strconv.FormatInt(wait.Milliseconds(), 10)},
+		"After":  {strconv.FormatUint(afterRevision, 10)},
+		"HoldMs": {strconv.FormatInt(maxWait.Milliseconds(), 10)},
 	}
-	status, answer, err := c.call(ctx, http.MethodGet, "/changes?"+query.Encode(), nil, wait)
+	status, answer, err := c.call(ctx, http.MethodGet, "/changes?"+query.Encode(), nil, maxWait)
 	if err != nil {
 		return wire.WatchResponse{}, fmt.Errorf("watch %s: %w", prefix, err)
 	}
