--- a/internal/watchcache/bench_test.go
+++ b/internal/watchcache/bench_test.go
@@ -32,7 +32,7 @@
 	return wire.KeyValue{Key: records.JobKey(uid), Value: records.Encode(job), ModRevision: uint64(i + 1)}
 }
 
-// One job's record changes.
+// BenchmarkApplyChange applies a change of one job's record to a cache.
 func BenchmarkApplyChange(b *testing.B) {
 	cache, item := New(), benchRecord(1)
 	cache.Reset([]wire.KeyValue{item}, 1, time.Now())
@@ -44,7 +44,7 @@
 	}
 }
 
-// A node starts and lists 500 jobs.
+// BenchmarkListing applies a listing of 500 jobs to an empty cache, as when a node starts.
 func BenchmarkListing(b *testing.B) {
 	items := make([]wire.KeyValue, 500)
 	for i := range items {
--- a/internal/watchcache/cache.go
+++ b/internal/watchcache/cache.go
@@ -1,5 +1,6 @@
-// Package watchcache keeps a node's copy of the jobs that the state store holds. A watch keeps it
-// up to date, and linearizable reads bring it past a given moment before a user is answered.
+// Package watchcache keeps a node's copy of the jobs that the state store holds. A watch keeps the copy
+// up to date. Before the node answers a user, a linearizable read makes sure that the copy has every
+// commit from before the user's request.
 package watchcache
 
 import (
@@ -17,67 +18,68 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Entry is a job with the modification revision of its record.
+// Entry is a job and the modification revision of its record.
 type Entry struct {
 	Job         *records.Job // nil if the record was dropped
 	ModRevision uint64
 }
 
-// Listener is called for every change of a job's record; entry.Job is nil when the
-// record was dropped (the job is archived). See SetListener for what it may call.
+// Listener is called for every change of a job's record. entry.Job is nil if the record was dropped,
+// which means that the job is archived. See SetListener for what a listener may call.
 type Listener func(uid string, entry Entry)
 
 // Cache is a node's copy of the jobs that are not archived. Every node has one, so that a follower
-// knows which jobs are cancelled and a new leader starts warm. It is safe for concurrent use.
+// knows which jobs are cancelled and a new leader has the jobs at once. It is safe for concurrent use.
 //
-// It knows how fresh its copy is: as of the start of the latest read that brought it up to date.
-// The time of the latest answered request would prove less: a watch may wait through a refusal,
-// hang on a dead connection or sleep after an error while other requests of the node succeed.
+// The cache records how fresh its copy is: the copy has every commit from before the start of the
+// latest read that was applied. The time of the node's latest answered request would not show that:
+// while other requests succeed, the watch may be refused, hang on a dead connection or sleep after an
+// error.
 type Cache struct {
-	mu        sync.Mutex // guards all but freshAsOf; held while the listener is called
+	mu        sync.Mutex // guards all fields but freshAsOf; held while the listener is called
 	jobs      map[string]Entry
-	revision  uint64                    // all changes up to here are applied
-	freshAsOf atomic.Pointer[time.Time] // every commit before it is applied; nil before the first listing
+	revision  uint64                    // all changes up to this revision are applied
+	freshAsOf atomic.Pointer[time.Time] // every commit before this time is applied; nil before the first listing
 	listener  Listener
 }
 
 // New makes an empty cache.
 func New() *Cache { return &Cache{jobs: map[string]Entry{}} }
 
-// Run keeps the cache up to date until ctx ends. See Follow for wait and pause.
-func (c *Cache) Run(ctx context.Context, reader Reader, wait, pause time.Duration) {
-	Follow(ctx, reader, records.JobPrefix, wait, pause, c)
+// Run keeps the cache up to date until ctx ends. See Follow for maxWait and retryDelay.
+func (c *Cache) Run(ctx context.Context, reader Reader, maxWait, retryDelay time.Duration) {
+	Follow(ctx, reader, records.JobPrefix, maxWait, retryDelay, c)
 }
 
-// ErrNotSynced means that the cache has to be listed before it can be refreshed.
+// ErrNotSynced means that Refresh failed because a listing has to be applied to the cache first.
 var ErrNotSynced = errors.New("jobs are not listed yet")
 
-// Refresh brings the cache up to date with every commit before the call, independently of the
-// watch: it asks for the changes since its revision, without waiting for one. Before the first
-// listing it sends nothing and returns ErrNotSynced.
+// Refresh applies every commit from before the call, independently of the watch: it reads the changes
+// since the cache's revision, without waiting for one. Before the first listing it sends no request
+// and returns ErrNotSynced.
 func (c *Cache) Refresh(ctx context.Context, reader Reader) error {
 	c.mu.Lock()
-	after := c.revision
+	afterRevision := c.revision
 	c.mu.Unlock()
 	if !c.HasSynced() {
 		return ErrNotSynced
 	}
-	begun := time.Now()
-	changes, err := reader.Watch(ctx, records.JobPrefix, after, 0)
+	startedAt := time.Now()
+	changes, err := reader.Watch(ctx, records.JobPrefix, afterRevision, 0)
 	if err != nil {
 		return fmt.Errorf("refresh jobs: %w", err)
 	}
-	c.Apply(changes, after, begun)
-	if c.FreshAsOf().Before(begun) {
-		return ErrNotSynced // a listing was applied meanwhile that the changes do not follow on
+	c.Apply(changes, afterRevision, startedAt)
+	if c.FreshAsOf().Before(startedAt) {
+		return ErrNotSynced // Apply skipped the changes: an older listing was applied during the read
 	}
 	return nil
 }
 
-// Reset applies a listing that began at begun. A listing is read page by page: only what was
-// committed before it began is sure to be in it, and later changes are applied once more from its
-// revision on. It implements Handler.
-func (c *Cache) Reset(items []wire.KeyValue, revision uint64, begun time.Time) {
+// Reset applies a listing that started at startedAt. A listing is read page by page, so only what was
+// committed before its start is sure to be in it. Changes after its revision therefore have to be
+// applied again. Reset implements Handler.
+func (c *Cache) Reset(items []wire.KeyValue, revision uint64, startedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	listed := make(map[string]bool, len(items))
@@ -91,20 +93,20 @@
 			c.deleteEntry(uid, revision)
 		}
 	}
-	// A listing may be older than what is known. The changes between are then applied again:
-	// otherwise a job that was listed and has been archived since would stay for ever.
+	// The listing may be older than the cache. Going back to its revision makes the later changes apply
+	// again. Otherwise a job that is in the listing but was archived later would stay for ever.
 	c.revision = revision
-	c.advanceFreshness(begun)
+	c.advanceFreshness(startedAt)
 }
 
-// Apply applies the changes after a revision. A watch and a Refresh may overlap: changes that are
-// known already are skipped, and changes that leave a gap after the cache's revision are not
-// applied at all. It implements Handler.
-func (c *Cache) Apply(changes wire.WatchResponse, after uint64, begun time.Time) {
+// Apply applies the changes after afterRevision, from a read that started at startedAt. A watch and a
+// Refresh may overlap, so changes that are already applied are skipped. If there is a gap between the
+// cache's revision and afterRevision, none of the changes are applied. Apply implements Handler.
+func (c *Cache) Apply(changes wire.WatchResponse, afterRevision uint64, startedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if after > c.revision {
-		return // a listing has set the revision back since the read began
+	if afterRevision > c.revision {
+		return // a listing has set the revision back since the read started
 	}
 	for _, event := range changes.Events {
 		if event.ModRevision <= c.revision {
@@ -117,18 +119,19 @@
 		}
 	}
 	c.revision = max(c.revision, changes.Revision)
-	c.advanceFreshness(begun)
+	c.advanceFreshness(startedAt)
 }
 
-// advanceFreshness records that every commit before begun is applied. c.mu is held.
-func (c *Cache) advanceFreshness(begun time.Time) {
-	if begun.After(c.FreshAsOf()) {
-		c.freshAsOf.Store(&begun)
+// advanceFreshness records that every commit from before at is applied. c.mu is held.
+func (c *Cache) advanceFreshness(at time.Time) {
+	if at.After(c.FreshAsOf()) {
+		c.freshAsOf.Store(&at)
 	}
 }
 
-// ApplyFromPeer applies a job's record that another node sends ahead of the state store's watch. It
-// does not change FreshAsOf. A job that is not known may be archived already and is ignored.
+// ApplyFromPeer applies a job's record that another node sends, which may arrive before the watch
+// returns it. FreshAsOf does not change. A job that is not in the cache is ignored, since it may be
+// archived already.
 func (c *Cache) ApplyFromPeer(uid string, job records.Job, modRevision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,21 +140,21 @@
 	}
 }
 
-// decodeAndSet sets a job from the value of its record, unless the same or a newer one is known.
-// c.mu is held.
+// decodeAndSet sets a job from the value of its record, unless the cache has the same record or a newer
+// one. c.mu is held.
 func (c *Cache) decodeAndSet(uid string, value json.RawMessage, modRevision uint64) {
 	if old, ok := c.jobs[uid]; ok && old.ModRevision >= modRevision {
 		return
 	}
 	var job records.Job
 	if err := wire.Decode(value, &job); err != nil {
-		slog.Error("job record cannot be read", "uid", uid, "err", err)
+		slog.Error("job record cannot be decoded", "uid", uid, "err", err)
 		return
 	}
 	c.setEntry(uid, Entry{&job, modRevision})
 }
 
-// setEntry is the one function that sets a job. c.mu is held.
+// setEntry sets a job and calls the listener. No other function sets jobs. c.mu is held.
 func (c *Cache) setEntry(uid string, entry Entry) {
 	c.jobs[uid] = entry
 	if c.listener != nil {
@@ -159,7 +162,8 @@
 	}
 }
 
-// deleteEntry is the one function that removes a job, unless a newer record is known. c.mu is held.
+// deleteEntry removes a job and calls the listener, unless the cache has a record that is newer than
+// modRevision. No other function removes jobs. c.mu is held.
 func (c *Cache) deleteEntry(uid string, modRevision uint64) {
 	if old, ok := c.jobs[uid]; ok && old.ModRevision > modRevision {
 		return
@@ -170,8 +174,8 @@
 	}
 }
 
-// FreshAsOf returns the time up to which every commit is applied: the zero time before the
-// first listing. It takes no lock: a Listener's locks may be held by the caller.
+// FreshAsOf returns the time before which every commit is applied, or the zero time before the first
+// listing. It does not lock c.mu, so a caller may hold locks that the Listener takes.
 func (c *Cache) FreshAsOf() time.Time {
 	if at := c.freshAsOf.Load(); at != nil {
 		return *at
@@ -179,7 +183,7 @@
 	return time.Time{}
 }
 
-// HasSynced reports whether the jobs have been listed. Like FreshAsOf it takes no lock.
+// HasSynced reports whether a listing has been applied. Like FreshAsOf, it does not lock c.mu.
 func (c *Cache) HasSynced() bool { return !c.FreshAsOf().IsZero() }
 
 // Len returns the number of jobs.
@@ -189,7 +193,7 @@
 	return len(c.jobs)
 }
 
-// Job returns a job that is not archived, as far as the cache knows. The caller must not change it.
+// Job returns a job in the cache, and whether it is there. The caller must not change the job.
 func (c *Cache) Job(uid string) (Entry, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,14 +201,14 @@
 	return entry, found
 }
 
-// Has reports whether a job is known and not archived.
+// Has reports whether a job is in the cache.
 func (c *Cache) Has(uid string) bool {
 	_, found := c.Job(uid)
 	return found
 }
 
-// Cancelled returns which of the jobs are cancelled, as far as the cache knows (nil if none
-// is), and the time up to which every cancellation is known.
+// Cancelled returns which of the jobs are cancelled according to the cache (nil if none is), and the time
+// before which every cancellation is in the cache.
 func (c *Cache) Cancelled(uids []string) (cancelled map[string]bool, freshAsOf time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -219,8 +223,9 @@
 	return cancelled, c.FreshAsOf()
 }
 
-// SetListener calls a listener for every known job and then for every change, one at a time; nil
-// ends the calls. The listener must not call methods of the cache other than FreshAsOf and HasSynced.
+// SetListener calls listener for every job in the cache and from then on for every change, one call at a
+// time. It replaces the listener set before; nil sets none. A listener must not call methods of the
+// cache other than FreshAsOf and HasSynced, since c.mu is held.
 func (c *Cache) SetListener(listener Listener) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -14,35 +14,35 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// storeAt is the content of the store at a time.
-type storeAt struct {
+// storeSnapshot is the content of the store at a time.
+type storeSnapshot struct {
 	at    time.Time
 	items map[string]wire.KeyValue
 }
 
-// cacheModel drives a cache with reads that overlap, and knows what the store held at each time.
+// cacheModel drives a cache with overlapping reads, and records what the store held at each time.
 type cacheModel struct {
 	store   *fakeStore
 	cache   *Cache
 	clock   time.Time
-	history []storeAt
-	late    []func() // answers that are under way
+	history []storeSnapshot
+	delayed []func() // answers that the cache has not received yet
 }
 
 // deliver gives the cache an answer now, or keeps it for later.
 func (m *cacheModel) deliver(t *rapid.T, answer func()) {
 	if rapid.Bool().Draw(t, "late") {
-		m.late = append(m.late, answer)
+		m.delayed = append(m.delayed, answer)
 	} else {
 		answer()
 	}
 }
 
-// step changes the store, sends a read or delivers a late answer.
+// step changes the store, sends a read or delivers a delayed answer.
 func (m *cacheModel) step(t *rapid.T) {
 	uid := fmt.Sprintf("run-%06d", rapid.IntRange(0, 1).Draw(t, "job"))
 	_, exists := m.store.items[records.JobKey(uid)]
-	begun := m.clock
+	startedAt := m.clock
 	switch rapid.IntRange(0, 14).Draw(t, "step") {
 	case 0, 1, 2, 3:
 		m.submitOrCancel(t, uid)
@@ -52,19 +52,19 @@
 		}
 	case 6, 7, 8:
 		m.cache.mu.Lock()
-		after := m.cache.revision
+		afterRevision := m.cache.revision
 		m.cache.mu.Unlock()
-		if changes, err := m.store.Watch(t.Context(), records.JobPrefix, after, 0); err == nil && m.cache.HasSynced() {
-			m.deliver(t, func() { m.cache.Apply(changes, after, begun) })
+		if changes, err := m.store.Watch(t.Context(), records.JobPrefix, afterRevision, 0); err == nil && m.cache.HasSynced() {
+			m.deliver(t, func() { m.cache.Apply(changes, afterRevision, startedAt) })
 		}
 	case 9, 10:
 		items, revision, _ := m.store.List(t.Context(), records.JobPrefix)
-		m.deliver(t, func() { m.cache.Reset(items, revision, begun) })
+		m.deliver(t, func() { m.cache.Reset(items, revision, startedAt) })
 	case 11, 12, 13:
-		if len(m.late) > 0 {
-			i := rapid.IntRange(0, len(m.late)-1).Draw(t, "which")
-			m.late[i]()
-			m.late = append(m.late[:i], m.late[i+1:]...)
+		if len(m.delayed) > 0 {
+			i := rapid.IntRange(0, len(m.delayed)-1).Draw(t, "which")
+			m.delayed[i]()
+			m.delayed = append(m.delayed[:i], m.delayed[i+1:]...)
 		}
 	case 14:
 		if rapid.IntRange(0, 9).Draw(t, "compact") == 0 {
@@ -73,7 +73,8 @@
 	}
 }
 
-// submitOrCancel submits a job, or cancels it and perhaps sends the record as a peer does.
+// submitOrCancel submits a job if it does not exist. Otherwise it cancels the job, and in some runs also
+// sends the record as a peer does.
 func (m *cacheModel) submitOrCancel(t *rapid.T, uid string) {
 	item, exists := m.store.items[records.JobKey(uid)]
 	if !exists {
@@ -89,14 +90,14 @@
 	}
 }
 
-// check compares the cache with the store at the latest time up to which the cache is fresh.
+// check checks that the cache has every job as the store had it at the time as of which the cache is fresh.
 func (m *cacheModel) check(t *rapid.T) {
-	for _, then := range slices.Backward(m.history) {
-		if then.at.After(m.cache.FreshAsOf()) {
+	for _, snapshot := range slices.Backward(m.history) {
+		if snapshot.at.After(m.cache.FreshAsOf()) {
 			continue
 		}
-		for key, item := range then.items {
-			if m.store.items[key].ModRevision == item.ModRevision { // else its record has changed since
+		for key, item := range snapshot.items {
+			if m.store.items[key].ModRevision == item.ModRevision { // otherwise the record has changed since
 				m.checkJob(t, strings.TrimPrefix(key, records.JobPrefix), item.ModRevision)
 			}
 		}
@@ -104,22 +105,23 @@
 	}
 }
 
-// checkJob checks that a job is known as of a revision, and whether it is cancelled.
+// checkJob checks that the cache has a job's record of a revision, and that Cancelled agrees with it.
 func (m *cacheModel) checkJob(t *rapid.T, uid string, modRevision uint64) {
-	known := m.cache.jobs[uid]
-	if known.ModRevision != modRevision {
-		t.Fatalf("fresh as of %v, but %s is known as of %d, not %d",
-			m.cache.FreshAsOf().Unix(), uid, known.ModRevision, modRevision)
+	entry := m.cache.jobs[uid]
+	if entry.ModRevision != modRevision {
+		t.Fatalf("the cache, fresh as of %v, has %s at modification revision %d, want %d",
+			m.cache.FreshAsOf().Unix(), uid, entry.ModRevision, modRevision)
 	}
 	cancelled, freshAsOf := m.cache.Cancelled([]string{uid})
-	if cancelled[uid] != (known.Job.Status == wire.JobAborted) || !freshAsOf.Equal(m.cache.FreshAsOf()) {
-		t.Fatalf("%s cancelled: %v as of %v", uid, cancelled[uid], freshAsOf)
+	if cancelled[uid] != (entry.Job.Status == wire.JobAborted) || !freshAsOf.Equal(m.cache.FreshAsOf()) {
+		t.Fatalf("%s cancelled: %v as of %v, want %v as of %v",
+			uid, cancelled[uid], freshAsOf, entry.Job.Status == wire.JobAborted, m.cache.FreshAsOf())
 	}
 }
 
-// finish delivers all answers, refreshes the cache and checks that it holds what the store does.
+// finish delivers all delayed answers, refreshes the cache and checks that it has the store's jobs.
 func (m *cacheModel) finish(t *rapid.T) {
-	for _, answer := range m.late {
+	for _, answer := range m.delayed {
 		answer()
 	}
 	if err := m.cache.Refresh(t.Context(), m.store); err != nil {
@@ -127,35 +129,35 @@
 		m.cache.Reset(items, revision, m.clock)
 	}
 	if len(m.cache.jobs) != len(m.store.items) {
-		t.Fatalf("%d jobs are known, there are %d", len(m.cache.jobs), len(m.store.items))
+		t.Fatalf("the cache has %d jobs, want %d", len(m.cache.jobs), len(m.store.items))
 	}
 	for uid, entry := range m.cache.jobs {
 		if m.store.items[records.JobKey(uid)].ModRevision != entry.ModRevision {
-			t.Fatalf("%s is known as of %d", uid, entry.ModRevision)
+			t.Fatalf("the cache has %s at modification revision %d, want %d",
+				uid, entry.ModRevision, m.store.items[records.JobKey(uid)].ModRevision)
 		}
 	}
 }
 
-// A cache that is fresh as of a time knows every cancellation that
-// was committed before, and no job stays in it that was dropped before, however
-// reads overlap: listings, watches and refreshes that are answered late, records from peers,
-// and changes that are no longer kept. A cancellation that it knew once is not
-// forgotten while the job has a record.
+// A cache that is fresh as of a time has every cancellation that was committed before that time, and no
+// job whose record was dropped before it. This holds however reads overlap: listings, watches and
+// refreshes may be answered late, peers may send records, and the store may no longer keep changes.
+// The cache never loses a cancellation while the job has a record.
 func TestCacheKnowsAllCommitsBeforeFreshAsOf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &cacheModel{store: newFakeStore(), cache: New(), clock: time.Unix(1000, 0)}
 		for range rapid.IntRange(5, 100).Draw(t, "steps") {
 			model.clock = model.clock.Add(time.Second)
 			model.step(t)
-			model.history = append(model.history, storeAt{model.clock, maps.Clone(model.store.items)})
+			model.history = append(model.history, storeSnapshot{model.clock, maps.Clone(model.store.items)})
 			model.check(t)
 		}
 		model.finish(t)
 	})
 }
 
-// A listing that is answered late, after what it shows was archived, and a change
-// that was asked for before it: the job must not stay for ever.
+// An archived job does not stay in the cache for ever if a listing from before it was archived arrives
+// late and is followed by the answer to a watch that was sent before the listing arrived.
 func TestCacheForgetsArchivedJobsAfterALateListing(t *testing.T) {
 	fake := newFakeStore()
 	cache := New()
@@ -165,8 +167,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		after := cache.revision
-		return func() { cache.Apply(changes, after, at) }
+		afterRevision := cache.revision
+		return func() { cache.Apply(changes, afterRevision, at) }
 	}
 	cache.Reset(nil, 0, at)
 	fake.set("run-000001", wire.JobQueued)
@@ -175,11 +177,11 @@
 	fake.drop("run-000001")
 	refresh()()
 	fake.set("run-000002", wire.JobQueued)
-	late := refresh()
+	applyDelayed := refresh()
 	cache.Reset(items, revision, at)
-	late() // follows on what the listing went back behind
+	applyDelayed() // these changes come after the revision to which the listing has set the cache back
 	refresh()()
 	if _, known := cache.jobs["run-000001"]; known || cache.jobs["run-000002"].Job == nil {
-		t.Errorf("known are %v", cache.jobs)
+		t.Errorf("the cache has jobs %v, want run-000002 only", cache.jobs)
 	}
 }
--- a/internal/watchcache/fakes_test.go
+++ b/internal/watchcache/fakes_test.go
@@ -10,12 +10,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// fakeStore is a state store of job records that keeps all changes, or those after a revision.
+// fakeStore is a state store of job records that keeps the changes after the revision compacted.
 type fakeStore struct {
 	revision  uint64
 	items     map[string]wire.KeyValue
 	events    []wire.WatchEvent
-	compacted uint64 // changes up to here are no longer kept
+	compacted uint64 // changes up to this revision are no longer kept
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{items: map[string]wire.KeyValue{}} }
@@ -42,43 +42,43 @@
 	return items, s.revision, nil
 }
 
-func (s *fakeStore) Watch(_ context.Context, _ string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
-	if after < s.compacted {
+func (s *fakeStore) Watch(_ context.Context, _ string, afterRevision uint64, _ time.Duration) (wire.WatchResponse, error) {
+	if afterRevision < s.compacted {
 		return wire.WatchResponse{}, store.ErrCompacted
 	}
 	changes := wire.WatchResponse{Revision: s.revision}
 	for _, event := range s.events {
-		if event.ModRevision > after {
+		if event.ModRevision > afterRevision {
 			changes.Events = append(changes.Events, event)
 		}
 	}
 	return changes, nil
 }
 
-// slowStore is a state store whose reads show it as it was when they were
-// executed and are answered later.
+// slowStore is a state store that executes a read at once and answers it later: the answer shows the
+// store as it was when the read was executed.
 type slowStore struct {
 	*fakeStore
-	mu     sync.Mutex
-	reads  int
-	answer func(read int) time.Duration // when the read with this number is answered
+	mu    sync.Mutex
+	reads int
+	delay func(read int) time.Duration // returns the delay of the answer to the read with this number, from 0
 }
 
-func (s *slowStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.WatchResponse, error) {
+func (s *slowStore) Watch(ctx context.Context, prefix string, afterRevision uint64, maxWait time.Duration) (wire.WatchResponse, error) {
 	s.mu.Lock()
 	read := s.reads
 	s.reads++
-	changes, err := s.fakeStore.Watch(ctx, prefix, after, wait)
+	changes, err := s.fakeStore.Watch(ctx, prefix, afterRevision, maxWait)
 	s.mu.Unlock()
 	select {
-	case <-time.After(s.answer(read)):
+	case <-time.After(s.delay(read)):
 		return changes, err
 	case <-ctx.Done():
 		return wire.WatchResponse{}, ctx.Err()
 	}
 }
 
-// unpaced lets every read begin at once.
-type unpaced struct{}
+// noPacer is a Pacer that lets every read start at once.
+type noPacer struct{}
 
-func (unpaced) Wait(context.Context) error { return nil }
+func (noPacer) Wait(context.Context) error { return nil }
--- a/internal/watchcache/linearizable.go
+++ b/internal/watchcache/linearizable.go
@@ -8,58 +8,58 @@
 	"lotusstile.dev/lotusstile/internal/store"
 )
 
-// Pacer limits how often reads are sent: Wait returns when the next one may be. It is implemented by
-// aimd.Limiter.
+// Pacer limits how often reads are sent: Wait returns when the next read may be sent. aimd.Limiter
+// implements it.
 type Pacer interface {
 	Wait(ctx context.Context) error
 }
 
-// LinearizableReader brings a cache up to date for many callers at once. Every caller gets a read
-// that began after its call; callers that arrive while one read is under way, or waits for its
-// turn, share the next. So however many callers there are, the state store gets no more reads than
-// the pacer allows. This is the one place that decides which read answers which caller. It is safe
-// for concurrent use.
+// LinearizableReader brings a cache up to date for many callers at once. Every caller waits for a read
+// that starts after its call. All callers that arrive before that read starts share it, so the state
+// store receives no more reads than the pacer allows, however many callers there are. No other code
+// decides which read answers which caller. A LinearizableReader is safe for concurrent use.
 //
-// A read belongs to all who wait for it, so it does not end with the context of any of them; it
-// ends after the reader's time-out.
+// Since callers share a read, it does not end when the context of one of them ends. It has the timeout
+// of the LinearizableReader instead.
 type LinearizableReader struct {
 	cache    *Cache
 	reader   Reader
 	pacer    Pacer
 	timeout  time.Duration // of one read
-	patience time.Duration // for how long a read without an answer delays the next one
+	maxDelay time.Duration // how long a read without an answer may delay the next one
 
 	mu      sync.Mutex
-	running *sharedRead // the read that began latest; nil if it has ended
-	waiting *sharedRead // the read that begins next; nil if nobody waits for one
+	running *sharedRead // the read that started last; nil if it has ended
+	waiting *sharedRead // the read that starts next; nil if no caller waits for one
 }
 
 // sharedRead is one read that several callers wait for.
 type sharedRead struct {
-	begun time.Time     // set under LinearizableReader.mu when the read starts
-	done  chan struct{} // closed when the read has ended
-	err   error         // set before done is closed
+	startedAt time.Time     // set under LinearizableReader.mu when the read starts
+	done      chan struct{} // closed when the read has ended
+	err       error         // set before done is closed
 }
 
-// patienceDivisor of the time-out of a read is how long it may delay the next one.
-const patienceDivisor = 20
+// maxDelayDivisor: a read without an answer delays the next one for at most the read's timeout divided
+// by this.
+const maxDelayDivisor = 20
 
-// NewLinearizableReader makes a LinearizableReader. timeout bounds one read from its start; the wait
-// for the pacer comes before that.
+// NewLinearizableReader makes a LinearizableReader. timeout bounds one read; the wait for the pacer
+// before the read does not count.
 func NewLinearizableReader(cache *Cache, reader Reader, pacer Pacer, timeout time.Duration) *LinearizableReader {
 	return &LinearizableReader{
 		cache:    cache,
 		reader:   reader,
 		pacer:    pacer,
 		timeout:  timeout,
-		patience: timeout / patienceDivisor,
+		maxDelay: timeout / maxDelayDivisor,
 	}
 }
 
 // Refresh returns nil once the cache has applied everything that was committed before the call. Its
-// error is that of the read, or of ctx if that ends first.
+// error is that of the read, or that of ctx if ctx ends first.
 func (r *LinearizableReader) Refresh(ctx context.Context) error {
-	read := r.joinNextRead() //nolint:contextcheck // the read belongs to all who wait for it and has a time-out of its own
+	read := r.joinNextRead() //nolint:contextcheck // callers share the read, which has its own timeout
 	select {
 	case <-read.done:
 		return read.err
@@ -68,7 +68,7 @@
 	}
 }
 
-// joinNextRead returns the read that has not begun yet; if there is none it queues one.
+// joinNextRead returns the read that has not started yet; if there is none, it queues one.
 func (r *LinearizableReader) joinNextRead() *sharedRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +83,7 @@
 
 // startRead starts a read in a goroutine of its own. r.mu is held.
 func (r *LinearizableReader) startRead(read *sharedRead) {
-	read.begun = time.Now()
+	read.startedAt = time.Now()
 	r.running = read
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), r.timeout)
@@ -98,18 +98,18 @@
 	}()
 }
 
-// startReadAfter starts the next read in its turn, when the one before, if there is any, has ended
-// or has taken too long.
+// startReadAfter starts the next read once the previous one, if there is any, has ended or has taken
+// maxDelay, and the pacer allows it.
 func (r *LinearizableReader) startReadAfter(previous, next *sharedRead) {
 	if previous != nil {
-		patience := time.NewTimer(r.patience - time.Since(previous.begun))
+		delayTimer := time.NewTimer(r.maxDelay - time.Since(previous.startedAt))
 		select {
 		case <-previous.done:
-		case <-patience.C:
+		case <-delayTimer.C:
 		}
-		patience.Stop()
+		delayTimer.Stop()
 	}
-	// Its turn always comes: nobody else waits for the pacer, and its rate never falls to zero.
+	// This wait always ends: at most one read waits for the pacer, and the pacer's rate never falls to 0.
 	err := r.pacer.Wait(context.Background())
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/watchcache/linearizable_test.go
+++ b/internal/watchcache/linearizable_test.go
@@ -11,17 +11,16 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Every caller gets a read that began after its call: what was committed before
-// is known then, also when another read was under way already. An answer from the
-// read under way would have missed it. Callers share reads, and one that is not
-// answered delays no other for long.
+// Every caller waits for a read that starts after its call, even if another read is running already, so
+// the cache then has everything that was committed before the call. The answer to the running read
+// could lack it. Callers share reads, and a read that is not answered delays the next only for a while.
 func TestRefreshReadBeginsAfterTheCall(t *testing.T) {
 	const callers, timeout = 40, 2 * time.Second
 	for _, tc := range []struct {
-		name      string
-		answer    func(read int) time.Duration
-		mostReads int
-		mostWait  time.Duration
+		name     string
+		delay    func(read int) time.Duration
+		maxReads int
+		maxWait  time.Duration
 	}{
 		{"quick", func(int) time.Duration { return time.Millisecond }, callers, 2 * time.Millisecond},
 		{"slow", func(int) time.Duration { return 50 * time.Millisecond }, callers / 8, 100 * time.Millisecond},
@@ -34,36 +33,36 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				service := &slowStore{fakeStore: newFakeStore(), answer: tc.answer}
+				slow := &slowStore{fakeStore: newFakeStore(), delay: tc.delay}
 				cache := New()
 				cache.Reset(nil, 0, time.Now())
-				reader := NewLinearizableReader(cache, service, unpaced{}, timeout)
+				reader := NewLinearizableReader(cache, slow, noPacer{}, timeout)
 				var wg sync.WaitGroup
 				for i := range callers {
 					time.Sleep(3 * time.Millisecond)
 					uid := fmt.Sprintf("run-%06d", i)
-					service.mu.Lock()
-					service.set(uid, wire.JobQueued)
-					service.mu.Unlock()
+					slow.mu.Lock()
+					slow.set(uid, wire.JobQueued)
+					slow.mu.Unlock()
 					wg.Go(func() {
-						began := time.Now()
-						ctx, cancel := context.WithTimeout(context.Background(), tc.mostWait)
+						startedAt := time.Now()
+						ctx, cancel := context.WithTimeout(context.Background(), tc.maxWait)
 						defer cancel()
 						err := reader.Refresh(ctx)
 						if err != nil && i == 0 && tc.name == "one is lost" {
-							return // its own read is the lost one
+							return // the lost read is this caller's own
 						}
 						if err != nil {
-							t.Errorf("%s: %v after %s", uid, err, time.Since(began))
+							t.Errorf("%s: refresh failed after %s: %v", uid, time.Since(startedAt), err)
 						}
 						if !cache.Has(uid) {
-							t.Errorf("%s was committed before the call and is not known", uid)
+							t.Errorf("%s was committed before the call but is not in the cache", uid)
 						}
 					})
 				}
 				wg.Wait()
-				if service.reads > tc.mostReads {
-					t.Errorf("%d reads for %d calls, want at most %d", service.reads, callers, tc.mostReads)
+				if slow.reads > tc.maxReads {
+					t.Errorf("%d reads for %d calls, want at most %d", slow.reads, callers, tc.maxReads)
 				}
 				time.Sleep(timeout)
 			})
