--- a/internal/records/bench_test.go
+++ b/internal/records/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The record of a placement of eight tasks is encoded.
+// BenchmarkEncodePlacement encodes a placement record of eight tasks in the plain form.
 func BenchmarkEncodePlacement(b *testing.B) {
 	placement := Placement{NextAttempt: 2, DoneBits: []byte{0}}
 	for task := range 8 {
--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -10,12 +10,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-var update = flag.Bool("update", false, "write the golden files again")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Stored records keep their keys, whatever the Go names are: a new release reads
-// what an older one has written.
+// The keys and the JSON names of stored records stay the same even if Go names change, so that a new
+// release can read what an older one has written.
 func TestGoldenRecords(t *testing.T) {
-	due := 900.5
+	deadlineS := 900.5
 	spec := wire.JobSpec{
 		UID:                 "run-000412",
 		JobClass:            "train",
@@ -36,7 +36,7 @@
 		ExpectedRunS:        240,
 		CheckpointIntervalS: 30,
 		CheckpointOnStopS:   4,
-		DeadlineS:           &due,
+		DeadlineS:           &deadlineS,
 	}
 	placement := Placement{
 		NextAttempt: 3,
@@ -65,14 +65,14 @@
 				t.Fatal(err)
 			}
 			if string(got) != string(want) {
-				t.Errorf("encoded as %s want %s", got, want)
+				t.Errorf("encoded as %s, want %s", got, want)
 			}
 			for decoder, decode := range map[string]func([]byte, any) error{"wire.Decode": wire.Decode, "encoding/json": json.Unmarshal} {
 				if err := decode(want, record.empty); err != nil {
 					t.Fatalf("%s: %v", decoder, err)
 				}
-				if again := append(Encode(record.empty), '\n'); string(again) != string(want) {
-					t.Errorf("%s decodes to %s want %s", decoder, again, want)
+				if reencoded := append(Encode(record.empty), '\n'); string(reencoded) != string(want) {
+					t.Errorf("decoded by %s and encoded again as %s, want %s", decoder, reencoded, want)
 				}
 			}
 		})
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Fixed keys and prefixes of keys. The package comment says what each one holds.
+// Fixed keys and key prefixes. The package comment says what each of them holds.
 const (
 	ElectionPrefix      = "e/"
 	LeaderKey           = "e/leader"
@@ -30,19 +30,19 @@
 // FinalKey returns the key of a job's final status.
 func FinalKey(uid string) string { return FinalPrefix + uid }
 
-// ReleaseKey returns the key by which a node announces the cluster version that it understands.
+// ReleaseKey returns the key of the record in which a node announces the cluster version that it understands.
 func ReleaseKey(node string) string { return ReleasePrefix + node }
 
-// ImagesKey returns the key of a machine's images.
+// ImagesKey returns the key of the list of images that were seen on a machine.
 func ImagesKey(host string) string { return ImagesPrefix + host }
 
-// PlacementKey returns the key of the placement record with a number, from 0, of a job.
+// PlacementKey returns the key of one of a job's placement records, which are numbered from 0.
 func PlacementKey(uid string, number int) string {
 	return fmt.Sprintf("%s%s/%06d", PlacementPrefix, uid, number)
 }
 
-// SplitPlacementKey returns the job and the number of a placement record's key; ok is false for
-// other keys.
+// SplitPlacementKey returns the job and the number that a placement record's key contains; ok is false
+// for other keys.
 func SplitPlacementKey(key string) (uid string, number int, ok bool) {
 	rest, found := strings.CutPrefix(key, PlacementPrefix)
 	if !found {
--- a/internal/records/placement_test.go
+++ b/internal/records/placement_test.go
@@ -12,7 +12,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// attemptGen draws attempts as a leader may have to record them.
+// attemptGen generates attempts that a leader may have to record.
 var attemptGen = rapid.Custom(func(t *rapid.T) PlacedAttempt {
 	return PlacedAttempt{
 		Task:        rapid.IntRange(0, wire.MaxTasks).Draw(t, "task"),
@@ -22,8 +22,8 @@
 	}
 })
 
-// A placement record in the dense form is read as what was written, and it takes no more than is
-// computed before a task is placed.
+// A placement record in the dense form decodes to what was encoded. It is not larger than the size that
+// the leader computes before it places a task.
 func TestDensePlacementsAreReadAsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		placement := Placement{
@@ -34,78 +34,80 @@
 		if len(placement.DoneBits) == 0 {
 			placement.DoneBits = nil
 		}
-		const smallest = 1
-		value := EncodePlacement(placement, smallest, true)
+		const minValueBytes = 1 // the plain form never fits
+		value := EncodePlacement(placement, minValueBytes, true)
 		got, err := DecodePlacement(value)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(got.Live) != len(placement.Live) || len(got.Live) > 0 && !reflect.DeepEqual(got, placement) {
-			t.Fatalf("read as %+v, want %+v", got, placement)
+			t.Fatalf("decoded as %+v, want %+v", got, placement)
 		}
-		plain, tasks := true, 85
-		bytes := 0
+		namesUnescaped, tasks := true, 85
+		attemptBytes := 0
 		for _, placed := range placement.Live {
-			plain = plain && !strings.ContainsAny(placed.Host, `"<`)
-			bytes += DenseAttemptBytes(placed, tasks)
+			namesUnescaped = namesUnescaped && !strings.ContainsAny(placed.Host, `"<`)
+			attemptBytes += DenseAttemptBytes(placed, tasks)
 		}
-		if limit := 2048; plain && bytes <= DenseAttemptsRoom(limit, tasks) && len(value) > limit {
-			t.Fatalf("%d attempts take %d bytes", len(placement.Live), len(value))
+		if limit := 2048; namesUnescaped && attemptBytes <= DenseAttemptsRoom(limit, tasks) && len(value) > limit {
+			t.Fatalf("%d attempts take %d bytes, want at most %d", len(placement.Live), len(value), limit)
 		}
 	})
 }
 
-// A whole placement record on machines with names of usual length fits a quarter of the value that
-// it was laid out for, each of its tasks on a machine of its own.
+// A placement record with all its tasks still fits if the value limit falls to a quarter of the limit for
+// which TasksPerPlacement was computed, even if each task is on a different machine. The machines have
+// names of the usual length.
 func TestWholePlacementFitsLowerLimit(t *testing.T) {
 	const current, lowest = 8 << 10, 2 << 10
 	tasks := TasksPerPlacement(current, lowest)
 	if tasks != TasksPerPlacement(current, current) {
-		t.Errorf("%d tasks to a record, %d before the limit was announced", tasks, TasksPerPlacement(current, current))
+		t.Errorf("%d tasks in a record, want %d as before the lower limit was announced", tasks, TasksPerPlacement(current, current))
 	}
 	placement := Placement{NextAttempt: 3}
-	room := DenseAttemptsRoom(lowest, tasks)
+	bytesLeft := DenseAttemptsRoom(lowest, tasks)
 	for i := range tasks {
 		placed := PlacedAttempt{Task: 2*tasks + i, Attempt: 1, Host: fmt.Sprintf("m-%06d", i), Incarnation: 1}
 		placement.MarkDone(i)
 		placement.Live = append(placement.Live, placed)
-		room -= DenseAttemptBytes(placed, tasks)
+		bytesLeft -= DenseAttemptBytes(placed, tasks)
 	}
-	if value := EncodePlacement(placement, lowest, true); len(value) > lowest || room < 0 {
-		t.Errorf("%d tasks take %d bytes, %d are computed to be left", tasks, len(value), room)
+	if value := EncodePlacement(placement, lowest, true); len(value) > lowest || bytesLeft < 0 {
+		t.Errorf("%d tasks take %d bytes, want at most %d; computed bytes left: %d, want at least 0",
+			tasks, len(value), lowest, bytesLeft)
 	}
 }
 
-// placement1 and attempt1 are a placement record as releases before cluster version 2 know it.
+// placementV1 and attemptV1 are the types of a placement record in releases before cluster version 2.
 type (
-	placement1 struct {
-		Next uint64     `json:"N"`
-		Done []byte     `json:"D,omitempty"`
-		Live []attempt1 `json:"A,omitempty"`
+	placementV1 struct {
+		NextAttempt uint64      `json:"N"`
+		DoneBits    []byte      `json:"D,omitempty"`
+		Live        []attemptV1 `json:"A,omitempty"`
 	}
-	attempt1 struct {
-		Leg   int    `json:"L"`
-		Try   uint64 `json:"T"`
-		Host  string `json:"H"`
-		Shift uint64 `json:"S"`
+	attemptV1 struct {
+		Task        int    `json:"L"`
+		Attempt     uint64 `json:"T"`
+		Host        string `json:"H"`
+		Incarnation uint64 `json:"S"`
 	}
 )
 
-// As long as an older release may read it, a placement record is written as that release knows it,
-// also if it does not fit.
+// While a node of an older release may read a placement record, the record is written in the plain form,
+// which that release can read, even if it is larger than the limit.
 func TestPlacementsAreReadByOlderReleases(t *testing.T) {
 	placement := Placement{NextAttempt: 3, DoneBits: []byte{5}, Live: []PlacedAttempt{{1, 2, "m-1", 4}, {2, 1, "m-2", 1}}}
-	var got placement1
+	var got placementV1
 	if err := json.Unmarshal(EncodePlacement(placement, 1, false), &got); err != nil {
 		t.Fatal(err)
 	}
-	if want := (placement1{3, []byte{5}, []attempt1{{1, 2, "m-1", 4}, {2, 1, "m-2", 1}}}); !reflect.DeepEqual(got, want) {
+	if want := (placementV1{3, []byte{5}, []attemptV1{{1, 2, "m-1", 4}, {2, 1, "m-2", 1}}}); !reflect.DeepEqual(got, want) {
 		t.Errorf("an older release reads %+v, want %+v", got, want)
 	}
 }
 
-// The record of a job that was accepted under a higher limit can be finished under a
-// lower one, and still has what a leader needs to end its tasks.
+// A job that was accepted under a higher value limit can get its final status under a lower one. Its
+// record keeps the fields that a leader needs to end the job's tasks.
 func TestOversizedJobsCanBeFinished(t *testing.T) {
 	const limit = 2 << 10
 	long := strings.Repeat("x", 200)
@@ -131,20 +133,20 @@
 		job.Spec.MachineTypes = append(job.Spec.MachineTypes, long)
 	}
 	if len(Encode(job)) <= limit {
-		t.Fatal("the record is small")
+		t.Fatalf("the record has %d bytes, want more than %d", len(Encode(job)), limit)
 	}
 	finished := job
 	finished.SetFinal(wire.JobAborted, limit)
 	if size := len(Encode(finished)); size > limit {
-		t.Errorf("%d bytes are left", size)
+		t.Errorf("the finished record has %d bytes, want at most %d", size, limit)
 	}
 	if finished.Status != wire.JobAborted || finished.TasksPerPlacement != job.TasksPerPlacement ||
 		finished.Spec.TaskCount != 16 || finished.Spec.Team != "vision" || finished.Spec.Cores != 8 {
-		t.Errorf("finished as %+v", finished)
+		t.Errorf("finished record is %+v, want the status, tasks, team and cores of %+v", finished, job)
 	}
 	small := Job{Spec: wire.JobSpec{UID: "run-000412", MachineTypes: []string{"g8"}, Image: "img"}}
 	small.SetFinal(wire.JobDone, limit)
 	if small.Spec.Image != "img" || small.Spec.MachineTypes == nil {
-		t.Error("a record that fits has lost something")
+		t.Errorf("a record that fits became %+v, want all fields kept", small)
 	}
 }
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,20 +1,20 @@
-// Package records holds the records that the state store keeps: their keys, formats and sizes.
+// Package records defines the records in the state store: their keys, formats and sizes.
 //
-// Every record is JSON. The JSON names are fixed, since nodes of two releases read each other's
-// records; the names of the Go fields are free. Keys, by prefix:
+// Every record is JSON. The JSON names must not change, since nodes of two releases read each other's
+// records; the names of the Go fields may change. The keys, by prefix:
 //
 //	e/leader            the leader's label, attached to its lease; the key's modification revision
 //	                    is the term
-//	e/term              written in one commit with e/leader but never dropped: its modification
-//	                    revision is the latest term
+//	e/term              written in the same commit as e/leader but never dropped, so that its
+//	                    modification revision is always the latest term
 //	j/<uid>             an accepted job that is not archived yet
-//	p/<uid>/<number>    one of the job's placement records: attempts that may run, tasks that are done
+//	p/<uid>/<number>    one of the job's placement records: attempts that may be running, tasks that are done
 //	f/<uid>             the final status of an archived job, never dropped
-//	r/<term>-<number>   machines whose scale-in was requested: they may be gone at any time
+//	r/<term>-<number>   machines whose scale-in was requested: they may be terminated at any time
 //	i/<host>            the images that were seen on a machine
 //	k/<node>/<number>   machines whose worker leases a node renews while it cannot reach the leader
 //	t/last              how the last failover went
-//	o/settings          the operators' own settings
+//	o/settings          the settings that the operators have set
 //	o/version           the cluster version: which formats of records are in use
 //	o/release/<node>    the version that a node understands, attached to a lease, until it is in force
 package records
@@ -34,25 +34,25 @@
 	Version int `json:"Version"`
 }
 
-// ScaleIns lists machines whose scale-in was requested. They may be gone at any time: they are
+// ScaleIns lists machines whose scale-in was requested. They may be terminated at any time, so they are
 // never used again, and the request is repeated until the cloud confirms it.
 type ScaleIns struct {
 	Hosts []string `json:"Hosts"`
 }
 
-// Images lists images that were seen on a machine. It only guides placement.
+// Images lists images that were seen on a machine. The scheduler uses the list only as a hint.
 type Images struct {
 	Names []string `json:"Names"`
 }
 
-// RenewedLeases lists machines whose worker leases a node renews on behalf of a leader that it
-// cannot reach. The leader reads the list from the state store where peer RPC does not arrive.
+// RenewedLeases lists machines whose worker leases a node renews on behalf of the leader while it cannot
+// reach the leader by peer RPC. The leader reads the list from the state store.
 type RenewedLeases struct {
 	Hosts []string `json:"Hosts"`
 }
 
-// FitNames returns the longest prefix of names that a record with one list of names holds in a value
-// of valueBytes, but at least one name.
+// FitNames returns as many of the first names as fit into a value of valueBytes, for a record that has one
+// list of names and no other field; at least one name.
 func FitNames(names []string, valueBytes int) []string {
 	size := len(`{"Hosts":[]}`)
 	for i, name := range names {
@@ -63,8 +63,8 @@
 	return names
 }
 
-// Encode returns the value of a record. The records are plain structs, which can always be encoded;
-// it panics for anything that cannot.
+// Encode returns the value of a record. It panics if the record cannot be encoded; the types of this
+// package always can.
 func Encode(record any) json.RawMessage {
 	value, err := json.Marshal(record)
 	if err != nil {
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -8,35 +8,35 @@
 	"pgregory.net/rapid"
 )
 
-// The same inputs every run; -rapid.seed draws others.
+// init fixes the seed so that every run draws the same inputs; -rapid.seed sets another seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// Lists of machines are split so that each part fits a value, and none is lost:
-// one list of a thousand machines was over the largest value.
+// FitNames splits a list of machines so that each part fits into a value and no machine is lost. A list of
+// a thousand machines in one record exceeded the maximum value size.
 func TestFitNamesSplits(t *testing.T) {
-	split := 0
+	splits := 0
 	rapid.Check(t, func(t *rapid.T) {
 		const valueBytes = 128
 		hosts := rapid.SliceOfN(rapid.StringMatching(`m-[0-9"<]{1,20}`), 1, 200).Draw(t, "hosts")
 		var got []string
-		for left := hosts; len(left) > 0; {
-			part := FitNames(left, valueBytes)
+		for remaining := hosts; len(remaining) > 0; {
+			part := FitNames(remaining, valueBytes)
 			if len(part) == 0 {
-				t.Fatal("an empty part")
+				t.Fatal("FitNames returned no name, want at least one")
 			}
 			if n := len(Encode(ScaleIns{Hosts: part})); n > valueBytes {
-				t.Fatalf("%d names take %d bytes", len(part), n)
+				t.Fatalf("%d names take %d bytes, want at most %d", len(part), n, valueBytes)
 			}
-			got, left = append(got, part...), left[len(part):]
-			if len(left) > 0 {
-				split++
+			got, remaining = append(got, part...), remaining[len(part):]
+			if len(remaining) > 0 {
+				splits++
 			}
 		}
 		if !slices.Equal(got, hosts) {
-			t.Fatalf("%d names of %d", len(got), len(hosts))
+			t.Fatalf("the parts hold %d names %v, want the %d names %v", len(got), got, len(hosts), hosts)
 		}
 	})
-	if split == 0 {
-		t.Error("nothing was split")
+	if splits == 0 {
+		t.Error("no list was split, want at least one")
 	}
 }
--- a/internal/records/releasebefore_test.go
+++ b/internal/records/releasebefore_test.go
@@ -17,10 +17,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// storedByReleaseBefore returns what the release before this one wrote to the state store, by key.
-// testdata/release-before.json was written by that release's own encoders; it is never written
-// again.
-func storedByReleaseBefore(t *testing.T) map[string]wire.KeyValue {
+// storedByPreviousRelease returns what the previous release wrote to the state store, by key. That
+// release's own encoders wrote testdata/release-before.json, which must not be written again.
+func storedByPreviousRelease(t *testing.T) map[string]wire.KeyValue {
 	t.Helper()
 	data, err := os.ReadFile("testdata/release-before.json")
 	if err != nil {
@@ -40,8 +39,8 @@
 	return items
 }
 
-// under returns the items under a prefix, as a listing does.
-func under(items map[string]wire.KeyValue, prefix string) []wire.KeyValue {
+// itemsUnder returns the items under a prefix, as a listing does.
+func itemsUnder(items map[string]wire.KeyValue, prefix string) []wire.KeyValue {
 	var listed []wire.KeyValue
 	for _, key := range slices.Sorted(maps.Keys(items)) {
 		if strings.HasPrefix(key, prefix) {
@@ -61,9 +60,9 @@
 	return record
 }
 
-// wantArrayJob is the job run-000412 as the release before has stored it.
+// wantArrayJob returns the job run-000412 as the previous release stored it.
 func wantArrayJob() records.Job {
-	due := 900.5
+	deadlineS := 900.5
 	return records.Job{
 		Spec: wire.JobSpec{
 			UID:                 "run-000412",
@@ -85,7 +84,7 @@
 			ExpectedRunS:        240,
 			CheckpointIntervalS: 30,
 			CheckpointOnStopS:   4,
-			DeadlineS:           &due,
+			DeadlineS:           &deadlineS,
 			Dependencies:        []string{"run-000411"},
 		},
 		Status:            wire.JobQueued,
@@ -94,10 +93,10 @@
 	}
 }
 
-// Jobs, placements and the smaller records of the release before are read field by field, and
-// written again byte for byte as that release wrote them.
+// Jobs, placements and the smaller records of the previous release decode with the value of every field,
+// and encode again to the same bytes that the previous release wrote.
 func TestRecordsOfTheReleaseBeforeAreRead(t *testing.T) {
-	items := storedByReleaseBefore(t)
+	items := storedByPreviousRelease(t)
 	attempts := []records.PlacedAttempt{
 		{Task: 1, Attempt: 2, Host: "m-000001", Incarnation: 4},
 		{Task: 2, Attempt: 1, Host: "m-000002", Incarnation: 1},
@@ -108,12 +107,12 @@
 		key := records.PlacementKey("run-000412", number)
 		got, err := records.DecodePlacement(items[key].Value)
 		if err != nil || !reflect.DeepEqual(got, placement) {
-			t.Errorf("%s is read as %+v (%v), want %+v", key, got, err, placement)
+			t.Errorf("%s is decoded as %+v (error %v), want %+v", key, got, err, placement)
 		}
 		const plain, dense = 8192, 1
-		again := records.EncodePlacement(got, []int{plain, dense}[number], true)
-		if string(again) != string(items[key].Value) {
-			t.Errorf("%s is written as %s, was %s", key, again, items[key].Value)
+		reencoded := records.EncodePlacement(got, []int{plain, dense}[number], true)
+		if string(reencoded) != string(items[key].Value) {
+			t.Errorf("%s is encoded again as %s, want %s", key, reencoded, items[key].Value)
 		}
 	}
 	failover := records.Failover{
@@ -145,35 +144,35 @@
 		{"e/leader", decode[records.Leader](t, items, records.LeaderKey), records.Leader{Node: "n2"}},
 	} {
 		if !reflect.DeepEqual(tc.got, tc.want) {
-			t.Errorf("%s is read as %+v, want %+v", tc.key, tc.got, tc.want)
+			t.Errorf("%s is decoded as %+v, want %+v", tc.key, tc.got, tc.want)
 		}
-		if again := records.Encode(tc.got); string(again) != string(items[tc.key].Value) {
-			t.Errorf("%s is written as %s, was %s", tc.key, again, items[tc.key].Value)
+		if reencoded := records.Encode(tc.got); string(reencoded) != string(items[tc.key].Value) {
+			t.Errorf("%s is encoded again as %s, want %s", tc.key, reencoded, items[tc.key].Value)
 		}
 	}
 }
 
-// The parts of a node that follow the store start from what the release before wrote: the watch
-// cache knows which jobs are cancelled, the election knows the leader and its term, the operators' own
-// settings are valid, and the cluster version is in force.
+// The parts of a node that read the store can start from what the previous release wrote: the watch cache
+// has the jobs and their cancellations, the election has the leader and its term, the settings of the
+// operators are valid, and the cluster version is in force.
 func TestNodeStartsFromRecordsOfTheReleaseBefore(t *testing.T) {
-	items := storedByReleaseBefore(t)
+	items := storedByPreviousRelease(t)
 	now := time.Now()
 
 	cache := watchcache.New()
-	cache.Reset(under(items, records.JobPrefix), uint64(len(items)), now)
+	cache.Reset(itemsUnder(items, records.JobPrefix), uint64(len(items)), now)
 	if entry, _ := cache.Job("run-000412"); cache.Len() != 2 || entry.Job == nil || !reflect.DeepEqual(*entry.Job, wantArrayJob()) {
-		t.Errorf("%d jobs are known, run-000412 as %+v", cache.Len(), entry.Job)
+		t.Errorf("the cache has %d jobs, want 2; run-000412 is %+v, want %+v", cache.Len(), entry.Job, wantArrayJob())
 	}
 	if cancelled, _ := cache.Cancelled([]string{"run-000412", "run-000413"}); cancelled["run-000412"] || !cancelled["run-000413"] {
-		t.Errorf("cancelled are %v", cancelled)
+		t.Errorf("cancelled jobs are %v, want run-000413 only", cancelled)
 	}
 
 	elector := election.New(election.Options{Node: "n1", LeaseTTL: time.Second})
-	elector.Reset(under(items, records.ElectionPrefix), uint64(len(items)), now)
+	elector.Reset(itemsUnder(items, records.ElectionPrefix), uint64(len(items)), now)
 	term := max(items[records.LeaderKey].ModRevision, items[records.TermKey].ModRevision)
 	if view := elector.View(); view != (election.View{Leader: "n2", Term: term, ConfirmedTerm: term, Synced: true}) {
-		t.Errorf("the view of the election is %+v", view)
+		t.Errorf("the view of the election is %+v, want leader n2 with confirmed term %d, synced", view, term)
 	}
 
 	settings := records.DefaultSettings(3)
@@ -181,7 +180,7 @@
 		t.Fatal(err)
 	}
 	if err := records.ValidateSettings(settings); err != nil {
-		t.Errorf("settings %+v: %v", settings, err)
+		t.Errorf("settings %+v are invalid: %v", settings, err)
 	}
 	if want := (wire.Settings{IntervalS: 0.5, Window: 300, Headroom: 1.5, Profiling: true}); settings != want {
 		t.Errorf("settings are %+v, want %+v", settings, want)
--- a/internal/records/settings.go
+++ b/internal/records/settings.go
@@ -7,17 +7,17 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Defaults of the operators' own settings.
+// Defaults of the settings that operators can change.
 const (
-	// cyclesPerHeartbeat is how many scheduling cycles there are in a heartbeat interval. The
-	// paper's default interval between cycles is 3 s; the fetch of an image takes most of the time
-	// that users wait, so the interval is a third of a heartbeat interval here.
+	// cyclesPerHeartbeat is the number of scheduling cycles in a heartbeat interval. The default
+	// interval between cycles in the paper is 3 s. Here it is shorter, a third of a heartbeat
+	// interval, since fetching an image already takes most of the time that users wait.
 	cyclesPerHeartbeat = 3
 	defaultWindow      = 200 // jobs
-	defaultHeadroom    = 2   // times the usual headroom
+	defaultHeadroom    = 2   // factor of the usual headroom
 )
 
-// Bounds of the operators' own settings.
+// Bounds of the settings that operators can change.
 const (
 	minIntervalS = 0.1
 	maxIntervalS = 60
@@ -26,8 +26,8 @@
 	maxHeadroom  = 100
 )
 
-// DefaultSettings returns the defaults of the operators' own settings for a heartbeat interval in
-// seconds.
+// DefaultSettings returns the defaults of the settings that operators can change, for a heartbeat interval
+// in seconds.
 func DefaultSettings(heartbeatIntervalS float64) wire.Settings {
 	return wire.Settings{
 		IntervalS: heartbeatIntervalS / cyclesPerHeartbeat,
@@ -36,18 +36,18 @@
 	}
 }
 
-// ValidateSettings returns what is wrong with the operators' own settings, one joined error per
-// fault under the setting's published name; nil if they are valid.
+// ValidateSettings returns a joined error with one error for each setting that is out of bounds, or nil
+// if all settings are valid. The errors use the names of the settings in the API.
 func ValidateSettings(settings wire.Settings) error {
-	var faults []error
-	if !(settings.IntervalS >= minIntervalS && settings.IntervalS <= maxIntervalS) { // NaN is a fault too
-		faults = append(faults, fmt.Errorf("setting IntervalS must be from %v to %v", minIntervalS, maxIntervalS))
+	var errs []error
+	if !(settings.IntervalS >= minIntervalS && settings.IntervalS <= maxIntervalS) { // written so that NaN is invalid
+		errs = append(errs, fmt.Errorf("setting IntervalS must be from %v to %v", minIntervalS, maxIntervalS))
 	}
 	if settings.Window < minWindow || settings.Window > maxWindow {
-		faults = append(faults, fmt.Errorf("setting Window must be from %v to %v", minWindow, maxWindow))
+		errs = append(errs, fmt.Errorf("setting Window must be from %v to %v", minWindow, maxWindow))
 	}
 	if !(settings.Headroom >= 0 && settings.Headroom <= maxHeadroom) {
-		faults = append(faults, fmt.Errorf("setting Spare must be from 0 to %v", maxHeadroom))
+		errs = append(errs, fmt.Errorf("setting Spare must be from 0 to %v", maxHeadroom))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/internal/records/size_test.go
+++ b/internal/records/size_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The names of 4,096 and of 6,000 machines are listed in records of any size without losing one.
+// FitNames splits the names of 4,096 and 6,000 machines into records of 1 KiB and 8 KiB without losing one.
 func TestNamesOfALargeFleetFitRecords(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
 		for _, valueBytes := range []int{1 << 10, 8 << 10} {
@@ -17,16 +17,16 @@
 			for len(names) > 0 {
 				part := FitNames(names, valueBytes)
 				if size := len(Encode(ScaleIns{Hosts: part})); size > valueBytes {
-					t.Fatalf("a record has %d bytes of %d", size, valueBytes)
+					t.Fatalf("a record has %d bytes, want at most %d", size, valueBytes)
 				}
 				if want := fmt.Sprintf("m-%06d", listed); part[0] != want {
-					t.Fatalf("%s follows, not %s", part[0], want)
+					t.Fatalf("the next part starts with %s, want %s", part[0], want)
 				}
 				listed += len(part)
 				names = names[len(part):]
 			}
 			if listed != machines {
-				t.Errorf("%d of %d machines are listed", listed, machines)
+				t.Errorf("%d machines are listed, want %d", listed, machines)
 			}
 		}
 	}
