--- a/internal/store/lanes.go
+++ b/internal/store/lanes.go
@@ -9,7 +9,8 @@
 	// recordsLane, the default, is for commits and reads of the leader's records. They wait until
 	// the budget allows them.
 	recordsLane lane = iota
-	// urgentLane is for requests on which a lease depends, such as the leader's. They never wait.
+	// urgentLane is for requests that must not queue, above all renewals of the leader's lease. They
+	// never wait.
 	urgentLane
 	// userLane is for changes that users ask for. They are refused at once if they exceed the budget.
 	userLane
