--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is a client of the cloud: the service that provisions machines.
+// Package cloud is a client of the cloud, the service that provisions machines.
 package cloud
 
 import (
@@ -19,26 +19,27 @@
 
 // Errors that callers tell apart.
 var (
-	// ErrNoCapacity means that the cloud has none of the requested machines now.
+	// ErrNoCapacity means that the cloud cannot provision any of the requested machines now.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrPageOutOfOrder means that a page of the machine list does not continue the one before: a list
-	// that contains it could lack machines.
-	ErrPageOutOfOrder = errors.New("page of the machine list is not in order")
+	// ErrPageOutOfOrder means that a page of the machine list does not continue the previous page. A list
+	// that contained it could lack machines.
+	ErrPageOutOfOrder = errors.New("page of the machine list is out of order")
 )
 
-// StatusError means that the cloud answered with a status other than 200.
+// StatusError means that the cloud answered with a status other than 200. For an answer that reports a
+// lack of capacity, the error is ErrNoCapacity instead.
 type StatusError struct{ Status int }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
 // Client is a client of the cloud. It is safe for concurrent use.
 type Client struct {
-	base    string
-	http    *http.Client
-	timeout time.Duration // of a call
-	calls   *rate.Limiter // of all calls
-	lists   *rate.Limiter // of pages of the machine list, so that calls remain to provision and return machines
-	refused atomic.Uint64 // pages that were not in order
+	baseURL         string // "http://host:port"
+	http            *http.Client
+	timeout         time.Duration // of one call, including the wait for the rate limit
+	callLimiter     *rate.Limiter // of all calls
+	pageLimiter     *rate.Limiter // of pages of the machine list; leaves calls for provisioning and returning machines
+	outOfOrderPages atomic.Uint64 // see RefusedPages
 }
 
 // callShare is the share of the cloud's rate limit that one node uses.
@@ -49,15 +50,15 @@
 func New(addr string, callsPerSecond float64, timeout time.Duration, transport http.RoundTripper) *Client {
 	callsPerSecond *= callShare
 	return &Client{
-		base:    "http://" + addr,
-		http:    &http.Client{Transport: transport},
-		timeout: timeout,
-		calls:   newLimiter(callsPerSecond),
-		lists:   newLimiter(callsPerSecond * listShare),
+		baseURL:     "http://" + addr,
+		http:        &http.Client{Transport: transport},
+		timeout:     timeout,
+		callLimiter: newLimiter(callsPerSecond),
+		pageLimiter: newLimiter(callsPerSecond * listShare),
 	}
 }
 
-// newLimiter returns a limiter whose burst is the calls of one second, at least one.
+// newLimiter returns a limiter whose burst is the number of calls in one second, at least one.
 func newLimiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
@@ -72,8 +73,8 @@
 }
 
 // Provision requests machines and returns their names. A request whose outcome is unknown can be sent
-// again with the same RequestID: its machines are provisioned once. The error wraps ErrNoCapacity if the
-// cloud has none now.
+// again with the same RequestID, and the cloud provisions its machines only once. The error wraps
+// ErrNoCapacity if the cloud cannot provision any of them now.
 func (c *Client) Provision(ctx context.Context, request wire.ProvisionRequest) ([]string, error) {
 	var names wire.HostNames
 	if err := c.call(ctx, http.MethodPost, "/machines", request, &names); err != nil {
@@ -82,8 +83,8 @@
 	return names.Hosts, nil
 }
 
-// Return returns machines to the cloud. A nil error proves that they are gone, and with them everything
-// that ran on them.
+// Return returns machines to the cloud. A nil error proves that they are terminated, and with them
+// everything that ran on them.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
 	if err := c.call(ctx, http.MethodPost, "/machines/return", wire.HostNames{Hosts: hosts}, nil); err != nil {
 		return fmt.Errorf("return %d machines: %w", len(hosts), err)
@@ -91,13 +92,13 @@
 	return nil
 }
 
-// call sends a request once the rate limit allows it, and decodes the answer into out if that is not
-// nil. If the cloud refuses the request, the error wraps ErrNoCapacity or a *StatusError.
+// call sends a request as soon as the rate limit allows it, and decodes the answer into out unless out is
+// nil. If the cloud refuses the request, the error is ErrNoCapacity or a *StatusError.
 func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	if err := c.calls.Wait(ctx); err != nil {
-		return fmt.Errorf("over the call budget: %w", err)
+	if err := c.callLimiter.Wait(ctx); err != nil {
+		return fmt.Errorf("over the rate limit of cloud calls: %w", err)
 	}
 	request, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
@@ -107,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read, or the error of the read is returned
+	defer func() { _ = response.Body.Close() }() // the body has been read, or the error of reading it is returned
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return fmt.Errorf("read answer: %w", err)
@@ -115,17 +116,17 @@
 	return decodeAnswer(response.StatusCode, data, out)
 }
 
-// newRequest returns a request, with the body encoded as JSON if body is not nil.
+// newRequest returns a request whose body is the JSON encoding of body; if body is nil, it has none.
 func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
-	var reader io.Reader
+	var content io.Reader
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
 			return nil, fmt.Errorf("encode request: %w", err)
 		}
-		reader = bytes.NewReader(data)
+		content = bytes.NewReader(data)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, reader)
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, content)
 	if err != nil {
 		return nil, fmt.Errorf("make request: %w", err)
 	}
@@ -135,8 +136,8 @@
 	return request, nil
 }
 
-// decodeAnswer decodes an answer with status 200 into out if that is not nil, and returns an error for
-// any other status.
+// decodeAnswer decodes an answer with status 200 into out unless out is nil, and returns an error for any
+// other status.
 func decodeAnswer(status int, data []byte, out any) error {
 	switch {
 	case status == http.StatusServiceUnavailable && bytes.Contains(data, []byte("no capacity")):
--- a/internal/cloud/list.go
+++ b/internal/cloud/list.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// pageSize is the most machines that a page of the list has.
+	// pageSize is the maximum number of machines in a page of the machine list.
 	pageSize = 500
-	// listShare is the share of this node's calls that pages of the list may take: at 6,000 machines a
-	// list has twelve pages, which without a limit took every call.
+	// listShare is the share of this node's calls that may be used for pages of the machine list. A list
+	// of 6,000 machines has twelve pages; without this limit, lists used up all calls.
 	listShare = 0.5
 	// pageAttempts is how many times a page is requested before the list fails.
 	pageAttempts = 3
 )
 
-// List reads the whole machine list, page by page. If a page fails pageAttempts times the list fails,
-// with an error that wraps that of the page and names the machine after which it begins.
+// List reads the whole machine list, page by page. If a page fails pageAttempts times, List returns an
+// error that wraps the error of the page and names the machine after which the page starts.
 func (c *Client) List(ctx context.Context) ([]wire.ListedHost, error) {
 	var all []wire.ListedHost
 	after := ""
@@ -42,23 +42,23 @@
 	}
 }
 
-// MinListDuration returns the time that a list of so many machines takes at the rate at which pages may
-// be requested.
+// MinListDuration returns how long it takes to list a number of machines at the rate at which this node may
+// request pages.
 func (c *Client) MinListDuration(machines int) time.Duration {
 	pages := machines/pageSize + 1
-	return time.Duration(float64(pages) / float64(c.lists.Limit()) * float64(time.Second))
+	return time.Duration(float64(pages) / float64(c.pageLimiter.Limit()) * float64(time.Second))
 }
 
-// MaxListable returns the number of machines that can be listed within a time, at the rate at which one
-// node may request pages of a cloud that allows callsPerSecond.
+// MaxListable returns how many machines one node can list within a time, at the rate at which it may request
+// pages from a cloud that allows callsPerSecond.
 func MaxListable(callsPerSecond float64, within time.Duration) int {
 	return int(callsPerSecond*callShare*listShare*within.Seconds()) * pageSize
 }
 
-// readPage reads the page of the machine list that begins after a machine; "" for the first page.
+// readPage reads the page of the machine list that starts after a machine, or the first page if after is "".
 func (c *Client) readPage(ctx context.Context, after string) (wire.HostList, error) {
-	if err := c.lists.Wait(ctx); err != nil {
-		return wire.HostList{}, fmt.Errorf("over the call budget of lists: %w", err)
+	if err := c.pageLimiter.Wait(ctx); err != nil {
+		return wire.HostList{}, fmt.Errorf("over the rate limit of machine list pages: %w", err)
 	}
 	query := url.Values{"Most": {strconv.Itoa(pageSize)}}
 	if after != "" {
@@ -70,34 +70,35 @@
 	}
 	err := checkPage(&page, after)
 	if err != nil {
-		c.refused.Add(1)
+		c.outOfOrderPages.Add(1)
 	}
 	return page, err
 }
 
-// RefusedPages returns how many pages of the machine list were not in order.
-func (c *Client) RefusedPages() uint64 { return c.refused.Load() }
+// RefusedPages returns how many pages of the machine list were refused because they were out of order.
+func (c *Client) RefusedPages() uint64 { return c.outOfOrderPages.Load() }
 
-// checkPage refuses a page that visibly repeats or omits machines. The error wraps ErrPageOutOfOrder.
+// checkPage returns an error that wraps ErrPageOutOfOrder if a page visibly repeats or omits machines. after
+// is the last machine of the previous page, or "" for the first page.
 func checkPage(page *wire.HostList, after string) error {
 	if len(page.Hosts) > pageSize {
-		return fmt.Errorf("%w: %d machines", ErrPageOutOfOrder, len(page.Hosts))
+		return fmt.Errorf("%w: the page has %d machines, more than %d", ErrPageOutOfOrder, len(page.Hosts), pageSize)
 	}
 	if page.More && len(page.Hosts) == 0 {
-		return fmt.Errorf("%w: it is empty, and there are more", ErrPageOutOfOrder)
+		return fmt.Errorf("%w: the page is empty but not the last one", ErrPageOutOfOrder)
 	}
 	for i := range page.Hosts {
 		id := page.Hosts[i].UID
 		if !isCreatedAfter(after, id) {
-			return fmt.Errorf("%w: %q follows on %q", ErrPageOutOfOrder, id, after)
+			return fmt.Errorf("%w: machine %q follows %q", ErrPageOutOfOrder, id, after)
 		}
 		after = id
 	}
 	return nil
 }
 
-// isCreatedAfter reports whether the later machine was created after the earlier one, by their names:
-// they end in a number that grows, so a longer name is newer too.
+// isCreatedAfter reports whether the later machine was created after the earlier one. It compares their
+// names: they end in an increasing number, so a longer name is also newer.
 func isCreatedAfter(earlier, later string) bool {
 	return earlier < later || len(earlier) < len(later)
 }
--- a/internal/cloud/list_test.go
+++ b/internal/cloud/list_test.go
@@ -17,37 +17,37 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// lister is a fake cloud that lists machines.
-type lister struct {
-	names  []string
-	before func(call int)                      // called before a page is listed, if not nil
-	change func(call int, page *wire.HostList) // changes the page before it is sent, if not nil
-	calls  int
+// fakeCloud is a cloud that lists machines.
+type fakeCloud struct {
+	names      []string
+	beforePage func(call int)                      // called before a page is made, if not nil
+	alterPage  func(call int, page *wire.HostList) // changes the page before it is sent, if not nil
+	calls      int                                 // number of pages requested so far; the argument of both functions
 }
 
-// RoundTrip answers a page of the list.
-func (l *lister) RoundTrip(r *http.Request) (*http.Response, error) {
-	l.calls++
-	if l.before != nil {
-		l.before(l.calls)
+// RoundTrip answers with a page of the machine list.
+func (f *fakeCloud) RoundTrip(r *http.Request) (*http.Response, error) {
+	f.calls++
+	if f.beforePage != nil {
+		f.beforePage(f.calls)
 	}
 	query := r.URL.Query()
-	most, err := strconv.Atoi(query.Get("Most"))
+	limit, err := strconv.Atoi(query.Get("Most"))
 	if err != nil {
 		return nil, err
 	}
 	var page wire.HostList
-	for _, name := range l.names {
+	for _, name := range f.names {
 		if name > query.Get("After") {
-			page.More = len(page.Hosts) == most
+			page.More = len(page.Hosts) == limit
 			if page.More {
 				break
 			}
 			page.Hosts = append(page.Hosts, wire.ListedHost{UID: name})
 		}
 	}
-	if l.change != nil {
-		l.change(l.calls, &page)
+	if f.alterPage != nil {
+		f.alterPage(f.calls, &page)
 	}
 	body, err := json.Marshal(page)
 	if err != nil {
@@ -64,18 +64,18 @@
 	return names
 }
 
-// Every machine of a large fleet that exists throughout is listed, while others are created and
-// removed between the pages, and lists leave calls for provisioning.
+// A list of a large fleet contains every machine that exists while the list is read, although other machines
+// are created and removed between its pages. It is read slowly enough to leave calls for provisioning.
 func TestLargeFleetIsListedWhileMachinesComeAndGo(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
 		synctest.Test(t, func(t *testing.T) {
-			l := &lister{names: machineNames(0, machines)}
-			l.before = func(call int) {
-				l.names = append(l.names[1:], fmt.Sprintf("m-%06d", machines+call))
+			fake := &fakeCloud{names: machineNames(0, machines)}
+			fake.beforePage = func(call int) {
+				fake.names = append(fake.names[1:], fmt.Sprintf("m-%06d", machines+call))
 			}
-			c := New("cloud", 8, time.Second, l)
-			began := time.Now()
-			hosts, err := c.List(t.Context())
+			client := New("cloud", 8, time.Second, fake)
+			startedAt := time.Now()
+			hosts, err := client.List(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -83,21 +83,21 @@
 			for _, h := range hosts {
 				names = append(names, h.UID)
 			}
-			for _, name := range machineNames(l.calls, machines) {
+			for _, name := range machineNames(fake.calls, machines) {
 				if _, found := slices.BinarySearch(names, name); !found {
-					t.Fatalf("%s is not listed among %d", name, len(names))
+					t.Fatalf("%s is not in the list of %d machines", name, len(names))
 				}
 			}
-			if l.calls < machines/pageSize || time.Since(began) < c.MinListDuration(machines)/2 {
-				t.Errorf("%d calls in %s", l.calls, time.Since(began))
+			if fake.calls < machines/pageSize || time.Since(startedAt) < client.MinListDuration(machines)/2 {
+				t.Errorf("%d calls in %s, want at least %d calls in at least %s",
+					fake.calls, time.Since(startedAt), machines/pageSize, client.MinListDuration(machines)/2)
 			}
 		})
 	}
 }
 
-// A page that does not continue the one before is requested again, and a list is never made with such
-// a page. A list that ended at an empty page although there are more would show all machines after it
-// as gone.
+// A page that does not continue the previous page is requested again, and its machines are never used. If a
+// list ended at an empty page that is not the last one, all machines after it would seem terminated.
 func TestPageOutOfOrderIsRequestedAgainAndNeverUsed(t *testing.T) {
 	faults := map[string]func(page *wire.HostList){
 		"repeated":  func(page *wire.HostList) { page.Hosts[1] = page.Hosts[0] },
@@ -111,20 +111,21 @@
 		"from before": func(page *wire.HostList) { page.Hosts[0].UID = "m-000000" },
 	}
 	for name, fault := range faults {
-		for _, lasting := range []bool{false, true} {
+		for _, permanent := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
-				l := &lister{names: machineNames(0, 1200)}
-				l.change = func(call int, page *wire.HostList) {
-					if call == 2 || lasting && call > 2 {
+				fake := &fakeCloud{names: machineNames(0, 1200)}
+				fake.alterPage = func(call int, page *wire.HostList) {
+					if call == 2 || permanent && call > 2 {
 						fault(page)
 					}
 				}
-				hosts, err := New("cloud", 8, time.Second, l).List(t.Context())
-				if lasting && !errors.Is(err, ErrPageOutOfOrder) || !lasting && (err != nil || len(hosts) != 1200) {
-					t.Errorf("%s, lasting %v: %d machines, %v", name, lasting, len(hosts), err)
+				hosts, err := New("cloud", 8, time.Second, fake).List(t.Context())
+				if permanent && !errors.Is(err, ErrPageOutOfOrder) || !permanent && (err != nil || len(hosts) != 1200) {
+					t.Errorf("%s, permanent %v: got %d machines, error %v; want ErrPageOutOfOrder if permanent, else 1200 machines",
+						name, permanent, len(hosts), err)
 				}
-				if lasting && !strings.Contains(err.Error(), "m-000499") {
-					t.Errorf("%s: the error does not name the machine before the page: %v", name, err)
+				if permanent && !strings.Contains(err.Error(), "m-000499") {
+					t.Errorf("%s: error is %v, want it to name m-000499, the last machine before the page", name, err)
 				}
 			})
 		}
--- a/internal/clusterversion/announcement.go
+++ b/internal/clusterversion/announcement.go
@@ -12,7 +12,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// LeaseStore is what announcing a version needs of the state store.
+// LeaseStore is the part of the state store that announcing a version needs.
 type LeaseStore interface {
 	Store
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
@@ -25,29 +25,29 @@
 	Get(ctx context.Context, key string) (wire.KeyValue, bool, error)
 }
 
-// renewalsPerTTL is how often an announcement's lease is renewed in its time to live.
+// renewalsPerTTL is how many times an announcement's lease is renewed within its time to live.
 const renewalsPerTTL = 4
 
-// Announce announces in the state store that a node understands the latest version, until that
-// version is in force or ctx ends. A leader that cannot reach the node learns it from there. The
-// record is attached to a lease of ttl, so that it ends with the process, which may come back as an
-// older release. Errors are logged, and it is announced again.
+// Announce announces in the state store that a node understands the latest version, until that version is
+// in force or ctx ends. A leader that cannot reach the node reads the announcement there. The record is
+// attached to a lease of ttl, so that it disappears when the process ends: the next process on the node
+// may be of an older release. After an error, Announce logs it and announces again.
 func (t *Tracker) Announce(ctx context.Context, leases LeaseStore, node string, ttl time.Duration) {
 	ctx = store.WithUrgentLane(ctx)
-	// As a rule the leader learns the version from pings before anything has to be written.
+	// Wait first: the leader usually learns the version from pings, and then no record is needed.
 	for t.waitWhileNotInForce(ctx, ttl) {
 		leaseID, err := leases.GrantLease(ctx, ttl)
 		if err == nil {
 			err = t.announceOnLease(ctx, leases, node, leaseID, ttl)
 		}
 		if err != nil {
-			slog.Debug("cluster version was not announced", "node", node, "err", err)
+			slog.Debug("failed to announce the cluster version", "node", node, "err", err)
 		}
 	}
 }
 
-// announceOnLease writes an announcement on a lease and renews it until the version is in force, ctx
-// ends or a renewal fails.
+// announceOnLease writes an announcement that is attached to a lease, and renews the lease until the version
+// is in force, ctx ends or a renewal fails. Unless a request fails, it revokes the lease at the end.
 func (t *Tracker) announceOnLease(ctx context.Context, leases LeaseStore, node string, leaseID uint64, ttl time.Duration) error {
 	record := records.Encode(records.ClusterVersion{Version: int(Latest)})
 	_, err := leases.Commit(ctx, wire.Transaction{
@@ -62,14 +62,14 @@
 	return leases.RevokeLease(ctx, leaseID)
 }
 
-// waitWhileNotInForce waits for d and reports whether the latest version is still not in force then.
-// It returns false at once if ctx ends.
+// waitWhileNotInForce waits for d, and then reports whether the latest version is still not in force. It
+// returns false at once if ctx ends.
 func (t *Tracker) waitWhileNotInForce(ctx context.Context, d time.Duration) bool {
 	return timeralign.Sleep(ctx, d) && t.InForce() < Latest
 }
 
-// ReadAnnounced reads which version a node announces, and returns a compare that holds while it still
-// does. A node without an announcement is at First.
+// ReadAnnounced reads which version a node announces in the state store, and returns a compare that holds
+// as long as that announcement does not change. A node without an announcement understands First.
 func ReadAnnounced(ctx context.Context, reader Reader, node string) (Version, wire.Compare, error) {
 	compare := wire.Compare{Key: records.ReleaseKey(node)}
 	item, found, err := reader.Get(ctx, compare.Key)
--- a/internal/clusterversion/clusterversion_test.go
+++ b/internal/clusterversion/clusterversion_test.go
@@ -8,7 +8,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// fakeStore executes every commit and records it.
+// fakeStore is a state store that accepts every commit and records it.
 type fakeStore struct{ commits []wire.Transaction }
 
 func (s *fakeStore) Commit(_ context.Context, tx wire.Transaction) (uint64, error) {
@@ -16,13 +16,13 @@
 	return 40, nil
 }
 
-// The version is raised once every member understands the newer one, by a commit that
-// only the term's leader can make, and only once.
+// The version is raised once every member understands the newer version, by one commit that succeeds only
+// for the leader of the term. A later call of Raise commits nothing.
 func TestVersionIsRaisedOnceAllUnderstand(t *testing.T) {
 	for _, tc := range []struct {
-		name       string
-		understood []Version
-		want       Version
+		name           string
+		memberVersions []Version
+		want           Version
 	}{
 		{"one has announced nothing", []Version{JobDAGs, Normalize(0)}, First},
 		{"all have announced it", []Version{JobDAGs, JobDAGs}, JobDAGs},
@@ -31,7 +31,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			store, tracker := &fakeStore{}, NewTracker()
-			if err := tracker.Raise(context.Background(), store, 7, tc.understood); err != nil {
+			if err := tracker.Raise(context.Background(), store, 7, tc.memberVersions); err != nil {
 				t.Fatal(err)
 			}
 			if got := tracker.InForce(); got != tc.want {
@@ -39,36 +39,36 @@
 			}
 			if tc.want == First {
 				if len(store.commits) > 0 {
-					t.Error("the version is written")
+					t.Errorf("%d commits were made, want none", len(store.commits))
 				}
 				return
 			}
 			compares := store.commits[0].Compares
 			if compares[0] != (wire.Compare{Key: records.LeaderKey, ModRevision: 7}) || compares[1] != (wire.Compare{Key: records.VersionKey}) {
-				t.Errorf("the commit compares %v", compares)
+				t.Errorf("the commit compares %v, want the leader of term 7 and no version record first", compares)
 			}
 			if err := tracker.Raise(context.Background(), store, 7, []Version{First}); err != nil || len(store.commits) > 1 {
-				t.Errorf("it is written again: %v", err)
+				t.Errorf("after a second Raise: %d commits and error %v, want 1 commit and no error", len(store.commits), err)
 			}
 		})
 	}
 }
 
-// The version in force follows its record alone, and never falls.
+// Only the record at VersionKey changes the version in force, which never falls.
 func TestVersionInForceFollowsItsRecord(t *testing.T) {
 	tracker := NewTracker()
-	record := func(version int) wire.WatchEvent {
+	versionEvent := func(version int) wire.WatchEvent {
 		value := records.Encode(records.ClusterVersion{Version: version})
 		return wire.WatchEvent{Set: records.VersionKey, Value: value, ModRevision: uint64(version)}
 	}
 	tracker.Apply(wire.WatchEvent{Set: records.SettingsKey, Value: records.Encode(records.ClusterVersion{Version: 9})})
 	if tracker.InForce() != First {
-		t.Error("another record is taken for the version")
+		t.Errorf("after a change of another record, version %d is in force, want %d", tracker.InForce(), First)
 	}
 	for _, version := range []int{2, 1} {
-		tracker.Apply(record(version))
+		tracker.Apply(versionEvent(version))
 		if tracker.InForce() != JobDAGs {
-			t.Errorf("after a record of version %d, %d is in force", version, tracker.InForce())
+			t.Errorf("after a record of version %d, version %d is in force, want %d", version, tracker.InForce(), JobDAGs)
 		}
 	}
 }
