--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -8,40 +8,41 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// fadeWaits is the time constant of the count of arrivals, in multiples of the longest time that
-// users wait for a machine. That is a few boots: headroom is for what arrives while a machine
-// boots.
-const fadeWaits = 6
+// waitsPerTimeConstant is the time constant with which the count of arrivals decays, in multiples of
+// the longest time that users wait for a machine. It spans a few machine boots, because headroom is
+// for the tasks that arrive while a machine boots.
+const waitsPerTimeConstant = 6
 
-// tasksSquaredWeight is the weight of each new job in its class's moving mean of squared task
-// counts.
+// tasksSquaredWeight is the weight of each new job in the exponentially weighted mean of the squared
+// task counts of its class.
 const tasksSquaredWeight = 1. / 8
 
 // ClassArrivals is how often jobs of one class arrive.
 type ClassArrivals struct {
 	Spec  *wire.JobSpec // of the newest job
 	Level int           // the priority level of the newest job
-	// Jobs is the number of jobs that arrived, decayed exponentially with their age, as of At.
+	// Jobs is the number of jobs that arrived until At, each weighted by an exponential decay of its
+	// age at At.
 	Jobs float64
-	// TasksSquared is the moving mean of the squared task counts of jobs.
+	// TasksSquared is the exponentially weighted mean of the squared task counts of the jobs.
 	TasksSquared float64
-	At           time.Time
+	At           time.Time // when Jobs was last updated
 }
 
-// Arrivals measures how often jobs of each class arrive, and derives the headroom from that. It is
-// not safe for concurrent use.
+// Arrivals measures how often jobs of each class arrive, and derives the headroom from these rates.
+// It is not safe for concurrent use.
 type Arrivals struct {
-	fadeS   float64 // the age in seconds at which a job counts 1/e
-	classes map[string]*ClassArrivals
+	timeConstantS float64 // age in seconds at which a job has the weight 1/e
+	classes       map[string]*ClassArrivals
 }
 
-// NewArrivals returns an empty measurement. Users are taken to wait for a machine for two worker
-// leases at most.
+// NewArrivals returns an Arrivals that has observed no job. It assumes that users wait for a machine
+// for at most two worker leases.
 func NewArrivals(workerLease time.Duration) *Arrivals {
-	return &Arrivals{fadeS: fadeWaits * 2 * workerLease.Seconds(), classes: map[string]*ClassArrivals{}}
+	return &Arrivals{timeConstantS: waitsPerTimeConstant * 2 * workerLease.Seconds(), classes: map[string]*ClassArrivals{}}
 }
 
-// Observe counts a job that arrived at now.
+// Observe counts a job that arrived at the time now.
 func (a *Arrivals) Observe(spec *wire.JobSpec, now time.Time) {
 	tasksSquared := float64(spec.TaskCount) * float64(spec.TaskCount)
 	class := a.classes[spec.JobClass]
@@ -51,18 +52,18 @@
 	}
 	class.Spec, class.Level = spec, spec.Priority.Level()
 	class.TasksSquared += (tasksSquared - class.TasksSquared) * tasksSquaredWeight
-	a.fade(class, now)
+	a.decay(class, now)
 	class.Jobs++
 }
 
-// fade decays a class's count of jobs to its value at now.
-func (a *Arrivals) fade(class *ClassArrivals, now time.Time) {
-	class.Jobs *= math.Exp(-now.Sub(class.At).Seconds() / a.fadeS)
+// decay reduces the job count of a class to its value at now.
+func (a *Arrivals) decay(class *ClassArrivals, now time.Time) {
+	class.Jobs *= math.Exp(-now.Sub(class.At).Seconds() / a.timeConstantS)
 	class.At = now
 }
 
-// IsLarge reports whether a job has at least as many tasks as the root mean square of its class's
-// jobs. It is false while no job of the class has arrived.
+// IsLarge reports whether the task count of a job is at least the root mean square of the task
+// counts of its class. It returns false if no job of the class has arrived.
 func (a *Arrivals) IsLarge(spec *wire.JobSpec) bool {
 	class := a.classes[spec.JobClass]
 	return class != nil && float64(spec.TaskCount*spec.TaskCount) >= class.TasksSquared
@@ -75,33 +76,34 @@
 	}
 }
 
-// Restore replaces the measurement of a class by that of an earlier leader.
+// Restore replaces the arrivals of a class with those that an earlier leader measured.
 func (a *Arrivals) Restore(class string, arrivals ClassArrivals) { a.classes[class] = &arrivals }
 
-// HeadroomOptions is what the headroom depends on beside the arrivals. All fields are required.
+// HeadroomOptions are the parameters of HeadroomJobs. All fields are required.
 type HeadroomOptions struct {
-	// Factor scales the headroom; with 0 there is none.
+	// Factor scales the headroom; 0 disables it.
 	Factor float64
-	// BootS returns how many seconds the quickest machine that may run a task of a job boots.
+	// BootS returns the boot time in seconds of the fastest machine type that may run a task of a job.
 	BootS func(*wire.JobSpec) float64
-	// NeedsImage reports whether a task of a job starts in time only where its image is present.
+	// NeedsImage reports whether a task of a job can start in time only on a machine that already has
+	// the job's image.
 	NeedsImage func(*wire.JobSpec) bool
 }
 
-// HeadroomJobs returns phantom jobs of one task each, of the classes whose jobs must start at once
-// (priority high and above). The scheduler places them after the jobs that wait: the machines that
-// they would use are not released, and what finds no room is provisioned. They have no UID and are
-// never launched.
+// HeadroomJobs returns placeholder jobs of one task each, for the classes whose jobs must start at
+// once (priority high and above). The scheduler places them after the waiting jobs: machines that
+// placeholder jobs would use are not released, and machines are provisioned for those that fit
+// nowhere. Placeholder jobs have no UID and are never launched.
 func (a *Arrivals) HeadroomJobs(now time.Time, options HeadroomOptions) []*sched.Job {
 	var jobs []*sched.Job
 	for _, class := range a.classes {
 		if class.Level < wire.High.Level() || options.Factor == 0 {
 			continue
 		}
-		a.fade(class, now)
-		tasks := headroomTasks(class.Jobs/a.fadeS, class.TasksSquared, options.BootS(class.Spec))
+		a.decay(class, now)
+		tasks := headroomTasks(class.Jobs/a.timeConstantS, class.TasksSquared, options.BootS(class.Spec))
 		count := int(math.Ceil(options.Factor * float64(tasks)))
-		spec := *class.Spec // shared by all phantom jobs of the class
+		spec := *class.Spec // shared by all placeholder jobs of the class
 		spec.UID, spec.TaskCount, spec.Kind, spec.SingleZone, spec.SpreadZones = "", 1, wire.JobArray, false, false
 		needsImage := options.NeedsImage(class.Spec)
 		for i := range count {
@@ -118,10 +120,11 @@
 	return jobs
 }
 
-// headroomTasks returns the number of tasks of a class to keep headroom for: one standard
-// deviation of the tasks that arrive while a machine boots. Jobs are taken to arrive
-// independently, and tasksSquared is the mean of their squared task counts: a few large jobs vary
-// more than many small ones.
+// headroomTasks returns the number of tasks of a class to keep headroom for: one standard deviation
+// of the number of tasks that arrive while a machine boots. If jobs arrive independently of each
+// other, the variance of that number is the expected number of jobs times tasksSquared, the mean of
+// their squared task counts. A few large jobs thus need more headroom than many small jobs with as
+// many tasks in total.
 func headroomTasks(jobsPerS, tasksSquared, bootS float64) int {
 	return int(math.Ceil(math.Sqrt(jobsPerS * bootS * tasksSquared)))
 }
--- a/internal/autoscaler/headroom_test.go
+++ b/internal/autoscaler/headroom_test.go
@@ -18,41 +18,41 @@
 	} {
 		refusals.Add(group, now)
 		if !refusals.IsPaused(group, now.Add(pause-1)) || refusals.IsPaused(group, now.Add(pause)) {
-			t.Errorf("the pause is not %s", pause)
+			t.Errorf("got a backoff that does not end after %s, want one that does", pause)
 		}
 		now = now.Add(pause)
 	}
 	if refusals.IsPaused(MachineGroup{Type: "g8", Zone: "a"}, now) {
-		t.Error("another group is paused")
+		t.Error("got a backoff of a group that was not refused, want none")
 	}
 	refusals.Clear(group)
 	refusals.Add(group, now)
 	if refusals.IsPaused(group, now.Add(workerLease/2)) {
-		t.Error("the pause does not begin again after machines were provisioned")
+		t.Errorf("got a backoff longer than %s after Clear, want the initial one", workerLease/2)
 	}
 }
 
-func TestRequestsHaveIDsOfTheirOwn(t *testing.T) {
+func TestRequestsHaveUniqueIDs(t *testing.T) {
 	requests := NewRequests(7)
 	request := Request{MachineGroup{Type: "g8", Zone: "a", Spot: true}, 3}
 	first, second := requests.Add(request), requests.Add(request)
 	want := wire.ProvisionRequest{RequestID: "lt-7-1", MachineType: "g8", Zone: "a", Spot: true, Count: 3}
 	if first != want || second.RequestID != "lt-7-2" || requests.Len() != 2 {
-		t.Errorf("%+v, then %+v", first, second)
+		t.Errorf("got requests %+v and %+v, %d pending; want %+v, then ID lt-7-2, 2 pending", first, second, requests.Len(), want)
 	}
 	requests.Finish(first.RequestID)
 	requests.Each(func(r wire.ProvisionRequest) {
 		if r != second {
-			t.Errorf("%+v is pending, want %+v", r, second)
+			t.Errorf("got %+v pending, want %+v", r, second)
 		}
 	})
 	if third := requests.Add(request); third.RequestID != "lt-7-3" || requests.Len() != 2 {
-		t.Errorf("%+v is the third, %d are pending", third, requests.Len())
+		t.Errorf("got third request %+v, %d pending; want ID lt-7-3, 2 pending", third, requests.Len())
 	}
 }
 
 // The count of arrivals decays exponentially, with a time constant of 12 worker leases.
-func TestArrivalsFade(t *testing.T) {
+func TestArrivalCountsDecay(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	arrivals := NewArrivals(workerLease)
 	spec := &wire.JobSpec{JobClass: "chat", TaskCount: 2}
@@ -61,7 +61,7 @@
 	arrivals.Observe(spec, now)
 	arrivals.Each(func(class string, a *ClassArrivals) {
 		if want := 1 + 1/math.E; class != "chat" || math.Abs(a.Jobs-want) > 1e-9 || a.TasksSquared != 4 {
-			t.Errorf("%s: %v jobs, want %v; %v tasks squared, want 4", class, a.Jobs, want, a.TasksSquared)
+			t.Errorf("got class %s with %v jobs and mean squared tasks %v, want chat with %v and 4", class, a.Jobs, a.TasksSquared, want)
 		}
 	})
 }
@@ -69,12 +69,12 @@
 func TestIsLargeComparesWithTheClass(t *testing.T) {
 	arrivals := NewArrivals(workerLease)
 	if arrivals.IsLarge(&wire.JobSpec{JobClass: "batch", TaskCount: 100}) {
-		t.Error("large in a class of which nothing is known")
+		t.Error("got IsLarge true for a class without jobs, want false")
 	}
 	arrivals.Observe(&wire.JobSpec{JobClass: "batch", TaskCount: 4}, time.Unix(10_000, 0))
 	for tasks, want := range map[int]bool{3: false, 4: true, 5: true} {
 		if got := arrivals.IsLarge(&wire.JobSpec{JobClass: "batch", TaskCount: tasks}); got != want {
-			t.Errorf("%d tasks: large is %v", tasks, got)
+			t.Errorf("IsLarge of a job of %d tasks: got %v, want %v", tasks, got, want)
 		}
 	}
 }
@@ -92,9 +92,9 @@
 		factor   float64
 		want     int
 	}{
-		{"high", wire.High, 1, 4}, // the root of 4 jobs in 120 s x 30 s x 16 tasks squared
+		{"high", wire.High, 1, 4}, // sqrt(4 jobs / 120 s * 30 s boot time * 16, the mean squared task count)
 		{"high, doubled", wire.High, 2, 8},
-		{"high, switched off", wire.High, 0, 0},
+		{"high, disabled", wire.High, 0, 0},
 		{"standard", wire.Standard, 1, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -106,11 +106,11 @@
 			options.Factor = tc.factor
 			jobs := arrivals.HeadroomJobs(now, options)
 			if len(jobs) != tc.want {
-				t.Fatalf("%d phantom jobs, want %d", len(jobs), tc.want)
+				t.Fatalf("got %d placeholder jobs, want %d", len(jobs), tc.want)
 			}
 			for _, j := range jobs {
 				if j.PendingTasks != 1 || j.Spec.Kind != wire.JobArray || j.Spec.UID != "" || !j.FetchDelaysStart {
-					t.Errorf("phantom job %+v of %+v", j, j.Spec)
+					t.Errorf("got placeholder job %+v with spec %+v, want one array task that needs its image and has no UID", j, j.Spec)
 				}
 			}
 		})
--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -9,20 +9,21 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// packing fits tasks that have no room into machines that would be provisioned.
+// packing assigns tasks that fit on no machine of the fleet to bins: machines that would be
+// provisioned.
 type packing struct {
 	catalog        *wire.Catalog
-	machinesByZone map[string]int // the fleet's and those of bins
+	machinesByZone map[string]int // machines of the fleet and bins
 	refused        func(MachineGroup) bool
-	least          fleet.Resources // a lower bound of each resource for all tasks that are short
+	minNeed        fleet.Resources // lower bound of each resource that a task requests
 	bins           []bin
-	open           []int // indexes of bins that have room for least
+	open           []int // indexes of the bins whose free resources are at least minNeed
 }
 
-// bin is a machine that would be provisioned and the room that is left on it.
+// bin is a machine that would be provisioned, with the resources that no task uses yet.
 type bin struct {
 	group MachineGroup
-	room  fleet.Resources
+	free  fleet.Resources
 }
 
 func newPacking(catalog *wire.Catalog, demand Demand) *packing {
@@ -30,46 +31,46 @@
 		catalog:        catalog,
 		machinesByZone: cloneOrEmpty(demand.MachinesByZone),
 		refused:        demand.Refused,
-		least:          leastNeed(demand.Shorts),
+		minNeed:        minTaskNeed(demand.Shorts),
 	}
 }
 
-// leastNeed returns the least amount of each resource that a task that is short requests.
-func leastNeed(shorts []sched.Shortfall) fleet.Resources {
-	least := fleet.Resources{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
-	for _, short := range shorts {
-		need := fleet.TaskResources(short.Job.Spec)
-		least = fleet.Resources{
-			Cores: min(least.Cores, need.Cores),
-			Gpus:  min(least.Gpus, need.Gpus),
-			RAM:   min(least.RAM, need.RAM),
+// minTaskNeed returns, for each resource, the smallest amount that any task of the shortfalls
+// requests.
+func minTaskNeed(shortfalls []sched.Shortfall) fleet.Resources {
+	smallest := fleet.Resources{Cores: math.Inf(1), Gpus: math.Inf(1), RAM: math.Inf(1)}
+	for _, shortfall := range shortfalls {
+		need := fleet.TaskResources(shortfall.Job.Spec)
+		smallest = fleet.Resources{
+			Cores: min(smallest.Cores, need.Cores),
+			Gpus:  min(smallest.Gpus, need.Gpus),
+			RAM:   min(smallest.RAM, need.RAM),
 		}
 	}
-	return least
+	return smallest
 }
 
-// pack finds room for the tasks that a job is short of, in open bins first, then in new ones. Tasks
-// for which no machine may be provisioned are left out. Bins that are full are not looked at
-// again: at thousands of tasks, looking at each bin for each task took longer than a scheduling
-// cycle may.
-func (p *packing) pack(short sched.Shortfall) {
-	job := short.Job
+// pack assigns the tasks of a shortfall to open bins first, then to new ones. It drops tasks for
+// which no machine may be provisioned. It skips full bins: with thousands of tasks, examining every
+// bin for every task took longer than a scheduling cycle may take.
+func (p *packing) pack(shortfall sched.Shortfall) {
+	job := shortfall.Job
 	need := fleet.TaskResources(job.Spec)
 	tasksByZone := cloneOrEmpty(job.LiveByZone)
-	left := short.Count
+	left := shortfall.Count
 	fill := func(b *bin) {
-		for left > 0 && b.room.Fits(need) && zoneAllowed(job, tasksByZone, b.group.Zone) {
-			b.room = b.room.Sub(need)
+		for left > 0 && b.free.Fits(need) && zoneAllowed(job, tasksByZone, b.group.Zone) {
+			b.free = b.free.Sub(need)
 			tasksByZone[b.group.Zone]++
 			left--
 		}
 	}
 	p.open = slices.DeleteFunc(p.open, func(i int) bool {
 		b := &p.bins[i]
-		if left > 0 && b.room.Fits(need) && sched.IsEligible(job.Spec, b.group.Type, b.group.Zone, b.group.Spot) {
+		if left > 0 && b.free.Fits(need) && sched.IsEligible(job.Spec, b.group.Type, b.group.Zone, b.group.Spot) {
 			fill(b)
 		}
-		return !b.room.Fits(p.least)
+		return !b.free.Fits(p.minNeed)
 	})
 	for left > 0 {
 		b, found := p.cheapest(job, tasksByZone, left)
@@ -77,7 +78,7 @@
 			return
 		}
 		fill(&b)
-		if b.room.Fits(p.least) {
+		if b.free.Fits(p.minNeed) {
 			p.open = append(p.open, len(p.bins))
 		}
 		p.bins = append(p.bins, b)
@@ -85,7 +86,8 @@
 	}
 }
 
-// zoneAllowed reports whether a job whose tasks are in these zones may have another one in zone.
+// zoneAllowed reports whether another task of a job may run in zone, given the number of its tasks
+// in each zone.
 func zoneAllowed(job *sched.Job, tasksByZone map[string]int, zone string) bool {
 	if job.Spec.SpreadZones && tasksByZone[zone] >= (job.Spec.TaskCount+1)/2 {
 		return false
@@ -100,16 +102,16 @@
 	return true
 }
 
-// cheapest returns an empty machine of the group with the lowest price per task, if at most this
-// many tasks run on it; among equals, of the zone with the fewest machines. found is false if no
-// group may be provisioned.
-func (p *packing) cheapest(job *sched.Job, tasksByZone map[string]int, tasks int) (best bin, found bool) {
+// cheapest returns an empty bin of the group with the lowest price per task, where a machine runs at
+// most maxTasks tasks. Among groups of equal price it chooses one in the zone with the fewest
+// machines. found is false if no group may be provisioned.
+func (p *packing) cheapest(job *sched.Job, tasksByZone map[string]int, maxTasks int) (best bin, found bool) {
 	bestCost, bestZoneMachines := math.Inf(1), 0
 	need := fleet.TaskResources(job.Spec)
 	for i := range p.catalog.MachineTypes {
 		t := &p.catalog.MachineTypes[i]
 		capacity := Capacity(t)
-		fitting := capacity.CountFitting(need, tasks)
+		fitting := capacity.CountFitting(need, maxTasks)
 		if fitting == 0 {
 			continue
 		}
@@ -138,7 +140,7 @@
 				continue
 			}
 			if job.Spec.AllowSpot && !spot && !job.WaitedPastBoot && !job.SpotUnavailable {
-				continue // spot machines are many times cheaper: worth a wait
+				continue // spot machines are many times cheaper: the job waits for one first
 			}
 			price := t.Hourly
 			if spot {
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -1,8 +1,11 @@
-// Package autoscaler decides how many machines of which type a fleet needs: which to provision
-// for tasks that have no room (Plan), how much headroom to keep for work that must start at
-// once (Arrivals), which machine groups to ask for again after the cloud had no capacity
-// (Refusals), which requests are not answered yet (Requests), and through which steps a machine is
-// released (Releases).
+// Package autoscaler decides how many machines of which type a fleet needs:
+//
+//   - Plan decides which machines to provision for tasks that fit on no machine.
+//   - Arrivals computes how much headroom to keep for jobs that must start at once.
+//   - Refusals records for which machine groups the cloud had no capacity, and when to request
+//     them again.
+//   - Requests holds the requests that the cloud has not answered yet.
+//   - Releases tracks the steps through which a machine is released.
 //
 // Nothing here waits, calls the cloud or takes a lock: the controller does, and passes in what
 // the decisions need. No type of the package is safe for concurrent use.
@@ -18,7 +21,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// MachineGroup is what one call to the cloud can provision: machines that are alike.
+// MachineGroup is a group of like machines. A request to the cloud provisions machines of one group.
 type MachineGroup struct {
 	Type string
 	Zone string
@@ -46,13 +49,13 @@
 	Count int
 }
 
-// Capacity returns what a machine of a type offers.
+// Capacity returns the resources of an empty machine of a type.
 func Capacity(t *wire.MachineType) fleet.Resources {
 	return fleet.Resources{Cores: t.Cores, Gpus: t.Gpus, RAM: t.RAMGb}
 }
 
 // FitsAnyMachine reports whether a task of the job fits an empty on-demand machine of some type
-// and zone that it may use.
+// and zone that the job may use.
 func FitsAnyMachine(catalog *wire.Catalog, spec *wire.JobSpec) bool {
 	need := fleet.TaskResources(spec)
 	for i := range catalog.MachineTypes {
@@ -69,25 +72,27 @@
 	return false
 }
 
-// Demand is what machines are provisioned for, and what limits them.
+// Demand is the input of Plan: the tasks that need machines, and the limits on provisioning.
 type Demand struct {
-	// Shorts are the tasks that no machine has room for, in the order in which they are packed.
+	// Shorts are the tasks that fit on no machine, in the order in which they are packed.
 	Shorts []sched.Shortfall
-	// MachinesByZone counts the machines of the fleet; it may be nil.
+	// MachinesByZone counts the fleet's machines in each zone; it may be nil.
 	MachinesByZone map[string]int
-	// Refused reports whether the cloud has lately had no capacity for a group.
+	// Refused reports whether a group must not be requested now, because the cloud recently had no
+	// capacity for it.
 	Refused func(MachineGroup) bool
-	// Calls is how many requests may be made at once, each for at most wire.MaxProvision
-	// machines. Every group that is needed gets one, also if these are more.
+	// Calls is the maximum number of requests in a plan, each for at most wire.MaxProvision
+	// machines. A plan exceeds it if more groups than that are needed: each gets one request.
 	Calls int
 }
 
-// Plan decides what to provision for the demand. Each task gets a machine of the group with the
-// lowest price per task. The requests are in a fixed order, by group.
+// Plan decides what to provision for the demand. Tasks that do not fit on the machines planned so
+// far get new ones, of the group with the lowest price per task. The requests are sorted by group;
+// further requests for the same groups follow in the same order.
 func Plan(catalog *wire.Catalog, demand Demand) []Request {
 	p := newPacking(catalog, demand)
-	for _, short := range demand.Shorts {
-		p.pack(short)
+	for _, shortfall := range demand.Shorts {
+		p.pack(shortfall)
 	}
 	counts := map[MachineGroup]int{}
 	for i := range p.bins {
@@ -98,31 +103,32 @@
 		requests = append(requests, Request{group, count})
 	}
 	slices.SortFunc(requests, func(a, b Request) int { return a.compare(b.MachineGroup) })
-	return splitIntoCalls(requests, demand.Calls)
+	return splitRequests(requests, demand.Calls)
 }
 
-// splitIntoCalls splits requests into ones that the cloud accepts in one call each: first one for
-// each group, then more for the groups in turn until no calls are left. The rest waits for the
-// next cycle. It changes wanted.
-func splitIntoCalls(wanted []Request, calls int) []Request {
+// splitRequests splits requests into ones of at most wire.MaxProvision machines, the most that the
+// cloud accepts. Each group gets one request, even if these exceed the limit; then the groups get
+// further requests in turn until the limit is reached. The remaining machines are left to the next
+// scheduling cycle. splitRequests modifies wanted.
+func splitRequests(wanted []Request, limit int) []Request {
 	var requests []Request
-	left := len(wanted)
-	for first := true; left > 0 && (first || len(requests) < calls); first = false {
-		left = 0
+	remaining := len(wanted)
+	for firstPass := true; remaining > 0 && (firstPass || len(requests) < limit); firstPass = false {
+		remaining = 0
 		for i := range wanted {
 			count := min(wanted[i].Count, wire.MaxProvision)
-			if count == 0 || !first && len(requests) >= calls {
+			if count == 0 || !firstPass && len(requests) >= limit {
 				continue
 			}
 			requests = append(requests, Request{wanted[i].MachineGroup, count})
 			wanted[i].Count -= count
-			left += wanted[i].Count
+			remaining += wanted[i].Count
 		}
 	}
 	return requests
 }
 
-// cloneOrEmpty returns a copy of the counts that can be written to, also of nil.
+// cloneOrEmpty returns a copy of counts, or an empty map if counts is nil.
 func cloneOrEmpty(counts map[string]int) map[string]int {
 	if counts == nil {
 		return map[string]int{}
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -9,9 +9,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Machines for the tasks of a dead fleet of 4,096 and of 6,000 machines are provisioned within some
-// cycles, with no more calls in each than are allowed and none larger than the cloud accepts, and
-// the decision takes less than a second: when it looked at every bin for each task it took several.
+// After the loss of a fleet of 4,096 or of 6,000 machines, Plan requests replacements within a bounded
+// number of cycles. No plan has more requests than allowed, and no request is larger than the cloud
+// accepts. One plan takes less than a second, and the test allows 4 s for all plans of a fleet. When
+// Plan examined every bin for every task, one plan took several seconds.
 func TestPlanReplacesADeadFleetWithinItsCalls(t *testing.T) {
 	catalog := &wire.Catalog{MachineTypes: []wire.MachineType{{
 		Name:       "g8",
@@ -24,38 +25,38 @@
 	}}}
 	for _, machines := range []int{4096, 6000} {
 		const calls = 10
-		shorts := make([]sched.Shortfall, 0, machines)
+		shortfalls := make([]sched.Shortfall, 0, machines)
 		for i := range machines {
 			spec := &wire.JobSpec{UID: fmt.Sprintf("run-%06d", i), TaskCount: 8, Cores: float64(8 + i%5), Gpus: 1, RAMGb: 40}
-			shorts = append(shorts, sched.Shortfall{Job: &sched.Job{Spec: spec}, Count: 8})
+			shortfalls = append(shortfalls, sched.Shortfall{Job: &sched.Job{Spec: spec}, Count: 8})
 		}
-		machinesByZone, provisioned, began := map[string]int{}, 0, time.Now()
-		for cycles := 0; len(shorts) > 0; cycles++ {
+		machinesByZone, provisioned, started := map[string]int{}, 0, time.Now()
+		for cycles := 0; len(shortfalls) > 0; cycles++ {
 			if cycles > machines/(calls*wire.MaxProvision)+2 {
-				t.Fatalf("%d machines are provisioned after %d cycles", provisioned, cycles)
+				t.Fatalf("got %d machines requested after %d cycles, want at least %d", provisioned, cycles, machines)
 			}
 			requests := Plan(catalog, Demand{
-				Shorts:         shorts,
+				Shorts:         shortfalls,
 				MachinesByZone: machinesByZone,
 				Refused:        func(MachineGroup) bool { return false },
 				Calls:          calls,
 			})
 			if len(requests) > calls {
-				t.Fatalf("%d calls in a cycle", len(requests))
+				t.Fatalf("got %d requests in a plan, want at most %d", len(requests), calls)
 			}
 			requested := 0
 			for _, r := range requests {
 				if r.Count < 1 || r.Count > wire.MaxProvision {
-					t.Fatalf("%d machines in a call", r.Count)
+					t.Fatalf("got %d machines in a request, want 1 to %d", r.Count, wire.MaxProvision)
 				}
 				machinesByZone[r.Zone] += r.Count
 				requested += r.Count
 			}
 			provisioned += requested
-			shorts = shorts[min(requested, len(shorts)):]
+			shortfalls = shortfalls[min(requested, len(shortfalls)):]
 		}
-		if took := time.Since(began); provisioned < machines || took > 4*time.Second {
-			t.Errorf("%d machines are provisioned for %d in %s", provisioned, machines, took)
+		if took := time.Since(started); provisioned < machines || took > 4*time.Second {
+			t.Errorf("got %d machines requested in %s, want at least %d within 4s", provisioned, took, machines)
 		}
 	}
 }
--- a/internal/autoscaler/refusals.go
+++ b/internal/autoscaler/refusals.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Refusal is the pause of a machine group after the cloud had no capacity for it: until when it is
-// not asked for, and the length of the pause.
+// Refusal is the backoff of a machine group that the cloud had no capacity for.
 type Refusal struct {
-	Until time.Time
-	Pause time.Duration
+	Until time.Time     // the group is not requested before this time
+	Pause time.Duration // length of the backoff
 }
 
-// Refusals are the machine groups that the cloud had no capacity for. Each refusal in a row
-// doubles the pause, from half a worker lease up to three.
+// Refusals holds the machine groups that the cloud had no capacity for. The backoff of a group
+// begins at half a worker lease and doubles with each consecutive refusal, up to three worker leases.
 type Refusals struct {
 	workerLease time.Duration
 	groups      map[MachineGroup]Refusal
 }
 
-// NewRefusals returns an empty set.
+// NewRefusals returns a Refusals without any group.
 func NewRefusals(workerLease time.Duration) *Refusals {
 	return &Refusals{workerLease: workerLease, groups: map[MachineGroup]Refusal{}}
 }
 
-// Add pauses requests for a group that was refused at now, for longer each time in a row.
+// Add records that the cloud refused a group at now, and starts the next backoff of the group.
 func (r *Refusals) Add(group MachineGroup, now time.Time) {
 	pause := min(max(r.groups[group].Pause*2, r.workerLease/2), 3*r.workerLease)
 	r.groups[group] = Refusal{Until: now.Add(pause), Pause: pause}
 }
 
-// Clear ends the pause of a group: the cloud has provisioned machines of it.
+// Clear ends the backoff of a group and resets its length. The caller calls it when the cloud has
+// provisioned machines of the group.
 func (r *Refusals) Clear(group MachineGroup) { delete(r.groups, group) }
 
-// IsPaused reports whether a group is not to be asked for now.
+// IsPaused reports whether a group is in backoff and must not be requested now.
 func (r *Refusals) IsPaused(group MachineGroup, now time.Time) bool {
 	return now.Before(r.groups[group].Until)
 }
 
-// Each calls fn for every group that was refused and has not been provisioned since.
+// Each calls fn for every group that was refused and has not been cleared since.
 func (r *Refusals) Each(fn func(MachineGroup, Refusal)) {
 	for group, refusal := range r.groups {
 		fn(group, refusal)
 	}
 }
 
-// Restore adds a refusal that an earlier leader has received.
+// Restore adds a refusal that an earlier leader recorded.
 func (r *Refusals) Restore(group MachineGroup, refusal Refusal) { r.groups[group] = refusal }
--- a/internal/autoscaler/releases.go
+++ b/internal/autoscaler/releases.go
@@ -8,41 +8,48 @@
 	"lotusstile.dev/lotusstile/internal/records"
 )
 
-// ReleaseRecord is a stored record that lists machines whose release may be attempted. Hosts must
-// not be changed.
+// ReleaseRecord is a record in the state store. It lists machines that the leader may release. Hosts
+// must not be modified.
 type ReleaseRecord struct {
 	Key   string
 	Hosts []string
 }
 
-// release is a machine that is being released, or that is gone.
+// release is the progress of releasing one machine.
 type release struct {
-	recorded bool // in a stored record
-	// goneAt is when the cloud confirmed the release, or last listed the machine after that.
-	goneAt time.Time
+	recorded bool // a stored record lists the machine
+	// goneSince is when the cloud confirmed the release or, if later, when the machine last appeared
+	// in a machine list. It is zero until the cloud confirms.
+	goneSince time.Time
 }
 
-// Releases are the machines that are being released to the cloud, or are gone. The steps of a
-// release are: Start; a record is committed (NextRecord, Recorded); the cloud is asked until it
-// confirms (Unconfirmed, Confirm); once no machine list can show the machine any more the record
-// is dropped (Expired, Drop). A request is sent only for a machine that is recorded: a later
-// leader must know that it may vanish at any time (docs/safety.md, "No task runs twice").
+// Releases holds the machines that are being released to the cloud, and those that are gone but
+// still on record. The steps of a release are:
+//
+//  1. Start adds the machine.
+//  2. The caller commits a record that lists the machine (NextRecord, Recorded).
+//  3. The caller requests the release from the cloud until the cloud confirms it (Unconfirmed,
+//     Confirm).
+//  4. Once no machine list can show the machine any more, the caller drops the record (Expired, Drop).
+//
+// The request is sent only for a recorded machine: a later leader must know that the machine may
+// disappear at any time (docs/safety.md, "No task runs twice").
 type Releases struct {
 	term       uint64
 	lastRecord int // number of the last record of this term
 	machines   map[string]*release
-	records    []ReleaseRecord // stored, or possibly stored
+	records    []ReleaseRecord // records that are, or may be, in the state store
 }
 
-// NewReleases returns the empty set of a term.
+// NewReleases returns a Releases for a term, without any machine.
 func NewReleases(term uint64) *Releases {
 	return &Releases{term: term, machines: map[string]*release{}}
 }
 
-// Len returns the number of machines that are being released, or are gone and still on record.
+// Len returns the number of machines that are being released, or that are gone but still on record.
 func (r *Releases) Len() int { return len(r.machines) }
 
-// Start adds a machine that is to be released. It returns false if the machine was added before.
+// Start adds a machine to release. It returns false if the machine is already being released.
 func (r *Releases) Start(host string) bool {
 	if r.machines[host] != nil {
 		return false
@@ -51,22 +58,23 @@
 	return true
 }
 
-// Restore adds a record that was read from the state store, of an earlier term. It may be called
-// again with the same record, when the state is loaded once more after an error.
+// Restore adds a record of an earlier term, read from the state store. It may be called again with
+// the same record: the state is loaded again after an error.
 func (r *Releases) Restore(record ReleaseRecord) {
 	for _, host := range record.Hosts {
 		r.machines[host] = &release{recorded: true}
 	}
-	known := func(other ReleaseRecord) bool { return other.Key == record.Key }
-	if !slices.ContainsFunc(r.records, known) {
+	hasSameKey := func(other ReleaseRecord) bool { return other.Key == record.Key }
+	if !slices.ContainsFunc(r.records, hasSameKey) {
 		r.records = append(r.records, record)
 	}
 }
 
-// NextRecord returns a record of machines that have none yet, as many as fit a value of valueBytes;
-// found is false if there are none. The caller commits it, guarded by a compare for the absence of
-// its key, and calls Recorded or, if the outcome is unknown, MayBeStored. A key is used once: if it
-// were written again, a late transaction could replace a newer list by an older one.
+// NextRecord returns a record of machines that no stored record lists yet, as many as fit into a
+// value of valueBytes; found is false if there are none. The caller commits the record in a
+// transaction that requires its key to be absent. It then calls Recorded or, if the outcome of the
+// commit is unknown, MayBeStored. Each key is used once: if a key were written twice, a delayed
+// transaction could replace a newer list with an older one.
 func (r *Releases) NextRecord(valueBytes int) (record ReleaseRecord, found bool) {
 	hosts := r.hosts(func(m *release) bool { return !m.recorded })
 	if len(hosts) == 0 {
@@ -79,12 +87,12 @@
 	}, true
 }
 
-// MayBeStored adds a record whose commit had an unknown outcome, so that it is dropped in the end.
-// Its machines count as not recorded: another record will list them.
+// MayBeStored adds a record whose commit had an unknown outcome, so that the record is dropped once it
+// has expired. Its machines still count as not recorded: another record will list them.
 func (r *Releases) MayBeStored(record ReleaseRecord) { r.records = append(r.records, record) }
 
-// Recorded adds a record that is committed: its machines may be released. All must have been added
-// by Start.
+// Recorded adds a committed record: its machines may now be released. All of them must have been
+// added by Start.
 func (r *Releases) Recorded(record ReleaseRecord) {
 	r.records = append(r.records, record)
 	for _, host := range record.Hosts {
@@ -92,43 +100,44 @@
 	}
 }
 
-// Unconfirmed lists at most limit machines that are recorded and that the cloud has not confirmed
-// to be gone, in order of their names.
+// Unconfirmed lists at most limit recorded machines whose release the cloud has not confirmed,
+// sorted by name.
 func (r *Releases) Unconfirmed(limit int) []string {
-	hosts := r.hosts(func(m *release) bool { return m.recorded && m.goneAt.IsZero() })
+	hosts := r.hosts(func(m *release) bool { return m.recorded && m.goneSince.IsZero() })
 	return hosts[:min(len(hosts), limit)]
 }
 
-// Confirm records that the cloud confirmed at now the release of a machine, which must be one that
-// Unconfirmed has listed.
-func (r *Releases) Confirm(host string, now time.Time) { r.machines[host].goneAt = now }
+// Confirm records that the cloud confirmed the release of a machine at now. Unconfirmed must have
+// listed the machine.
+func (r *Releases) Confirm(host string, now time.Time) { r.machines[host].goneSince = now }
 
-// StillListed records that a machine list read at now shows a machine that is gone: its record
-// stays for longer. It does nothing for a machine that is not being released.
+// StillListed records that a machine list read at now still shows a machine that is gone: the
+// machine's record is kept for longer. It does nothing for a machine that Releases does not hold.
 func (r *Releases) StillListed(host string, now time.Time) {
 	if m := r.machines[host]; m != nil {
-		m.goneAt = now
+		m.goneSince = now
 	}
 }
 
-// Expired lists the records all of whose machines have been gone for longer than keep. A record
-// may be dropped only then: until then a machine list may show a machine as if it could be used.
-func (r *Releases) Expired(now time.Time, keep time.Duration) []ReleaseRecord {
-	isKept := func(host string) bool {
+// Expired lists the records whose machines have all been gone for longer than retention. A record
+// must not be dropped earlier: until then, a machine list may still show one of its machines as
+// usable.
+func (r *Releases) Expired(now time.Time, retention time.Duration) []ReleaseRecord {
+	needsRecord := func(host string) bool {
 		m := r.machines[host]
-		return m != nil && (m.goneAt.IsZero() || now.Sub(m.goneAt) <= keep)
+		return m != nil && (m.goneSince.IsZero() || now.Sub(m.goneSince) <= retention)
 	}
 	var expired []ReleaseRecord
 	for _, record := range r.records {
-		if !slices.ContainsFunc(record.Hosts, isKept) {
+		if !slices.ContainsFunc(record.Hosts, needsRecord) {
 			expired = append(expired, record)
 		}
 	}
 	return expired
 }
 
-// Drop removes the records with these keys, which are no longer stored, and their machines. It
-// returns the machines.
+// Drop removes the records with the given keys, which the caller has deleted from the state store,
+// and the machines that they list. It returns these machines.
 func (r *Releases) Drop(keys []string) []string {
 	var hosts []string
 	r.records = slices.DeleteFunc(r.records, func(record ReleaseRecord) bool {
@@ -144,7 +153,7 @@
 	return hosts
 }
 
-// hosts lists the machines that match, in order of their names.
+// hosts lists the machines for which match returns true, sorted by name.
 func (r *Releases) hosts(match func(*release) bool) []string {
 	var hosts []string
 	for host, m := range r.machines {
--- a/internal/autoscaler/releases_test.go
+++ b/internal/autoscaler/releases_test.go
@@ -11,49 +11,49 @@
 const valueBytes = 8 << 10
 
 func TestReleasePassesFromStartToDrop(t *testing.T) {
-	const keep = time.Minute
+	const retention = time.Minute
 	now := time.Unix(10_000, 0)
 	r := NewReleases(7)
 	if !r.Start("m-2") || !r.Start("m-1") || r.Start("m-2") {
-		t.Fatal("Start does not tell the first start of a machine from a second one")
+		t.Fatal("want Start to return true for a machine that is not being released, and false for one that is")
 	}
 	record, found := r.NextRecord(valueBytes)
 	if want := []string{"m-1", "m-2"}; !found || !slices.Equal(record.Hosts, want) {
-		t.Fatalf("the record lists %v, want %v", record.Hosts, want)
+		t.Fatalf("got a record of %v (found %v), want %v", record.Hosts, found, want)
 	}
 	if hosts := r.Unconfirmed(10); len(hosts) > 0 {
-		t.Errorf("%v may be released before their record is stored", hosts)
+		t.Errorf("got %v to release before their record is stored, want none", hosts)
 	}
 	r.Recorded(record)
 	if _, found := r.NextRecord(valueBytes); found {
-		t.Error("machines are recorded twice")
+		t.Error("got a second record of the same machines, want none")
 	}
 	if hosts := r.Unconfirmed(1); !slices.Equal(hosts, []string{"m-1"}) {
-		t.Errorf("%v are released at once, with a limit of one", hosts)
+		t.Errorf("got %v to release with a limit of 1, want m-1", hosts)
 	}
 	r.Confirm("m-1", now)
 	if hosts := r.Unconfirmed(10); !slices.Equal(hosts, []string{"m-2"}) {
-		t.Errorf("%v are released again", hosts)
+		t.Errorf("got %v to release after m-1 is confirmed, want m-2", hosts)
 	}
-	if expired := r.Expired(now.Add(keep+1), keep); len(expired) > 0 {
-		t.Error("a record expires while a machine on it is not confirmed to be gone")
+	if expired := r.Expired(now.Add(retention+1), retention); len(expired) > 0 {
+		t.Errorf("got expired records %v before the release of m-2 is confirmed, want none", expired)
 	}
 	r.Confirm("m-2", now)
 	r.StillListed("m-2", now.Add(time.Second))
 	r.StillListed("m-3", now) // not being released
-	if expired := r.Expired(now.Add(keep+time.Second), keep); len(expired) > 0 {
-		t.Error("a record expires within the time that it is kept after the last list with its machine")
+	if expired := r.Expired(now.Add(retention+time.Second), retention); len(expired) > 0 {
+		t.Errorf("got expired records %v within %s of the last machine list that shows m-2, want none", expired, retention)
 	}
-	if expired := r.Expired(now.Add(keep+time.Second+1), keep); len(expired) != 1 || expired[0].Key != record.Key {
-		t.Errorf("the expired records are %v", expired)
+	if expired := r.Expired(now.Add(retention+time.Second+1), retention); len(expired) != 1 || expired[0].Key != record.Key {
+		t.Errorf("got expired records %v, want only %s", expired, record.Key)
 	}
 	if hosts := r.Drop([]string{record.Key}); !slices.Equal(hosts, record.Hosts) || r.Len() != 0 {
-		t.Errorf("%v are forgotten, %d are left", hosts, r.Len())
+		t.Errorf("got %v dropped and %d left, want %v and 0", hosts, r.Len(), record.Hosts)
 	}
 }
 
-// A key is used once, also if the outcome of its commit is unknown; that record is dropped in the
-// end as well.
+// If the outcome of a commit is unknown, the machines are recorded again under another key, and both
+// records expire once the machines are gone.
 func TestReleaseRecordOfUnknownOutcomeIsWrittenUnderAnotherKey(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	r := NewReleases(7)
@@ -62,15 +62,15 @@
 	r.MayBeStored(first)
 	second, found := r.NextRecord(valueBytes)
 	if !found || second.Key == first.Key || !slices.Equal(second.Hosts, first.Hosts) {
-		t.Fatalf("after %+v comes %+v", first, second)
+		t.Fatalf("got %+v (found %v) after %+v, want the same machines under another key", second, found, first)
 	}
 	if want := records.ScaleInPrefix + "7-2"; second.Key != want {
-		t.Errorf("the key is %s, want %s", second.Key, want)
+		t.Errorf("got key %s, want %s", second.Key, want)
 	}
 	r.Recorded(second)
 	r.Confirm("m-1", now)
 	if expired := r.Expired(now.Add(2), 1); len(expired) != 2 {
-		t.Errorf("%d records expire, want 2", len(expired))
+		t.Errorf("got %d expired records, want 2", len(expired))
 	}
 }
 
@@ -78,18 +78,18 @@
 	r := NewReleases(8)
 	record := ReleaseRecord{Key: records.ScaleInPrefix + "7-1", Hosts: []string{"m-1", "m-2"}}
 	r.Restore(record)
-	r.Restore(record) // a second attempt to load it
+	r.Restore(record) // the state is loaded again after an error
 	if _, found := r.NextRecord(valueBytes); found {
-		t.Error("restored machines are recorded again")
+		t.Error("got a new record of restored machines, want none")
 	}
 	if hosts := r.Unconfirmed(10); !slices.Equal(hosts, record.Hosts) {
-		t.Errorf("%v are released, want %v", hosts, record.Hosts)
+		t.Errorf("got %v to release, want %v", hosts, record.Hosts)
 	}
 	now := time.Unix(10_000, 0)
 	for _, host := range record.Hosts {
 		r.Confirm(host, now)
 	}
 	if expired := r.Expired(now.Add(2), 1); len(expired) != 1 {
-		t.Errorf("%d records expire, want 1", len(expired))
+		t.Errorf("got %d expired records, want 1", len(expired))
 	}
 }
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -6,35 +6,35 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Requests are the requests for machines that the cloud has not answered yet.
+// Requests holds the requests for machines that the cloud has not answered yet.
 type Requests struct {
-	term    uint64
-	last    int // number of the last request
-	pending map[string]wire.ProvisionRequest
+	term       uint64
+	lastNumber int // number of the last request of this term
+	pending    map[string]wire.ProvisionRequest
 }
 
-// NewRequests returns the empty set of a term.
+// NewRequests returns a Requests for a term, without any request.
 func NewRequests(term uint64) *Requests {
 	return &Requests{term: term, pending: map[string]wire.ProvisionRequest{}}
 }
 
-// Add adds a request as pending and returns it as it is sent to the cloud, with its ID. The ID
-// consists of the term and a counter, so that no other request of any node has it: the cloud
-// provisions the machines of one ID once.
+// Add gives a request an ID, marks it as pending and returns it in the form that is sent to the
+// cloud. The ID consists of the term and a counter, so that no request of any other node has the
+// same ID: the cloud provisions the machines of an ID only once.
 func (r *Requests) Add(request Request) wire.ProvisionRequest {
-	r.last++
-	out := wire.ProvisionRequest{
-		RequestID:   fmt.Sprintf("lt-%d-%d", r.term, r.last),
+	r.lastNumber++
+	sent := wire.ProvisionRequest{
+		RequestID:   fmt.Sprintf("lt-%d-%d", r.term, r.lastNumber),
 		MachineType: request.Type,
 		Zone:        request.Zone,
 		Spot:        request.Spot,
 		Count:       request.Count,
 	}
-	r.pending[out.RequestID] = out
-	return out
+	r.pending[sent.RequestID] = sent
+	return sent
 }
 
-// Finish removes a request that is answered or abandoned.
+// Finish removes a request that the cloud has answered or that the caller has given up.
 func (r *Requests) Finish(id string) { delete(r.pending, id) }
 
 // Len returns the number of requests that are not answered yet.
