--- a/wire/admin.go
+++ b/wire/admin.go
@@ -1,76 +1,79 @@
 package wire
 
-// Settings are the operators' own settings, as the administration API shows and accepts them.
+// Settings are the settings that operators can change at run time through the administration API.
 type Settings struct {
-	ModRevision uint64  `json:"Stamp"`     // 0 until they are first changed
-	IntervalS   float64 `json:"IntervalS"` // from scheduling cycle to scheduling cycle
-	Window      int     `json:"Window"`    // most jobs that a cycle considers
-	Headroom    float64 `json:"Spare"`     // factor on the usual headroom; 0: no headroom
-	Profiling   bool    `json:"Profiling"` // profiles are served at /admin/pprof
+	ModRevision uint64  `json:"Stamp"`     // of the settings in the state store; 0 until they are first changed
+	IntervalS   float64 `json:"IntervalS"` // time between the starts of two scheduling cycles
+	Window      int     `json:"Window"`    // maximum number of jobs that a cycle considers
+	Headroom    float64 `json:"Spare"`     // factor by which the computed headroom is scaled; 0: no headroom
+	Profiling   bool    `json:"Profiling"` // whether profiles are served at /admin/pprof
 }
 
-// Status answers GET /admin/status.
+// Status is the response to GET /admin/status.
 type Status struct {
 	Node   string      `json:"Node"`
-	State  string      `json:"State"` // of the leadership, at this node
+	State  string      `json:"State"` // state of the leader election at this node
 	Leader string      `json:"Leader"`
 	Term   uint64      `json:"Term"`
-	Proof  float64     `json:"Proof"`          // seconds since the state store was last read from here
-	Lead   *LeadStatus `json:"Lead,omitempty"` // from the leader, if it can be reached
-	// How this node follows the leader's state, or offers its own; only where warm standbys are
-	// switched on.
+	Proof  float64     `json:"Proof"`          // seconds since the node began its newest request that the state store executed
+	Lead   *LeadStatus `json:"Lead,omitempty"` // nil if the leader is unreachable
+	// WarmStandby says how this node replicates the leader's state or, at the leader, offers its own.
+	// It is nil unless warm standbys are enabled.
 	WarmStandby *StandbyStatus `json:"WarmStandby,omitempty"`
 }
 
-// StandbyStatus says how a node replicates the leader's state as its warm standby, or offers its own.
+// StandbyStatus says how a node replicates the leader's state as its warm standby or, at the leader,
+// offers its own state for replication.
 type StandbyStatus struct {
-	State    string            `json:"State"`            // of this node's copy
-	Cause    string            `json:"Cause"`            // of its last change of state
-	Leader   string            `json:"Leader,omitempty"` // that the copy comes from
-	Term     uint64            `json:"Term,omitempty"`
-	Sequence uint64            `json:"Sequence"`          // changes in the copy, or offered by this node if it leads
-	Position uint64            `json:"Position"`          // revision of the state store up to which it has all records
-	LagS     float64           `json:"LagS"`              // age of the copy
-	Entries  int               `json:"Entries"`           // records and views
-	Bytes    int               `json:"Bytes"`             // of them
-	Moved    uint64            `json:"Moved"`             // bytes that this node has received, or sent if it leads
-	Refused  map[string]uint64 `json:"Refused,omitempty"` // parts that were not accepted, by cause
-	Standby  string            `json:"Standby,omitempty"` // at the leader: the node that is to follow it
+	State    string            `json:"State"`             // state of this node's replica
+	Cause    string            `json:"Cause"`             // cause of the last change of State
+	Leader   string            `json:"Leader,omitempty"`  // leader that the replica is copied from
+	Term     uint64            `json:"Term,omitempty"`    // term of that leader
+	Sequence uint64            `json:"Sequence"`          // number of the replica's last change; at the leader, of the last one offered
+	Position uint64            `json:"Position"`          // revision of the state store up to which the replica has all records
+	LagS     float64           `json:"LagS"`              // age of the replica; 0 at the leader
+	Entries  int               `json:"Entries"`           // number of records and views in the replica
+	Bytes    int               `json:"Bytes"`             // size of these entries
+	Moved    uint64            `json:"Moved"`             // bytes that this node has received; at the leader, bytes sent
+	Refused  map[string]uint64 `json:"Refused,omitempty"` // rejected parts, by cause
+	Standby  string            `json:"Standby,omitempty"` // at the leader: the node chosen as its warm standby
 }
 
-// LeadStatus is what only the leader knows.
+// LeadStatus is the part of the status that only the leader knows.
 type LeadStatus struct {
 	Term     uint64                 `json:"Term"`
-	Loaded   bool                   `json:"Loaded"` // it knows all records and may schedule
-	Window   int                    `json:"Window"` // jobs that the next cycle considers at most
-	Round    RoundStatus            `json:"Round"`
-	Machines map[string]int         `json:"Machines"` // by state
-	Classes  map[string]ClassStatus `json:"Classes"`  // by class of jobs
-	// HeartbeatRouting is "direct", or "relayed" by followers; only where relays are switched on.
+	Loaded   bool                   `json:"Loaded"`   // the leader has loaded all records and may schedule
+	Window   int                    `json:"Window"`   // maximum number of jobs that the next cycle considers
+	Round    RoundStatus            `json:"Round"`    // of the last cycle
+	Machines map[string]int         `json:"Machines"` // number of machines by state
+	Classes  map[string]ClassStatus `json:"Classes"`  // by job class
+	// HeartbeatRouting is "direct" if workers send heartbeats to the leader, or "relayed" if followers
+	// relay them. It is empty unless relaying is enabled.
 	HeartbeatRouting string         `json:"CheckIns,omitempty"`
-	Workers          map[string]int `json:"Workers,omitempty"` // by the controller that they send heartbeats to
-	// SuspectJobs counts jobs that fail on machine after machine: only one task of each is launched at a time.
+	Workers          map[string]int `json:"Workers,omitempty"` // number of workers by the controller that they send heartbeats to
+	// SuspectJobs counts jobs whose tasks keep failing on different machines. Only one task of such a job
+	// is launched at a time.
 	SuspectJobs int `json:"Suspects"`
-	// QuarantinedMachines counts machines that get no launches because tasks failed on them.
+	// QuarantinedMachines counts machines on which nothing is launched because tasks failed there.
 	QuarantinedMachines int `json:"Blamed"`
 }
 
 // RoundStatus describes the last scheduling cycle.
 type RoundStatus struct {
-	AgoS      float64 `json:"AgoS"` // since it began
-	TookMs    float64 `json:"TookMs"`
-	Waiting   int     `json:"Waiting"`            // jobs with tasks that have no machine
-	Started   int     `json:"Started"`            // tasks
+	AgoS      float64 `json:"AgoS"`               // seconds since the cycle began
+	TookMs    float64 `json:"TookMs"`             // duration of the cycle
+	Waiting   int     `json:"Waiting"`            // jobs with tasks that were not placed when the cycle began
+	Started   int     `json:"Started"`            // tasks that were launched
 	Stopped   int     `json:"Stopped"`            // tasks that were preempted
-	Short     int     `json:"Short"`              // jobs with tasks that no machine has room for
-	Objective float64 `json:"Objective"`          // see package sched
+	Short     int     `json:"Short"`              // jobs with tasks that fit on no machine
+	Objective float64 `json:"Objective"`          // value of the objective function of package sched
 	Reserved  string  `json:"Reserved,omitempty"` // UID of the job that machines are reserved for
-	Overrun   bool    `json:"Overrun"`            // it took longer than the interval and started nothing
+	Overrun   bool    `json:"Overrun"`            // the cycle took longer than the interval, so that nothing was launched
 }
 
 // ClassStatus counts the unfinished work of a class of jobs.
 type ClassStatus struct {
 	Jobs    int `json:"Jobs"`
-	Waiting int `json:"Waiting"` // tasks without a machine
-	Placed  int `json:"Placed"`  // tasks with one
+	Waiting int `json:"Waiting"` // tasks that are not placed
+	Placed  int `json:"Placed"`  // tasks that are placed on a machine
 }
--- a/wire/decode.go
+++ b/wire/decode.go
@@ -8,7 +8,7 @@
 // decodeOptions make the decoder accept what encoding/json accepts.
 var decodeOptions = json.JoinOptions(jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
 
-// Decode decodes a JSON body of the protocol. It accepts what encoding/json accepts, but names must match
-// in case, and it needs one pass instead of two: decoding heartbeats was the largest single cost of a
-// leader.
+// Decode decodes a JSON body of the protocol. Unlike encoding/json, it matches names case-sensitively;
+// otherwise it accepts the same input. It takes one pass over the input where encoding/json takes two:
+// with encoding/json, decoding heartbeats was the largest single cost of a leader.
 func Decode(data []byte, v any) error { return json.Unmarshal(data, v, decodeOptions) }
--- a/wire/decode_test.go
+++ b/wire/decode_test.go
@@ -9,7 +9,7 @@
 )
 
 func genHeartbeat(t *rapid.T) Heartbeat {
-	r := Heartbeat{
+	heartbeat := Heartbeat{
 		Host:         rapid.StringMatching(`m-[0-9]{6}`).Draw(t, "host"),
 		Address:      rapid.StringMatching(`[0-9.]{1,12}:[0-9]{1,5}`).Draw(t, "address"),
 		MachineType:  "g8",
@@ -22,21 +22,21 @@
 	}
 	if rapid.Bool().Draw(t, "warned") {
 		warning := rapid.Float64Range(0, 1e3).Draw(t, "warning")
-		r.SpotNoticeS = &warning
+		heartbeat.SpotNoticeS = &warning
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "tasks") {
-		r.Tasks = append(r.Tasks, TaskReport{
+		heartbeat.Tasks = append(heartbeat.Tasks, TaskReport{
 			Task:         TaskName("run-000001", rapid.IntRange(0, 99).Draw(t, "task")),
 			Attempt:      rapid.Uint64().Draw(t, "attempt"),
 			Status:       rapid.SampledFrom([]TaskStatus{TaskFetching, TaskRunning, TaskEnded}).Draw(t, "status"),
 			Checkpointed: rapid.Bool().Draw(t, "checkpointed"),
 		})
 	}
-	return r
+	return heartbeat
 }
 
-// Decode accepts and refuses what encoding/json does: whole heartbeats, heartbeats with unknown fields,
-// with the same field twice or with null, and damaged ones.
+// Decode and encoding/json accept and reject the same heartbeats, with the same results: valid ones, ones
+// with unknown fields, duplicate fields or null, and truncated or corrupted ones.
 func TestDecodeAgreesWithEncodingJSON(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -58,7 +58,7 @@
 		var want, got Heartbeat
 		wantErr, gotErr := json.Unmarshal(data, &want), Decode(data, &got)
 		if (wantErr == nil) != (gotErr == nil) {
-			t.Fatalf("%s: got %v, encoding/json says %v", data, gotErr, wantErr)
+			t.Fatalf("%s: got error %v, want %v as from encoding/json", data, gotErr, wantErr)
 		}
 		if wantErr != nil {
 			return
@@ -69,6 +69,6 @@
 		}
 	})
 	if accepted == 0 {
-		t.Error("no heartbeat was accepted")
+		t.Error("got no accepted heartbeat, want some")
 	}
 }
--- a/wire/dependencies.go
+++ b/wire/dependencies.go
@@ -6,8 +6,7 @@
 	"slices"
 )
 
-// parseDependencies validates the ids of the jobs that a job depends on. An id that is repeated counts
-// once.
+// parseDependencies validates the ids of the jobs that a job depends on, and removes duplicates.
 func parseDependencies(ids []string) ([]string, error) {
 	var dependencies []string
 	for _, id := range ids {
@@ -21,8 +20,8 @@
 	return dependencies, nil
 }
 
-// HasDependencies reports whether a submission names jobs that it depends on. The body may be malformed
-// otherwise.
+// HasDependencies reports whether a submission names jobs that it depends on. The other fields of the
+// body need not be valid.
 func HasDependencies(body []byte) bool {
 	var in struct {
 		Dependencies json.RawMessage `json:"Awaits"`
--- a/wire/dependencies_test.go
+++ b/wire/dependencies_test.go
@@ -21,15 +21,15 @@
 		body := []byte(strings.ReplaceAll(submission, "AWAITS", field))
 		spec, err := ParseJobSpec(body)
 		if err != nil || !slices.Equal(spec.Dependencies, want) {
-			t.Errorf("%s is read as %v, %v", field, spec.Dependencies, err)
+			t.Errorf("%s: got dependencies %v, error %v; want %v, no error", field, spec.Dependencies, err, want)
 		}
 		if HasDependencies(body) != (len(want) > 0) {
-			t.Errorf("%s: HasDependencies is %v", field, HasDependencies(body))
+			t.Errorf("%s: got HasDependencies %v, want %v", field, HasDependencies(body), len(want) > 0)
 		}
 	}
 	for _, field := range []string{`"run-000398"`, `[398]`, `[null]`, `["job-1"]`, `["run-12"]`, `{}`, `[["run-000398"]]`, `true`} {
 		if spec, err := ParseJobSpec([]byte(strings.ReplaceAll(submission, "AWAITS", `,"Awaits":`+field))); err == nil {
-			t.Errorf("%s is read as %v", field, spec.Dependencies)
+			t.Errorf("%s: got dependencies %v, want an error", field, spec.Dependencies)
 		}
 	}
 }
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,11 +1,11 @@
-// Package wire holds the JSON bodies that lotusstile exchanges with users, workers, the cloud, the state
-// store and operators. Clients may import it. JSON tags keep the protocol's names, Go names are the
-// standard terms; only this package maps the one to the other. Controllers exchange messages by Go names
-// of their own, which internal/peer fixes.
-//
-// The tables below are complete: for each body the protocol's fields and their Go names, and for each
-// enumeration its values. Names that end in S are in seconds, those that end in Ms in milliseconds, those
-// that end in Gb in gigabytes.
+// Package wire defines the JSON bodies that lotusstile exchanges with users, workers, the cloud, the
+// state store and operators. Clients may import it. The JSON tags are the protocol's names, the Go names
+// are the standard terms, and no other package translates between them. The messages between controllers
+// are not defined here: package internal/peer defines them with Go names of their own.
+//
+// The tables below are complete. The table of a body lists the protocol's name and the Go name of each
+// field; the table of an enumeration does so for each value. Amounts whose names end in S are in seconds,
+// those ending in Ms in milliseconds, and those ending in Gb in gigabytes.
 //
 // # Users
 //
--- a/wire/doc_test.go
+++ b/wire/doc_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// The tables of the package comment have a row for each field of each exported body and for each value of
-// each enumeration, and no others.
+// The tables of the package comment have exactly one row for each field of each exported body and for
+// each value of each enumeration.
 func TestPackageCommentMapsEveryName(t *testing.T) {
 	files := productFiles(t)
 	want := map[string][]string{}
@@ -36,16 +36,16 @@
 	got := tableRows(files["doc.go"].Doc.Text())
 	for name, rows := range want {
 		if !slices.Equal(got[name], rows) {
-			t.Errorf("the table of %s has %q, want %q", name, got[name], rows)
+			t.Errorf("table of %s: got rows %q, want %q", name, got[name], rows)
 		}
 		delete(got, name)
 	}
 	if len(got) > 0 {
-		t.Errorf("there are tables of what the package doesn't have: %q", got)
+		t.Errorf("got tables of names that the package doesn't declare: %q, want none", got)
 	}
 }
 
-// productFiles parses the files of the package that are not tests, by name.
+// productFiles parses the files of the package that are not tests, and returns them by file name.
 func productFiles(t *testing.T) map[string]*ast.File {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
@@ -84,14 +84,14 @@
 	return text
 }
 
-// tableRows reads the rows of a package comment by the name that stands before the table.
+// tableRows returns the rows of each table in a package comment, by the name in the heading of the table.
 func tableRows(text string) map[string][]string {
 	rows, name := map[string][]string{}, ""
 	for line := range strings.Lines(text) {
 		if fields := strings.Fields(line); strings.HasPrefix(line, "\t") && len(fields) == 2 {
 			rows[name] = append(rows[name], fields[0]+" "+fields[1])
-		} else if before, _, found := strings.Cut(line, ":"); found {
-			name = before
+		} else if heading, _, found := strings.Cut(line, ":"); found {
+			name = heading
 		}
 	}
 	return rows
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -11,11 +11,11 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// sample has a value in every field of every body of the protocol, by the name of its golden file.
-func sample() map[string]any {
+// sampleBodies returns one value of each body, by the name of its golden file.
+func sampleBodies() map[string]any {
 	bodies := map[string]any{}
-	for _, part := range []map[string]any{sampleJobs(), sampleWorkers(), sampleCloud(), sampleStateStore(), sampleAdmin()} {
-		maps.Copy(bodies, part)
+	for _, group := range []map[string]any{sampleJobs(), sampleWorkers(), sampleCloud(), sampleStateStore(), sampleAdmin()} {
+		maps.Copy(bodies, group)
 	}
 	return bodies
 }
@@ -146,11 +146,10 @@
 	}
 }
 
-// The keys and values that travel stay as they are, whatever the Go names are: each
-// body is encoded as in its golden file, and what is decoded from there is encoded
-// the same.
+// The keys and values on the wire stay the same, whatever the Go names are: each body is encoded as in
+// its golden file, and decoding and encoding a golden file yields the same file.
 func TestGoldenBodies(t *testing.T) {
-	for name, value := range sample() {
+	for name, value := range sampleBodies() {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join("testdata", "golden", name+".json")
 			got, err := json.MarshalIndent(value, "", "  ")
@@ -168,27 +167,28 @@
 				t.Fatal(err)
 			}
 			if string(got) != string(want) {
-				t.Errorf("encoded as %s\nwant %s", got, want)
+				t.Errorf("got %s\nwant %s", got, want)
 			}
 			checkDecoded(t, name, want)
 		})
 	}
 }
 
-// checkDecoded decodes a golden file by both decoders and encodes the result.
+// checkDecoded decodes a golden file with both decoders, and checks that encoding the result yields the
+// same file.
 func checkDecoded(t *testing.T, name string, golden []byte) {
 	t.Helper()
 	for decoder, decode := range map[string]func([]byte, any) error{"Decode": Decode, "encoding/json": json.Unmarshal} {
-		empty := emptyBody(t, name)
-		if err := decode(golden, empty); err != nil {
-			t.Fatalf("%s: %v", decoder, err)
+		decoded := emptyBody(t, name)
+		if err := decode(golden, decoded); err != nil {
+			t.Fatalf("%s: got error %v, want none", decoder, err)
 		}
-		again, err := json.MarshalIndent(empty, "", "  ")
+		again, err := json.MarshalIndent(decoded, "", "  ")
 		if err != nil {
 			t.Fatal(err)
 		}
 		if string(again)+"\n" != string(golden) {
-			t.Errorf("%s decodes to %s\nwant %s", decoder, again, golden)
+			t.Errorf("decoded by %s and encoded again: got %s\nwant %s", decoder, again, golden)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 	}
 	body, ok := bodies[name]
 	if !ok {
-		t.Fatalf("no empty body for %s", name)
+		t.Fatalf("got no empty body for golden file %s, want one", name)
 	}
 	return body
 }
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -11,37 +11,37 @@
 // JobSpec is the specification of a job: the body of POST /work.
 type JobSpec struct {
 	UID                 string   `json:"Uid"`
-	JobClass            string   `json:"Berth"` // objectives in the settings are by class
-	Team                string   `json:"Crew"`  // whose quota and limit apply
+	JobClass            string   `json:"Berth"` // selects the objectives in the settings
+	Team                string   `json:"Crew"`  // the team whose quota and limit apply
 	Kind                JobKind  `json:"Shape"`
 	Priority            Priority `json:"Rank"`
 	TaskCount           int      `json:"Legs"`  // at most MaxTasks
-	Cores               float64  `json:"Cores"` // of each task, as Gpus and RAMGb
+	Cores               float64  `json:"Cores"` // per task, as are Gpus and RAMGb
 	Gpus                float64  `json:"Gpus"`
 	RAMGb               float64  `json:"RamGb"`
-	Image               string   `json:"Rollout"` // a machine must have fetched it before a task starts
+	Image               string   `json:"Rollout"` // a machine must fetch it before it can start a task
 	ImageGb             float64  `json:"ImageGb"`
-	MachineTypes        []string `json:"Rigs,omitempty"` // those allowed; any if empty
-	Zone                string   `json:"Yard,omitempty"` // the only one allowed; any if ""
+	MachineTypes        []string `json:"Rigs,omitempty"` // the allowed types; empty: any
+	Zone                string   `json:"Yard,omitempty"` // the only allowed zone; "": any
 	SingleZone          bool     `json:"Together"`       // all tasks must be in the same zone
 	SpreadZones         bool     `json:"Scatter"`        // at most half of the tasks, rounded up, in one zone
-	AllowSpot           bool     `json:"Standby"`        // it may use spot machines
-	ExpectedRunS        float64  `json:"ExpectS"`        // estimate for a task, without the image fetch; 0 for services
-	CheckpointIntervalS float64  `json:"MarkS"`          // progress after which a task saves a checkpoint; 0: it never does
-	CheckpointOnStopS   float64  `json:"StowS"`          // time that a task needs to save when it is stopped
-	DeadlineS           *float64 `json:"DueS,omitempty"` // from its submission; nil: none
-	// Dependencies names the jobs that have to be done before a task of this one starts.
+	AllowSpot           bool     `json:"Standby"`        // tasks may run on spot machines
+	ExpectedRunS        float64  `json:"ExpectS"`        // estimated run time of a task without its image fetch; 0 for services
+	CheckpointIntervalS float64  `json:"MarkS"`          // progress between two checkpoints of a task; 0: no checkpoints
+	CheckpointOnStopS   float64  `json:"StowS"`          // time that a stopped task needs to save a checkpoint
+	DeadlineS           *float64 `json:"DueS,omitempty"` // time from submission to the deadline; nil: none
+	// Dependencies lists the jobs that must be done before any task of this job starts.
 	Dependencies []string `json:"Awaits,omitempty"`
 }
 
-// JobKind says how the tasks of a job run.
+// JobKind says how the tasks of a job relate to each other and when they end.
 type JobKind string
 
 // The kinds of jobs.
 const (
-	JobArray JobKind = "sweep"    // independent tasks, each runs to completion
-	Service  JobKind = "standing" // replicas run until the job is cancelled
-	Gang     JobKind = "group"    // its tasks run together or not at all
+	JobArray JobKind = "sweep"    // tasks are independent and run to completion
+	Service  JobKind = "standing" // tasks are replicas that run until the job is cancelled
+	Gang     JobKind = "group"    // all-or-nothing: tasks run only all together
 )
 
 // Priority is the priority of a job.
@@ -55,7 +55,8 @@
 	BestEffort Priority = "best_effort"
 )
 
-// Level orders priorities: higher goes first; 0 is no valid priority.
+// Level returns the rank of a priority: a higher level is scheduled first. It returns 0 for an invalid
+// priority.
 func (p Priority) Level() int {
 	switch p {
 	case Critical:
@@ -70,29 +71,29 @@
 	return 0
 }
 
-// JobStatus is the status of a job that users are shown.
+// JobStatus is the status of a job as users see it.
 type JobStatus string
 
-// The statuses of a job. JobAborted is that of a cancelled job.
+// The statuses of a job.
 const (
-	JobQueued  JobStatus = "queued" // no task runs
+	JobQueued  JobStatus = "queued" // no task is running
 	JobRunning JobStatus = "running"
 	JobDone    JobStatus = "done"
-	JobAborted JobStatus = "aborted"
+	JobAborted JobStatus = "aborted" // the job was cancelled
 )
 
-// Final reports whether a status never changes again.
+// Final reports whether a job keeps this status for ever.
 func (s JobStatus) Final() bool { return s == JobDone || s == JobAborted }
 
-// JobView answers submissions, polls and cancellations.
+// JobView is the response to submissions, polls and cancellations.
 type JobView struct {
 	UID     string    `json:"Uid"`
 	Status  JobStatus `json:"Status"`
-	Done    int       `json:"done"`    // tasks
-	Running int       `json:"running"` // tasks
+	Done    int       `json:"done"`    // number of tasks that are done
+	Running int       `json:"running"` // number of running tasks
 }
 
-// ErrorResponse is the body of a response that refuses a request.
+// ErrorResponse is the body of a response that rejects a request.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
@@ -114,14 +115,15 @@
 // TaskName returns the name of a task of a job, such as run-000412/3.
 func TaskName(uid string, task int) string { return uid + "/" + strconv.Itoa(task) }
 
-// SplitTaskName returns the job and the number in a task's name; ok is false if it is not valid.
+// SplitTaskName splits a task name into the job's id and the task's number; ok is false if the name is
+// not valid.
 func SplitTaskName(name string) (uid string, task int, ok bool) {
-	uid, num, ok := strings.Cut(name, "/")
+	uid, number, ok := strings.Cut(name, "/")
 	if !ok || uid == "" {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(num)
-	if err != nil || n < 0 || strconv.Itoa(n) != num {
+	n, err := strconv.Atoi(number)
+	if err != nil || n < 0 || strconv.Itoa(n) != number {
 		return "", 0, false
 	}
 	return uid, n, true
--- a/wire/jobs_test.go
+++ b/wire/jobs_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// Every run draws the same inputs; -rapid.seed draws others.
+// A fixed seed, so that every run draws the same inputs; the flag -rapid.seed sets another one.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func genJobSpec(t *rapid.T) JobSpec {
-	w := JobSpec{
+	spec := JobSpec{
 		UID:          "run-" + rapid.StringMatching(`[0-9]{6,9}`).Draw(t, "uid"),
 		JobClass:     rapid.StringMatching(`[a-z]{1,8}`).Draw(t, "class"),
 		Team:         rapid.StringMatching(`[a-z-]{1,8}`).Draw(t, "team"),
@@ -31,24 +31,24 @@
 	}
 	if rapid.Bool().Draw(t, "hasDeadline") {
 		deadline := rapid.Float64Range(0, 1e6).Draw(t, "deadline")
-		w.DeadlineS = &deadline
+		spec.DeadlineS = &deadline
 	}
 	if rapid.Bool().Draw(t, "hasMachineTypes") {
-		w.MachineTypes = []string{"g8", "g4"}
+		spec.MachineTypes = []string{"g8", "g4"}
 	}
-	return w
+	return spec
 }
 
 func TestJobSpecRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := genJobSpec(t)
-		data, err := json.Marshal(w)
+		spec := genJobSpec(t)
+		data, err := json.Marshal(spec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := ParseJobSpec(data)
 		if err != nil {
-			t.Fatalf("%s: %v", data, err)
+			t.Fatalf("%s: got error %v, want none", data, err)
 		}
 		again, _ := json.Marshal(got)
 		if string(again) != string(data) {
@@ -57,28 +57,28 @@
 	})
 }
 
-// A field that is missing, null or of another type makes the body malformed.
+// A body is malformed if a required field is missing, null or of the wrong type.
 func TestJobSpecWithoutARequiredFieldIsRefused(t *testing.T) {
 	required := []string{"Uid", "Berth", "Crew", "Shape", "Rank", "Legs", "Cores", "Gpus", "RamGb", "Rollout", "ImageGb",
 		"Together", "Scatter", "Standby", "ExpectS", "MarkS", "StowS"}
 	rapid.Check(t, func(t *rapid.T) {
 		data, _ := json.Marshal(genJobSpec(t))
-		var m map[string]any
-		if err := json.Unmarshal(data, &m); err != nil {
+		var fields map[string]any
+		if err := json.Unmarshal(data, &fields); err != nil {
 			t.Fatal(err)
 		}
 		field := rapid.SampledFrom(required).Draw(t, "field")
 		switch rapid.IntRange(0, 2).Draw(t, "how") {
 		case 0:
-			delete(m, field)
+			delete(fields, field)
 		case 1:
-			m[field] = nil
+			fields[field] = nil
 		case 2:
-			m[field] = []int{1}
+			fields[field] = []int{1}
 		}
-		bad, _ := json.Marshal(m)
+		bad, _ := json.Marshal(fields)
 		if _, err := ParseJobSpec(bad); err == nil {
-			t.Fatalf("accepted %s", bad)
+			t.Fatalf("got no error for %s, want one", bad)
 		}
 	})
 }
@@ -90,7 +90,7 @@
 	if _, err := ParseJobSpec([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range [][2]string{
+	for _, replacement := range [][2]string{
 		{`"run-000412"`, `"job-000412"`}, {`"run-000412"`, `"run-12"`}, {`"run-000412"`, `"run-00041x"`},
 		{`"sweep"`, `"loop"`}, {`"high"`, `"top"`}, {`"Legs":16`, `"Legs":0`}, {`"Legs":16`, `"Legs":1.5`},
 		{`"Legs":16`, `"Legs":100001`}, {`"Cores":8.0`, `"Cores":-1`}, {`"ImageGb":6.2`, `"ImageGb":-1`},
@@ -100,12 +100,12 @@
 		{`"Cores":8.0`, `"Cores":1e300`}, {`"Cores":8.0`, `"Cores":"8"`},
 		{`{"Uid"`, `[{"Uid"`}, {`"DueS":null}`, `"DueS":null`},
 	} {
-		bad := strings.Replace(good, c[0], c[1], 1)
+		bad := strings.Replace(good, replacement[0], replacement[1], 1)
 		if bad == good {
-			t.Fatalf("nothing replaced by %v", c)
+			t.Fatalf("got no occurrence of %s in the valid body, want one", replacement[0])
 		}
 		if _, err := ParseJobSpec([]byte(bad)); err == nil {
-			t.Errorf("accepted %s", bad)
+			t.Errorf("got no error for %s, want one", bad)
 		}
 	}
 }
@@ -115,12 +115,12 @@
 		uid, task := "run-000001", rapid.IntRange(0, MaxTasks).Draw(t, "task")
 		gotUID, gotTask, ok := SplitTaskName(TaskName(uid, task))
 		if !ok || gotUID != uid || gotTask != task {
-			t.Fatalf("got %s %d %v", gotUID, gotTask, ok)
+			t.Fatalf("got %s, %d, %v; want %s, %d, true", gotUID, gotTask, ok, uid, task)
 		}
 	})
 	for _, bad := range []string{"", "run-000001", "/1", "run-000001/", "run-000001/-1", "run-000001/01", "run-000001/x"} {
 		if _, _, ok := SplitTaskName(bad); ok {
-			t.Errorf("took %q for a task", bad)
+			t.Errorf("got %q accepted as a task name, want it rejected", bad)
 		}
 	}
 }
--- a/wire/limits.go
+++ b/wire/limits.go
@@ -1,9 +1,9 @@
 package wire
 
-// MaxBody is the largest request body that any party accepts, in bytes.
+// MaxBody is the size limit of a request body in bytes, at every receiver.
 const MaxBody = 64 << 10
 
 const (
-	maxAmount = 1e9 // of resources and durations
-	maxName   = 200 // bytes of a name, as the state store allows for keys
+	maxAmount = 1e9 // largest amount of a resource, and longest duration in seconds
+	maxName   = 200 // longest name in bytes; the state store allows no longer keys
 )
--- a/wire/statestore.go
+++ b/wire/statestore.go
@@ -6,24 +6,25 @@
 type KeyValue struct {
 	Key         string          `json:"Key"`
 	Value       json.RawMessage `json:"Value"`
-	ModRevision uint64          `json:"Stamp"`            // the store's revision at its last change
-	LeaseID     uint64          `json:"Permit,omitempty"` // lease that it is attached to; 0: none
+	ModRevision uint64          `json:"Stamp"`            // the store's revision at the last change of the key
+	LeaseID     uint64          `json:"Permit,omitempty"` // lease that the key is attached to; 0: none
 }
 
-// KeyValueList answers GET /kv?Under=.
+// KeyValueList is the response to GET /kv?Under=: one page of the keys with a prefix.
 type KeyValueList struct {
 	KeyValues []KeyValue `json:"Rows"`
-	More      bool       `json:"More"`
-	Revision  uint64     `json:"Epoch"` // of the store: counts all changes
+	More      bool       `json:"More"`  // another page follows
+	Revision  uint64     `json:"Epoch"` // of the store: the number of all its changes
 }
 
-// Compare is a condition of a transaction: the key has this mod revision (0: it does not exist).
+// Compare is a condition of a transaction: the key has this mod revision. Mod revision 0 requires that
+// the key does not exist.
 type Compare struct {
 	Key         string `json:"Key"`
 	ModRevision uint64 `json:"Stamp"`
 }
 
-// Change is one write of a transaction: a Set with a Value, or a Drop.
+// Change is one write of a transaction. It either sets the key Set to Value or deletes the key Drop.
 type Change struct {
 	Set     string          `json:"Set,omitempty"`
 	Value   json.RawMessage `json:"Value,omitempty"`
@@ -31,19 +32,19 @@
 	Drop    string          `json:"Drop,omitempty"`
 }
 
-// Transaction is the body of POST /commit: the changes apply if all conditions hold.
+// Transaction is the body of POST /commit: all changes apply if all conditions hold, otherwise none.
 type Transaction struct {
 	Compares []Compare `json:"Guards"`
 	Changes  []Change  `json:"Apply"`
 }
 
-// TransactionResponse answers POST /commit.
+// TransactionResponse is the response to POST /commit.
 type TransactionResponse struct {
 	Revision uint64   `json:"Epoch"`
-	Failed   []string `json:"failed"` // keys whose conditions did not hold
+	Failed   []string `json:"failed"` // keys whose conditions did not hold; empty: committed
 }
 
-// Lease answers POST /holds: a lease of the state store.
+// Lease is the response to POST /holds: a lease of the state store.
 type Lease struct {
 	LeaseID uint64 `json:"Permit"`
 }
@@ -53,7 +54,7 @@
 	TTLMs int64 `json:"TtlMs"`
 }
 
-// WatchEvent is one change that a watch sees: Set or Drop is the key.
+// WatchEvent is one change in a watch: Set is the key that was set, or Drop the key that was deleted.
 type WatchEvent struct {
 	Set         string          `json:"Set"`
 	Drop        string          `json:"Drop"`
@@ -61,7 +62,7 @@
 	ModRevision uint64          `json:"Stamp"`
 }
 
-// WatchResponse answers GET /changes.
+// WatchResponse is the response to GET /changes.
 type WatchResponse struct {
 	Revision uint64       `json:"Epoch"`
 	Events   []WatchEvent `json:"News"`
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -7,7 +7,7 @@
 	"fmt"
 )
 
-// jobSpecBody is a submission as it is sent: nil fields are missing, which differs from zero.
+// jobSpecBody is a submission as users send it. A nil field was missing or null; a zero value was sent.
 type jobSpecBody struct {
 	UID                 *string   `json:"Uid"`
 	JobClass            *string   `json:"Berth"`
@@ -33,7 +33,7 @@
 }
 
 // ParseJobSpec decodes and validates a submission. Every error that it returns means that the body is
-// malformed (400). Only what may be null may be left out: Rigs, Yard, DueS and Awaits.
+// malformed (400). Only the fields Rigs, Yard, DueS and Awaits are optional: they may be null or missing.
 func ParseJobSpec(body []byte) (JobSpec, error) {
 	var in jobSpecBody
 	if trimmed := bytes.TrimLeft(body, " \t\r\n"); len(trimmed) == 0 || trimmed[0] != '{' {
@@ -43,7 +43,7 @@
 		return JobSpec{}, fmt.Errorf("body is not valid: %w", err)
 	}
 	var spec JobSpec
-	for _, copyFields := range []func(*JobSpec) error{in.copyNames, in.copyAmounts, in.copyTaskCount, in.copyFlags, in.copyOptional} {
+	for _, copyFields := range []func(*JobSpec) error{in.copyNames, in.copyAmounts, in.copyTaskCount, in.copyBools, in.copyOptional} {
 		if err := copyFields(&spec); err != nil {
 			return JobSpec{}, err
 		}
@@ -51,28 +51,28 @@
 	return spec, nil
 }
 
-// field is a required field of a submission and where it is copied to.
+// field is a required field of a submission, with its value and the target that it is copied to.
 type field[T any] struct {
-	name string
-	in   *T
-	out  *T
+	name   string
+	value  *T
+	target *T
 }
 
-// copyRequired copies fields that must be there, if each is valid.
+// copyRequired copies required fields to their targets, up to the first that is missing or not valid.
 func copyRequired[T any](fields []field[T], check func(value T) error) error {
 	for _, f := range fields {
-		if f.in == nil {
+		if f.value == nil {
 			return fmt.Errorf("field %s is missing", f.name)
 		}
-		if err := check(*f.in); err != nil {
+		if err := check(*f.value); err != nil {
 			return fmt.Errorf("field %s %w", f.name, err)
 		}
-		*f.out = *f.in
+		*f.target = *f.value
 	}
 	return nil
 }
 
-// copyNames copies the fields that are names.
+// copyNames copies the required fields that are strings.
 func (in *jobSpecBody) copyNames(spec *JobSpec) error {
 	err := copyRequired([]field[string]{
 		{"Uid", in.UID, &spec.UID},
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// copyAmounts copies what a task needs and the durations.
+// copyAmounts copies the resources and durations of a task.
 func (in *jobSpecBody) copyAmounts(spec *JobSpec) error {
 	err := copyRequired([]field[float64]{
 		{"Cores", in.Cores, &spec.Cores},
@@ -129,7 +129,6 @@
 	return nil
 }
 
-// copyTaskCount copies the number of tasks.
 func (in *jobSpecBody) copyTaskCount(spec *JobSpec) error {
 	var tasks float64
 	err := copyRequired([]field[float64]{{"Legs", in.TaskCount, &tasks}}, func(n float64) error {
@@ -142,8 +141,8 @@
 	return err
 }
 
-// copyFlags copies what is true or false.
-func (in *jobSpecBody) copyFlags(spec *JobSpec) error {
+// copyBools copies the boolean fields.
+func (in *jobSpecBody) copyBools(spec *JobSpec) error {
 	return copyRequired([]field[bool]{
 		{"Together", in.SingleZone, &spec.SingleZone},
 		{"Scatter", in.SpreadZones, &spec.SpreadZones},
@@ -151,7 +150,7 @@
 	}, func(bool) error { return nil })
 }
 
-// copyOptional copies what may be null or left out.
+// copyOptional copies the fields that may be null or missing.
 func (in *jobSpecBody) copyOptional(spec *JobSpec) (err error) {
 	if in.DeadlineS != nil {
 		deadline := *in.DeadlineS
@@ -176,7 +175,8 @@
 	return err
 }
 
-// UIDOf returns the job's id in a submission that may be malformed otherwise, and whether it is valid.
+// UIDOf returns the job's id in a submission, and whether that id is valid. The other fields of the body
+// need not be valid.
 func UIDOf(body []byte) (string, bool) {
 	var in struct {
 		UID string `json:"Uid"`
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -11,10 +11,10 @@
 // The task states that workers report.
 const (
 	TaskFetching TaskStatus = "fetching" // waits for its image
-	TaskWaiting  TaskStatus = "waiting"  // has its image, waits for the rest of its gang
+	TaskWaiting  TaskStatus = "waiting"  // has its image, and waits for the other tasks of its gang
 	TaskRunning  TaskStatus = "running"
-	TaskSaving   TaskStatus = "saving" // was stopped and saves a checkpoint
-	TaskEnded    TaskStatus = "ended"  // see Cause
+	TaskSaving   TaskStatus = "saving" // stopped, is saving a checkpoint
+	TaskEnded    TaskStatus = "ended"  // Cause says why
 )
 
 // Cause says why a task ended.
@@ -26,17 +26,17 @@
 	CauseStopped Cause = "stopped"
 	CauseError   Cause = "error"
 	CauseNoRoom  Cause = "no_room" // not enough free resources on the machine
-	CauseInUse   Cause = "in_use"  // the task is on the machine with another attempt
+	CauseInUse   Cause = "in_use"  // another attempt of the task is on the machine
 	CauseNoSuch  Cause = "no_such" // no such job or task
 )
 
-// TaskReport is one task of a heartbeat.
+// TaskReport is the state of one task in a heartbeat.
 type TaskReport struct {
 	Task         string     `json:"Leg"`
-	Attempt      uint64     `json:"Try"` // number of the attempt
+	Attempt      uint64     `json:"Try"` // number of the attempt to run the task
 	Status       TaskStatus `json:"Status"`
 	Cause        Cause      `json:"Cause,omitempty"`
-	Checkpointed bool       `json:"Kept,omitempty"` // its progress was saved
+	Checkpointed bool       `json:"Kept,omitempty"` // its progress is saved in a checkpoint
 }
 
 // Heartbeat is the body of POST /checkin: a worker's report of its machine and tasks.
@@ -46,10 +46,10 @@
 	MachineType  string       `json:"Rig"`
 	Zone         string       `json:"Yard"`
 	Spot         bool         `json:"Standby"`
-	Incarnation  uint64       `json:"Shift"`    // of the worker: grows each time its worker lease expires
-	Sequence     uint64       `json:"Tick"`     // of the report: the larger (Incarnation, Sequence) is newer
-	FencingToken uint64       `json:"Baton"`    // highest one that the worker has seen
-	SpotNoticeS  *float64     `json:"WarningS"` // seconds until the cloud takes the machine away; nil: no notice
+	Incarnation  uint64       `json:"Shift"`    // of the worker: increases each time its worker lease expires
+	Sequence     uint64       `json:"Tick"`     // of the heartbeat: the one with the larger (Incarnation, Sequence) is newer
+	FencingToken uint64       `json:"Baton"`    // highest that the worker has seen
+	SpotNoticeS  *float64     `json:"WarningS"` // seconds until the cloud reclaims the spot machine; nil: no notice
 	Tasks        []TaskReport `json:"Legs"`
 }
 
@@ -71,10 +71,11 @@
 	return heartbeat, nil
 }
 
-// Verb is what a command asks of a worker.
+// Verb is the action of a command.
 type Verb string
 
-// The verbs of commands. Each can be repeated, but a launch after Acknowledge starts the attempt again.
+// The verbs of commands. A command may be repeated, with one exception: a launch that is repeated after
+// Acknowledge starts the attempt again.
 const (
 	Launch      Verb = "launch"
 	Stop        Verb = "stop"
@@ -86,25 +87,26 @@
 	Verb         Verb    `json:"Verb"`
 	Task         string  `json:"Leg"`
 	Attempt      uint64  `json:"Try"`
-	GracePeriodS float64 `json:"LeewayS,omitempty"` // of a stop: the task saves if it is long enough
+	GracePeriodS float64 `json:"LeewayS,omitempty"` // time that a stopped task has to save a checkpoint; too short: it saves none
 }
 
-// Commands answers a heartbeat with 200 and renews the worker lease. A worker drops it if it has seen a
-// higher token.
+// Commands is the body of a 200 response to a heartbeat. The response renews the worker lease, but a
+// worker that has seen a higher fencing token ignores it.
 type Commands struct {
 	FencingToken uint64    `json:"Baton"`
 	Commands     []Command `json:"Orders"`
 }
 
-// DirectCommands is the body of POST /do: commands that do not renew the worker lease.
+// DirectCommands is the body of POST /do: commands outside a heartbeat, which do not renew the worker
+// lease.
 type DirectCommands struct {
 	FencingToken uint64    `json:"Baton"`
 	Incarnation  uint64    `json:"Shift"`
 	Commands     []Command `json:"Orders"`
 }
 
-// Redirect answers a heartbeat with 421: the worker sends its heartbeats to the node that is named, or
-// tries the next node if none is.
+// Redirect is the body of a 421 response to a heartbeat. The worker sends its heartbeats to the node
+// that the response names, or tries the next node if it names none.
 type Redirect struct {
 	Leader string `json:"Dispatcher,omitempty"`
 }
