--- a/cmd/fleetsim/load.go
+++ b/cmd/fleetsim/load.go
@@ -9,7 +9,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// load submits random jobs. A seed gives the same jobs only as long as the order of its draws stays.
+// load submits random jobs. For a seed to yield the same jobs as before, the order of the random draws
+// must not change.
 type load struct {
 	flags    *cli
 	cluster  *simcluster.Cluster
@@ -18,7 +19,7 @@
 	nextJob  int
 }
 
-// submitJobs submits jobs until the time of --for is over.
+// submitJobs submits jobs for the duration that --for sets.
 func (c *cli) submitJobs(cluster *simcluster.Cluster) {
 	l := &load{
 		flags:    c,
@@ -45,20 +46,20 @@
 
 // submitService starts a user that submits a service and cancels it after a random time.
 func (l *load) submitService() {
-	spec, stay := l.service()
-	go l.cluster.Users.Run(spec, stay, l.deadline)
+	spec, cancelAfter := l.nextService()
+	go l.cluster.Users.Run(spec, cancelAfter, l.deadline)
 }
 
 // submitArray starts a user that submits an array and waits for its end.
 func (l *load) submitArray() {
-	spec, _ := l.service()
+	spec, _ := l.nextService()
 	spec.JobClass, spec.Kind, spec.Priority, spec.AllowSpot = "batch", wire.JobArray, wire.BestEffort, true
 	spec.TaskCount, spec.ExpectedRunS = 1+l.rng.IntN(l.flags.Tasks), 70
 	go l.cluster.Users.Run(spec, 0, l.deadline)
 }
 
-// service draws the next job, as a service, and the time after which its user cancels it.
-func (l *load) service() (spec wire.JobSpec, stay time.Duration) {
+// nextService returns the next job as a random service, and the time after which its user cancels it.
+func (l *load) nextService() (spec wire.JobSpec, cancelAfter time.Duration) {
 	spec = wire.JobSpec{
 		UID:       fmt.Sprintf("run-%06d", l.nextJob),
 		JobClass:  "serve",
--- a/cmd/fleetsim/settings.go
+++ b/cmd/fleetsim/settings.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// settingsFormat is the format of a controller's settings file, whose arguments settingsOf gives by number.
+// settingsFormat is the format string of a controller's settings file. settingsOf supplies its numbered
+// arguments.
 const settingsFormat = `label = "node-%[1]d"
 location = "%[2]s"
 listen = "%[3]s"
@@ -40,10 +41,11 @@
 `
 
 const (
-	// cancelLeases is how many worker leases the tasks of a cancelled job have to end (cancel_s).
-	cancelLeases = 4
-	// firstController is the offset of the controllers' first port from --port.
-	firstController = 10
+	// cancelTimeoutLeases is the time within which the tasks of a cancelled job must end (cancel_s), in
+	// worker leases.
+	cancelTimeoutLeases = 4
+	// firstControllerOffset is the offset of the first controller's port from --port.
+	firstControllerOffset = 10
 )
 
 func nodeName(i int) string { return fmt.Sprintf("node-%d", i) }
@@ -59,19 +61,19 @@
 	return names
 }
 
-// zone returns the zone of a controller.
+// zone returns the zone of controller i.
 func (c *cli) zone(i int) string { return c.zones()[i%c.Zones] }
 
-// address returns the loopback address of the port at an offset from --port.
+// address returns the loopback address with the port at an offset from --port.
 func (c *cli) address(offset int) string { return fmt.Sprintf("127.0.0.1:%d", c.Port+offset) }
 
 func (c *cli) storeAddress() string { return c.address(0) }
 
 func (c *cli) cloudAddress() string { return c.address(1) }
 
-func (c *cli) listenAddress(i int) string { return c.address(firstController + i) }
+func (c *cli) listenAddress(i int) string { return c.address(firstControllerOffset + i) }
 
-func (c *cli) peerAddress(i int) string { return c.address(firstController + c.Controllers + i) }
+func (c *cli) peerAddress(i int) string { return c.address(firstControllerOffset + c.Controllers + i) }
 
 // writeSettings writes the settings files of the controllers.
 func (c *cli) writeSettings() error {
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// settingsOf returns the settings file of controller i.
+// settingsOf returns the content of the settings file of controller i.
 func (c *cli) settingsOf(i int) string {
 	var members strings.Builder
 	for j := range c.Controllers {
@@ -97,6 +99,6 @@
 		fmt.Fprintf(&teams, "[[cluster.teams]]\nname = %q\n", teamName(j))
 	}
 	return fmt.Sprintf(settingsFormat, i, c.zone(i), c.listenAddress(i), c.peerAddress(i), members.String(), c.Port, c.Port+1,
-		c.Controllers, `"`+strings.Join(c.zones(), `", "`)+`"`, teams.String(), c.ReportS, c.LeaseS, cancelLeases*c.LeaseS,
+		c.Controllers, `"`+strings.Join(c.zones(), `", "`)+`"`, teams.String(), c.ReportS, c.LeaseS, cancelTimeoutLeases*c.LeaseS,
 		c.Rps, c.WriteRps, c.MemMb, c.Connections)
 }
--- a/cmd/lotusstile/main.go
+++ b/cmd/lotusstile/main.go
@@ -23,8 +23,8 @@
 var version = "0.1.0"
 
 type cli struct {
-	Serve   serveCmd   `cmd:"" default:"withargs" help:"Serve (the default)."`
-	Check   checkCmd   `cmd:"" help:"Check a settings file and end."`
+	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run a controller (the default)."`
+	Check   checkCmd   `cmd:"" help:"Check a settings file and exit."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
@@ -36,22 +36,22 @@
 
 type checkCmd struct {
 	Config          string `required:"" type:"path" help:"Settings file (TOML)."`
-	Machines        int    `help:"Size of fleet that the settings are to carry: warn of what does not."`
+	Machines        int    `help:"Fleet size in machines: warn about limits that are too low for it."`
 	RelayHeartbeats bool   `name:"relay-check-ins" help:"As for serve." default:"true" negatable:""`
 }
 
 // helpTexts are the texts that are too long for a struct tag.
 var helpTexts = kong.Vars{
-	"relay_help": "Let followers keep workers and relay their reports in batches, " +
+	"relay_help": "Let followers accept heartbeats and relay them to the leader in batches, " +
 		"once the fleet is too large for the connections of one controller.",
-	"standby_help": "Let the likely successor of the leader follow its state, " +
-		"so that it can decide sooner after the leader's end.",
+	"standby_help": "Let the likely successor of the leader replicate its state, " +
+		"so that it can place tasks sooner after the leader fails.",
 }
 
 type versionCmd struct{}
 
 func main() {
-	// The program has a share of one core: more threads would only cost context switches.
+	// The program runs on a fraction of one core: more threads would only add context switches.
 	runtime.GOMAXPROCS(1)
 	command := kong.Parse(
 		&cli{},
@@ -68,7 +68,7 @@
 	}
 }
 
-// Run serves until the process is killed.
+// Run runs a controller until the process is killed.
 func (c *serveCmd) Run() error {
 	level, err := logLevel(os.Getenv("LOG_LEVEL"))
 	if err != nil {
@@ -86,41 +86,41 @@
 	return node.New(cfg, node.TCP(cfg)).Run(context.Background())
 }
 
-// gcPercent lets the heap grow to five times what is live before it is collected: below the memory
-// limit, memory is cheaper than the processor time of collections. Near the limit the runtime
-// collects more often, whatever this says.
+// gcPercent lets the heap grow to five times the live data before a garbage collection: below the
+// memory limit, memory is cheaper than the processor time of collections. Near the limit the runtime
+// collects more often, regardless of gcPercent.
 const gcPercent = 400
 
-// memoryLimit returns the runtime's soft memory limit in bytes for a machine limit in MiB. The
-// platform's limit counts all memory of the process; half is left for what the runtime does not
-// count and for bursts. Package capacity computes with the same half.
+// memoryLimit returns the runtime's soft memory limit in bytes for a machine limit in MiB: half of it.
+// The machine limit counts all memory of the process, so the other half is left for memory that the
+// runtime does not count and for bursts. Package capacity assumes the same half.
 func memoryLimit(machineMiB float64) int64 {
 	const bytesPerMiB = 1 << 20
 	return int64(machineMiB * bytesPerMiB / 2)
 }
 
-// otherDescriptors is how many file descriptors the process is allowed beside its connections.
+// otherDescriptors is the number of file descriptors that the process needs besides its connections.
 const otherDescriptors = 32
 
-// checkDescriptors warns at the start if the process may not have as many file descriptors as the
-// platform allows it connections. The runtime has raised the limit as far as it may already.
+// checkDescriptors warns if the process may open too few file descriptors for the given number of
+// connections. The Go runtime has already raised the process's soft limit as far as it may.
 func checkDescriptors(connections int) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		slog.Debug("limit of file descriptors could not be read", "err", err)
+		slog.Debug("cannot read the limit of file descriptors", "err", err)
 		return
 	}
 	if need := uint64(connections + otherDescriptors); limit.Cur < need {
 		slog.Warn(
-			"file descriptors are fewer than max_connections needs: connections will be refused",
+			"fewer file descriptors than max_connections needs: connections will be refused",
 			"descriptors", limit.Cur,
 			"needed", need,
 		)
 	}
 }
 
-// Run checks the settings file and prints warnings for a fleet of the given size. Its error joins one
-// error per fault.
+// Run checks the settings file and prints warnings for a fleet of the given size. The error that it
+// returns joins one error per fault in the file.
 func (c *checkCmd) Run() error {
 	cfg, err := config.Load(c.Config)
 	if err != nil {
@@ -143,7 +143,7 @@
 	return err
 }
 
-// logLevel returns the level that LOG_LEVEL names; info if it is empty.
+// logLevel returns the log level for a value of LOG_LEVEL. An empty value means info.
 func logLevel(name string) (slog.Level, error) {
 	switch name {
 	case "", "info":
