--- a/internal/admission/connections.go
+++ b/internal/admission/connections.go
@@ -11,27 +11,27 @@
 	"lotusstile.dev/lotusstile/internal/relay"
 )
 
-// Shares of a node's connections. The rest is for the services, the workers and the peers that
-// the node itself connects to.
+// Shares of the connections that a node may have. The rest is for the connections that the node
+// itself opens to services, workers and peers.
 const (
-	openShare    = 0.75   // connections that stay open for workers, users and operators
-	reserveShare = 0.0625 // connections for one request each while all of these are taken
+	openShare    = 0.75   // connections of workers, users and operators that stay open from request to request
+	reserveShare = 0.0625 // the reserve: further connections, for one request each, while all of those are taken
 
-	// The reserve is divided into four parts: workers have two, users one, operators the rest.
+	// The reserve is divided into four parts: two for workers, one for users, one for operators.
 	reserveParts = 4
 	workersParts = 2
 	usersParts   = 1
 )
 
-// Slots bounds how many requests of one kind are answered on connections of the reserve
-// at a time. Callers refuse the others at once, so that part of the reserve is always left for
-// operators. It is safe for concurrent use.
+// Slots bounds how many requests of one kind are answered on connections of the reserve at a time.
+// Callers refuse a request at once if no slot is free, so that part of the reserve is always left
+// for operators. Slots is safe for concurrent use.
 type Slots struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// Acquire takes a slot and returns true, unless all are taken. Release gives it back.
+// Acquire takes a slot and returns true; it returns false if all are taken. Release gives the slot back.
 func (s *Slots) Acquire() bool {
 	if s.used.Add(1) > s.limit {
 		s.used.Add(-1)
@@ -43,21 +43,22 @@
 // Release gives back a slot that Acquire took.
 func (s *Slots) Release() { s.used.Add(-1) }
 
-// Limit is how many slots there are.
+// Limit returns the number of slots, free or taken.
 func (s *Slots) Limit() int { return int(s.limit) }
 
-// Connections bounds the connections of users, workers and operators, and reports how short of
-// them the node is. It is safe for concurrent use.
+// Connections bounds the connections of users, workers and operators, and reports how many of them
+// are taken. It is safe for concurrent use.
 type Connections struct {
-	// WorkerReserve and UserReserve bound who is answered on connections of the reserve.
+	// WorkerReserve and UserReserve bound the requests of workers and of users that are answered on
+	// connections of the reserve.
 	WorkerReserve, UserReserve Slots
 
 	limits   connlimit.Limits
 	listener atomic.Pointer[connlimit.Listener] // nil before the node listens
 }
 
-// NewConnections returns the bounds of a node that may have maxConnections in all and
-// whose workers send a heartbeat once every heartbeatInterval.
+// NewConnections returns the bounds of a node that may have maxConnections in total and whose
+// workers send a heartbeat every heartbeatInterval.
 func NewConnections(maxConnections int, heartbeatInterval time.Duration) *Connections {
 	connections := float64(maxConnections)
 	reserve := int64(reserveShare * connections)
@@ -74,19 +75,20 @@
 	}
 }
 
-// Limits returns how many connections of users, workers and operators may be open, and for how
-// long.
+// Limits returns the limits on the number and the idle time of the connections of users, workers and
+// operators.
 func (c *Connections) Limits() connlimit.Limits { return c.limits }
 
-// Listen returns a listener that keeps l's connections within the limits. Pressure and the counts
-// are those of the latest such listener.
+// Listen returns a listener that keeps l's connections within the limits. Pressure, Open, Reserved
+// and Evicted report on the listener that the latest call returned.
 func (c *Connections) Listen(l net.Listener) *connlimit.Listener {
 	limited := connlimit.New(l, c.limits)
 	c.listener.Store(limited)
 	return limited
 }
 
-// Pressure is how short of connections the node is for the request that ctx belongs to.
+// Pressure returns how short of connections the node is. It is relay.Full if the request that ctx
+// belongs to came on a connection of the reserve.
 func (c *Connections) Pressure(ctx context.Context) relay.Pressure {
 	switch l := c.listener.Load(); {
 	case connlimit.OnReserve(ctx):
@@ -97,8 +99,8 @@
 	return relay.Relaxed
 }
 
-// CloseUnderPressure wraps a handler: while connections are short, each is closed once its request
-// is answered, so that another client gets its turn.
+// CloseUnderPressure wraps a handler. While nearly all connections are taken, each one is closed
+// after its request is answered, so that another client can connect.
 func (c *Connections) CloseUnderPressure(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c.Pressure(r.Context()) != relay.Relaxed {
--- a/internal/aimd/aimd.go
+++ b/internal/aimd/aimd.go
@@ -1,8 +1,8 @@
 // Package aimd limits how often a client sends requests to a service that it shares with others. The
 // rate follows additive increase, multiplicative decrease: it is cut when the service refuses a
-// request for being asked too often, and grows back slowly while it answers. Clients that do the same
-// come to share the service's capacity (D. Chiu and R. Jain, "Analysis of the increase and
-// decrease algorithms for congestion avoidance in computer networks", 1989).
+// request because it gets too many, and grows back slowly while the service answers. Clients that all
+// follow this rule converge to fair shares of the service's capacity (D. Chiu and R. Jain, "Analysis
+// of the increase and decrease algorithms for congestion avoidance in computer networks", 1989).
 package aimd
 
 import (
@@ -17,22 +17,22 @@
 )
 
 const (
-	// cutFactor is the part of the current rate that is left after a cut.
+	// cutFactor is the fraction of the current rate that remains after a cut.
 	cutFactor = 0.5
-	// minRateShare is the part of the highest rate that is left whatever is cut.
+	// minRateShare is the lowest rate, as a fraction of the highest. No cut goes below it.
 	minRateShare = 1. / 4
-	// growthPerSecond is the part of the highest rate that the rate grows by in a second.
+	// growthPerSecond is the fraction of the highest rate by which the rate grows each second.
 	growthPerSecond = 1. / 16
-	// adjustInterval is the least time between two cuts, and between two steps of growth. One cut
-	// is the reaction to all refusals in that time: requests that were sent before the cut were
-	// sent at the old rate, so their refusals say nothing about the new one.
+	// adjustInterval is the minimum time between two cuts, and between two steps of growth. All
+	// refusals in that time lead to a single cut: requests sent before the cut were sent at the old
+	// rate, so their refusals say nothing about the new one.
 	adjustInterval = time.Second
-	// burstSeconds, in seconds of the highest rate, is how many requests a client that was idle may
-	// send at once.
+	// burstSeconds sizes the burst: a client that was idle may send at once as many requests as the
+	// highest rate allows in this time.
 	burstSeconds = 0.5
 )
 
-// Limiter is a token bucket whose rate adapts. It is safe for concurrent use.
+// Limiter is a token bucket whose rate adapts to the service's refusals. It is safe for concurrent use.
 type Limiter struct {
 	tokens  *rate.Limiter
 	maxRate float64 // requests a second
@@ -44,18 +44,18 @@
 	cuts        uint64
 }
 
-// BusyError means that a request cannot be sent within the time that its sender has. It was not
-// sent.
+// BusyError means that a request was not sent, because the rate does not allow it before its
+// deadline.
 type BusyError struct {
-	RetryAfter time.Duration // when there will be room
+	RetryAfter time.Duration // how long until the rate allows the request
 }
 
-// Error implements error.
+// Error says how long until the rate allows the request.
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("no request can be sent for %s", e.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("rate limited: no request may be sent for another %s", e.RetryAfter.Round(time.Millisecond))
 }
 
-// New makes a limiter that starts at its highest rate, in requests a second.
+// New returns a limiter that starts at its highest rate, maxRate requests a second.
 func New(maxRate float64) *Limiter {
 	burst := max(1, int(maxRate*burstSeconds))
 	return &Limiter{
@@ -65,8 +65,8 @@
 	}
 }
 
-// Wait waits for room for one request. If there will be none before ctx's deadline it returns a
-// *BusyError at once and takes no token; if ctx ends while it waits it returns ctx's error.
+// Wait waits until the rate allows one more request. If that is after ctx's deadline, Wait returns a
+// *BusyError at once and takes no token. If ctx ends while Wait is waiting, it returns ctx's error.
 func (l *Limiter) Wait(ctx context.Context) error {
 	now := time.Now()
 	reservation := l.tokens.ReserveN(now, 1)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// OnThrottled cuts the rate: the service refused a request for being asked too often.
+// OnThrottled cuts the rate. Call it when the service refuses a request because it gets too many.
 func (l *Limiter) OnThrottled(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +97,7 @@
 	l.setRate(now, max(l.currentRate*cutFactor, l.maxRate*minRateShare))
 }
 
-// OnAnswered lets the rate grow back: the service executed a request.
+// OnAnswered lets the rate grow back. Call it when the service has executed a request.
 func (l *Limiter) OnAnswered(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,7 +108,7 @@
 	l.lastGrowth = now
 }
 
-// setRate is the one function that changes the rate. l.mu is held.
+// setRate changes the current rate; no other function does. l.mu is held.
 func (l *Limiter) setRate(now time.Time, perSecond float64) {
 	l.currentRate = perSecond
 	l.tokens.SetLimitAt(now, rate.Limit(perSecond))
--- a/internal/aimd/aimd_test.go
+++ b/internal/aimd/aimd_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// sharedService executes at most capacity requests in a second and refuses the rest.
+// sharedService executes at most capacity requests a second and refuses the rest.
 type sharedService struct {
 	capacity int
 
@@ -57,8 +57,8 @@
 	return rates
 }
 
-// Clients that share a service come to ask no more than it takes, each its fair share, however
-// unequal they begin, and use what is free again once one of them is idle.
+// Clients that share a service converge to fair shares of its capacity, however unequal their rates
+// are at the start. Once the others are idle, a client's rate grows back to the full capacity.
 func TestClientsShareAService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const capacity, clients = 60, 3
@@ -82,11 +82,11 @@
 		const seconds = 60
 		shares := meanRates(limiters, seconds)
 		if refused := service.resetRefused(); refused > seconds*capacity/4 {
-			t.Errorf("%d of about %d requests are refused", refused, seconds*capacity)
+			t.Errorf("%d of about %d requests were refused, want at most a quarter", refused, seconds*capacity)
 		}
 		for i, share := range shares {
 			if fair := float64(capacity) / clients; math.Abs(share-fair) > fair/2 {
-				t.Errorf("client %d is allowed %.1f a second, a fair share is %.1f", i, share, fair)
+				t.Errorf("client %d: got a mean rate of %.1f requests a second, want within half of the fair share %.1f", i, share, fair)
 			}
 		}
 		stop()
@@ -96,12 +96,12 @@
 			limiters[0].OnAnswered(time.Now())
 		}
 		if got := limiters[0].Rate(); got != capacity {
-			t.Errorf("alone it is allowed %.1f a second", got)
+			t.Errorf("got a rate of %.1f requests a second with the other clients idle, want %d", got, capacity)
 		}
 	})
 }
 
-// A request that cannot be sent in time is refused at once, and takes no other's place.
+// A request that cannot be sent before its deadline is refused at once, and takes no token from others.
 func TestWaitRefusesAtOnceBeyondTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(2)
@@ -113,33 +113,33 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
 			var busy *BusyError
 			if err := l.Wait(ctx); !errors.As(err, &busy) || busy.RetryAfter != 500*time.Millisecond {
-				t.Fatalf("%v", err)
+				t.Fatalf("Wait with a deadline in 400 ms returned %v, want a *BusyError with RetryAfter 500ms", err)
 			}
 			cancel()
 		}
 		if waited := time.Since(began); waited != 0 {
-			t.Errorf("the refusals took %v", waited)
+			t.Errorf("the refusals took %v, want 0s", waited)
 		}
 		if err := l.Wait(t.Context()); err != nil || time.Since(began) != 500*time.Millisecond {
-			t.Errorf("%v after %v", err, time.Since(began))
+			t.Errorf("Wait without a deadline returned %v after %v, want no error after 500ms", err, time.Since(began))
 		}
 	})
 }
 
-// A burst of refusals makes one cut, and no cut goes below the least rate.
+// A burst of refusals causes a single cut, and no cut goes below the lowest rate.
 func TestCutsAreBounded(t *testing.T) {
 	l, now := New(16), time.Unix(1000, 0)
 	for range 50 {
 		l.OnThrottled(now)
 	}
 	if l.Rate() != 8 || l.Cuts() != 1 {
-		t.Errorf("%v after %d cuts", l.Rate(), l.Cuts())
+		t.Errorf("got rate %v after %d cuts, want rate 8 after 1 cut", l.Rate(), l.Cuts())
 	}
 	for range 50 {
 		now = now.Add(adjustInterval)
 		l.OnThrottled(now)
 	}
 	if l.Rate() != 4 {
-		t.Errorf("cut to %v", l.Rate())
+		t.Errorf("got rate %v after many cuts, want 4", l.Rate())
 	}
 }
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,10 +1,10 @@
 // Package connlimit bounds the connections of an HTTP server. When the limit is reached, the
-// connection that has been idle for longest is closed for a new one: connections that nobody
-// uses any more would otherwise keep users, workers and operators out until they time out.
+// connection that has been idle for longest is closed for a new one. Otherwise, unused connections
+// would block new users, workers and operators until the unused ones time out.
 //
-// If no connection is idle, a new one is admitted to a small reserve, for one request. The
-// server can then read who requests what, and answer at once; an operator gets in
-// however many connections users and workers have open.
+// If no connection is idle, a new one is admitted to a small reserve, for one request. The server can
+// then read the request and answer it at once, so an operator is served however many connections
+// users and workers have open.
 package connlimit
 
 import (
@@ -25,23 +25,23 @@
 	ReserveTimeout time.Duration
 }
 
-// pressureShare is the share of MaxOpen from which on a listener is under pressure.
+// pressureShare is the share of MaxOpen at which a listener counts as under pressure.
 const pressureShare = 0.875
 
-// checksPerMinIdle is how many times in MinIdle a listener without room looks for a connection that
-// may be closed.
+// checksPerMinIdle is how many times per MinIdle a full listener looks for an idle connection that may
+// be closed.
 const checksPerMinIdle = 8
 
-// Listener accepts a limited number of connections at a time. Its ConnState and ConnContext must be
-// the http.Server's hooks of these names.
+// Listener accepts a limited number of connections at a time. Its ConnState and ConnContext methods
+// must be set as the http.Server's hooks of these names.
 type Listener struct {
 	net.Listener
 	limits Limits
 	freed  chan struct{} // signals that a connection or the listener was closed; one signal is buffered
 
 	mu        sync.Mutex
-	open      map[*conn]struct{} // those that are not of the reserve
-	reserved  int                // connections of the reserve
+	open      map[*conn]struct{} // connections that are not of the reserve
+	reserved  int                // number of connections of the reserve
 	closed    atomic.Bool
 	evicted   atomic.Uint64
 	openCount atomic.Int64 // len(open), readable without mu
@@ -51,21 +51,21 @@
 type conn struct {
 	net.Conn
 	listener  *Listener
-	reserve   bool         // it is of the reserve; set before Accept returns it
+	onReserve bool         // whether it is a connection of the reserve; set before Accept returns it
 	deadline  time.Time    // by which a connection of the reserve has to send its request
-	idleSince atomic.Int64 // in nanoseconds of the Unix time; 0 while a request is answered
-	closed    bool         // it no longer counts; guarded by the listener's mu
+	idleSince atomic.Int64 // Unix time in nanoseconds; 0 while a request is answered
+	released  bool         // whether it no longer counts against the limits; guarded by the listener's mu
 }
 
-// New bounds the connections of a listener.
+// New returns a listener that bounds the connections of l.
 func New(l net.Listener, limits Limits) *Listener {
 	limits.MaxOpen = max(1, limits.MaxOpen)
 	return &Listener{Listener: l, limits: limits, freed: make(chan struct{}, 1), open: map[*conn]struct{}{}}
 }
 
-// Accept waits until there is room, or a connection that may be closed for a new one, and then for a
-// connection. Without room it accepts nothing, so that a load balancer notices and turns to another
-// node.
+// Accept waits until there is room for a connection or until an idle one may be closed for it, and
+// then waits for a connection. While there is no room it accepts nothing, so that a load balancer
+// notices and uses another node.
 func (l *Listener) Accept() (net.Conn, error) {
 	for !l.hasRoom() && !l.closed.Load() {
 		l.waitForRoom()
@@ -79,13 +79,13 @@
 	c.idleSince.Store(now.UnixNano())
 	for !l.admit(c) {
 		if l.closed.Load() {
-			_ = accepted.Close() // it was never used
+			_ = accepted.Close() // the connection was never used, so the error does not matter
 			return nil, net.ErrClosed
 		}
 		l.waitForRoom()
 	}
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
-		_ = c.Close() // it is broken already: the server finds it closed
+		_ = c.Close() // the connection is broken: the server will find it closed
 	}
 	return c, nil
 }
@@ -97,9 +97,9 @@
 	return len(l.open) < l.limits.MaxOpen || l.reserved < l.limits.Reserve || l.longestIdle(time.Now()) != nil
 }
 
-// admit counts a connection among the open ones, or else in the reserve, and reports whether there was
-// room. It prefers to close an idle connection to using the reserve: it then returns false, and the
-// caller has to call it again once the idle one no longer counts.
+// admit counts c among the open connections, or else in the reserve, and reports whether there was
+// room. If the open connections are at the limit but one of them may be closed, admit closes that one
+// instead of using the reserve, and returns false: the caller has to call it again.
 func (l *Listener) admit(c *conn) bool {
 	l.mu.Lock()
 	if len(l.open) < l.limits.MaxOpen {
@@ -110,32 +110,32 @@
 	idle := l.longestIdle(time.Now())
 	if idle == nil && l.reserved < l.limits.Reserve {
 		l.reserved++
-		c.reserve = true
+		c.onReserve = true
 		l.mu.Unlock()
 		return true
 	}
 	l.mu.Unlock()
 	if idle != nil {
 		l.evicted.Add(1)
-		_ = idle.Close() // its peer may have closed it before
+		_ = idle.Close() // the client may have closed it already
 	}
 	return false
 }
 
-// addOpen counts a connection among the open ones. l.mu is held.
+// addOpen counts c among the open connections. l.mu is held.
 func (l *Listener) addOpen(c *conn) {
 	l.open[c] = struct{}{}
 	l.openCount.Store(int64(len(l.open)))
 }
 
-// longestIdle returns the connection that has been idle for longest, or nil if none has been for
-// MinIdle. l.mu is held.
+// longestIdle returns the open connection that has been idle for longest, or nil if none has been
+// idle for at least MinIdle. l.mu is held.
 func (l *Listener) longestIdle(now time.Time) *conn {
 	var longest *conn
 	since := now.Add(-l.limits.MinIdle).UnixNano()
 	for c := range l.open {
-		if at := c.idleSince.Load(); at != 0 && at <= since {
-			longest, since = c, at
+		if idleSince := c.idleSince.Load(); idleSince != 0 && idleSince <= since {
+			longest, since = c, idleSince
 		}
 	}
 	return longest
@@ -174,15 +174,15 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// OnReserve reports whether the request that ctx belongs to came on a connection of the reserve. The
-// server must answer it at once and then close the connection.
+// OnReserve reports whether the request that ctx belongs to came on a connection of the reserve. If it
+// did, the server must answer it at once and then close the connection.
 func OnReserve(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
-	return ok && c.reserve
+	return ok && c.onReserve
 }
 
 // UnderPressure reports whether nearly all connections are taken. The server should then close a
-// connection once its request is answered, so that another client gets its turn.
+// connection once its request is answered, so that another client can connect.
 func (l *Listener) UnderPressure() bool {
 	return float64(l.openCount.Load()) >= pressureShare*float64(l.limits.MaxOpen)
 }
@@ -197,7 +197,7 @@
 	return l.reserved
 }
 
-// Evicted returns how many idle connections were closed for new ones.
+// Evicted returns how many idle connections have been closed for new ones so far.
 func (l *Listener) Evicted() uint64 { return l.evicted.Load() }
 
 // Close closes the listener. Connections that were accepted stay open.
@@ -210,7 +210,7 @@
 // SetReadDeadline sets the read deadline. Until a connection of the reserve has sent a request, its
 // deadline is never later than ReserveTimeout allows: a silent client must not use up the reserve.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	if c.reserve && c.idleSince.Load() != 0 && (t.IsZero() || t.After(c.deadline)) {
+	if c.onReserve && c.idleSince.Load() != 0 && (t.IsZero() || t.After(c.deadline)) {
 		t = c.deadline
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -226,11 +226,11 @@
 func (l *Listener) release(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.closed {
+	if c.released {
 		return
 	}
-	c.closed = true
-	if c.reserve {
+	c.released = true
+	if c.onReserve {
 		l.reserved--
 	} else {
 		delete(l.open, c)
@@ -239,7 +239,7 @@
 	l.signalFreed()
 }
 
-// signalFreed wakes Accept if it waits for room.
+// signalFreed wakes Accept if it is waiting for room.
 func (l *Listener) signalFreed() {
 	select {
 	case l.freed <- struct{}{}:
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -15,7 +15,8 @@
 	minIdle = 80 * time.Millisecond
 )
 
-// startServer starts a server that answers GET /slow once it is released, and all else at once.
+// startServer starts a server that answers GET /slow once release is closed, and all other requests at
+// once. On a connection of the reserve it answers GET /slow at once too.
 func startServer(t *testing.T, reserve int) (l *Listener, release chan struct{}) {
 	t.Helper()
 	var config net.ListenConfig
@@ -38,15 +39,16 @@
 	go func() { served <- srv.Serve(l) }()
 	t.Cleanup(func() {
 		if err := srv.Close(); err != nil {
-			t.Errorf("the server is closed with %v", err)
+			t.Errorf("closing the server: got error %v, want none", err)
 		}
 		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
-			t.Errorf("the server ends with %v", err)
+			t.Errorf("Serve returned %v, want %v", err, http.ErrServerClosed)
 		}
 	})
 	return l, release
 }
 
+// dial opens a connection to the listener.
 func dial(t *testing.T, l *Listener) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -74,9 +76,9 @@
 	return resp.Body.Close()
 }
 
-// When connections that nobody uses have reached the limit, a new one is answered and the one
-// that has been idle for longest is closed. When they stayed open until they timed out, an
-// operator got no answer from a leader for minutes.
+// When idle connections have reached the limit, a new connection is answered and the one that has
+// been idle for longest is closed. When idle connections stayed open until they timed out, a leader
+// did not answer an operator for minutes.
 func TestLongestIdleConnectionIsClosedForANewOne(t *testing.T) {
 	l, _ := startServer(t, 0)
 	conns := make([]net.Conn, 0, maxOpen)
@@ -88,25 +90,25 @@
 		conns = append(conns, c)
 		time.Sleep(2 * time.Millisecond)
 	}
-	if err := get(t, conns[0], "/", time.Second); err != nil { // now the second is idle for longest
+	if err := get(t, conns[0], "/", time.Second); err != nil { // now conns[1] has been idle for longest
 		t.Fatal(err)
 	}
 	time.Sleep(2 * minIdle)
 	if err := get(t, dial(t, l), "/", time.Second); err != nil {
-		t.Fatalf("a new connection is not answered: %v", err)
+		t.Fatalf("a new connection at the limit: got error %v, want an answer", err)
 	}
 	if open := l.Open(); open != maxOpen || l.Evicted() != 1 {
-		t.Errorf("%d are open and %d were closed", open, l.Evicted())
+		t.Errorf("got %d open connections and %d evicted, want %d and 1", open, l.Evicted(), maxOpen)
 	}
 	for i, c := range conns {
 		if err := get(t, c, "/", time.Second); (err != nil) != (i == 1) {
-			t.Errorf("connection %d ends with %v", i, err)
+			t.Errorf("connection %d: got error %v; want an error only for connection 1", i, err)
 		}
 	}
 }
 
-// Connections whose requests are being answered stay open; a new one is admitted when the first
-// of them is closed.
+// Connections whose requests are being answered are not closed for a new one. The new one is admitted
+// once one of them has been idle for long enough.
 func TestBusyConnectionsAreNotClosed(t *testing.T) {
 	l, release := startServer(t, 0)
 	busy := make(chan error, maxOpen)
@@ -117,24 +119,24 @@
 	for l.Open() < maxOpen {
 		time.Sleep(time.Millisecond)
 	}
-	late := dial(t, l)
-	if err := get(t, late, "/", 3*minIdle); err == nil {
-		t.Fatal("a connection over the limit is answered")
+	extra := dial(t, l)
+	if err := get(t, extra, "/", 3*minIdle); err == nil {
+		t.Fatal("a connection over the limit was answered while all others were busy, want a timeout")
 	}
 	close(release)
 	for range maxOpen {
 		if err := <-busy; err != nil {
-			t.Errorf("a busy connection was cut: %v", err)
+			t.Errorf("a busy connection: got error %v, want an answer", err)
 		}
 	}
 	if err := get(t, dial(t, l), "/", 10*time.Second); err != nil {
-		t.Errorf("with idle connections again: %v", err)
+		t.Errorf("a new connection once the others are idle: got error %v, want an answer", err)
 	}
 }
 
-// While every connection is busy, a connection of the reserve gets one request answered and is
-// closed; those that send nothing are closed soon. Before there was a reserve, an operator
-// waited for as long as all connections were busy with users and workers.
+// While every connection is busy, a connection of the reserve gets one request answered and is then
+// closed. Connections of the reserve that send nothing are closed after ReserveTimeout. Without a
+// reserve, an operator waited for as long as all connections were busy with users and workers.
 func TestReserveAnswersWhileAllConnectionsAreBusy(t *testing.T) {
 	l, release := startServer(t, 2)
 	defer close(release)
@@ -150,10 +152,10 @@
 		for range 10 {
 			c := dial(t, l)
 			if err := get(t, c, "/", 20*minIdle); err != nil {
-				t.Fatalf("a connection of the reserve is not answered: %v", err)
+				t.Fatalf("a connection of the reserve: got error %v, want an answer", err)
 			}
 			if err := get(t, c, "/", time.Second); err == nil {
-				t.Fatal("a connection of the reserve is kept")
+				t.Fatal("a connection of the reserve answered a second request, want it closed")
 			}
 		}
 		for _, c := range silent {
@@ -163,11 +165,11 @@
 		}
 	}
 	if !l.UnderPressure() || l.Open() != maxOpen {
-		t.Errorf("under pressure: %v, %d are open", l.UnderPressure(), l.Open())
+		t.Errorf("got under pressure %v with %d open connections, want true with %d", l.UnderPressure(), l.Open(), maxOpen)
 	}
-	for limit := time.Now().Add(time.Second); l.Reserved() > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("%d connections of the reserve are not closed", l.Reserved())
+	for deadline := time.Now().Add(time.Second); l.Reserved() > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%d connections of the reserve are still open after a second, want 0", l.Reserved())
 		}
 	}
 }
