--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity computes how large a fleet a deployment's settings carry, which setting bounds it,
-// and what happens to a larger one. It measures nothing.
+// Package capacity computes how large a fleet a deployment's settings support, which setting limits it,
+// and what happens to a larger fleet. It measures nothing.
 package capacity
 
 import (
@@ -15,105 +15,105 @@
 	"lotusstile.dev/lotusstile/internal/watchcache"
 )
 
-// Limit is the size of fleet that one setting carries.
+// Limit is the largest fleet that one setting supports.
 type Limit struct {
-	Setting      string // the key in the settings file
-	Machines     int    // the largest fleet that it carries in full
-	BeyondEffect string // what happens to a larger one
+	Setting        string // the key in the settings file
+	Machines       int    // size of the largest fleet that the setting fully supports
+	ExceededEffect string // what happens to a larger fleet
 }
 
-// Unbounded is the size of a fleet that nothing bounds.
+// Unbounded is the size of a fleet without a limit.
 const Unbounded = math.MaxInt
 
 const (
-	// maxListAgeLags, in times its usual lag, and a worker lease on top are how old the cloud's
-	// machine list may be to show that machines are gone.
+	// The cloud's machine list can show that machines are gone while it is at most maxListAgeLags times
+	// its usual lag, plus a worker lease, old.
 	maxListAgeLags = 4
-	// recordsPerMachine is how many records a new leader lists for a machine: one of its images, and
-	// some placement record that it is in.
+	// recordsPerMachine is how many records a new leader lists for each machine: one of its images,
+	// and a placement record that includes it.
 	recordsPerMachine = 2
-	// listingLeaseShare is the part of a worker lease in which a new leader should have listed the
-	// records.
+	// listingLeaseShare is the fraction of a worker lease within which a new leader should have listed
+	// the records.
 	listingLeaseShare = 0.5
 )
 
-// The memory of a leader. The program sets its memory limit to half of the machine's: see memoryLimit
-// in cmd/lotusstile.
+// The memory that a leader needs. The program sets its memory limit to half of the machine's memory:
+// see memoryLimit in cmd/lotusstile.
 const (
 	programMemoryShare = 0.5
 	bytesPerMiB        = 1 << 20
 	baseBytes          = 16 << 20
-	connectionBytes    = 20 << 10 // buffers, and the stack of its goroutine
-	machineBytes       = 10 << 10 // with eight attempts, its node in scheduling cycles and its entry for the standby
+	bytesPerConnection = 20 << 10 // buffers, and the stack of the connection's goroutine
+	bytesPerMachine    = 10 << 10 // with eight task attempts, the machine's node in scheduling cycles and its entry for the standby
 )
 
-// Limits returns the bounds on the size of the fleet, the tightest first.
+// Limits returns the limits on the size of the fleet, the lowest first.
 func Limits(cfg *config.Config) []Limit {
 	limits := []Limit{workerConnections(cfg), machineList(cfg), failoverListing(cfg), leaderMemory(cfg)}
 	slices.SortStableFunc(limits, func(a, b Limit) int { return cmp.Compare(a.Machines, b.Machines) })
 	return limits
 }
 
-// Warnings returns a line for each setting that does not carry a fleet of so many machines, the
-// tightest first.
+// Warnings returns a line for each setting that does not support a fleet of the given number of
+// machines, the lowest limit first.
 func Warnings(cfg *config.Config, machines int) []string {
 	var warnings []string
 	for _, limit := range Limits(cfg) {
 		if limit.Machines < machines {
 			warnings = append(warnings,
-				fmt.Sprintf("%s carries %d machines, not %d: %s", limit.Setting, limit.Machines, machines, limit.BeyondEffect))
+				fmt.Sprintf("%s supports %d machines, not %d: %s", limit.Setting, limit.Machines, machines, limit.ExceededEffect))
 		}
 	}
 	return warnings
 }
 
-// workerConnections bounds the fleet by how many workers can keep their connection.
+// workerConnections limits the fleet to as many workers as can keep a connection open.
 func workerConnections(cfg *config.Config) Limit {
 	perController := relay.MaxWorkers(cfg.Cluster.Limits.MaxConnections)
 	limit := Limit{
-		Setting:      "cluster.machine_limits.max_connections",
-		Machines:     (len(cfg.Members) + 1) * perController,
-		BeyondEffect: "workers are served in turn, each heartbeat on a connection of its own",
+		Setting:        "cluster.machine_limits.max_connections",
+		Machines:       (len(cfg.Members) + 1) * perController,
+		ExceededEffect: "workers are served in turn, each heartbeat on a connection of its own",
 	}
 	if !cfg.RelayHeartbeats {
 		limit.Machines = perController
-		limit.BeyondEffect += "; with --relay-check-ins, every controller would take some"
+		limit.ExceededEffect += "; with --relay-check-ins, every controller would take some"
 	}
 	return limit
 }
 
-// machineList bounds the fleet by how many machines of the cloud's list can be read before what was
-// read first is too old to show that machines are gone.
+// machineList limits the fleet to as many machines as can be read from the cloud's list before the
+// part that was read first is too old to show that machines are gone.
 func machineList(cfg *config.Config) Limit {
-	age := maxListAgeLags*cfg.CloudListLag() + cfg.WorkerLease()
+	maxAge := maxListAgeLags*cfg.CloudListLag() + cfg.WorkerLease()
 	return Limit{
 		Setting:  "cluster.cloud.rps",
-		Machines: cloud.MaxListable(cfg.Cluster.Cloud.Rps, age),
-		BeyondEffect: fmt.Sprintf("reading the machine list takes longer than %s, so machines that are gone are found late",
-			age.Round(time.Second)),
+		Machines: cloud.MaxListable(cfg.Cluster.Cloud.Rps, maxAge),
+		ExceededEffect: fmt.Sprintf("reading the machine list takes longer than %s, so machines that are gone are detected late",
+			maxAge.Round(time.Second)),
 	}
 }
 
-// failoverListing bounds the fleet by how many machines' records a new leader can list while the
-// workers' leases last.
+// failoverListing limits the fleet to as many machines as a new leader can list the records of within
+// half of a worker lease.
 func failoverListing(cfg *config.Config) Limit {
 	within := time.Duration(listingLeaseShare * float64(cfg.WorkerLease()))
 	keys := watchcache.KeysListableWithin(cfg.StateLimits().Rps, within)
 	return Limit{
-		Setting:      "cluster.state.rps",
-		Machines:     keys / recordsPerMachine,
-		BeyondEffect: "a new leader without a warm standby lists records for over half of a lease, and launches nothing meanwhile",
+		Setting:        "cluster.state.rps",
+		Machines:       keys / recordsPerMachine,
+		ExceededEffect: "a new leader without a warm standby lists records for over half of a worker lease, and launches nothing until then",
 	}
 }
 
-// leaderMemory bounds the fleet by how many machines a leader can know of beside the connections
-// that it may have open.
+// leaderMemory limits the fleet to as many machines as a leader can hold in memory in addition to its
+// connections to workers.
 func leaderMemory(cfg *config.Config) Limit {
-	room := programMemoryShare*cfg.Cluster.Limits.MemMb*bytesPerMiB - baseBytes
-	room -= float64(relay.MaxWorkers(cfg.Cluster.Limits.MaxConnections)) * connectionBytes
+	available := programMemoryShare*cfg.Cluster.Limits.MemMb*bytesPerMiB - baseBytes
+	available -= float64(relay.MaxWorkers(cfg.Cluster.Limits.MaxConnections)) * bytesPerConnection
 	return Limit{
-		Setting:      "cluster.machine_limits.mem_mb",
-		Machines:     max(0, int(room/machineBytes)),
-		BeyondEffect: "computed: memory is collected more and more often, and the leader may be ended for it",
+		Setting:        "cluster.machine_limits.mem_mb",
+		Machines:       max(0, int(available/bytesPerMachine)),
+		ExceededEffect: "garbage is collected more and more often, and the leader may be killed for its memory use (computed, not measured)",
 	}
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -7,7 +7,8 @@
 	"lotusstile.dev/lotusstile/internal/config"
 )
 
-// deployment is settings of a large deployment with so many controllers.
+// deployment returns the settings of a large deployment with the given number of controllers and of
+// connections per controller.
 func deployment(controllers, connections int) *config.Config {
 	cfg := &config.Config{RelayHeartbeats: true, Members: make([]config.Member, controllers-1)}
 	cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.CancelS = 17.5, 3, 47.5
@@ -16,13 +17,13 @@
 	return cfg
 }
 
-// The settings of the large deployments carry 4,000 machines, five controllers 6,000; a warning
-// names the setting that does not carry a fleet.
+// The settings of a large deployment support 4,000 machines, and 6,000 with five controllers. A warning
+// names each setting that does not support a larger fleet.
 func TestWarningsNameTheSettingsThatDoNotCarryAFleet(t *testing.T) {
 	for _, tc := range []struct {
 		controllers, connections, machines int
 		relay                              bool
-		want                               []string // parts of the settings that are warned of
+		want                               []string // parts of the names of the settings in the warnings
 	}{
 		{5, 2589, 4096, true, nil},
 		{5, 2589, 6000, true, nil},
@@ -36,11 +37,11 @@
 		warnings := Warnings(cfg, tc.machines)
 		for _, key := range tc.want {
 			if !strings.Contains(strings.Join(warnings, "\n"), key) {
-				t.Errorf("%+v: %s is not warned of in %q", tc, key, warnings)
+				t.Errorf("%+v: got warnings %q, want one that names %s", tc, warnings, key)
 			}
 		}
 		if len(warnings) < len(tc.want) || len(tc.want) == 0 && len(warnings) > 0 {
-			t.Errorf("%+v: %q", tc, warnings)
+			t.Errorf("%+v: got %d warnings %q, want at least %d, and none if none is listed", tc, len(warnings), warnings, len(tc.want))
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,9 @@
-// Package config reads and checks the settings file that the platform provides. Operators' own
-// settings are in package records and are changed through the administration API.
+// Package config reads and checks the settings file that the platform provides. The operators'
+// settings, which are changed through the administration API, are in package records.
 //
-// Fields of the settings file keep its units, which their names say (S: seconds, Kb: KiB, Rps: a
-// second); the methods of Config return durations and bytes.
+// The fields have the units of the settings file, which their names end with (S: seconds, Ms:
+// milliseconds, Kb: KiB, Mb: MiB, Rps: requests or changes a second). The methods of Config return
+// durations and bytes.
 package config
 
 import (
@@ -19,7 +20,7 @@
 	Endpoint string `toml:"endpoint"` // host:port for RPC between controllers
 }
 
-// Team is a team's quota and limit; 0 is none.
+// Team is a team's quota and limit. A value of 0 means no quota or no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	Cpus    float64 `toml:"cpus"`     // quota, cores
@@ -28,12 +29,12 @@
 	GpusMax float64 `toml:"gpus_max"` // limit
 }
 
-// Objective is a service-level objective of the users.
+// Objective is a service-level objective for a class of jobs.
 type Objective struct {
-	Kind    string  `toml:"kind"`     // what is measured: "wait" until the start, or until "finished"
+	Kind    string  `toml:"kind"`     // the time measured: "wait" is until the start, "finished" is until the end
 	Class   string  `toml:"class"`    // job class
 	WithinS float64 `toml:"within_s"` // seconds
-	Share   float64 `toml:"share"`    // of the class that is to be within WithinS
+	Share   float64 `toml:"share"`    // share of the class's jobs that must take at most WithinS
 }
 
 // Config is the whole settings file.
@@ -47,16 +48,16 @@
 		Cloud string `toml:"cloud"` // host:port
 		State string `toml:"state"` // host:port of the state store
 	} `toml:"services"`
-	// RelayHeartbeats lets followers serve workers and relay their heartbeats in batches once
-	// the fleet is large. It is set on the command line.
+	// RelayHeartbeats lets followers serve workers and relay their heartbeats to the leader in
+	// batches once the fleet is large. It is set on the command line.
 	RelayHeartbeats bool `toml:"-"`
-	// WarmStandby lets the likely successor follow the leader's state. It is set on the
-	// command line.
+	// WarmStandby lets the likely successor of the leader replicate its state in advance. It is set on
+	// the command line.
 	WarmStandby bool `toml:"-"`
 	Cluster     struct {
 		Size       int         `toml:"size"`
 		Zones      []string    `toml:"zones"`
-		SkewMs     float64     `toml:"skew_ms"` // bound of the differences between clocks, ms
+		SkewMs     float64     `toml:"skew_ms"` // largest difference between the clocks of two machines, ms
 		Teams      []Team      `toml:"teams"`
 		Objectives []Objective `toml:"objectives"`
 		Workers    struct {
@@ -77,7 +78,7 @@
 	} `toml:"cluster"`
 }
 
-// Load reads and checks the file at path. Its error is that of reading it, or that of Parse.
+// Load reads and checks the file at path. Its error is that of reading the file, or that of Parse.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -86,8 +87,8 @@
 	return Parse(data)
 }
 
-// Parse decodes and checks settings. Its error says why they are not valid TOML, or joins one error
-// per fault.
+// Parse decodes and checks settings. Its error says why data is not valid TOML, or joins one error for
+// each invalid setting.
 func Parse(data []byte) (*Config, error) {
 	var c Config
 	if err := toml.Unmarshal(data, &c); err != nil {
@@ -99,7 +100,7 @@
 	return &c, nil
 }
 
-// Team returns the team with a name.
+// Team returns the team with the given name.
 func (c *Config) Team(name string) (team Team, found bool) {
 	for _, t := range c.Cluster.Teams {
 		if t.Name == name {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,8 +24,8 @@
 NEXT
 `
 
-// Announced limits count from the start where they are lower, and those that nothing could work
-// within are refused by name.
+// Announced limits that are lower than those in force are observed from the start. Announced limits
+// that are too low to work with are rejected with an error that names the setting.
 func TestAnnouncedLimitsCountWhereLower(t *testing.T) {
 	for _, tc := range []struct {
 		name, next, fault string
@@ -48,7 +48,7 @@
 			c, err := Parse([]byte(strings.ReplaceAll(settingsText, "NEXT", next)))
 			if tc.fault != "" {
 				if err == nil || !strings.Contains(err.Error(), tc.fault) {
-					t.Errorf("the fault is %v", err)
+					t.Errorf("Parse returned error %v, want one with %q", err, tc.fault)
 				}
 				return
 			}
@@ -58,19 +58,19 @@
 			got := c.StateLimits()
 			got.Next = nil
 			if got != tc.want {
-				t.Errorf("limits %+v, want %+v", got, tc.want)
+				t.Errorf("got limits %+v, want %+v", got, tc.want)
 			}
 		})
 	}
 }
 
-// Where cancel_s leaves no room for a lease and its margin, cancelled tasks
-// behind a network partition could outlive it, or no lease could be renewed at all.
+// cancel_s must be at least 1.3 times lease_s. With a shorter one, tasks behind a network partition
+// could run for longer than cancel_s after their cancellation, or leases could not be renewed.
 func TestCancelTimeMustLeaveRoomForALease(t *testing.T) {
 	for cancel, ok := range map[float64]bool{9: false, 10: false, 11: false, 12.9: false, 13: true, 40: true} {
 		text := strings.NewReplacer("cancel_s = 40.0", "cancel_s = "+strconv.FormatFloat(cancel, 'f', 1, 64), "NEXT", "").Replace(settingsText)
 		if _, err := Parse([]byte(text)); (err == nil) != ok || err != nil && !strings.Contains(err.Error(), "cancel_s") {
-			t.Errorf("cancel_s %v: %v", cancel, err)
+			t.Errorf("cancel_s %v with a lease of 10 s: got error %v, want it accepted: %v", cancel, err, ok)
 		}
 	}
 }
--- a/internal/config/durations.go
+++ b/internal/config/durations.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// leaderLeaseDivisor of the workers' lease gives the leader's: see LeaderLeaseTTL.
+	// The leader's lease is the workers' lease divided by leaderLeaseDivisor: see LeaderLeaseTTL.
 	leaderLeaseDivisor = 5
-	// gridUnitsPerHeartbeat is how many units of the timer grid a heartbeat interval has: halves,
-	// thirds and quarters of the interval are multiples of the unit.
+	// gridUnitsPerHeartbeat is how many units of the timer grid a heartbeat interval has. With 12,
+	// halves, thirds and quarters of the interval are multiples of the unit.
 	gridUnitsPerHeartbeat = 12
-	// cancelMarginDivisor of the workers' lease is the margin of MaxCancellationAge.
+	// The margin of MaxCancellationAge is the workers' lease divided by cancelMarginDivisor.
 	cancelMarginDivisor = 10
 )
 
@@ -28,19 +28,19 @@
 func (c *Config) CloudListLag() time.Duration { return seconds(c.Cluster.Cloud.ListLagS) }
 
 // LeaderLeaseTTL returns the time to live of the leader's lease in the state store: a fifth of the
-// workers' lease, so that a successor has most of a lease left to gather the workers.
+// workers' lease, so that a new leader has most of that lease left to reach the workers.
 func (c *Config) LeaderLeaseTTL() time.Duration { return c.WorkerLease() / leaderLeaseDivisor }
 
-// TimerGrid returns the grid that the process's periodic work is aligned to.
+// TimerGrid returns the grid that the timers of the process's periodic work are aligned to.
 func (c *Config) TimerGrid() timeralign.Grid {
 	return timeralign.Grid{Unit: c.HeartbeatInterval() / gridUnitsPerHeartbeat}
 }
 
-// MaxCancellationAge returns how old a node's knowledge of cancellations may be while it renews
-// worker leases. Suppose that a task is cancelled right after the read that the knowledge comes
-// from. The task ends with its worker's lease, which counts from when the worker sent its
-// heartbeat: no later than cancel_s after that read, less a margin of a tenth of a lease.
-// docs/safety.md says what that margin is for.
+// MaxCancellationAge returns how old a node's data on cancellations may be while it renews worker
+// leases: cancel_s, less a worker lease and a margin of a tenth of a lease. Suppose that a task is
+// cancelled right after the node read that data. The task ends with its worker's lease, which counts
+// from when the worker sent its heartbeat: at most cancel_s less the margin after that read.
+// docs/safety.md says what the margin is for.
 func (c *Config) MaxCancellationAge() time.Duration {
 	return seconds(c.Cluster.Workers.CancelS) - c.WorkerLease() - c.WorkerLease()/cancelMarginDivisor
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -7,9 +7,9 @@
 	Rps      float64 `toml:"rps"`       // requests a second
 	WriteRps float64 `toml:"write_rps"` // changes a second
 	ValueKb  float64 `toml:"value_kb"`  // size of a value, KiB
-	TxnOps   int     `toml:"txn_ops"`   // changes of a transaction; it may have four times as many compares
-	// Next holds the limits that the store will have from a moment on that is not announced; nil
-	// if no change is expected.
+	TxnOps   int     `toml:"txn_ops"`   // changes in a transaction, which may have four times as many compares
+	// Next holds announced limits that will come into force at an unknown time; nil if no change is
+	// announced.
 	Next *NextStateLimits `toml:"next"`
 }
 
@@ -20,9 +20,9 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// StateLimits returns the limits that the project observes: for each the lower of the one in force
-// and the announced one. The announced ones come into force without notice, so nothing is ever
-// written that they would not allow. Next is as in the settings file.
+// StateLimits returns the limits that this program observes: for each limit, the lower of the value in
+// force and the announced one. Announced limits come into force without notice, so the program never
+// writes anything that they would not allow. Next in the result is as in the settings file.
 func (c *Config) StateLimits() StateLimits {
 	limits := c.Cluster.State
 	next := limits.Next
@@ -41,10 +41,10 @@
 	return limits
 }
 
-// MaxValueBytes returns the size in bytes of the largest value that the state store takes under the
-// limits in force and the announced ones.
+// MaxValueBytes returns the size in bytes of the largest value that the state store accepts under
+// both the limits in force and the announced ones.
 func (c *Config) MaxValueBytes() int { return int(c.StateLimits().ValueKb * bytesPerKiB) }
 
-// CurrentMaxValueBytes returns the size in bytes of the largest value that the state store takes
-// until the announced limits come into force.
+// CurrentMaxValueBytes returns the size in bytes of the largest value that the state store
+// accepts until the announced limits come into force.
 func (c *Config) CurrentMaxValueBytes() int { return int(c.Cluster.State.ValueKb * bytesPerKiB) }
--- a/internal/config/succession.go
+++ b/internal/config/succession.go
@@ -13,9 +13,10 @@
 	return labels
 }
 
-// CampaignDelaySteps returns how badly the node with a label is placed to lead: 0 for the best. A
-// worker that loses its leader tries the nodes after it in order, and each one that it cannot reach
-// for a network partition between zones costs it half of its lease. So a leader is well placed if
+// CampaignDelaySteps returns by how many steps the node with a label should delay its campaign for
+// leadership: 0 for the nodes that are placed best to lead. A worker that loses its leader tries the
+// nodes that follow the leader in the order of labels. Each node that it cannot reach because of a
+// network partition between zones costs it half of its lease. So a node is well placed to lead if
 // every other zone has a node soon after it in that order.
 func (c *Config) CampaignDelaySteps(label string) int {
 	zones := map[string]string{c.Label: c.Location}
@@ -23,12 +24,12 @@
 		zones[member.Label] = member.Location
 	}
 	labels := c.sortedLabels()
-	// hopsToAllZones returns how many nodes after the one with a label a worker tries until it has
-	// tried a node of every zone.
+	// hopsToAllZones returns how many of the nodes after the one with a label a worker has to try until
+	// it has tried a node in every other zone.
 	hopsToAllZones := func(label string) int {
-		at, hops, seen := slices.Index(labels, label), 0, map[string]bool{zones[label]: true}
+		start, hops, seen := slices.Index(labels, label), 0, map[string]bool{zones[label]: true}
 		for i := 1; i < len(labels); i++ {
-			if zone := zones[labels[(at+i)%len(labels)]]; !seen[zone] {
+			if zone := zones[labels[(start+i)%len(labels)]]; !seen[zone] {
 				seen[zone], hops = true, i
 			}
 		}
@@ -41,14 +42,14 @@
 	return hopsToAllZones(label) - best
 }
 
-// UnreachableSuccessors returns how many nodes in a row after the one with a label, in the order in
-// which workers try them, are unreachable. A worker whose controller ends or pauses loses half of its
-// lease before it tries the next one, and the rest if that is unreachable too.
+// UnreachableSuccessors returns how many nodes in a row are unreachable directly after the one with a
+// label, in the order in which workers try nodes. A worker whose controller ends or pauses loses half
+// of its lease before it tries the next one, and the other half if that one is unreachable too.
 func (c *Config) UnreachableSuccessors(label string, unreachable func(label string) bool) int {
 	labels := c.sortedLabels()
-	at := slices.Index(labels, label)
+	start := slices.Index(labels, label)
 	for i := 1; i < len(labels); i++ {
-		if !unreachable(labels[(at+i)%len(labels)]) {
+		if !unreachable(labels[(start+i)%len(labels)]) {
 			return i - 1
 		}
 	}
--- a/internal/config/succession_test.go
+++ b/internal/config/succession_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// With two nodes in zone a and one in zone b, workers of b that lose the last
-// node of a would try the other one of a first: it should not lead. In one zone
-// no node is better placed than another.
+// With nodes n0 and n2 in zone a and n1 in zone b, workers in b that lose n2 to a network partition
+// would try n0 next, which they cannot reach either. So n2 is placed worse to lead than the others. If
+// all nodes are in one zone, or each in its own, none is placed better than another.
 func TestCampaignDelayStepsByZone(t *testing.T) {
 	for _, tc := range []struct {
 		zones [3]string
@@ -25,14 +25,14 @@
 		}
 		for i, label := range []string{"n0", "n1", "n2"} {
 			if got := c.CampaignDelaySteps(label); got != tc.want[i] {
-				t.Errorf("zones %v: %s has %d, expected %d", tc.zones, label, got, tc.want[i])
+				t.Errorf("zones %v: got %d delay steps for %s, want %d", tc.zones, got, label, tc.want[i])
 			}
 		}
 	}
 }
 
-// Workers try the nodes in the order of their labels, round and round: those are counted that
-// are unreachable right after a node, up to the first that is not.
+// Workers try the nodes in the order of their labels and start again after the last. The unreachable
+// nodes that directly follow a node are counted, up to the first reachable one.
 func TestUnreachableSuccessorsAreCountedUpToTheFirstReachable(t *testing.T) {
 	c := &Config{Label: "n1", Members: []Member{{Label: "n3"}, {Label: "n0"}, {Label: "n2"}}}
 	for _, tc := range []struct {
@@ -48,7 +48,7 @@
 		for i, label := range []string{"n0", "n1", "n2", "n3"} {
 			unreachable := func(other string) bool { return strings.Contains(tc.unreachable, other) }
 			if got := c.UnreachableSuccessors(label, unreachable); got != tc.want[i] {
-				t.Errorf("%q unreachable: %s has %d, expected %d", tc.unreachable, label, got, tc.want[i])
+				t.Errorf("%q unreachable: got %d unreachable successors of %s, want %d", tc.unreachable, got, label, tc.want[i])
 			}
 		}
 	}
--- a/internal/timeralign/sleep.go
+++ b/internal/timeralign/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d and returns true. It returns false at once when ctx ends before that.
+// Sleep waits for d and returns true. If ctx ends first, it returns false at once.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/timeralign/sleep_test.go
+++ b/internal/timeralign/sleep_test.go
@@ -11,12 +11,12 @@
 	cancel()
 	begun := time.Now()
 	if Sleep(ctx, time.Minute) {
-		t.Error("Sleep says that a minute has passed")
+		t.Error("Sleep with an ended context returned true, want false")
 	}
 	if took := time.Since(begun); took > 10*time.Second {
-		t.Errorf("Sleep returns after %v", took)
+		t.Errorf("Sleep with an ended context took %v, want at most 10s", took)
 	}
 	if !Sleep(context.Background(), time.Millisecond) {
-		t.Error("Sleep says that its context has ended")
+		t.Error("Sleep with a live context returned false, want true")
 	}
 }
