--- a/internal/aimd/aimd_test.go
+++ b/internal/aimd/aimd_test.go
@@ -14,10 +14,10 @@
 type sharedService struct {
 	capacity int
 
-	mu       sync.Mutex
-	second   time.Time // when the current second began
-	executed int       // requests in it
-	refused  int
+	mu          sync.Mutex
+	secondStart time.Time // when the current second began
+	executed    int       // requests in it
+	refused     int
 }
 
 // serve executes or refuses a request of a client.
@@ -25,8 +25,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if now.Sub(s.second) >= time.Second {
-		s.second, s.executed = now, 0
+	if now.Sub(s.secondStart) >= time.Second {
+		s.secondStart, s.executed = now, 0
 	}
 	if s.executed++; s.executed > s.capacity {
 		s.refused++
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -97,8 +97,8 @@
 // failoverListing limits the fleet to as many machines as a new leader can list the records of within
 // half of a worker lease.
 func failoverListing(cfg *config.Config) Limit {
-	within := time.Duration(listingLeaseShare * float64(cfg.WorkerLease()))
-	keys := watchcache.KeysListableWithin(cfg.StateLimits().Rps, within)
+	maxListingTime := time.Duration(listingLeaseShare * float64(cfg.WorkerLease()))
+	keys := watchcache.KeysListableWithin(cfg.StateLimits().Rps, maxListingTime)
 	return Limit{
 		Setting:        "cluster.state.rps",
 		Machines:       keys / recordsPerMachine,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
 // Package config reads and checks the settings file that the platform provides. The operators'
 // settings, which are changed through the administration API, are in package records.
 //
-// The fields have the units of the settings file, which their names end with (S: seconds, Ms:
-// milliseconds, Kb: KiB, Mb: MiB, Rps: requests or changes a second). The methods of Config return
+// The fields have the units of the settings file. The end of a field's name gives its unit (S: seconds,
+// Ms: milliseconds, Kb: KiB, Mb: MiB, Rps: requests or changes a second). The methods of Config return
 // durations and bytes.
 package config
 
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -132,10 +132,10 @@
 // idle for at least MinIdle. l.mu is held.
 func (l *Listener) longestIdle(now time.Time) *conn {
 	var longest *conn
-	since := now.Add(-l.limits.MinIdle).UnixNano()
+	earliest := now.Add(-l.limits.MinIdle).UnixNano()
 	for c := range l.open {
-		if idleSince := c.idleSince.Load(); idleSince != 0 && idleSince <= since {
-			longest, since = c, idleSince
+		if idleSince := c.idleSince.Load(); idleSince != 0 && idleSince <= earliest {
+			longest, earliest = c, idleSince
 		}
 	}
 	return longest
--- a/internal/httpapi/errors.go
+++ b/internal/httpapi/errors.go
@@ -21,7 +21,8 @@
 // Its text is part of the answer.
 var errCannotServeHere = errors.New("cannot be served from here now")
 
-// unavailableError means that a request cannot be decided now, here or elsewhere: 503.
+// unavailableError means that neither this node nor another one can serve a request now. The status
+// of the answer is 503.
 type unavailableError struct {
 	reason     string        // sent in the answer
 	retryAfter time.Duration // sent in whole seconds, rounded up, at least one
--- a/internal/httpapi/users.go
+++ b/internal/httpapi/users.go
@@ -79,7 +79,7 @@
 func (s *Server) forward(req *http.Request, body []byte) (peer.UserReply, bool) {
 	for _, p := range s.Peers {
 		ping, ok := p.LastPing(s.Config.LeaderLeaseTTL())
-		if !ok || !ping.Serving || !understands(p.SupportedVersion(), req.Method, req.URL.Path, body) {
+		if !ok || !ping.Serving || !understandsRequest(p.SupportedVersion(), req.Method, req.URL.Path, body) {
 			continue
 		}
 		reply, err := p.ForwardUserRequest(peer.UserArgs{Method: req.Method, Path: req.URL.Path, Body: body}, pollWait*2/3)
@@ -90,9 +90,9 @@
 	return peer.UserReply{}, false
 }
 
-// understands reports whether a peer that supports a cluster version interprets a user's request as
-// this node does: an older release ignores the dependencies of a submission.
-func understands(version clusterversion.Version, method, path string, body []byte) bool {
+// understandsRequest reports whether a peer that supports a cluster version interprets a user's
+// request as this node does: an older release ignores the dependencies of a submission.
+func understandsRequest(version clusterversion.Version, method, path string, body []byte) bool {
 	if method != http.MethodPost || path != submitPath || version >= clusterversion.JobDAGs {
 		return true
 	}
--- a/internal/timeralign/grid_test.go
+++ b/internal/timeralign/grid_test.go
@@ -23,14 +23,13 @@
 		if wait <= 0 || wait > period {
 			t.Fatalf("UntilNext returned %s for a period of %s, want above 0 and at most the period", wait, period)
 		}
-		if off := now.Add(wait).UnixNano() % int64(period); off != 0 {
-			t.Fatalf("the wait ends %s after a multiple of %s, want 0s", time.Duration(off), period)
+		if remainder := now.Add(wait).UnixNano() % int64(period); remainder != 0 {
+			t.Fatalf("the wait ends %s after a multiple of %s, want 0s", time.Duration(remainder), period)
 		}
 		limit := time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "limit"))
 		wait = grid.UntilLastWithin(now, limit)
 		if wait > limit || wait < limit-unit {
-			t.Fatalf("UntilLastWithin returned %s for a limit of %s with a unit of %s, want at most the limit and less by at most the unit",
-				wait, limit, unit)
+			t.Fatalf("got a wait of %s, want at most the limit %s and at least the limit less a unit of %s", wait, limit, unit)
 		}
 	})
 }
