--- a/cmd/fleetsim/failovers.go
+++ b/cmd/fleetsim/failovers.go
@@ -147,7 +147,7 @@
 		}
 		movedBytes, heldBytes := uint64(0), 0
 		if status, err := fetchStatus(ctx, c.listenAddress(i)); err == nil && status.WarmStandby != nil {
-			movedBytes, heldBytes = status.WarmStandby.Moved, status.WarmStandby.Bytes
+			movedBytes, heldBytes = status.WarmStandby.MovedBytes, status.WarmStandby.Bytes
 		}
 		fmt.Printf("node-%d: leads %v, processor %s, memory %d KiB, standby: %d bytes moved, %d held\n",
 			i, ok && i == leader, used.processor, used.residentKiB, movedBytes, heldBytes)
--- a/cmd/lotusstile/main.go
+++ b/cmd/lotusstile/main.go
@@ -83,7 +83,7 @@
 	checkDescriptors(cfg.Cluster.Limits.MaxConnections)
 	debug.SetMemoryLimit(memoryLimit(cfg.Cluster.Limits.MemMb))
 	debug.SetGCPercent(gcPercent)
-	return node.New(cfg, node.TCP(cfg)).Run(context.Background())
+	return node.New(cfg, node.NewTCPNetwork(cfg)).Run(context.Background())
 }
 
 // gcPercent lets the heap grow to five times the live data before a garbage collection: below the
--- a/internal/admission/connections.go
+++ b/internal/admission/connections.go
@@ -96,14 +96,14 @@
 	case l != nil && l.UnderPressure():
 		return relay.UnderPressure
 	}
-	return relay.Relaxed
+	return relay.NoPressure
 }
 
 // CloseUnderPressure wraps a handler. While nearly all connections are taken, each one is closed
 // after its request is answered, so that another client can connect.
 func (c *Connections) CloseUnderPressure(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c.Pressure(r.Context()) != relay.Relaxed {
+		if c.Pressure(r.Context()) != relay.NoPressure {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -83,8 +83,8 @@
 type HeadroomOptions struct {
 	// Factor scales the headroom; 0 disables it.
 	Factor float64
-	// BootS returns the boot time in seconds of the fastest machine type that may run a task of a job.
-	BootS func(*wire.JobSpec) float64
+	// FastestBootS returns the boot time in seconds of the fastest machine type that may run a task of a job.
+	FastestBootS func(*wire.JobSpec) float64
 	// NeedsImage reports whether a task of a job can start in time only on a machine that already has
 	// the job's image.
 	NeedsImage func(*wire.JobSpec) bool
@@ -101,7 +101,7 @@
 			continue
 		}
 		a.decay(class, now)
-		tasks := headroomTasks(class.Jobs/a.timeConstantS, class.TasksSquared, options.BootS(class.Spec))
+		tasks := headroomTasks(class.Jobs/a.timeConstantS, class.TasksSquared, options.FastestBootS(class.Spec))
 		count := int(math.Ceil(options.Factor * float64(tasks)))
 		spec := *class.Spec // shared by all placeholder jobs of the class
 		spec.UID, spec.TaskCount, spec.Kind, spec.SingleZone, spec.SpreadZones = "", 1, wire.JobArray, false, false
--- a/internal/autoscaler/headroom_test.go
+++ b/internal/autoscaler/headroom_test.go
@@ -82,9 +82,9 @@
 func TestHeadroomIsForHighPriorities(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	options := HeadroomOptions{
-		Factor:     1,
-		BootS:      func(*wire.JobSpec) float64 { return 30 },
-		NeedsImage: func(spec *wire.JobSpec) bool { return spec.Image == "large" },
+		Factor:       1,
+		FastestBootS: func(*wire.JobSpec) float64 { return 30 },
+		NeedsImage:   func(spec *wire.JobSpec) bool { return spec.Image == "large" },
 	}
 	for _, tc := range []struct {
 		name     string
--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -31,7 +31,7 @@
 		catalog:        catalog,
 		machinesByZone: cloneOrEmpty(demand.MachinesByZone),
 		refused:        demand.Refused,
-		minNeed:        minTaskNeed(demand.Shorts),
+		minNeed:        minTaskNeed(demand.Shortfalls),
 	}
 }
 
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -74,16 +74,16 @@
 
 // Demand is the input of Plan: the tasks that need machines, and the limits on provisioning.
 type Demand struct {
-	// Shorts are the tasks that fit on no machine, in the order in which they are packed.
-	Shorts []sched.Shortfall
+	// Shortfalls are the tasks that fit on no machine, in the order in which they are packed.
+	Shortfalls []sched.Shortfall
 	// MachinesByZone counts the fleet's machines in each zone; it may be nil.
 	MachinesByZone map[string]int
 	// Refused reports whether a group must not be requested now, because the cloud recently had no
 	// capacity for it.
 	Refused func(MachineGroup) bool
-	// Calls is the maximum number of requests in a plan, each for at most wire.MaxProvision
+	// MaxRequests is the maximum number of requests in a plan, each for at most wire.MaxProvision
 	// machines. A plan exceeds it if more groups than that are needed: each gets one request.
-	Calls int
+	MaxRequests int
 }
 
 // Plan decides what to provision for the demand. Tasks that do not fit on the machines planned so
@@ -91,7 +91,7 @@
 // further requests for the same groups follow in the same order.
 func Plan(catalog *wire.Catalog, demand Demand) []Request {
 	p := newPacking(catalog, demand)
-	for _, shortfall := range demand.Shorts {
+	for _, shortfall := range demand.Shortfalls {
 		p.pack(shortfall)
 	}
 	counts := map[MachineGroup]int{}
@@ -103,7 +103,7 @@
 		requests = append(requests, Request{group, count})
 	}
 	slices.SortFunc(requests, func(a, b Request) int { return a.compare(b.MachineGroup) })
-	return splitRequests(requests, demand.Calls)
+	return splitRequests(requests, demand.MaxRequests)
 }
 
 // splitRequests splits requests into ones of at most wire.MaxProvision machines, the most that the
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -36,10 +36,10 @@
 				t.Fatalf("got %d machines requested after %d cycles, want at least %d", provisioned, cycles, machines)
 			}
 			requests := Plan(catalog, Demand{
-				Shorts:         shortfalls,
+				Shortfalls:     shortfalls,
 				MachinesByZone: machinesByZone,
 				Refused:        func(MachineGroup) bool { return false },
-				Calls:          calls,
+				MaxRequests:    calls,
 			})
 			if len(requests) > calls {
 				t.Fatalf("got %d requests in a plan, want at most %d", len(requests), calls)
--- a/internal/autoscaler/refusals.go
+++ b/internal/autoscaler/refusals.go
@@ -4,8 +4,8 @@
 
 // Refusal is the backoff of a machine group that the cloud had no capacity for.
 type Refusal struct {
-	Until time.Time     // the group is not requested before this time
-	Pause time.Duration // length of the backoff
+	Until   time.Time     // the group is not requested before this time
+	Backoff time.Duration // length of the backoff
 }
 
 // Refusals holds the machine groups that the cloud had no capacity for. The backoff of a group
@@ -22,8 +22,8 @@
 
 // Add records that the cloud refused a group at now, and starts the next backoff of the group.
 func (r *Refusals) Add(group MachineGroup, now time.Time) {
-	pause := min(max(r.groups[group].Pause*2, r.workerLease/2), 3*r.workerLease)
-	r.groups[group] = Refusal{Until: now.Add(pause), Pause: pause}
+	pause := min(max(r.groups[group].Backoff*2, r.workerLease/2), 3*r.workerLease)
+	r.groups[group] = Refusal{Until: now.Add(pause), Backoff: pause}
 }
 
 // Clear ends the backoff of a group and resets its length. The caller calls it when the cloud has
--- a/internal/autoscaler/releases.go
+++ b/internal/autoscaler/releases.go
@@ -87,13 +87,13 @@
 	}, true
 }
 
-// MayBeStored adds a record whose commit had an unknown outcome, so that the record is dropped once it
+// AddUncertain adds a record whose commit had an unknown outcome, so that the record is dropped once it
 // has expired. Its machines still count as not recorded: another record will list them.
-func (r *Releases) MayBeStored(record ReleaseRecord) { r.records = append(r.records, record) }
+func (r *Releases) AddUncertain(record ReleaseRecord) { r.records = append(r.records, record) }
 
-// Recorded adds a committed record: its machines may now be released. All of them must have been
+// AddRecorded adds a committed record: its machines may now be released. All of them must have been
 // added by Start.
-func (r *Releases) Recorded(record ReleaseRecord) {
+func (r *Releases) AddRecorded(record ReleaseRecord) {
 	r.records = append(r.records, record)
 	for _, host := range record.Hosts {
 		r.machines[host].recorded = true
--- a/internal/autoscaler/releases_test.go
+++ b/internal/autoscaler/releases_test.go
@@ -24,7 +24,7 @@
 	if hosts := r.Unconfirmed(10); len(hosts) > 0 {
 		t.Errorf("got %v to release before their record is stored, want none", hosts)
 	}
-	r.Recorded(record)
+	r.AddRecorded(record)
 	if _, found := r.NextRecord(valueBytes); found {
 		t.Error("got a second record of the same machines, want none")
 	}
@@ -59,7 +59,7 @@
 	r := NewReleases(7)
 	r.Start("m-1")
 	first, _ := r.NextRecord(valueBytes)
-	r.MayBeStored(first)
+	r.AddUncertain(first)
 	second, found := r.NextRecord(valueBytes)
 	if !found || second.Key == first.Key || !slices.Equal(second.Hosts, first.Hosts) {
 		t.Fatalf("got %+v (found %v) after %+v, want the same machines under another key", second, found, first)
@@ -67,7 +67,7 @@
 	if want := records.ScaleInPrefix + "7-2"; second.Key != want {
 		t.Errorf("got key %s, want %s", second.Key, want)
 	}
-	r.Recorded(second)
+	r.AddRecorded(second)
 	r.Confirm("m-1", now)
 	if expired := r.Expired(now.Add(2), 1); len(expired) != 2 {
 		t.Errorf("got %d expired records, want 2", len(expired))
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -88,7 +88,7 @@
 	maxAge := maxListAgeLags*cfg.CloudListLag() + cfg.WorkerLease()
 	return Limit{
 		Setting:  "cluster.cloud.rps",
-		Machines: cloud.MaxListable(cfg.Cluster.Cloud.Rps, maxAge),
+		Machines: cloud.MachinesListableWithin(cfg.Cluster.Cloud.Rps, maxAge),
 		ExceededEffect: fmt.Sprintf("reading the machine list takes longer than %s, so machines that are gone are detected late",
 			maxAge.Round(time.Second)),
 	}
--- a/internal/cloud/list.go
+++ b/internal/cloud/list.go
@@ -49,9 +49,9 @@
 	return time.Duration(float64(pages) / float64(c.pageLimiter.Limit()) * float64(time.Second))
 }
 
-// MaxListable returns how many machines one node can list within a time, at the rate at which it may request
+// MachinesListableWithin returns how many machines one node can list within a time, at the rate at which it may request
 // pages from a cloud that allows callsPerSecond.
-func MaxListable(callsPerSecond float64, within time.Duration) int {
+func MachinesListableWithin(callsPerSecond float64, within time.Duration) int {
 	return int(callsPerSecond*callShare*listShare*within.Seconds()) * pageSize
 }
 
@@ -75,8 +75,8 @@
 	return page, err
 }
 
-// RefusedPages returns how many pages of the machine list were refused because they were out of order.
-func (c *Client) RefusedPages() uint64 { return c.outOfOrderPages.Load() }
+// OutOfOrderPages returns how many pages of the machine list were refused because they were out of order.
+func (c *Client) OutOfOrderPages() uint64 { return c.outOfOrderPages.Load() }
 
 // checkPage returns an error that wraps ErrPageOutOfOrder if a page visibly repeats or omits machines. after
 // is the last machine of the previous page, or "" for the first page.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -57,7 +57,7 @@
 
 	// Scheduling cycles: cycle.go, nodecache.go.
 	window      int // how many jobs a cycle considers
-	lastCycle   wire.RoundStatus
+	lastCycle   wire.CycleStatus
 	lastCycleAt time.Time
 	nodes       nodeCache
 
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -63,7 +63,7 @@
 	c.lastCycleAt = now
 	s := c.newSnapshot(now, interval)
 	plan := sched.Run(s.in)
-	status := wire.RoundStatus{
+	status := wire.CycleStatus{
 		Waiting:   len(s.in.Jobs),
 		Objective: plan.Objective,
 		Reserved:  plan.ReservedFor,
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -23,9 +23,9 @@
 		Window:           math.MaxInt,
 		ReserveAfterS:    math.Inf(1),
 		Jobs: c.arrivals.HeadroomJobs(now, autoscaler.HeadroomOptions{
-			Factor:     c.Settings().Headroom,
-			BootS:      s.urgency.fastestBootS,
-			NeedsImage: func(spec *wire.JobSpec) bool { return s.urgency.startSlackS(spec) < 0 },
+			Factor:       c.Settings().Headroom,
+			FastestBootS: s.urgency.fastestBootS,
+			NeedsImage:   func(spec *wire.JobSpec) bool { return s.urgency.startSlackS(spec) < 0 },
 		}),
 		Teams: map[string]*sched.Team{},
 	}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -57,7 +57,7 @@
 	for _, a := range p.live {
 		bytes += records.DenseAttemptBytes(toPlacedAttempt(a), tasks)
 	}
-	return bytes <= records.DenseAttemptsRoom(valueBytes, tasks)
+	return bytes <= records.MaxDenseAttemptsBytes(valueBytes, tasks)
 }
 
 // plannedAttempts returns the attempts whose launch is decided but not recorded yet.
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -109,10 +109,10 @@
 	defer c.mu.Unlock()
 	switch {
 	case err == nil:
-		c.releases.Recorded(record)
+		c.releases.AddRecorded(record)
 		return true
 	case errors.Is(err, store.ErrOutcomeUnknown):
-		c.releases.MayBeStored(record)
+		c.releases.AddUncertain(record)
 	}
 	return false
 }
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -44,10 +44,10 @@
 	machinesByZone := map[string]int{}
 	c.fleet.Each(func(m *fleet.Machine) { machinesByZone[m.Zone]++ })
 	plan := autoscaler.Plan(c.catalog, autoscaler.Demand{
-		Shorts:         append(append([]sched.Shortfall{}, tasks...), headroom...),
+		Shortfalls:     append(append([]sched.Shortfall{}, tasks...), headroom...),
 		MachinesByZone: machinesByZone,
 		Refused:        func(g autoscaler.MachineGroup) bool { return c.refusals.IsPaused(g, now) },
-		Calls:          c.provisionCalls(),
+		MaxRequests:    c.provisionCalls(),
 	})
 	requests := make([]wire.ProvisionRequest, 0, len(plan))
 	for _, request := range plan {
--- a/internal/controller/standbyhints.go
+++ b/internal/controller/standbyhints.go
@@ -20,7 +20,7 @@
 	}
 	for _, r := range proven.Leader.Refusals {
 		group := autoscaler.MachineGroup{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-		c.refusals.Restore(group, autoscaler.Refusal{Until: fromUnixMilli(r.UntilMs), Pause: time.Duration(r.PauseMs) * time.Millisecond})
+		c.refusals.Restore(group, autoscaler.Refusal{Until: fromUnixMilli(r.UntilMs), Backoff: time.Duration(r.PauseMs) * time.Millisecond})
 	}
 	for _, arrival := range proven.Leader.Arrivals {
 		spec := arrival.Job
--- a/internal/controller/standbyviews.go
+++ b/internal/controller/standbyviews.go
@@ -175,7 +175,7 @@
 			Zone:    group.Zone,
 			Spot:    group.Spot,
 			UntilMs: unixMilli(refusal.Until),
-			PauseMs: refusal.Pause.Milliseconds(),
+			PauseMs: refusal.Backoff.Milliseconds(),
 		})
 	})
 	c.arrivals.Each(func(class string, a *autoscaler.ClassArrivals) {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -50,15 +50,15 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	status := wire.LeadStatus{
-		Term:     c.term,
-		Loaded:   c.loaded,
-		Window:   c.window,
-		Round:    c.lastCycle,
-		Machines: map[string]int{},
-		Classes:  map[string]wire.ClassStatus{},
+		Term:      c.term,
+		Loaded:    c.loaded,
+		Window:    c.window,
+		LastCycle: c.lastCycle,
+		Machines:  map[string]int{},
+		Classes:   map[string]wire.ClassStatus{},
 	}
 	if !c.lastCycleAt.IsZero() {
-		status.Round.AgoS = now.Sub(c.lastCycleAt).Seconds()
+		status.LastCycle.AgoS = now.Sub(c.lastCycleAt).Seconds()
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
 		status.Machines[m.State.String()]++
--- a/internal/httpapi/cancel.go
+++ b/internal/httpapi/cancel.go
@@ -26,7 +26,7 @@
 	ctx, cancel := userContext(c, submitWait)
 	defer cancel()
 	for ctx.Err() == nil {
-		if status, ok := s.Statuses.Final(uid); ok {
+		if status, ok := s.Statuses.CachedFinal(uid); ok {
 			return c.JSON(http.StatusOK, wire.JobView{UID: uid, Status: status})
 		}
 		item, found, err := s.Store.Get(ctx, records.JobKey(uid))
@@ -39,7 +39,7 @@
 			}
 			continue
 		}
-		view, known, err := s.Statuses.Lookup(ctx, uid)
+		view, known, err := s.Statuses.ReadFromStore(ctx, uid)
 		switch {
 		case err != nil:
 			return errCannotServeHere
--- a/internal/httpapi/submit.go
+++ b/internal/httpapi/submit.go
@@ -49,7 +49,7 @@
 	if len(spec.Dependencies) > 0 && s.Version.InForce() < clusterversion.JobDAGs {
 		return errOlderRelease
 	}
-	status, err := s.Statuses.Initial(ctx, &spec)
+	status, err := s.Statuses.InitialStatus(ctx, &spec)
 	if err != nil {
 		return s.refuseDependency(c, spec.UID, err)
 	}
@@ -113,7 +113,7 @@
 
 // answerKnownJob answers the repeated submission of a job with the job's current status.
 func (s *Server) answerKnownJob(ctx context.Context, c echo.Context, uid string) error {
-	view, known, err := s.Statuses.Lookup(ctx, uid)
+	view, known, err := s.Statuses.ReadFromStore(ctx, uid)
 	switch {
 	case err != nil:
 		return errCannotServeHere
@@ -139,7 +139,7 @@
 func (s *Server) refuse(c echo.Context, uid string, status int, reason string) error {
 	ctx, cancel := userContext(c, submitWait)
 	defer cancel()
-	switch view, known, err := s.Statuses.Lookup(ctx, uid); {
+	switch view, known, err := s.Statuses.ReadFromStore(ctx, uid); {
 	case err != nil:
 		return errCannotServeHere
 	case known:
--- a/internal/jobstatus/dependencies.go
+++ b/internal/jobstatus/dependencies.go
@@ -21,14 +21,14 @@
 // that was accepted.
 var errDependencyNotFound = errors.New("accepted dependency has neither a record nor a final status")
 
-// Initial returns the status for the record of a new job: aborted if a job that it depends on, directly
+// InitialStatus returns the status for the record of a new job: aborted if a job that it depends on, directly
 // or indirectly, is cancelled, otherwise queued. The error is a *DependencyError if the job can never
 // run, or another error if this node cannot decide now.
 //
 // The decision is based on a read that began after the request. A dependency that is cancelled between
 // that read and the commit of the record is not missed, since every later poll derives the job's status
 // from the records of its dependencies again (see dependencyCancelled).
-func (r *Reader) Initial(ctx context.Context, spec *wire.JobSpec) (wire.JobStatus, error) {
+func (r *Reader) InitialStatus(ctx context.Context, spec *wire.JobSpec) (wire.JobStatus, error) {
 	if len(spec.Dependencies) == 0 {
 		return wire.JobQueued, nil
 	}
--- a/internal/jobstatus/reader.go
+++ b/internal/jobstatus/reader.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Final returns the final status of a job if this node has cached it.
-func (r *Reader) Final(uid string) (wire.JobStatus, bool) { return r.finals.get(uid) }
+// CachedFinal returns the final status of a job if this node has cached it.
+func (r *Reader) CachedFinal(uid string) (wire.JobStatus, bool) { return r.finals.get(uid) }
 
 // RecordFinal caches a job's final status. The status must be committed already, since answers rely on it.
 func (r *Reader) RecordFinal(uid string, status wire.JobStatus) { r.finals.add(uid, status) }
@@ -62,7 +62,7 @@
 	}
 	switch err := r.linearizable.Refresh(ctx); {
 	case errors.Is(err, watchcache.ErrNotSynced) || errors.Is(err, store.ErrCompacted):
-		return r.Lookup(ctx, uid)
+		return r.ReadFromStore(ctx, uid)
 	case err != nil:
 		return wire.JobView{}, false, err
 	}
@@ -79,7 +79,7 @@
 	if never || err != nil {
 		return wire.JobView{UID: uid}, false, err
 	}
-	return r.Lookup(ctx, uid)
+	return r.ReadFromStore(ctx, uid)
 }
 
 // neverAccepted reports whether a job has neither a record nor a final status at a single moment, which is
@@ -95,9 +95,9 @@
 	return err == nil, err
 }
 
-// Lookup reads the status of a job from its own records in the state store. The result is false if the
+// ReadFromStore reads the status of a job from its own records in the state store. The result is false if the
 // job was never accepted.
-func (r *Reader) Lookup(ctx context.Context, uid string) (wire.JobView, bool, error) {
+func (r *Reader) ReadFromStore(ctx context.Context, uid string) (wire.JobView, bool, error) {
 	view := wire.JobView{UID: uid}
 	if status, ok := r.finals.get(uid); ok {
 		view.Status = status
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -137,7 +137,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for _, body := range bodies {
-		status, _ := httpapi.EncodeHeartbeatAnswer(n.heartbeats.Answer(b.Context(), []byte(body), relay.Relaxed))
+		status, _ := httpapi.EncodeHeartbeatAnswer(n.heartbeats.Answer(b.Context(), []byte(body), relay.NoPressure))
 		if status != http.StatusOK {
 			b.Fatalf("heartbeat answered %d, want 200", status)
 		}
--- a/internal/node/heartbeats_test.go
+++ b/internal/node/heartbeats_test.go
@@ -78,7 +78,7 @@
 			t.Errorf("with knowledge of cancellations that is 30 s old Renew returned %v, want %v", err, workerlease.ErrStale)
 		}
 		const body = `{"Host":"m","Address":"m:1","Rig":"g","Yard":"a","Shift":1,"Tick":1,"Legs":[]}`
-		status, _ := httpapi.EncodeHeartbeatAnswer(n.heartbeats.Answer(t.Context(), []byte(body), relay.Relaxed))
+		status, _ := httpapi.EncodeHeartbeatAnswer(n.heartbeats.Answer(t.Context(), []byte(body), relay.NoPressure))
 		if status != http.StatusServiceUnavailable {
 			t.Errorf("heartbeat answered %d, want 503", status)
 		}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -80,7 +80,7 @@
 	gauge(`lotusstile_question_cuts_total{kind="shared"}`, func() float64 { return float64(n.store.SharedReadLimiter().Cuts()) })
 	gauge(`lotusstile_question_cuts_total{kind="lookup"}`, func() float64 { return float64(n.store.LookupLimiter().Cuts()) })
 	gauge(`lotusstile_refused_pages_total{from="state"}`, func() float64 { return float64(n.store.OutOfOrderPages()) })
-	gauge(`lotusstile_refused_pages_total{from="cloud"}`, func() float64 { return float64(n.cloud.RefusedPages()) })
+	gauge(`lotusstile_refused_pages_total{from="cloud"}`, func() float64 { return float64(n.cloud.OutOfOrderPages()) })
 	gauge("lotusstile_connections", func() float64 { return float64(n.connections.Open()) })
 	gauge("lotusstile_reserve_connections", func() float64 { return float64(n.connections.Reserved()) })
 	gauge("lotusstile_evicted_connections_total", func() float64 { return float64(n.connections.Evicted()) })
@@ -103,7 +103,7 @@
 	}
 	gauge("lotusstile_standby_position", func() float64 { return float64(n.standby.status().Position) })
 	gauge("lotusstile_standby_lag_seconds", func() float64 { return n.standby.status().LagS })
-	gauge("lotusstile_standby_moved_bytes_total", func() float64 { return float64(n.standby.status().Moved) })
+	gauge("lotusstile_standby_moved_bytes_total", func() float64 { return float64(n.standby.status().MovedBytes) })
 	gauge("lotusstile_takeover_seconds", func() float64 { return n.standby.lastFailover().Seconds() })
 }
 
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TCP returns the network of a node in production, where each node is a process of its own.
-func TCP(cfg *config.Config) Network {
+// NewTCPNetwork returns the network of a node in production, where each node is a process of its own.
+func NewTCPNetwork(cfg *config.Config) Network {
 	lease, interval := cfg.WorkerLease(), cfg.HeartbeatInterval()
 	return Network{
 		State:   connectionLimits{dialTimeout: lease / 5, perHost: 24, idlePerHost: 8, idleTimeout: 3 * lease}.transport(),
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -71,7 +71,7 @@
 	r.router.Store(relay.NewRouter(relay.RouterConfig{
 		Self:              r.cfg.Label,
 		Zones:             zones,
-		Connections:       r.cfg.Cluster.Limits.MaxConnections,
+		MaxConnections:    r.cfg.Cluster.Limits.MaxConnections,
 		HeartbeatInterval: r.cfg.HeartbeatInterval(),
 		Lease:             r.cfg.WorkerLease(),
 	}, relay.Mode(r.leaderMode.Load())))
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,11 +12,11 @@
 func (n *Node) Status() wire.Status {
 	view := n.elector.View()
 	status := wire.Status{
-		Node:   n.cfg.Label,
-		State:  n.elector.State().String(),
-		Leader: view.Leader,
-		Term:   view.Term,
-		Proof:  min(n.store.SinceLastExecuted(), time.Hour).Seconds(),
+		Node:               n.cfg.Label,
+		State:              n.elector.State().String(),
+		Leader:             view.Leader,
+		Term:               view.Term,
+		SinceLastExecutedS: min(n.store.SinceLastExecuted(), time.Hour).Seconds(),
 	}
 	if c := n.controller(); c != nil {
 		status.Lead = n.leaderStatus(c)
--- a/internal/node/warmstandby.go
+++ b/internal/node/warmstandby.go
@@ -213,26 +213,26 @@
 func (w *warmStandby) status() *wire.StandbyStatus {
 	followerStatus := w.follower.Status()
 	status := &wire.StandbyStatus{
-		State:    followerStatus.State.String(),
-		Cause:    followerStatus.Cause,
-		Leader:   followerStatus.Leader,
-		Term:     followerStatus.Term,
-		Sequence: followerStatus.Sequence,
-		Position: followerStatus.Position,
-		LagS:     followerStatus.Lag.Seconds(),
-		Entries:  followerStatus.Entries,
-		Bytes:    followerStatus.Bytes,
-		Moved:    followerStatus.ReceivedBytes,
-		Refused:  followerStatus.Refused,
+		State:      followerStatus.State.String(),
+		Cause:      followerStatus.Cause,
+		Leader:     followerStatus.Leader,
+		Term:       followerStatus.Term,
+		Sequence:   followerStatus.Sequence,
+		Position:   followerStatus.Position,
+		LagS:       followerStatus.Lag.Seconds(),
+		Entries:    followerStatus.Entries,
+		Bytes:      followerStatus.Bytes,
+		MovedBytes: followerStatus.ReceivedBytes,
+		Refused:    followerStatus.Refused,
 	}
 	if source := w.source.Load(); source != nil {
 		sourceStatus := source.Status()
 		status.Sequence, status.Position = sourceStatus.Sequence, sourceStatus.Position
 		status.Entries, status.Bytes = sourceStatus.Entries, sourceStatus.Bytes
-		status.Moved = sourceStatus.SentBytes
+		status.MovedBytes = sourceStatus.SentBytes
 		status.LagS = 0
 		w.mu.Lock()
-		status.Standby = w.chosen
+		status.StandbyNode = w.chosen
 		w.mu.Unlock()
 	}
 	return status
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -259,7 +259,7 @@
 	Term:   7,
 	Loaded: true,
 	Window: 200,
-	Round: wire.RoundStatus{
+	LastCycle: wire.CycleStatus{
 		AgoS:      1,
 		TookMs:    2,
 		Waiting:   3,
--- a/internal/records/placement_test.go
+++ b/internal/records/placement_test.go
@@ -49,7 +49,7 @@
 			namesUnescaped = namesUnescaped && !strings.ContainsAny(placed.Host, `"<`)
 			attemptBytes += DenseAttemptBytes(placed, tasks)
 		}
-		if limit := 2048; namesUnescaped && attemptBytes <= DenseAttemptsRoom(limit, tasks) && len(value) > limit {
+		if limit := 2048; namesUnescaped && attemptBytes <= MaxDenseAttemptsBytes(limit, tasks) && len(value) > limit {
 			t.Fatalf("%d attempts take %d bytes, want at most %d", len(placement.Live), len(value), limit)
 		}
 	})
@@ -65,7 +65,7 @@
 		t.Errorf("%d tasks in a record, want %d as before the lower limit was announced", tasks, TasksPerPlacement(current, current))
 	}
 	placement := Placement{NextAttempt: 3}
-	bytesLeft := DenseAttemptsRoom(lowest, tasks)
+	bytesLeft := MaxDenseAttemptsBytes(lowest, tasks)
 	for i := range tasks {
 		placed := PlacedAttempt{Task: 2*tasks + i, Attempt: 1, Host: fmt.Sprintf("m-%06d", i), Incarnation: 1}
 		placement.MarkDone(i)
--- a/internal/records/placementsize.go
+++ b/internal/records/placementsize.go
@@ -32,9 +32,9 @@
 		len(strconv.FormatUint(attempt.Incarnation, 10)) + len(strconv.Itoa(tasks)) + separators
 }
 
-// DenseAttemptsRoom returns how many bytes of a value are left for the attempts of a placement record of
+// MaxDenseAttemptsBytes returns how many bytes of a value are left for the attempts of a placement record of
 // a number of tasks in the dense form: valueBytes minus the size of the other fields. DoneBits has one
 // bit per task and is encoded in base64. The result may be negative.
-func DenseAttemptsRoom(valueBytes, tasks int) int {
+func MaxDenseAttemptsBytes(valueBytes, tasks int) int {
 	return valueBytes - denseFrameBytes - (tasks+7)/8*4/3
 }
--- a/internal/relay/pressure.go
+++ b/internal/relay/pressure.go
@@ -6,7 +6,7 @@
 
 // The levels of pressure. Their numeric values are sent in batches to other controllers.
 const (
-	Relaxed       Pressure = iota // enough connections are free
+	NoPressure    Pressure = iota // enough connections are free
 	UnderPressure                 // nearly all are in use: answers are sent without waiting, and their connections closed
 	Full                          // the heartbeat arrived on a reserve connection: the worker has to move
 )
--- a/internal/relay/pressure_test.go
+++ b/internal/relay/pressure_test.go
@@ -20,13 +20,13 @@
 	routeOthers := func() {
 		now = now.Add(time.Second)
 		for i := range 10 {
-			r.Route(source.next(fmt.Sprint("other-", i), "b"), "n1", Relaxed, now)
+			r.Route(source.next(fmt.Sprint("other-", i), "b"), "n1", NoPressure, now)
 		}
 	}
 	intervalsAway := func() (intervals int) {
 		for range 60 {
 			routeOthers()
-			if r.Route(source.next("m", "b"), "n2", Relaxed, now) == "n1" {
+			if r.Route(source.next("m", "b"), "n2", NoPressure, now) == "n1" {
 				return intervals
 			}
 			intervals++
@@ -34,11 +34,11 @@
 		return intervals
 	}
 	routeOthers()
-	r.Route(source.next("m", "b"), "n1", Relaxed, now)
+	r.Route(source.next("m", "b"), "n1", NoPressure, now)
 	if intervals := intervalsAway(); intervals > 2*moveIntervals {
 		t.Errorf("after one slow answer the worker returns after %d intervals, want at most %d", intervals, 2*moveIntervals)
 	}
-	r.Route(source.next("m", "b"), "n1", Relaxed, now)
+	r.Route(source.next("m", "b"), "n1", NoPressure, now)
 	if intervals := intervalsAway(); intervals < stayLeases*9 {
 		t.Errorf("after leaving twice the worker returns after %d intervals, want at least %d", intervals, stayLeases*9)
 	}
@@ -52,7 +52,7 @@
 	var source heartbeatSource
 	now := time.Unix(1000, 0)
 	for i := range 10 {
-		r.Route(source.next(fmt.Sprint("m-", i), "b"), "n1", Relaxed, now)
+		r.Route(source.next(fmt.Sprint("m-", i), "b"), "n1", NoPressure, now)
 	}
 	for second := range stayLeases*10 - 1 {
 		now = now.Add(time.Second)
@@ -60,7 +60,7 @@
 			if second < i {
 				continue // the worker has not found another controller yet
 			}
-			if to := r.Route(source.next(fmt.Sprint("m-", i), "b"), "n2", Relaxed, now); to != "" {
+			if to := r.Route(source.next(fmt.Sprint("m-", i), "b"), "n2", NoPressure, now); to != "" {
 				t.Fatalf("m-%d is sent to %s after %d s, want it to stay at n2", i, to, second)
 			}
 		}
@@ -82,7 +82,7 @@
 	}
 	for second := range 8 {
 		now = now.Add(time.Second)
-		if to := r.Route(source.next("m-0", "b"), "n2", Relaxed, now); to != "" {
+		if to := r.Route(source.next("m-0", "b"), "n2", NoPressure, now); to != "" {
 			t.Fatalf("the worker is sent to %s after %d s, want it to stay at n2", to, second)
 		}
 	}
@@ -115,7 +115,7 @@
 		r := NewRouter(RouterConfig{
 			Self:              "n0",
 			Zones:             zones,
-			Connections:       tc.connections,
+			MaxConnections:    tc.connections,
 			HeartbeatInterval: time.Second,
 			Lease:             10 * time.Second,
 		}, Relayed)
@@ -132,7 +132,7 @@
 			now, moves = now.Add(time.Second), 0
 			for i := range tc.workers {
 				heartbeat := &wire.Heartbeat{Host: fmt.Sprint("m-", i), Zone: fmt.Sprint("zone-", i%8), Incarnation: 1, Sequence: sequence}
-				if to := r.Route(heartbeat, controllerOf[i], Relaxed, now); to != "" {
+				if to := r.Route(heartbeat, controllerOf[i], NoPressure, now); to != "" {
 					controllerOf[i] = to
 					moves++
 				}
@@ -163,17 +163,17 @@
 	r.SetFleetSize(100)
 	var source heartbeatSource
 	now := time.Unix(1000, 0)
-	r.Route(source.next("m", "b"), "n1", Relaxed, now)
-	r.Route(source.next("m", "b"), "n2", Relaxed, now.Add(2*time.Second)) // the delayed copy
+	r.Route(source.next("m", "b"), "n1", NoPressure, now)
+	r.Route(source.next("m", "b"), "n2", NoPressure, now.Add(2*time.Second)) // the delayed copy
 	for second := range 20 {
 		now = now.Add(time.Second)
 		for i := range 10 {
-			r.Route(source.next(fmt.Sprint("other-", i), "c"), "n2", Relaxed, now)
+			r.Route(source.next(fmt.Sprint("other-", i), "c"), "n2", NoPressure, now)
 		}
 		if second < 5 {
 			continue // the worker has not found a controller yet
 		}
-		if to := r.Route(source.next("m", "b"), "n0", Relaxed, now); to == "n1" {
+		if to := r.Route(source.next("m", "b"), "n0", NoPressure, now); to == "n1" {
 			t.Fatalf("the worker is sent to %s, which it cannot reach, after %d s", to, second)
 		}
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -241,7 +241,7 @@
 		relay := func(to Leader, sequence uint64) (took time.Duration, err error) {
 			startedAt := time.Now()
 			heartbeat := &wire.Heartbeat{Host: "m", Incarnation: 1, Sequence: sequence}
-			_, err = s.Relay(ctx, to, heartbeat, []byte("{}"), Relaxed)
+			_, err = s.Relay(ctx, to, heartbeat, []byte("{}"), NoPressure)
 			return time.Since(startedAt), err
 		}
 		if took, err := relay(Leader{"n0", 2}, 1); !errors.Is(err, ErrNoAnswer) || took != s.AnswerTimeout {
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -31,7 +31,7 @@
 type RouterConfig struct {
 	Self              string            // label of this node
 	Zones             map[string]string // zone by label, this node's included
-	Connections       int               // maximum number for each node
+	MaxConnections    int               // maximum number for each node
 	HeartbeatInterval time.Duration     // between heartbeats of a worker
 	Lease             time.Duration     // duration of a worker lease
 }
@@ -102,7 +102,7 @@
 func (r *Router) SetFleetSize(workers int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	switch connections := float64(r.Connections); {
+	switch connections := float64(r.MaxConnections); {
 	case float64(workers) > connections*relayAboveShare:
 		r.setMode(Relayed, workers)
 	case float64(workers) < connections*directBelowShare:
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -17,7 +17,7 @@
 	r := NewRouter(RouterConfig{
 		Self:              "n0",
 		Zones:             map[string]string{"n0": "a", "n1": "b", "n2": "c"},
-		Connections:       testConnections,
+		MaxConnections:    testConnections,
 		HeartbeatInterval: time.Second,
 		Lease:             10 * time.Second,
 	}, mode)
@@ -42,7 +42,7 @@
 	for range seconds {
 		*now = now.Add(time.Second)
 		for host := range controllerOf {
-			if to := r.Route(source.next(host, zoneOf(host)), controllerOf[host], Relaxed, *now); to != "" {
+			if to := r.Route(source.next(host, zoneOf(host)), controllerOf[host], NoPressure, *now); to != "" {
 				controllerOf[host] = to
 				moves++
 			}
@@ -62,7 +62,7 @@
 			t.Errorf("with %d workers the mode is %s, want %s", step.workers, r.Mode(), step.want)
 		}
 	}
-	if to := r.Route(&wire.Heartbeat{Host: "m", Zone: "b", Incarnation: 1, Sequence: 1}, "n0", Relaxed, time.Now()); to != "" {
+	if to := r.Route(&wire.Heartbeat{Host: "m", Zone: "b", Incarnation: 1, Sequence: 1}, "n0", NoPressure, time.Now()); to != "" {
 		t.Errorf("a worker of a small fleet is sent to %s, want it to stay at the leader", to)
 	}
 }
@@ -180,17 +180,17 @@
 	var source heartbeatSource
 	r.SetFleetSize(300)
 	now := time.Unix(1000, 0)
-	if to := r.Route(source.next("m", "b"), "n2", Relaxed, now); to != "n1" {
+	if to := r.Route(source.next("m", "b"), "n2", NoPressure, now); to != "n1" {
 		t.Fatalf("the worker is sent to %q, want n1", to)
 	}
 	for second := range 30 {
 		now = now.Add(time.Second)
-		if to := r.Route(source.next("m", "b"), "n2", Relaxed, now); to != "" {
+		if to := r.Route(source.next("m", "b"), "n2", NoPressure, now); to != "" {
 			t.Fatalf("the worker is sent to %s after %d s, want it to stay at n2", to, second)
 		}
 	}
 	now = now.Add(time.Second)
-	if to := r.Route(source.next("m", "b"), "n2", Relaxed, now); to != "n1" {
+	if to := r.Route(source.next("m", "b"), "n2", NoPressure, now); to != "n1" {
 		t.Errorf("after three leases the worker is sent to %q, want n1", to)
 	}
 }
@@ -206,7 +206,7 @@
 	now := time.Unix(1000, 0)
 	moved := 0
 	for i := range 40 {
-		if r.Route(source.next(fmt.Sprintf("m-%d", i), "b"), "n2", Relaxed, now) != "" {
+		if r.Route(source.next(fmt.Sprintf("m-%d", i), "b"), "n2", NoPressure, now) != "" {
 			moved++
 		}
 	}
@@ -224,11 +224,11 @@
 	var source heartbeatSource
 	old := source.next("m", "b")
 	for _, heartbeat := range []*wire.Heartbeat{old, source.next("m", "b")} {
-		if to := r.Route(heartbeat, "n1", Relaxed, now); to != "" {
+		if to := r.Route(heartbeat, "n1", NoPressure, now); to != "" {
 			t.Fatalf("a worker at the controller in its zone is sent to %s, want it to stay", to)
 		}
 	}
-	if to := r.Route(old, "n2", Relaxed, now.Add(time.Second)); to != "" {
+	if to := r.Route(old, "n2", NoPressure, now.Add(time.Second)); to != "" {
 		t.Errorf("after a delayed copy the worker is sent to %s, want it to stay", to)
 	}
 	if load := r.Load(); load["n1"] != 1 || load["n2"] != 0 {
--- a/internal/simcluster/failover_test.go
+++ b/internal/simcluster/failover_test.go
@@ -285,7 +285,7 @@
 	if status.WarmStandby == nil {
 		sc.t.Fatal("the leader keeps no standby")
 	}
-	return leader, slices.Index(nodeNames, status.WarmStandby.Standby)
+	return leader, slices.Index(nodeNames, status.WarmStandby.StandbyNode)
 }
 
 // waitForNewLeader waits for a leader of a newer term and returns its number.
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -11,12 +11,12 @@
 
 // Status is the response to GET /admin/status.
 type Status struct {
-	Node   string      `json:"Node"`
-	State  string      `json:"State"` // state of the leader election at this node
-	Leader string      `json:"Leader"`
-	Term   uint64      `json:"Term"`
-	Proof  float64     `json:"Proof"`          // seconds since the node began its newest request that the state store executed
-	Lead   *LeadStatus `json:"Lead,omitempty"` // nil if the leader is unreachable
+	Node               string      `json:"Node"`
+	State              string      `json:"State"` // state of the leader election at this node
+	Leader             string      `json:"Leader"`
+	Term               uint64      `json:"Term"`
+	SinceLastExecutedS float64     `json:"Proof"`          // seconds since the node began its newest request that the state store executed
+	Lead               *LeadStatus `json:"Lead,omitempty"` // nil if the leader is unreachable
 	// WarmStandby says how this node replicates the leader's state or, at the leader, offers its own.
 	// It is nil unless warm standbys are enabled.
 	WarmStandby *StandbyStatus `json:"WarmStandby,omitempty"`
@@ -25,28 +25,28 @@
 // StandbyStatus says how a node replicates the leader's state as its warm standby or, at the leader,
 // offers its own state for replication.
 type StandbyStatus struct {
-	State    string            `json:"State"`             // state of this node's replica
-	Cause    string            `json:"Cause"`             // cause of the last change of State
-	Leader   string            `json:"Leader,omitempty"`  // leader that the replica is copied from
-	Term     uint64            `json:"Term,omitempty"`    // term of that leader
-	Sequence uint64            `json:"Sequence"`          // number of the replica's last change; at the leader, of the last one offered
-	Position uint64            `json:"Position"`          // revision of the state store up to which the replica has all records
-	LagS     float64           `json:"LagS"`              // age of the replica; 0 at the leader
-	Entries  int               `json:"Entries"`           // number of records and views in the replica
-	Bytes    int               `json:"Bytes"`             // size of these entries
-	Moved    uint64            `json:"Moved"`             // bytes that this node has received; at the leader, bytes sent
-	Refused  map[string]uint64 `json:"Refused,omitempty"` // rejected parts, by cause
-	Standby  string            `json:"Standby,omitempty"` // at the leader: the node chosen as its warm standby
+	State       string            `json:"State"`             // state of this node's replica
+	Cause       string            `json:"Cause"`             // cause of the last change of State
+	Leader      string            `json:"Leader,omitempty"`  // leader that the replica is copied from
+	Term        uint64            `json:"Term,omitempty"`    // term of that leader
+	Sequence    uint64            `json:"Sequence"`          // number of the replica's last change; at the leader, of the last one offered
+	Position    uint64            `json:"Position"`          // revision of the state store up to which the replica has all records
+	LagS        float64           `json:"LagS"`              // age of the replica; 0 at the leader
+	Entries     int               `json:"Entries"`           // number of records and views in the replica
+	Bytes       int               `json:"Bytes"`             // size of these entries
+	MovedBytes  uint64            `json:"Moved"`             // bytes that this node has received; at the leader, bytes sent
+	Refused     map[string]uint64 `json:"Refused,omitempty"` // rejected parts, by cause
+	StandbyNode string            `json:"Standby,omitempty"` // at the leader: the node chosen as its warm standby
 }
 
 // LeadStatus is the part of the status that only the leader knows.
 type LeadStatus struct {
-	Term     uint64                 `json:"Term"`
-	Loaded   bool                   `json:"Loaded"`   // the leader has loaded all records and may schedule
-	Window   int                    `json:"Window"`   // maximum number of jobs that the next cycle considers
-	Round    RoundStatus            `json:"Round"`    // of the last cycle
-	Machines map[string]int         `json:"Machines"` // number of machines by state
-	Classes  map[string]ClassStatus `json:"Classes"`  // by job class
+	Term      uint64                 `json:"Term"`
+	Loaded    bool                   `json:"Loaded"`   // the leader has loaded all records and may schedule
+	Window    int                    `json:"Window"`   // maximum number of jobs that the next cycle considers
+	LastCycle CycleStatus            `json:"Round"`    // of the last cycle
+	Machines  map[string]int         `json:"Machines"` // number of machines by state
+	Classes   map[string]ClassStatus `json:"Classes"`  // by job class
 	// HeartbeatRouting is "direct" if workers send heartbeats to the leader, or "relayed" if followers
 	// relay them. It is empty unless relaying is enabled.
 	HeartbeatRouting string         `json:"CheckIns,omitempty"`
@@ -58,8 +58,8 @@
 	QuarantinedMachines int `json:"Blamed"`
 }
 
-// RoundStatus describes the last scheduling cycle.
-type RoundStatus struct {
+// CycleStatus describes the last scheduling cycle.
+type CycleStatus struct {
 	AgoS      float64 `json:"AgoS"`               // seconds since the cycle began
 	TookMs    float64 `json:"TookMs"`             // duration of the cycle
 	Waiting   int     `json:"Waiting"`            // jobs with tasks that were not placed when the cycle began
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -257,7 +257,7 @@
 //	State        State
 //	Leader       Leader
 //	Term         Term
-//	Proof        Proof
+//	Proof        SinceLastExecutedS
 //	Lead         Lead
 //	WarmStandby  WarmStandby
 //
@@ -272,16 +272,16 @@
 //	LagS         LagS
 //	Entries      Entries
 //	Bytes        Bytes
-//	Moved        Moved
+//	Moved        MovedBytes
 //	Refused      Refused
-//	Standby      Standby
+//	Standby      StandbyNode
 //
 // LeadStatus: Lead of Status
 //
 //	Term         Term
 //	Loaded       Loaded
 //	Window       Window
-//	Round        Round
+//	Round        LastCycle
 //	Machines     Machines
 //	Classes      Classes
 //	CheckIns     HeartbeatRouting
@@ -289,7 +289,7 @@
 //	Suspects     SuspectJobs
 //	Blamed       QuarantinedMachines
 //
-// RoundStatus: Round of LeadStatus
+// CycleStatus: Round of LeadStatus
 //
 //	AgoS         AgoS
 //	TookMs       TookMs
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -126,7 +126,7 @@
 		Term:   3,
 		Loaded: true,
 		Window: 200,
-		Round: RoundStatus{
+		LastCycle: CycleStatus{
 			AgoS:      1,
 			TookMs:    2,
 			Waiting:   3,
@@ -142,7 +142,7 @@
 	}
 	return map[string]any{
 		"settings": Settings{ModRevision: 1, IntervalS: 0.5, Window: 200, Headroom: 2, Profiling: true},
-		"status":   Status{Node: "stile-1", State: "following", Leader: "stile-0", Term: 12, Proof: 0.2, Lead: &leader},
+		"status":   Status{Node: "stile-1", State: "following", Leader: "stile-0", Term: 12, SinceLastExecutedS: 0.2, Lead: &leader},
 	}
 }
 
