--- a/internal/simcluster/fakestore/handlers.go
+++ b/internal/simcluster/fakestore/handlers.go
@@ -15,7 +15,7 @@
 const (
 	// maxListed is the largest number of items in a page of a listing.
 	maxListed = 1000
-	// minLeaseTTLMs is the shortest lease that is given, in milliseconds.
+	// minLeaseTTLMs is the shortest time to live, in milliseconds, for which a lease is granted.
 	minLeaseTTLMs = 100
 	// leaseCheckInterval is how often an open watch checks for leases that have expired.
 	leaseCheckInterval = 100 * time.Millisecond
@@ -29,9 +29,9 @@
 // ServeHTTP serves the protocol of the state store.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	limited := s.limits.isOverRequestRate()
+	overRate := s.limits.isOverRequestRate()
 	s.mu.Unlock()
-	if limited {
+	if overRate {
 		replyError(w, http.StatusTooManyRequests, "too many requests")
 		return
 	}
@@ -77,16 +77,16 @@
 
 // serveList answers a page of a listing. s.mu is held.
 func (s *Store) serveList(w http.ResponseWriter, query url.Values) {
-	most, _ := strconv.Atoi(query.Get("Most"))
-	if most <= 0 || most > maxListed {
-		most = maxListed
+	pageSize, _ := strconv.Atoi(query.Get("Most"))
+	if pageSize <= 0 || pageSize > maxListed {
+		pageSize = maxListed
 	}
 	keys := s.keysAfter(query.Get("Under"), query.Get("After"))
-	out := wire.KeyValueList{Revision: s.revision, More: len(keys) > most, KeyValues: []wire.KeyValue{}}
-	for _, key := range keys[:min(most, len(keys))] {
-		out.KeyValues = append(out.KeyValues, s.items[key])
+	response := wire.KeyValueList{Revision: s.revision, More: len(keys) > pageSize, KeyValues: []wire.KeyValue{}}
+	for _, key := range keys[:min(pageSize, len(keys))] {
+		response.KeyValues = append(response.KeyValues, s.items[key])
 	}
-	jsonhttp.Reply(w, http.StatusOK, out)
+	jsonhttp.Reply(w, http.StatusOK, response)
 }
 
 // serveGrant grants a new lease. s.mu is held.
@@ -151,8 +151,8 @@
 	jsonhttp.Reply(w, http.StatusOK, wire.TransactionResponse{Revision: s.revision})
 }
 
-// serveWatch waits until a key under a prefix changes after a revision, or until the request's HoldMs is
-// over. In an outage it stays open until then, and answers 503.
+// serveWatch waits until a key under a prefix has changed after a revision, or until the request's HoldMs has
+// elapsed. In an outage the watch stays open until then, and is answered with 503.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("After"), 10, 64)
@@ -162,16 +162,16 @@
 	for {
 		s.mu.Lock()
 		s.expireLeases()
-		out := wire.WatchResponse{Revision: s.revision, Events: s.eventsAfter(query.Get("Under"), after)}
+		response := wire.WatchResponse{Revision: s.revision, Events: s.eventsAfter(query.Get("Under"), after)}
 		down := s.down
 		changed := make(chan struct{})
 		s.waiters[changed] = true
-		// A lease may expire while no request comes that would notice: check again soon.
+		// Leases expire only when a request checks them, and no other request may come: check again soon.
 		leaseCheck := time.NewTimer(leaseCheckInterval)
 		s.mu.Unlock()
-		if len(out.Events) > 0 && !down {
+		if len(response.Events) > 0 && !down {
 			leaseCheck.Stop()
-			jsonhttp.Reply(w, http.StatusOK, out)
+			jsonhttp.Reply(w, http.StatusOK, response)
 			return
 		}
 		select {
--- a/internal/simcluster/fakestore/limits.go
+++ b/internal/simcluster/fakestore/limits.go
@@ -9,15 +9,15 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// comparesPerChange is how many compares a transaction may have for each change that it may.
+// comparesPerChange is how many compares a transaction may have for each change that its limit allows.
 const comparesPerChange = 4
 
 // Limits are the limits of the state store on requests. A field that is 0 sets no limit.
 type Limits struct {
 	ValueBytes int
 	TxnOps     int
-	WriteRps   float64 // changes a second
-	Rps        float64 // requests a second
+	WriteRps   float64 // changes per second
+	Rps        float64 // requests per second
 }
 
 // limiter enforces the limits in force and records rejections. The store's lock guards it.
@@ -25,7 +25,7 @@
 	Limits
 	writes   *rate.Limiter
 	requests *rate.Limiter
-	rejected []string // keys of transactions that were over the limits of size
+	rejected []string // keys of transactions that were over a size limit
 }
 
 // SetLimits sets the limits at once, without announcing them.
@@ -44,7 +44,8 @@
 	return slices.Clone(s.limits.rejected)
 }
 
-// newRateLimiter returns a limiter that allows bursts of one second's worth, nil without a limit.
+// newRateLimiter returns a limiter that allows bursts of as much as one second allows, or nil if there is no
+// limit.
 func newRateLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -60,13 +61,13 @@
 	return l.writes != nil && len(tx.Changes) > 0 && !l.writes.AllowN(time.Now(), len(tx.Changes))
 }
 
-// rejectOversized reports whether a transaction is over a limit of size, and records its keys if it is.
+// rejectOversized reports whether a transaction is over a size limit, and records its keys if it is.
 func (l *limiter) rejectOversized(tx wire.Transaction) bool {
-	over := l.TxnOps > 0 && (len(tx.Changes) > l.TxnOps || len(tx.Compares) > comparesPerChange*l.TxnOps)
+	oversized := l.TxnOps > 0 && (len(tx.Changes) > l.TxnOps || len(tx.Compares) > comparesPerChange*l.TxnOps)
 	for _, change := range tx.Changes {
-		over = over || l.ValueBytes > 0 && len(change.Value) > l.ValueBytes
+		oversized = oversized || l.ValueBytes > 0 && len(change.Value) > l.ValueBytes
 	}
-	if !over {
+	if !oversized {
 		return false
 	}
 	for _, change := range tx.Changes {
--- a/internal/simcluster/fakestore/store.go
+++ b/internal/simcluster/fakestore/store.go
@@ -1,6 +1,6 @@
 // Package fakestore is a fake of the state store, written from its published protocol: a consistent
 // key-value store with transactions, leases and watches. It can simulate outages, and limits on the size
-// and the rate of requests. Its methods for checks read it whatever fault is simulated.
+// and the rate of requests. Get, Items and Keys read it for checks, unaffected by these faults.
 package fakestore
 
 import (
@@ -12,10 +12,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Store is the state store. It is an http.Handler and safe for concurrent use.
+// Store is a fake state store. It is an http.Handler and safe for concurrent use.
 type Store struct {
 	// OnCommit, if set, is called for every transaction just before it is applied. The store is locked
-	// meanwhile, so it must not call the store. Set it before the store serves requests.
+	// meanwhile, so OnCommit must not call the store. Set it before the store serves requests.
 	OnCommit func(tx wire.Transaction)
 
 	mu          sync.Mutex
@@ -29,7 +29,7 @@
 	limits      limiter
 }
 
-// lease is a lease that expires at ends unless it is renewed.
+// lease is a lease that expires at expiresAt unless it is renewed before.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
@@ -52,7 +52,7 @@
 	}
 }
 
-// Get reads a key whatever fault is simulated, for checks.
+// Get reads a key, unaffected by simulated faults.
 func (s *Store) Get(key string) (wire.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,8 +60,7 @@
 	return item, ok
 }
 
-// Items lists all items under a prefix at one revision whatever fault is simulated, for checks. They come
-// in no order.
+// Items lists all items under a prefix at one revision, in no order, unaffected by simulated faults.
 func (s *Store) Items(prefix string) []wire.KeyValue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +73,7 @@
 	return items
 }
 
-// Keys lists all keys under a prefix in order whatever fault is simulated, for checks.
+// Keys lists all keys under a prefix in order, unaffected by simulated faults.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simcluster/faultnet/faults.go
+++ b/internal/simcluster/faultnet/faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// setLink begins or ends a fault of a link.
+// setLink begins or ends a fault of the link from one party to another.
 func setLink(links map[link]bool, from, to string, on bool) {
 	if on {
 		links[link{from, to}] = true
@@ -11,9 +11,9 @@
 	}
 }
 
-// Partition cuts two parties off from each other in both directions, or joins them again. Requests
-// between them hang until they time out. The connections to other controllers close at both parties, also
-// those to third ones.
+// Partition begins or ends a partition between two parties, in both directions. Requests between them hang
+// until they time out. When it begins, both parties lose all their connections between controllers, also
+// those to third parties.
 func (n *Network) Partition(a, b string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,7 +62,7 @@
 }
 
 // DelayCommits makes a share of the commits, from 0 to 1, get no response. They are carried out 2 to 12 s
-// later, which is after newer ones, or at once if atOnce is set.
+// later, which may be after newer commits, or at once if atOnce is set.
 func (n *Network) DelayCommits(share float64, atOnce bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simcluster/faultnet/network.go
+++ b/internal/simcluster/faultnet/network.go
@@ -19,26 +19,26 @@
 	rng         *rand.Rand
 	handlers    map[string]http.Handler
 	peerServers map[string]*rpc.Server
-	conns       map[string][]net.Conn // by party: its ends of the connections between controllers
+	conns       map[string][]net.Conn // by controller: its ends of the connections to other controllers
 	faults      faults
 	paused      map[string]chan struct{} // by party; closed when it is resumed
 	observer    func(from, to, path string, carriedOut bool)
 }
 
-// faults is what goes wrong on the network now. Heal ends all but lateDelivery.
+// faults holds the faults that are simulated now. Heal ends all but lateDelivery.
 type faults struct {
 	partitioned     map[link]bool // requests hang
 	dropResponses   map[link]bool
 	refused         map[link]bool // answered 503
 	dropRequests    map[link]bool
 	lateDelivery    float64       // share of the requests caught in a partition that are delivered later
-	extraLatency    time.Duration // at most, each way
+	extraLatency    time.Duration // the maximum, each way
 	delayedCommits  float64       // share of commits that get no response
-	commitsAtOnce   bool          // delayed commits are carried out at once, else after newer ones
+	commitsAtOnce   bool          // delayed commits are carried out at once, not 2 to 12 s later
 	delayedCommands float64       // share of direct commands that are delivered late
 }
 
-// link is the way from one party to another.
+// link is the direction from one party to another.
 type link struct{ from, to string }
 
 // defaultLateDelivery is the share of the requests caught in a partition that are delivered later.
@@ -69,8 +69,8 @@
 	return n.rng.IntN(limit)
 }
 
-// Attach makes a party reachable under a name: requests go to handler, connections between controllers to
-// peerServer. A nil handler removes the party from the network and closes its connections.
+// Attach makes a party reachable under a name: handler serves requests to it, and peerServer serves connections
+// from other controllers. A nil handler removes the party from the network and closes its connections.
 func (n *Network) Attach(name string, handler http.Handler, peerServer *rpc.Server) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,7 +87,7 @@
 	return n.handlers[name]
 }
 
-// closeConns closes the connections of a party. n.mu is held.
+// closeConns closes a party's connections to other controllers. n.mu is held.
 func (n *Network) closeConns(name string) {
 	for _, conn := range n.conns[name] {
 		_ = conn.Close() // the end of a pipe: closing it cannot fail
--- a/internal/simcluster/faultnet/pause.go
+++ b/internal/simcluster/faultnet/pause.go
@@ -2,12 +2,12 @@
 
 import "strings"
 
-// PauseProcess pauses a party's process, or resumes it. To others it is a process that gets no processor
-// time while the clock runs on. Its requests in flight are carried out, and it receives the responses, or
-// time-outs, when it is resumed. What it was about to send is sent then, and requests to it are carried
-// out then, though their senders have given up. Unlike those of a process that is really paused, its
-// timers run on: what it decides meanwhile, without those responses, is sent as well, which is the harder
-// test.
+// PauseProcess pauses a party's process, or resumes it. To the other parties, a paused process seems to get
+// no CPU time. Its requests in flight are carried out, and it receives the responses, or timeouts, when it is
+// resumed. What it was about to send is sent at that moment, and requests to it are carried out at that
+// moment, although their senders may have given up. Unlike the timers of a process that is really paused,
+// its timers continue: what it decides meanwhile, without those responses, is sent as well, which makes the
+// test harder.
 func (n *Network) PauseProcess(name string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -25,8 +25,8 @@
 	}
 }
 
-// waitWhilePaused waits while a party's process is paused. All addresses of a party belong to
-// one process: the one named by the part before the port.
+// waitWhilePaused waits while the process that owns an address is paused. The part of the address before the
+// port names the process.
 func (n *Network) waitWhilePaused(address string) {
 	name, _, _ := strings.Cut(address, ":")
 	n.mu.Lock()
@@ -37,9 +37,9 @@
 	}
 }
 
-// ObserveRequests calls observer for every request that reaches a party: just before it is carried out,
-// and just after, before its response is sent. Tests use it to pause a process at a given step of the
-// protocol. A nil observer ends it.
+// ObserveRequests makes the network call observer for every request that reaches a party: just before the
+// request is carried out, and just after that, before the response is sent. Tests use it to pause a process at
+// a given step of the protocol. A nil observer ends it.
 func (n *Network) ObserveRequests(observer func(from, to, path string, carriedOut bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simcluster/faultnet/peerconn.go
+++ b/internal/simcluster/faultnet/peerconn.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// relayQueue is how many chunks of a connection may wait for a paused party before its peer's writes
-	// block.
-	relayQueue = 1 << 12
-	// relayBuffer is the largest size of a chunk in bytes.
-	relayBuffer = 1 << 12
+	// forwardQueueSize is how many chunks of a connection may wait for a paused party before writes to the
+	// connection block.
+	forwardQueueSize = 1 << 12
+	// forwardBufferSize is the largest size of a chunk in bytes.
+	forwardBufferSize = 1 << 12
 )
 
 // DialPeer returns the function with which a party dials the peer servers of other controllers.
@@ -22,21 +22,21 @@
 		if server == nil || n.faults.partitioned[link{from, address}] {
 			return nil, errNoResponse
 		}
-		dialed, dialedRelay := net.Pipe()
-		servedRelay, served := net.Pipe()
+		dialed, dialedInner := net.Pipe()
+		servedInner, served := net.Pipe()
 		n.conns[from] = append(n.conns[from], dialed)
 		n.conns[address] = append(n.conns[address], served)
-		go n.relay(dialedRelay, servedRelay, from, address)
-		go n.relay(servedRelay, dialedRelay, address, from)
+		go n.forward(dialedInner, servedInner, from, address)
+		go n.forward(servedInner, dialedInner, address, from)
 		go server.ServeConn(served)
 		return dialed, nil
 	}
 }
 
-// relay carries data from src to dst while neither party is paused. Writes to src do not wait for that,
-// up to relayQueue chunks.
-func (n *Network) relay(src, dst net.Conn, from, to string) {
-	sent := make(chan []byte, relayQueue)
+// forward copies data from src to dst while neither party is paused. While one is paused, it queues up to
+// forwardQueueSize chunks, so that writes to src do not block.
+func (n *Network) forward(src, dst net.Conn, from, to string) {
+	sent := make(chan []byte, forwardQueueSize)
 	go func() {
 		for data := range sent {
 			n.waitWhilePaused(from)
@@ -46,12 +46,12 @@
 			}
 		}
 		_ = dst.Close()  // the end of a pipe: closing it cannot fail
-		for range sent { // nobody reads any more
+		for range sent { // drain the queue, so that the loop below does not block on it
 		}
 	}()
 	defer close(sent)
 	for {
-		data := make([]byte, relayBuffer)
+		data := make([]byte, forwardBufferSize)
 		count, err := src.Read(data)
 		if err != nil {
 			return
--- a/internal/simcluster/faultnet/transport.go
+++ b/internal/simcluster/faultnet/transport.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// maxLateness bounds how long after they were sent requests caught in a partition are delivered.
+	// maxLateness is the longest time after which a request caught in a partition is delivered.
 	maxLateness = 40 * time.Second
-	// Delayed commits and commands are carried out minDelay later, and up to maxExtraOfCommit or
-	// maxExtraOfCommand after that.
+	// Delayed commits and direct commands are carried out after minDelay and a random extra delay of up to
+	// maxExtraCommitDelay or maxExtraCommandDelay.
 	minDelay             = 2 * time.Second
 	maxExtraCommitDelay  = 10 * time.Second
 	maxExtraCommandDelay = 14 * time.Second
 	// minLatency and maxLatency bound the latency of a request or a response without extra latency.
 	minLatency = 500 * time.Microsecond
 	maxLatency = 3000 * time.Microsecond
-	// lateDeliveryTimeout bounds the time that its receiver has for a request that is delivered late.
+	// lateDeliveryTimeout bounds the handling of a request that is delivered late.
 	lateDeliveryTimeout = time.Second
-	// refusedWatchPoll is how often an open watch checks whether its node is still refused.
+	// refusedWatchPoll is how often an open watch checks whether requests of its node are still refused.
 	refusedWatchPoll = 50 * time.Millisecond
 )
 
 var errNoResponse = errors.New("no response")
 
-// Transport returns a round tripper that sends requests over the network as the given party.
+// Transport returns a RoundTripper that sends requests over the network as the given party.
 func (n *Network) Transport(from string) http.RoundTripper { return transport{n, from} }
 
 type transport struct {
@@ -53,10 +53,10 @@
 	return e.run()
 }
 
-// requestFaults is what happens to one request: the faults of its link when it is sent, and what is drawn
-// for it.
+// requestFaults is what happens to one request: the faults of its link when it is sent, and the random faults
+// that are drawn for it.
 type requestFaults struct {
-	reachable      bool // something answers under the name
+	reachable      bool // a handler is attached under the receiver's name
 	partitioned    bool
 	dropRequest    bool
 	dropResponse   bool
@@ -69,8 +69,8 @@
 	latency        time.Duration // each way
 }
 
-// drawRequestFaults draws the fate of a request. A seed gives the same faults only as long as the order of the draws
-// stays.
+// drawRequestFaults draws the faults of a request. A seed gives the same faults only as long as the order of
+// the draws stays.
 func (n *Network) drawRequestFaults(l link, path string) requestFaults {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -93,13 +93,13 @@
 	return f
 }
 
-// scaledLateness scales the drawn lateness to another maximum.
-func (f requestFaults) scaledLateness(most time.Duration) time.Duration {
-	return f.lateness * (most / time.Second) / (maxLateness / time.Second)
+// scaledLateness returns the drawn lateness, scaled from maxLateness to another maximum.
+func (f requestFaults) scaledLateness(limit time.Duration) time.Duration {
+	return f.lateness * (limit / time.Second) / (maxLateness / time.Second)
 }
 
-// loss says whether the sender gets no response because of a fault before the request arrives, and
-// whether, and how much later, the request is carried out nevertheless.
+// loss reports whether a fault before the arrival of the request keeps the response from its sender (lost),
+// and whether the request is carried out nevertheless (delivered) and how much later (after).
 func (f requestFaults) loss() (lost, delivered bool, after time.Duration) {
 	switch {
 	case f.commitDelayed && !f.partitioned && !f.refused && f.reachable:
@@ -189,8 +189,9 @@
 	}
 }
 
-// deliver carries the request out once its receiver is not paused, and sends the response when the
-// receiver is not paused again. There is none if the receiver has ended meanwhile.
+// deliver waits until the receiver is not paused and carries the request out, then waits again until the
+// receiver is not paused and sends the response. It sends none if the receiver has left the network by the
+// time that the request is to be carried out.
 func (e *exchange) deliver(responses chan<- *httptest.ResponseRecorder) {
 	n := e.network
 	n.waitWhilePaused(e.link.to)
@@ -206,7 +207,7 @@
 	responses <- rec
 }
 
-// finishTimedOut ends the exchange when its sender has given up. A paused sender sees its time-out only when it
+// finishTimedOut ends the exchange when its sender has given up. A paused sender sees its timeout only when it
 // is resumed. If the response has come meanwhile, either may be seen first.
 func (e *exchange) finishTimedOut(responses <-chan *httptest.ResponseRecorder) (*http.Response, error) {
 	e.network.waitWhilePaused(e.link.from)
@@ -223,14 +224,16 @@
 // returnResponse carries a response back to the sender.
 func (e *exchange) returnResponse(rec *httptest.ResponseRecorder) (*http.Response, error) {
 	e.network.waitWhilePaused(e.link.from)
-	// The open watches of a node that is refused stay open without events, as in an outage.
+	// While the store refuses the requests of a node, the node's open watches stay open without events, as in
+	// an outage.
 	for e.req.URL.Path == "/changes" && e.network.isRefused(e.link) {
 		if !e.wait(refusedWatchPoll) {
 			return nil, e.req.Context().Err()
 		}
 	}
 	receiverEnded, partitioned := e.network.linkState(e.link)
-	// A response that meets a partition does not arrive, and the sender sees no closed connection either.
+	// A response that meets a partition does not arrive. The sender sees no closed connection either: it waits
+	// until its timeout.
 	if e.faults.dropResponse || partitioned {
 		return e.waitForTimeout()
 	}
@@ -240,7 +243,7 @@
 	return rec.Result(), nil
 }
 
-// linkState reports whether the receiver of a link has ended, and whether the link is partitioned.
+// linkState reports whether the receiver of a link has left the network, and whether the link is partitioned.
 func (n *Network) linkState(l link) (receiverEnded, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
