--- a/internal/simcluster/faultnet/transport.go
+++ b/internal/simcluster/faultnet/transport.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// maxLateness bounds how long after they were sent requests caught in a partition are delivered.
+	// maxLateness is the longest time after which a request caught in a partition is delivered.
 	maxLateness = 40 * time.Second
-	// Delayed commits and commands are carried out minDelayOfDelayed later, and up to maxExtraOfCommit or
-	// maxExtraOfCommand after that.
-	minDelayOfDelayed = 2 * time.Second
-	maxExtraOfCommit  = 10 * time.Second
-	maxExtraOfCommand = 14 * time.Second
+	// Delayed commits and direct commands are carried out after minDelay and a random extra delay of up to
+	// maxExtraCommitDelay or maxExtraCommandDelay.
+	minDelay             = 2 * time.Second
+	maxExtraCommitDelay  = 10 * time.Second
+	maxExtraCommandDelay = 14 * time.Second
 	// minLatency and maxLatency bound the latency of a request or a response without extra latency.
 	minLatency = 500 * time.Microsecond
 	maxLatency = 3000 * time.Microsecond
-	// lateDeliveryTimeout bounds the time that its receiver has for a request that is delivered late.
+	// lateDeliveryTimeout bounds the handling of a request that is delivered late.
 	lateDeliveryTimeout = time.Second
-	// refusedWatchPoll is how often an open watch checks whether its node is still refused.
+	// refusedWatchPoll is how often an open watch checks whether requests of its node are still refused.
 	refusedWatchPoll = 50 * time.Millisecond
 )
 
 var errNoResponse = errors.New("no response")
 
-// Transport returns a round tripper that sends requests over the network as the given party.
+// Transport returns a RoundTripper that sends requests over the network as the given party.
 func (n *Network) Transport(from string) http.RoundTripper { return transport{n, from} }
 
 type transport struct {
@@ -49,41 +49,41 @@
 	}
 	t.network.waitWhilePaused(t.from)
 	e := &exchange{network: t.network, link: link{t.from, req.URL.Host}, req: req, body: body}
-	e.fate = t.network.drawFate(e.link, req.URL.Path)
+	e.faults = t.network.drawRequestFaults(e.link, req.URL.Path)
 	return e.run()
 }
 
-// fate is what happens to one request: the faults of its link when it is sent, and what is drawn
-// for it.
-type fate struct {
-	reachable     bool // something answers under the name
-	partitioned   bool
-	dropRequest   bool
-	dropResponse  bool
-	refused       bool
-	commitDelayed bool
-	commitAtOnce  bool // a delayed commit is carried out at once
-	commandHeldUp bool
-	deliverLate   bool          // deliver it later if it is caught in a partition
-	lateness      time.Duration // up to maxLateness
-	latency       time.Duration // each way
-}
-
-// drawFate draws the fate of a request. A seed gives the same faults only as long as the order of the draws
-// stays.
-func (n *Network) drawFate(l link, path string) fate {
+// requestFaults is what happens to one request: the faults of its link when it is sent, and the random faults
+// that are drawn for it.
+type requestFaults struct {
+	reachable      bool // a handler is attached under the receiver's name
+	partitioned    bool
+	dropRequest    bool
+	dropResponse   bool
+	refused        bool
+	commitDelayed  bool
+	commitAtOnce   bool // a delayed commit is carried out at once
+	commandDelayed bool
+	deliverLate    bool          // deliver it later if it is caught in a partition
+	lateness       time.Duration // up to maxLateness
+	latency        time.Duration // each way
+}
+
+// drawRequestFaults draws the faults of a request. A seed gives the same faults only as long as the order of
+// the draws stays.
+func (n *Network) drawRequestFaults(l link, path string) requestFaults {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	f := fate{
+	f := requestFaults{
 		reachable:    n.handlers[l.to] != nil,
 		partitioned:  n.faults.partitioned[l],
 		dropRequest:  n.faults.dropRequests[l],
 		dropResponse: n.faults.dropResponses[l],
-		refused:      n.faults.refuse[l],
+		refused:      n.faults.refused[l],
 		commitAtOnce: n.faults.commitsAtOnce,
 	}
 	f.commitDelayed = n.faults.delayedCommits > 0 && strings.HasSuffix(path, "/commit") && n.rng.Float64() < n.faults.delayedCommits
-	f.commandHeldUp = n.faults.delayedCommands > 0 && path == "/do" && n.rng.Float64() < n.faults.delayedCommands
+	f.commandDelayed = n.faults.delayedCommands > 0 && path == "/do" && n.rng.Float64() < n.faults.delayedCommands
 	f.deliverLate = n.rng.Float64() < n.faults.lateDelivery
 	f.lateness = time.Duration(n.rng.Int64N(int64(maxLateness)))
 	f.latency = minLatency + time.Duration(n.rng.IntN(int((maxLatency-minLatency)/time.Microsecond)))*time.Microsecond
@@ -93,22 +93,22 @@
 	return f
 }
 
-// latenessUpTo scales the drawn lateness to another maximum.
-func (f fate) latenessUpTo(most time.Duration) time.Duration {
-	return f.lateness * (most / time.Second) / (maxLateness / time.Second)
+// scaledLateness returns the drawn lateness, scaled from maxLateness to another maximum.
+func (f requestFaults) scaledLateness(limit time.Duration) time.Duration {
+	return f.lateness * (limit / time.Second) / (maxLateness / time.Second)
 }
 
-// loss says whether the sender gets no response because of a fault before the request arrives, and
-// whether, and how much later, the request is carried out nevertheless.
-func (f fate) loss() (lost, delivered bool, after time.Duration) {
+// loss reports whether a fault before the arrival of the request keeps the response from its sender (lost),
+// and whether the request is carried out nevertheless (delivered) and how much later (after).
+func (f requestFaults) loss() (lost, delivered bool, after time.Duration) {
 	switch {
 	case f.commitDelayed && !f.partitioned && !f.refused && f.reachable:
 		if f.commitAtOnce {
 			return true, true, 0
 		}
-		return true, true, minDelayOfDelayed + f.latenessUpTo(maxExtraOfCommit)
-	case f.commandHeldUp && !f.partitioned && f.reachable:
-		return true, true, minDelayOfDelayed + f.latenessUpTo(maxExtraOfCommand)
+		return true, true, minDelay + f.scaledLateness(maxExtraCommitDelay)
+	case f.commandDelayed && !f.partitioned && f.reachable:
+		return true, true, minDelay + f.scaledLateness(maxExtraCommandDelay)
 	case f.partitioned || f.dropRequest:
 		return true, f.deliverLate && !f.dropRequest, f.lateness
 	}
@@ -121,25 +121,25 @@
 	link    link
 	req     *http.Request
 	body    []byte
-	fate    fate
+	faults  requestFaults
 }
 
 // run carries the request to its receiver and the response back.
 func (e *exchange) run() (*http.Response, error) {
 	ctx := e.req.Context()
-	if lost, delivered, after := e.fate.loss(); lost {
+	if lost, delivered, after := e.faults.loss(); lost {
 		if delivered {
 			go e.deliverLate(after) // the packets are delayed, not lost
 		}
 		return e.waitForTimeout()
 	}
-	if !e.wait(e.fate.latency) {
+	if !e.wait(e.faults.latency) {
 		return nil, ctx.Err()
 	}
-	if !e.fate.reachable {
+	if !e.faults.reachable {
 		return nil, errNoResponse
 	}
-	if e.fate.refused {
+	if e.faults.refused {
 		rec := httptest.NewRecorder()
 		rec.WriteHeader(http.StatusServiceUnavailable)
 		return rec.Result(), nil
@@ -148,7 +148,7 @@
 	go e.deliver(responses)
 	select {
 	case <-ctx.Done():
-		return e.timedOut(responses)
+		return e.finishTimedOut(responses)
 	case rec := <-responses:
 		return e.returnResponse(rec)
 	}
@@ -189,8 +189,9 @@
 	}
 }
 
-// deliver carries the request out once its receiver is not paused, and sends the response when the
-// receiver is not paused again. There is none if the receiver has ended meanwhile.
+// deliver waits until the receiver is not paused and carries the request out, then waits again until the
+// receiver is not paused and sends the response. It sends none if the receiver has left the network by the
+// time that the request is to be carried out.
 func (e *exchange) deliver(responses chan<- *httptest.ResponseRecorder) {
 	n := e.network
 	n.waitWhilePaused(e.link.to)
@@ -206,9 +207,9 @@
 	responses <- rec
 }
 
-// timedOut ends the exchange when its sender has given up. A paused sender sees its time-out only when it
+// finishTimedOut ends the exchange when its sender has given up. A paused sender sees its timeout only when it
 // is resumed. If the response has come meanwhile, either may be seen first.
-func (e *exchange) timedOut(responses <-chan *httptest.ResponseRecorder) (*http.Response, error) {
+func (e *exchange) finishTimedOut(responses <-chan *httptest.ResponseRecorder) (*http.Response, error) {
 	e.network.waitWhilePaused(e.link.from)
 	select {
 	case rec := <-responses:
@@ -223,24 +224,26 @@
 // returnResponse carries a response back to the sender.
 func (e *exchange) returnResponse(rec *httptest.ResponseRecorder) (*http.Response, error) {
 	e.network.waitWhilePaused(e.link.from)
-	// The open watches of a node that is refused stay open without events, as in an outage.
+	// While the store refuses the requests of a node, the node's open watches stay open without events, as in
+	// an outage.
 	for e.req.URL.Path == "/changes" && e.network.isRefused(e.link) {
 		if !e.wait(refusedWatchPoll) {
 			return nil, e.req.Context().Err()
 		}
 	}
 	receiverEnded, partitioned := e.network.linkState(e.link)
-	// A response that meets a partition does not arrive, and the sender sees no closed connection either.
-	if e.fate.dropResponse || partitioned {
+	// A response that meets a partition does not arrive. The sender sees no closed connection either: it waits
+	// until its timeout.
+	if e.faults.dropResponse || partitioned {
 		return e.waitForTimeout()
 	}
-	if receiverEnded || !e.wait(e.fate.latency) {
+	if receiverEnded || !e.wait(e.faults.latency) {
 		return nil, errNoResponse
 	}
 	return rec.Result(), nil
 }
 
-// linkState reports whether the receiver of a link has ended, and whether the link is partitioned.
+// linkState reports whether the receiver of a link has left the network, and whether the link is partitioned.
 func (n *Network) linkState(l link) (receiverEnded, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
