--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -26,7 +26,7 @@
 		Dependencies:  spec.Dependencies,
 		Level:         j.level,
 		DueMs:         math.Inf(1),
-		ExpectedRunMs: c.stageDurationMs(spec),
+		ExpectedRunMs: c.expectedDelayMs(spec),
 	}
 	if spec.DeadlineS != nil {
 		vertex.DueMs = float64(j.record.AcceptedAtMs) + *spec.DeadlineS*1000
@@ -42,9 +42,9 @@
 	}
 }
 
-// stageDurationMs returns how long a job is expected to delay the jobs that depend on it, in
+// expectedDelayMs returns how long a job is expected to delay the jobs that depend on it, in
 // milliseconds: its run time, plus a heartbeat interval each for its start and its end.
-func (c *Controller) stageDurationMs(spec *wire.JobSpec) float64 {
+func (c *Controller) expectedDelayMs(spec *wire.JobSpec) float64 {
 	return 1000 * (runTimeFactor*spec.ExpectedRunS + 2*c.Config.Cluster.Workers.ReportS)
 }
 
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -18,7 +18,8 @@
 	// evidenceLeases is the number of worker leases for which a failure counts as evidence.
 	evidenceLeases = 12
 	// suspectQuarantineLeases and faultyQuarantineLeases are the numbers of worker leases for which a
-	// machine is quarantined: after any failed task, and if the machine is estimated to be faulty.
+	// machine is quarantined: after a failed task of a job that is not suspect, and if the machine
+	// is estimated to be faulty.
 	suspectQuarantineLeases, faultyQuarantineLeases = 1, 6
 	// firstBackoffShare is the upper limit of a job's first backoff, as a fraction of a worker lease.
 	// The limit doubles with each backoff, up to maxBackoffLeases worker leases.
@@ -138,11 +139,11 @@
 	if j.record.Spec.Kind != wire.JobArray || j.doneTasks > 0 {
 		return
 	}
-	attempts := -j.liveAttempts
+	endedAttempts := -j.liveAttempts
 	for _, p := range j.placements {
-		attempts += int(p.nextAttempt) - 1
+		endedAttempts += int(p.nextAttempt) - 1
 	}
-	if attempts >= max(2, j.record.Spec.TaskCount) {
+	if endedAttempts >= max(2, j.record.Spec.TaskCount) {
 		j.suspect = true
 	}
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -33,7 +33,7 @@
 	freedTasks      []int              // tasks that may wait again because an attempt was removed
 	nextUnplaced    int                // nextWaitingTasks has not yet looked at tasks from this index on
 	hasRun          bool               // one of its tasks has run, as far as this leader knows
-	waitingSince    time.Time          // since when none of its attempts may be on a machine
+	waitingSince    time.Time          // start of its current wait: when it was added, released or lost its last live attempt
 	countsRevision  uint64             // jobTable.revision at the last change of its task counts
 
 	// Its failures: failures.go.
@@ -116,7 +116,7 @@
 	return p != nil && p.done.IsDone(task%j.record.TasksPerPlacement)
 }
 
-// attempt returns the attempt of a task that may be on its machine, or nil.
+// attempt returns the live attempt of a task, or nil if there is none.
 func (j *job) attempt(task int) *fleet.Attempt {
 	if p := j.placements[task/j.record.TasksPerPlacement]; p != nil {
 		return p.live[task]
--- a/internal/controller/jobtable.go
+++ b/internal/controller/jobtable.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxCountsPerReply is the maximum number of jobs whose task counts one reply carries: the
-	// answer to a ping must not take longer the more jobs there are.
+	// maxCountsPerReply is the maximum number of jobs whose task counts one reply carries, so that
+	// the time to answer a ping does not grow with the number of jobs.
 	maxCountsPerReply = 2000
 	// maxFinalStatuses is the maximum number of final statuses that are kept for followers. A
 	// follower that did not ask for one before it was discarded reads it from the state store.
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -10,8 +10,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// minCallsBetweenLists is the minimum time between two machine lists, as the number of calls that the
-// cloud allows in that time. It leaves the other calls to provisioning and releases.
+// minCallsBetweenLists sets the minimum time between two machine lists: the time in which the cloud
+// allows this many calls. It leaves the other calls to provisioning and releases.
 const minCallsBetweenLists = 8
 
 // pollCloud reads the machine list and the catalog periodically until ctx ends. It leaves enough time
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -45,9 +45,9 @@
 }
 
 // isReleasable reports whether a machine has been idle for long enough to be released and is not
-// headroom. Half a boot time is enough: a machine that is needed again by then saves a boot. The
-// machine must also be older than a boot time and a margin, since the cloud charges for at least a
-// minute. c.mu is held.
+// headroom. It must have been idle for half a boot time, since a boot is saved if the machine is needed
+// again within that time. It must also be older than a boot time and a margin, since the cloud charges
+// for at least a minute. c.mu is held.
 func (c *Controller) isReleasable(m *fleet.Machine, now time.Time) bool {
 	const bootMarginS = 10
 	machineType := findMachineType(c.catalog, m.Type)
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -49,7 +49,7 @@
 		PriorityWeights:  sched.DefaultPriorityWeights,
 		Teams:            c.schedulerTeams(),
 		WithinQuota:      c.withinQuotas(),
-		PreemptOnlyBelow: 1, // nothing is preempted while no job waits
+		PreemptOnlyBelow: 1, // the lowest level: nothing is preempted while no job waits
 	}
 	s := snapshot{in: in, fleet: c.fleet, urgency: c.urgency()}
 	for _, j := range c.jobs.byUID {
@@ -179,9 +179,9 @@
 const overdueStartLeases = 10
 
 // isOverdueToStart reports whether a job is an array that is large for its class, has been eligible
-// for long, and has not run any task. Users expect large arrays, too, to begin within four minutes,
-// and large arrays have the most work left once they have begun. Without this rule, one in nine began
-// in time when jobs queued for minutes at their team's limit. An array in a single zone starts all
+// for a long time, and has not run any task. Users expect arrays of any size to begin within four
+// minutes, and large arrays have the most work left once they have begun. Without this rule, one in
+// nine began in time when jobs queued for minutes at their team's limit. An array in a single zone starts all
 // its tasks together, so none of them goes first. c.mu is held.
 func (c *Controller) isOverdueToStart(j *job, now time.Time) bool {
 	spec := &j.record.Spec
@@ -205,7 +205,7 @@
 }
 
 // isSpotExhausted reports whether the cloud has recently refused every group of spot machines that
-// may run the job. Such a job does not wait for spot machines, since that only delayed its start.
+// may run the job. Such a job does not wait for spot machines, since waiting would only delay its start.
 // Refusals expire, and the groups are then requested again. c.mu is held.
 func (c *Controller) isSpotExhausted(spec *wire.JobSpec, now time.Time) bool {
 	for i := range c.catalog.MachineTypes {
--- a/internal/controller/urgency.go
+++ b/internal/controller/urgency.go
@@ -11,8 +11,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// urgency computes how long jobs can wait from their deadlines, the service-level objectives of their
-// classes, and the boot times and fetch rates in the catalog. All its times are in seconds.
+// urgency computes how long jobs can wait. It uses their deadlines, the service-level objectives of
+// their classes, and the boot times and fetch rates in the catalog. All its times are in seconds.
 type urgency struct {
 	catalog *wire.Catalog
 	config  *config.Config
@@ -87,7 +87,7 @@
 }
 
 // effectiveLevel returns the priority level at which a job competes for capacity. That is its own
-// level until its laxity, or what is left of its start slack, is no longer than a boot. From then on
+// level until its laxity, or what is left of its start slack, is at most a boot time. From then on
 // it is the level that the job inherits from the jobs that depend on it. Until then the job does not
 // preempt others by the inherited level.
 func (u *urgency) effectiveLevel(j *job, now time.Time) int {
