--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -63,7 +63,7 @@
 }
 
 // newLargeFleetLeader returns a leader with a fleet whose machines run seven or eight tasks each, and
-// with so many waiting jobs.
+// with the given number of waiting jobs.
 func newLargeFleetLeader(machines, waiting int, now *time.Time) *Controller {
 	c := newBenchLeader(now)
 	c.Config.Cluster.Teams = []config.Team{{Name: "crew"}}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -68,7 +68,7 @@
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
 	c.addStage("run-000001", wire.BestEffort, 0, now, 1)
-	c.addStage("run-000002", wire.High, 0, now, 2, "run-000001", "run-000009") // the second was archived long ago
+	c.addStage("run-000002", wire.High, 0, now, 2, "run-000001", "run-000009") // run-000009 was archived long ago
 	j := c.jobs.get("run-000002")
 	if j.waitingCount() != 0 {
 		t.Fatalf("%d tasks wait to be placed before any dependency has ended, want 0", j.waitingCount())
@@ -89,6 +89,7 @@
 	c.addStage("run-000003", wire.High, 0, now, 6, "run-000008")
 	c.markFinished("run-000008", wire.JobAborted, now)
 	if other := c.jobs.get("run-000003"); other.waitingCount() != 0 || !other.isOver() || other.finalStatus() != wire.JobAborted {
-		t.Errorf("a job whose dependency is cancelled has status %q, over %v, want aborted, true", other.finalStatus(), other.isOver())
+		t.Errorf("a job whose dependency is cancelled has status %q, is over: %v, %d tasks wait, want %q, true, 0",
+			other.finalStatus(), other.isOver(), other.waitingCount(), wire.JobAborted)
 	}
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -10,8 +10,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// faultyFleet is a leader with a fleet in which one machine may be faulty, a faulty array and other
-// jobs.
+// faultyFleet is a leader with a faulty array, other jobs, and a fleet in which one machine may be
+// faulty.
 type faultyFleet struct {
 	t              *testing.T
 	c              *Controller
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -19,9 +19,9 @@
 // fakeObserver keeps the final statuses of the jobs that it is told are finished.
 type fakeObserver struct{ finished map[string]wire.JobStatus }
 
-func (fakeObserver) TermObserved(uint64)               { /* not followed by tests */ }
-func (fakeObserver) CycleFinished(time.Duration)       { /* not followed by tests */ }
-func (fakeObserver) FailoverFinished(records.Failover) { /* not followed by tests */ }
+func (fakeObserver) TermObserved(uint64)               { /* ignored by the tests */ }
+func (fakeObserver) CycleFinished(time.Duration)       { /* ignored by the tests */ }
+func (fakeObserver) FailoverFinished(records.Failover) { /* ignored by the tests */ }
 
 func (o fakeObserver) JobFinished(uid string, status wire.JobStatus) { o.finished[uid] = status }
 
--- a/internal/controller/hugearray_test.go
+++ b/internal/controller/hugearray_test.go
@@ -41,7 +41,7 @@
 	return func(*fleet.Attempt) (wire.TaskStatus, wire.Cause) { return status, cause }
 }
 
-// reportAll lets every machine send a heartbeat that reports the attempts whose launch it was sent.
+// reportAll lets every machine send a heartbeat that reports the attempts that the machine was told to launch.
 func reportAll(t *testing.T, c *Controller, sequence uint64, outcome taskOutcome) {
 	t.Helper()
 	c.JobCache.Apply(wire.WatchResponse{}, 0, c.now()) // the job cache is up to date
@@ -104,7 +104,8 @@
 }
 
 // A machine gets as many tasks as its heartbeat can report and no more. Ended tasks count until their
-// end is acknowledged. An array of which a machine had capacity for more tasks once started none.
+// end is acknowledged. Without this rule, an array started no task at all on a machine that had
+// capacity for more of its tasks than it could report.
 func TestHeartbeatsOfTinyTasksFitABody(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	_, c, j := leaderWithArray(t, &now, 1, 3000, fleet.Resources{Cores: 0.02, RAM: 0.1})
--- a/internal/controller/jobtable_test.go
+++ b/internal/controller/jobtable_test.go
@@ -48,6 +48,7 @@
 		}
 	}
 	if len(learned) != len(want) || len(c.jobs.finalStatuses) > maxFinalStatuses {
-		t.Errorf("learned %d final statuses, want %d; %d kept, want max %d", len(learned), len(want), len(c.jobs.finalStatuses), maxFinalStatuses)
+		t.Errorf("learned %d final statuses, want %d; %d kept, want at most %d",
+			len(learned), len(want), len(c.jobs.finalStatuses), maxFinalStatuses)
 	}
 }
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -12,8 +12,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// newLeaderReleasing returns a leader that releases so many machines, with a state store that gives
-// these answers to commits in turn.
+// newLeaderReleasing returns a leader that releases the given number of machines. Its state store
+// answers commits with the given errors in turn.
 func newLeaderReleasing(machines int, answers ...error) (*Controller, *scriptedStore, *recordingCloud) {
 	now := time.Unix(1000, 0)
 	c := newTestLeader(&now)
@@ -50,7 +50,7 @@
 		}
 		keys[key] = true
 	}
-	if len(keys) != 3 { // the one with the unknown outcome, and two that fit a value each
+	if len(keys) != 3 { // one with the unknown outcome, and two because all machines do not fit one value
 		t.Errorf("%d records, want 3", len(keys))
 	}
 }
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -42,7 +42,7 @@
 	check(false, "after the refusals have expired")
 }
 
-// addArray adds an array of so many tasks that was submitted the given time ago.
+// addArray adds an array with the given number of tasks that was submitted the given time ago.
 func (c *Controller) addArray(uid string, tasks int, ago time.Duration) *job {
 	submitted := c.now().Add(-ago)
 	spec := wire.JobSpec{
@@ -80,7 +80,7 @@
 	return queue
 }
 
-// Once an array that is large for its class has waited for long, its first task, and only that one,
+// Once an array that is large for its class has waited for a long time, its first task, and only that one,
 // goes before other jobs of the same priority. Without this rule, one in nine of the largest arrays
 // had begun after four minutes when jobs queued for minutes at their team's limit.
 func TestFirstTaskOfOverdueLargeArrayGoesFirst(t *testing.T) {
@@ -98,7 +98,8 @@
 	queue := c.queue(now)
 	if len(queue) != 15 || queue[0] != (queuedJob{large.uid, 1}) || queue[13] != (queuedJob{large.uid, 8}) ||
 		queue[14] != (queuedJob{young.uid, 9}) {
-		t.Errorf("the queue is %v, want 1 task of %s, 12 arrays, its other 8 tasks, 9 of %s", queue, large.uid, young.uid)
+		t.Errorf("the queue is %v, want %s with 1 task, the 12 small arrays, %s with 8 tasks, %s with 9 tasks",
+			queue, large.uid, large.uid, young.uid)
 	}
 	// Once a task of the large array has run, the array has no precedence, even after that task has ended.
 	a := &fleet.Attempt{JobUID: large.uid, TaskIndex: 0, Number: 1, Resources: large.taskResources}
@@ -121,7 +122,7 @@
 	heartbeat(3, wire.TaskReport{Task: a.TaskName(), Attempt: 1, Status: wire.TaskEnded, Cause: wire.CauseStopped})
 	if queue := c.queue(now); len(queue) != 14 || queue[0].uid == large.uid || large.liveAttempts != 0 {
 		t.Errorf(
-			"after its task has ended, %s has %d live attempts, want 0; want 14 jobs, it not first: %v",
+			"after its task has ended, %s has %d live attempts, want 0; the queue is %v, want 14 jobs and another one first",
 			large.uid, large.liveAttempts, queue,
 		)
 	}
--- a/internal/controller/status_test.go
+++ b/internal/controller/status_test.go
@@ -10,7 +10,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A follower learns the task counts of more jobs than fit one reply by several pings.
+// A follower needs several pings to learn the task counts of more jobs than one reply carries.
 func TestFollowerLearnsTheCountsOfManyJobs(t *testing.T) {
 	const jobs = 3*maxCountsPerReply + 1
 	now := time.Unix(1000, 0)
