--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -18,9 +18,9 @@
 // or without c.mu.
 func (c *Controller) wakeWriter() { notify(c.writer.wake) }
 
-// nextBatch makes the next batch. It holds launches, ends, and the archiving of jobs that are over, with the highest
-// priorities first. If there are none of these, the batch archives jobs whose final status users can see already. It is
-// nil if there is nothing to write.
+// nextBatch makes the next batch. The batch holds launches, ends of attempts, and the archiving of jobs that are over,
+// with the highest priorities first. If there are none of these, the batch archives jobs whose final status users can
+// see already. nextBatch returns nil if there is nothing to write.
 func (c *Controller) nextBatch() *batch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +96,7 @@
 	if p.changeCount == write.changeCount {
 		p.setDirty(false)
 	} else if len(p.plannedAttempts()) == 0 {
-		p.due = now.Add(c.endRecordDelay()) // only ends have been added during the commit
+		p.due = now.Add(c.endRecordDelay()) // only ends of attempts have been added during the commit
 	}
 	p.ended = slices.DeleteFunc(p.ended, func(a *fleet.Attempt) bool { return slices.Contains(write.ended, a) })
 	for _, a := range write.ended {
@@ -144,7 +144,7 @@
 	j.outcomeUnknown = false
 	c.mu.Unlock()
 	if !found {
-		// A revision above that of any record: the job is archived.
+		// A job without a record is archived. No record has a higher revision, so this event is not ignored as outdated.
 		c.applyJobEvent(j.uid, watchcache.Entry{ModRevision: ^uint64(0)})
 		return
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -75,7 +75,7 @@
 	detector *failuredetector.Detector
 
 	// Answers to workers: heartbeat.go, tokenannounce.go.
-	waitingAnswers map[string]chan struct{} // closed to end the wait of a heartbeat's answer for commands, by machine
+	waitingAnswers map[string]chan struct{} // by machine; when a channel is closed, the heartbeat answer that waits is sent
 	announcedAt    map[string]time.Time     // when the fencing token was last announced, by machine
 
 	// Images of machines, as the records list them: imagerecords.go.
@@ -201,8 +201,8 @@
 	}
 }
 
-// stopAttempt requests the end of an attempt within a grace period in seconds. If the answer to a heartbeat of the
-// attempt's machine waits for commands, that answer is sent now. c.mu is held.
+// stopAttempt requests the end of an attempt within a grace period in seconds. If a heartbeat answer to the attempt's
+// machine is waiting for commands, it is sent now. c.mu is held.
 func (c *Controller) stopAttempt(a *fleet.Attempt, gracePeriodS float64, now time.Time, reason string) {
 	c.fleet.StopAttempt(a, gracePeriodS, now, reason)
 	if a.Live() {
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -43,7 +43,8 @@
 // recordProofFailure records why this node's warm standby could not be used.
 func (r *failoverReport) recordProofFailure(err error) { r.record.Cause = err.Error() }
 
-// recordProof records that the state comes from this node's warm standby, and what the warm standby had followed.
+// recordProof records that the state comes from this node's warm standby. It also records the term of the leader that
+// the warm standby followed, the copy's position, digest and age, and the number of changes since that position.
 func (r *failoverReport) recordProof(p *standby.ProvenCopy) {
 	r.record.Warm, r.record.Cause = true, ""
 	r.record.FollowedTerm, r.record.Position, r.record.Digest = p.FollowedTerm, p.Position, fmt.Sprintf("%016x", p.Digest)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -26,11 +26,10 @@
 // heartbeat is no newer than the last one.
 //
 // With MayWait, an answer that has no commands for a ready machine waits for some, so that launches and stops are sent
-// at once instead of with the next heartbeat. The answer does not wait while the cancellation data is too old for
-// launches: no launch may be sent then, and the wait would only delay the next heartbeat. A leader that waited even
-// then, and had to stop answering because its zone was partitioned, left its workers with leases that were half of an
-// interval older than those of a follower's workers: 170 to 220 of some 700 machines lost their leases just before the
-// partition ended.
+// at once instead of with the next heartbeat. The answer does not wait while the cancellation data is too old to
+// send launches (see mayLaunch): the wait would only delay the next heartbeat. When answers did wait then, and the leader
+// had to stop answering because its zone was partitioned, the leases of its workers were half of an interval older than
+// those of a follower's workers: 170 to 220 of some 700 machines lost their leases just before the partition ended.
 func (c *Controller) Heartbeat(ctx context.Context, h *wire.Heartbeat, opts HeartbeatOptions) (answer wire.Commands, ok bool) {
 	if h.FencingToken > c.term {
 		c.Observer.TermObserved(h.FencingToken)
@@ -106,7 +105,7 @@
 	return c.now().Sub(c.JobCache.FreshAsOf()) < c.Config.LeaderLeaseTTL()
 }
 
-// endAnswerWait makes an answer to a machine's heartbeat that waits for commands stop waiting. c.mu is held.
+// endAnswerWait ends the wait if a heartbeat answer to a machine is waiting for commands. c.mu is held.
 func (c *Controller) endAnswerWait(m *fleet.Machine) {
 	if wake := c.waitingAnswers[m.ID]; wake != nil {
 		delete(c.waitingAnswers, m.ID)
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -41,8 +41,8 @@
 		for range machines {
 			distinctEnds[<-endTimes] = true
 		}
-		// The heartbeats are spread over one interval and all wait for about half of one, so the waits end on the grid
-		// units of about one interval: at most two more than fit into it.
+		// The heartbeats are spread over one interval and all wait for about half of one. So the waits end within about
+		// one interval, each at a point of the timer grid: there are at most two more points than fit into the interval.
 		maxDistinctEnds := int(c.Config.HeartbeatInterval()/c.Config.TimerGrid().Unit) + 2
 		if len(distinctEnds) > maxDistinctEnds {
 			t.Errorf("%d waits end at %d different moments, want at most %d", machines, len(distinctEnds), maxDistinctEnds)
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -29,8 +29,8 @@
 func (c *Controller) mayUseDenseEncoding() bool { return c.Version.InForce() >= clusterversion.JobDAGs }
 
 // maxPlacementBytes returns the largest size of a placement record in bytes. If the state store has announced a lower
-// limit, that limit applies as soon as all nodes can read the dense encoding, which fits it. The state store does not
-// enforce the lower limit before then.
+// limit, that limit applies as soon as all nodes can read the dense encoding, in which placement records fit the
+// lower limit. The state store does not enforce the lower limit before then.
 func (c *Controller) maxPlacementBytes() int {
 	if c.mayUseDenseEncoding() {
 		return c.Config.MaxValueBytes()
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -18,18 +18,18 @@
 	isRenewed func(i int) bool
 	// relays is true if the follower relays the heartbeats of these machines to the leader.
 	relays bool
-	// countedAfter is how long after the heartbeats stop the machines that are declared dead are counted.
+	// countedAfter is the time from the start of the silence to the count of the machines that are declared dead.
 	countedAfter time.Duration
 	wantDead     int
 }
 
 // In a partition between zones, the leader misses the machines' heartbeats one after the other, as they come due, and a
-// follower soon answers some of these machines. No machine may be declared dead before its tasks must have ended: a
-// leader that counted only the machines that had been silent for three intervals, and took those that a follower
-// answers for reachable, released 38 of 90. If up to half of a zone's machines stop while the others send heartbeats,
-// they are declared dead after three intervals. If more stop, they are declared dead after a worker lease, provided
-// that a controller in the zone is reachable: without this, two thirds of a zone that had died were not replaced for
-// six leases.
+// follower soon answers some of these machines. No machine may be declared dead before its tasks are certain to have
+// ended: a leader that counted machines as silent only after three intervals, and did not count those that a follower
+// answered, released 38 of 90 machines. If up to half of a zone's machines stop while the others send heartbeats, they
+// are declared dead after three intervals. If more stop, they are declared dead after a worker lease, provided that a
+// controller in the zone is reachable: without this, two thirds of a zone that had died were not replaced for six
+// leases.
 func TestWhichSilentMachinesAreDeclaredDead(t *testing.T) {
 	all := func(int) bool { return true }
 	none := func(int) bool { return false }
@@ -147,7 +147,7 @@
 	}{
 		{"the process is paused", 25 * time.Second, true, 25 * time.Second, 0},
 		{"the state store is unreachable", time.Second / 2, false, 90 * time.Second, 0},
-		// The other half is in a zone without a reachable controller.
+		// Only the half in zone a is declared dead by then: no controller in zone b is reachable.
 		{"the machines are silent", time.Second / 2, true, 30 * time.Second, machines / 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -46,11 +46,11 @@
 		{Task: 0, Attempt: 1, Host: "m-1", Incarnation: 1},
 		{Task: 1, Attempt: 2, Host: "m-2", Incarnation: 1},
 	}}
-	returned := records.ScaleIns{Hosts: []string{"m-3"}}
+	release := records.ScaleIns{Hosts: []string{"m-3"}}
 	return map[string][]wire.KeyValue{
 		records.JobPrefix:       {{Key: records.JobKey("run-000001"), Value: records.Encode(job), ModRevision: 2}},
 		records.PlacementPrefix: {{Key: records.PlacementKey("run-000001", 0), Value: records.Encode(placement), ModRevision: 3}},
-		records.ScaleInPrefix:   {{Key: records.ScaleInPrefix + "3-1", Value: records.Encode(returned), ModRevision: 4}},
+		records.ScaleInPrefix:   {{Key: records.ScaleInPrefix + "3-1", Value: records.Encode(release), ModRevision: 4}},
 	}
 }
 
@@ -113,7 +113,7 @@
 				t.Errorf("%s: %+v is on a %s machine, want an inherited committed attempt on a booting one", tc.name, a, a.Machine.State)
 			}
 		})
-		// The machine is still in the incarnation that its task was placed in, whatever the view says.
+		// Machine m-1 is still in the incarnation that its task was placed in, whatever the view says.
 		c.fleet.ApplyHeartbeat(&wire.Heartbeat{Host: "m-1", Zone: "a", Incarnation: 1, Sequence: 7, FencingToken: 5,
 			Tasks: []wire.TaskReport{{Task: "run-000001/0", Attempt: 1, Status: wire.TaskRunning}}}, now)
 		if a := j.attempt(0); a == nil || a.State != fleet.Running {
--- a/internal/controller/placementwriter.go
+++ b/internal/controller/placementwriter.go
@@ -117,8 +117,9 @@
 }
 
 // reread reads the keys of a batch again after a conflict or an unknown outcome. Only this term writes placement
-// records, so only their revisions are taken over, and the controller's state, which is newer, is written again. If the
-// state store applies the first commit even later, the compares of revisions let only one of the two commits succeed.
+// records, so the controller's state is newer than a placement record that is read: only the record's revision is
+// applied, and the state is written again. If the state store applies the first commit even later, the compares of
+// revisions let only one of the two commits succeed.
 func (w *placementWriter) reread(ctx context.Context, b *batch) {
 	w.state.markOutcomeUnknown(b)
 	for _, write := range b.placements {
--- a/internal/controller/recordloader.go
+++ b/internal/controller/recordloader.go
@@ -21,8 +21,8 @@
 	hints                              *standby.ProvenCopy // nil if all records were listed
 }
 
-// recordLoader reads the records that a term begins with: from the copy that this node has followed as a warm standby if
-// the proof of the copy succeeds, and otherwise by listing them. The results of list requests are kept from one call of
+// recordLoader reads the records that a term begins with: from the copy that this node keeps as a warm standby if the
+// proof of the copy succeeds, and otherwise by listing them. The results of list requests are kept from one call of
 // read to the next.
 type recordLoader struct {
 	options       *Options
@@ -77,8 +77,8 @@
 	}, nil
 }
 
-// readProven returns the copy that this node has followed, if the proof of the copy succeeds. It also refreshes the job
-// cache by a read in this term; the controller receives every change of the cache.
+// readProven returns the copy that this node keeps as a warm standby, if the proof of the copy succeeds. It also
+// refreshes the job cache by a read in this term; the controller receives every change of the cache.
 func (l *recordLoader) readProven(ctx context.Context) (*termRecords, error) {
 	proven, err := l.options.ProveStandbyCopy(ctx, l.term)
 	if err != nil {
--- a/internal/controller/tokenannounce.go
+++ b/internal/controller/tokenannounce.go
@@ -19,7 +19,7 @@
 	minConcurrentAnnouncements  = 16
 	concurrentAnnouncementShare = 0.125   // of the machines that the token is announced to
 	announcementConnectionShare = 1 / 32. // of the permitted connections, at most
-	minAnnouncementsPerTurn     = 2 * minConcurrentAnnouncements
+	minAnnouncementsPerRound    = 2 * minConcurrentAnnouncements
 )
 
 // concurrentAnnouncements returns how many announcements are sent concurrently if there are this many machines to
@@ -76,10 +76,10 @@
 	rand.Shuffle(len(announcements), func(i, k int) {
 		announcements[i], announcements[k] = announcements[k], announcements[i]
 	})
-	// Each turn announces to a quarter of the machines: those that answer do so within milliseconds, and a whole fleet may
+	// Each round announces to a quarter of the machines: those that answer do so within milliseconds, and a whole fleet may
 	// be connected to a deposed leader.
-	turnLimit := max(minAnnouncementsPerTurn, len(announcements)/4)
-	announcements = announcements[:min(len(announcements), turnLimit)]
+	roundLimit := max(minAnnouncementsPerRound, len(announcements)/4)
+	announcements = announcements[:min(len(announcements), roundLimit)]
 	for _, a := range announcements {
 		c.announcedAt[a.host] = now
 	}
@@ -134,7 +134,7 @@
 }
 
 // restartBootTimeout restarts the timeout of a machine that has sent no heartbeat in this term. Its worker has accepted
-// the token in the incarnation that the machine's tasks are known from, so its worker lease has not expired: another
+// the token and is still in the newest incarnation that this node knows, so its worker lease has not expired: another
 // node has renewed the lease, and the worker will soon send its heartbeats to this node.
 func (c *Controller) restartBootTimeout(host string) {
 	c.mu.Lock()
