--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,12 +1,12 @@
 // Package failuredetector decides from missed heartbeats which machines are dead.
 //
-// If a machine sends no heartbeats, the machine may have failed, but also the network, its relay or the
-// leader itself. A Detector therefore compares the machine with the others. If only a few machines
+// If a machine sends no heartbeats, either the machine, the network, its relay or the leader itself may
+// have failed. A Detector therefore compares the machine with the others. If only a few machines
 // stop sending, they are declared dead within a few heartbeat intervals. If most machines of a zone or
 // of a relay stop at the same time, they get the time that their workers need to find another
 // controller.
 //
-// The package neither waits, logs nor takes locks. The controller passes in its observations and releases
+// The package does not wait, log or take locks. The controller passes in its observations and releases
 // the machines that are declared dead.
 //
 // No safety rule depends on a decision made here: the attempts on a machine that is declared dead do not
@@ -126,10 +126,10 @@
 func (d *Detector) Evaluate(observation Observation) *Evaluation {
 	now := observation.Now
 	e := d.gatherEvidence(observation.Machines, now)
-	reachedZones := observation.Peers.ReachableZones()
-	d.updatePartitionedZones(e, reachedZones, now)
+	reachableZones := observation.Peers.ReachableZones()
+	d.updatePartitionedZones(e, reachableZones, now)
 	d.updateUnreachableRelays(e, observation.Peers, now)
-	return d.newEvaluation(e, len(reachedZones), now)
+	return d.newEvaluation(e, len(reachableZones), now)
 }
 
 // minSilentMachines is the minimum number of silent machines for a zone to count as partitioned: one or
@@ -140,10 +140,10 @@
 // and no controller in the zone is reachable either, the zone is probably partitioned and its machines
 // are not dead: their tasks may continue, and they will send heartbeats again. If a controller in the
 // zone is reachable, the machines are dead.
-func (d *Detector) updatePartitionedZones(e *evidence, reachedZones []string, now time.Time) {
+func (d *Detector) updatePartitionedZones(e *evidence, reachableZones []string, now time.Time) {
 	for zone, g := range e.zones {
 		mostAreSilent := g.silentThreeIntervals >= minSilentMachines && 2*g.silentThreeIntervals > g.total
-		if zone != "" && mostAreSilent && !slices.Contains(reachedZones, zone) {
+		if zone != "" && mostAreSilent && !slices.Contains(reachableZones, zone) {
 			d.partitionedAt[zone] = now
 		}
 	}
--- a/internal/failuredetector/evaluation.go
+++ b/internal/failuredetector/evaluation.go
@@ -43,9 +43,9 @@
 	interval := d.options.HeartbeatInterval
 	// silentShareDivisor applies to the machines that are silent for two intervals, not three. In a partition,
 	// the first machines are silent for three intervals when the last ones have just missed a heartbeat: a
-	// leader that counted only the former released 17 of 90 machines before it detected the partition. Up to
-	// half of a zone counts as dead. If in fact the network of these machines has failed, their leases end
-	// anyway, and waiting would only delay the restart of their tasks.
+	// leader that counted machines silent for three intervals released 17 of 90 machines before it detected the
+	// partition. Up to half of a zone counts as dead. If in fact the network of these machines has failed, their
+	// leases end anyway, and waiting would only delay the restart of their tasks.
 	ev := &Evaluation{detector: d, evidence: e, now: now, silentShareDivisor: 2, heartbeatTimeout: 3 * interval}
 	// A worker notices at its next heartbeat that a controller is unreachable, and loses one
 	// unansweredHeartbeat at each node that does not answer.
@@ -94,7 +94,7 @@
 	at, found := ev.detector.relayUnreachableAt[m.RelayedBy]
 	if found && ev.now.Sub(at) < options.WorkerLease {
 		// The worker may be looking for another node. The answer to its last heartbeat may have
-		// waited for commands, for half of an interval, and for the follower's next batch.
+		// waited half an interval for commands, and then for the follower's next batch.
 		return max(ev.heartbeatTimeout, ev.reconnectTime+3*options.HeartbeatInterval/2)
 	}
 	return ev.heartbeatTimeout
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -91,7 +91,7 @@
 // AddAttempt adds an attempt to a machine: as Planned if this term decided it, or as Committed if it
 // is inherited from the record of an earlier term. The caller sets JobUID, TaskIndex, Number,
 // Resources, Image and Inherited, and for an inherited attempt also Incarnation. AddAttempt sets
-// Machine, State, Since and Serial, and for an attempt of this term also Incarnation.
+// Machine, State, StateSince and Serial, and for an attempt of this term also Incarnation.
 func (f *Fleet) AddAttempt(m *Machine, a *Attempt, now time.Time) {
 	f.lastSerial++
 	a.Machine, a.StateSince, a.Serial = m, now, f.lastSerial
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -139,8 +139,8 @@
 // A machine whose lease ends although it sends heartbeats does not receive the answers, and is avoided.
 // Two other cases look alike, and the machine must not be avoided in them. In an outage its heartbeats
 // are not answered: when such machines were avoided, 600 jobs waited for two leases after an outage
-// while 700 machines had free capacity. And a new leader may receive a copy of a heartbeat of an earlier
-// incarnation: that, too, made it avoid the machine for two leases.
+// while 700 machines had free capacity. A new leader may also receive a copy of a heartbeat of an earlier
+// incarnation: leaders then avoided the machine for two leases.
 func TestNewIncarnationAvoidsMachineOnlyIfAnswersWereLost(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -10,8 +10,9 @@
 // heartbeats arrive, but the answers do not reach it.
 const missedLaunchLimit = 3
 
-// avoidLeases is how long a machine that answers do not reach gets no new attempts, in worker leases.
-const avoidLeases = 2
+// avoidanceLeases is how long, in worker leases, a machine gets no new attempts after it has turned out that
+// the answers to its heartbeats do not reach it.
+const avoidanceLeases = 2
 
 // unknownTask is an attempt that a machine reports and that the fleet does not know, since no record
 // lists it.
@@ -74,7 +75,7 @@
 		// incarnation. The time is measured from lastAnswered, not from LastHeartbeat, which failure
 		// detection sets to the end of an outage: during an outage leases end because no heartbeat is
 		// answered.
-		m.AvoidUntil = now.Add(avoidLeases * f.lease)
+		m.AvoidUntil = now.Add(avoidanceLeases * f.lease)
 	}
 	return newIncarnation
 }
@@ -128,7 +129,7 @@
 	const reason = "the worker did not act on the launch"
 	m := a.Machine
 	if m.MissedLaunches++; m.MissedLaunches >= missedLaunchLimit {
-		m.AvoidUntil = now.Add(avoidLeases * f.lease)
+		m.AvoidUntil = now.Add(avoidanceLeases * f.lease)
 	}
 	if a.Stopping || m.MissedLaunches >= missedLaunchLimit {
 		f.setAttemptState(a, Off, now, reason)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -35,7 +35,7 @@
 	Capacity             Resources
 	Incarnation          uint64               // of the machine's worker, from its newest heartbeat
 	Sequence             uint64               // number of the newest heartbeat
-	IncarnationHint      uint64               // as an earlier leader knew it; only selects the workers to tell of the new term
+	IncarnationHint      uint64               // as an earlier leader knew it; used only to announce the fencing token
 	LastHeartbeat        time.Time            // when any node last answered one of its heartbeats
 	LastHeartbeatHere    time.Time            // when this leader last answered one, directly or through a relay
 	LastRelayedHeartbeat time.Time            // when a follower last relayed one to this leader
--- a/internal/fleet/resources.go
+++ b/internal/fleet/resources.go
@@ -30,8 +30,8 @@
 	return request.Cores <= r.Cores+roundingSlack && request.Gpus <= r.Gpus+roundingSlack && request.RAM <= r.RAM+roundingSlack
 }
 
-// FitsRequested reports whether CountFitting is at least one. Unlike Fits it ignores resources that
-// are not requested, so that r may be negative there (overbooked).
+// FitsRequested reports whether the request fits into r, considering only resources of which the request
+// is not zero. Unlike with Fits, the other resources of r may be negative (overbooked).
 func (r Resources) FitsRequested(request Resources) bool {
 	return (request.Cores <= 0 || request.Cores <= r.Cores+roundingSlack) &&
 		(request.Gpus <= 0 || request.Gpus <= r.Gpus+roundingSlack) &&
--- a/internal/jobdag/graph.go
+++ b/internal/jobdag/graph.go
@@ -17,7 +17,7 @@
 	Unresolved State = iota // its record is not known yet, or was removed before the graph knew its final state
 	Open                    // accepted and neither done nor cancelled
 	Done                    // the record of its end is committed
-	Cancelled               // the record of its cancellation, or of that of a job that it depends on, is committed
+	Cancelled               // a committed record cancels the job or one that it depends on
 )
 
 var stateNames = [...]string{"unresolved", "open", "done", "cancelled"}
--- a/internal/jobdag/graph_test.go
+++ b/internal/jobdag/graph_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// resolve passes the graph the final statuses of its unresolved jobs, as far as there are any.
+// resolve passes the graph the final statuses of those of its unresolved jobs that have one.
 func (h *harness) resolve(t *rapid.T) {
 	for _, uid := range h.graph.Unresolved() {
 		if state, ok := h.model.finished[uid]; ok {
--- a/internal/sched/classindex.go
+++ b/internal/sched/classindex.go
@@ -105,8 +105,8 @@
 	return classID
 }
 
-// reclassify moves a node to the class that matches its free capacity, after that or the reservation of the
-// node has changed. A reserved node is in no class.
+// reclassify moves a node to the class that matches its free capacity. It is called after the free capacity or
+// the reservation of the node has changed. A reserved node is in no class.
 func (c *cycle) reclassify(slot int32) {
 	scratch := c.scratch
 	if old := scratch.classID[slot]; old != noClass {
--- a/internal/sched/cycle.go
+++ b/internal/sched/cycle.go
@@ -31,7 +31,7 @@
 	smallestNeed      fleet.Resources                 // the least of each resource that any task of the window needs
 	lowestVictimLevel int
 	sortedVictims     map[int32][]Victim  // by slot, in stop order; only nodes whose victims were needed in order
-	maxFit            map[demandShape]int // upper bound of the tasks that fit, for shapes that did not all fit
+	maxFit            map[demandShape]int // upper bound of the tasks that fit, for shapes of which not all wanted tasks fitted
 	current           jobContext
 }
 
--- a/internal/sched/fitshape.go
+++ b/internal/sched/fitshape.go
@@ -6,7 +6,7 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// byPreemption is the horizon in the demandShape of a job that tries preemption.
+// byPreemption stands for preemption in demandShape.horizon; it is not a horizon.
 const byPreemption = horizonCount
 
 // demandShape identifies jobs whose tasks fit the same nodes at a horizon. If only n tasks of a shape fitted,
@@ -20,7 +20,7 @@
 	allowSpot                       bool
 	cannotAwaitBoot, waitedPastBoot bool
 	spotUnavailable                 bool
-	requiredImage                   string // set only if just nodes that have this image may be used
+	requiredImage                   string // image that the nodes must have; "" if none is required
 }
 
 // prepareFor computes what the cycle needs to place a job: the profiles that it may use and its context.
@@ -62,8 +62,8 @@
 	return shape
 }
 
-// isKnownNotToFit reports whether an earlier attempt with the same shape has shown that no task of the job
-// fits, or too few for an all-or-nothing job.
+// isKnownNotToFit reports whether the cycle has found out already that no task of this shape fits, or too few
+// for the job if it is all-or-nothing.
 func (c *cycle) isKnownNotToFit(job *Job, shape demandShape) bool {
 	if !c.current.shapeDecidesFit {
 		return false
--- a/internal/sched/generators_test.go
+++ b/internal/sched/generators_test.go
@@ -14,8 +14,8 @@
 var testNow = time.Unix(10_000, 0)
 
 // genNode draws a machine. It draws from few sizes and needs, so that many machines fall into the same class.
-// Some machines are overbooked. victims is the last serial number of a victim.
-func genNode(t *rapid.T, id string, victims *int) Node {
+// Some machines are overbooked. lastSerial is the serial number of the last victim that was drawn.
+func genNode(t *rapid.T, id string, lastSerial *int) Node {
 	size := rapid.SampledFrom([]fleet.Resources{{Cores: 16, Gpus: 4, RAM: 100}, {Cores: 8, Gpus: 0, RAM: 60}}).Draw(t, "size")
 	node := Node{
 		ID:               id,
@@ -36,8 +36,8 @@
 	node.Images = slices.Compact(slices.Sorted(slices.Values(images)))
 	node.Free = size
 	for range rapid.IntRange(0, 5).Draw(t, "tasks") {
-		*victims++
-		victim := genVictim(t, *victims, size.Gpus/4)
+		*lastSerial++
+		victim := genVictim(t, *lastSerial, size.Gpus/4)
 		node.Free = node.Free.Sub(victim.Need)
 		node.Victims = append(node.Victims, victim)
 	}
@@ -132,7 +132,7 @@
 // genSteps draws the changes and inputs of several cycles.
 func genSteps(t *rapid.T) []cycleStep {
 	steps := make([]cycleStep, rapid.IntRange(1, 30).Draw(t, "steps"))
-	victims := 0
+	lastSerial := 0
 	for i := range steps {
 		step := &steps[i]
 		for range rapid.IntRange(1, 5).Draw(t, "changes") {
@@ -141,12 +141,12 @@
 				step.Changes = append(step.Changes, nodeChange{Gone: id})
 				continue
 			}
-			step.Changes = append(step.Changes, nodeChange{Node: genNode(t, id, &victims)})
+			step.Changes = append(step.Changes, nodeChange{Node: genNode(t, id, &lastSerial)})
 		}
 		step.Jobs = genJobs(t)
 		step.Window = rapid.SampledFrom([]int{3, 200}).Draw(t, "window")
 		for k := range rapid.IntRange(0, 2).Draw(t, "rentals") {
-			step.Rentals = append(step.Rentals, genNode(t, fmt.Sprintf("rental-%d", k), &victims))
+			step.Rentals = append(step.Rentals, genNode(t, fmt.Sprintf("rental-%d", k), &lastSerial))
 		}
 		step.GPULimit = float64(rapid.SampledFrom([]int{0, 0, 5}).Draw(t, "limit"))
 		step.JobsAfter = genJobs(t)
--- a/internal/sched/input.go
+++ b/internal/sched/input.go
@@ -63,7 +63,7 @@
 	CannotAwaitBoot  bool           // has waited as long as a machine takes to boot, or would miss its deadline by waiting for one
 	WaitedPastBoot   bool           // has waited as long as a machine takes to boot
 	SpotUnavailable  bool           // the cloud has no spot machine for it: do not wait for one
-	FirstTaskOverdue bool           // this is the first task of an array, and it should have started by now
+	FirstTaskOverdue bool           // holds only the first task of an array, which should have started by now
 	AvoidedMachine   string         // ID of a machine that it must not be placed on; "" if none
 }
 
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -15,7 +15,7 @@
 type preemptionOption struct {
 	node                   int32   // slot
 	firstVictim, endVictim int     // range in stop order; the victims in it that the job may preempt are stopped
-	lossS                  float64 // total of its victims, plus preemptionCostS for each; 0 for free capacity
+	lossS                  float64 // total loss of its victims, plus preemptionCostS for each; 0 for free capacity
 }
 
 // isBetterThan reports whether an option loses less than another one; ties are broken by node and victim.
@@ -142,8 +142,8 @@
 }
 
 // reclaimWithinQuotas reports whether each other team still has its quota after the option has reclaimed
-// resources from it, in addition to those that the job has reclaimed already. If so, it adds the option's
-// share to reclaimed, which is by team.
+// resources from it, in addition to those that the job has reclaimed already (reclaimed, by team). If so, it
+// adds what the option reclaims to reclaimed.
 func (c *cycle) reclaimWithinQuotas(job *Job, option *preemptionOption, reclaimed map[string]fleet.Resources) bool {
 	rule := c.preemptionRuleOf(job)
 	if !rule.reclaimsQuota || option.endVictim == 0 {
--- a/internal/sched/quota_test.go
+++ b/internal/sched/quota_test.go
@@ -21,7 +21,7 @@
 }
 
 // teamsInput returns an input with three teams and without machines and jobs. Team "other" has the quota that
-// is given, "guest" has none, and that of "owner" counts only in Input.WithinQuota.
+// is given and "guest" has none. The quota of "owner" takes effect only through Input.WithinQuota.
 func teamsInput(otherQuota fleet.Resources) *Input {
 	in := &Input{
 		Window:          200,
@@ -107,9 +107,10 @@
 	Fatalf(format string, args ...any)
 }
 
-// checkReclaim runs a cycle and checks its preemptions. A victim has a lower priority than the job, or the job is
-// within its team's quota and the victim is beyond the quota of another team, which keeps its quota. The usage of
-// the victims' teams stays as it was, because tasks count against the limit until they have left the machine.
+// checkReclaim runs a cycle and checks its preemptions. Each victim has a lower priority than the job, or the job
+// is within its team's quota and the victim is beyond the quota of another team. No such preemption takes the other
+// team below its quota. No task that another team runs within its quota is stopped. The usage of the other teams
+// stays as it was, because tasks count against the limit until they have left the machine.
 // Nothing is stopped unless tasks of the job are placed.
 func checkReclaim(t fataler, in *Input) {
 	t.Helper()
@@ -218,8 +219,8 @@
 	}
 }
 
-// A job of low priority within its team's quota goes before jobs of higher priority of a team that exceeds its
-// quota, and preempts that team's tasks at once, even replicas. A job that is not within the quota preempts
+// A job of low priority within its team's quota goes before jobs of higher priority of a team that has no quota,
+// and preempts that team's tasks at once, even replicas. A job that is not within the quota preempts
 // nothing.
 func TestWithinQuotaJobDoesNotWaitForTeamsWithoutQuota(t *testing.T) {
 	for _, withinQuota := range []bool{true, false} {
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -20,7 +20,7 @@
 	victims           [][]Victim // by node, in stop order; nil until one is needed
 	lowestVictimLevel int
 	smallestNeed      fleet.Resources        // the least of each resource that any task of the window needs
-	maxFit            map[referenceShape]int // upper bound of the tasks that fit, for shapes that did not all fit
+	maxFit            map[referenceShape]int // upper bound of the tasks that fit, for shapes of which not all wanted tasks fitted
 	reserved          []bool                 // by node: reserved for the job that has the reservation
 	imageRequired     bool                   // use only nodes that have the job's image
 
@@ -152,7 +152,7 @@
 func (r *referenceCycle) fitTasks(j *Job, want int, at horizon, start bool) int {
 	shape, shapeDecidesFit := r.shapeAt(j, at)
 	if maxTasks, known := r.maxFit[shape]; shapeDecidesFit && known && (maxTasks == 0 || isAllOrNothing(j) && maxTasks < j.PendingTasks) {
-		return 0 // an earlier attempt with the same shape has shown that it does not fit
+		return 0 // the same shape was tried earlier in the cycle and did not fit
 	}
 	var placements []Placement
 	if j.Spec.SingleZone {
@@ -277,21 +277,21 @@
 func (r *referenceCycle) compareOptions(j *Job) func(a, b referenceOption) int {
 	return func(a, b referenceOption) int {
 		nodeA, nodeB := &r.input.Nodes[a.node], &r.input.Nodes[b.node]
-		cost, image := cmp.Compare(a.cost, b.cost), cmp.Compare(boolToInt(b.hasImage), boolToInt(a.hasImage))
+		first, second := cmp.Compare(a.cost, b.cost), cmp.Compare(boolToInt(b.hasImage), boolToInt(a.hasImage))
 		if j.FetchDelaysStart {
-			cost, image = image, cost
+			first, second = second, first
 		}
 		fetches := 0
-		if image == 0 && !a.hasImage {
+		if second == 0 && !a.hasImage {
 			fetches = cmp.Compare(a.activeFetches, b.activeFetches)
 		}
 		onDemandWork := cmp.Compare(boolToInt(nodeB.RunsOnDemandWork), boolToInt(nodeA.RunsOnDemandWork))
 		count, residual := cmp.Compare(b.count, a.count), cmp.Compare(a.residual, b.residual)
 		tieBreak := cmp.Or(cmp.Compare(nodeA.ID, nodeB.ID), cmp.Compare(a.node, b.node))
 		if j.FetchDelaysStart || j.Spec.AllowSpot {
-			return cmp.Or(cost, image, fetches, count, residual, tieBreak)
+			return cmp.Or(first, second, fetches, count, residual, tieBreak)
 		}
-		return cmp.Or(cost, count, onDemandWork, residual, image, fetches, tieBreak)
+		return cmp.Or(first, count, onDemandWork, residual, second, fetches, tieBreak)
 	}
 }
 
@@ -453,7 +453,7 @@
 	allowSpot                       bool
 	cannotAwaitBoot, waitedPastBoot bool
 	spotUnavailable                 bool
-	requiredImage                   string // set only if just nodes that have this image may be used
+	requiredImage                   string // image that the nodes must have; "" if none is required
 }
 
 // shapeAt returns the shape of a job at a horizon. shapeDecidesFit is false if how many tasks fit depends on more than
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -225,7 +225,7 @@
 }
 
 // A CPU-only job must not take cores of GPU machines that a job with GPUs needs, even if the CPU-only job was
-// queued first. The case is the first table of the paper.
+// queued first. The case is the first table of the paper that docs/design.md names.
 func TestCPUOnlyWorkLeavesGPUNodes(t *testing.T) {
 	in := &Input{Window: 200, ReserveAfterS: 30, PriorityWeights: DefaultPriorityWeights, Teams: map[string]*Team{"crew": {}},
 		Nodes: []Node{node("m1", 8, 2), node("m2", 8, 2), node("m3", 8, 0)}}
@@ -285,7 +285,7 @@
 	}
 }
 
-// A task of a shortfall fits the remaining capacity of no machine. A cycle skips searches with the help of
+// No task of a shortfall fits the remaining capacity of any machine. A cycle skips searches with the help of
 // demand shapes and the class index; these must not hide free capacity.
 func TestShortfallsFitNoMachine(t *testing.T) {
 	shortfallsChecked := 0
