--- a/internal/controller/hugearray_test.go
+++ b/internal/controller/hugearray_test.go
@@ -54,7 +54,7 @@
 			Sequence:     sequence,
 			FencingToken: c.term,
 		}
-		m.Each(func(a *fleet.Attempt) {
+		m.EachAttempt(func(a *fleet.Attempt) {
 			if a.State > fleet.Committed && a.State != fleet.EndRecorded {
 				status, cause := outcome(a)
 				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{Task: a.TaskName(), Attempt: a.Number, Status: status, Cause: cause})
@@ -95,7 +95,7 @@
 		t.Errorf("%d records are left, want only the final status", left)
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
-		m.Each(func(a *fleet.Attempt) {
+		m.EachAttempt(func(a *fleet.Attempt) {
 			if a.State != fleet.EndRecorded {
 				t.Fatalf("%s is %s, want %s", a.TaskName(), a.State, fleet.EndRecorded)
 			}
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -32,7 +32,7 @@
 			Sequence:     f.sequence,
 			FencingToken: f.leader.term,
 		}
-		f.leader.fleet.Get(heartbeat.Host).Each(func(a *fleet.Attempt) {
+		f.leader.fleet.Get(heartbeat.Host).EachAttempt(func(a *fleet.Attempt) {
 			if a.State != fleet.Planned && a.State != fleet.Committed || a.Inherited {
 				report := wire.TaskReport{Task: a.TaskName(), Attempt: a.Number, Status: wire.TaskRunning}
 				heartbeat.Tasks = append(heartbeat.Tasks, report)
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -106,7 +106,7 @@
 // checkpointTasks stops the tasks of a machine that the cloud is about to reclaim, with a grace
 // period for a checkpoint. c.mu is held.
 func (c *Controller) checkpointTasks(m *fleet.Machine, now time.Time) {
-	m.Each(func(a *fleet.Attempt) {
+	m.EachAttempt(func(a *fleet.Attempt) {
 		if j := c.jobs.get(a.JobUID); j != nil && a.Live() && !a.Stopping {
 			c.stopAttempt(a, j.record.Spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "spot notice")
 		}
--- a/internal/controller/nodebuilder.go
+++ b/internal/controller/nodebuilder.go
@@ -45,7 +45,7 @@
 	node.Free, node.FreeAfterStops, node.Registered, node.ActiveFetches = m.Free(), m.Free(), true, m.FetchingImages()
 	node.Images = slices.AppendSeq(make([]string, 0, len(m.Images)), maps.Keys(m.Images))
 	node.ScaleInCandidate = !m.Spot && !b.headroom[m.ID]
-	m.Each(func(a *fleet.Attempt) {
+	m.EachAttempt(func(a *fleet.Attempt) {
 		if !a.Live() {
 			return
 		}
--- a/internal/controller/nodecache_test.go
+++ b/internal/controller/nodecache_test.go
@@ -63,7 +63,7 @@
 	id := fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(m.t, "host"))
 	var tasks []wire.TaskReport
 	if known := m.c.fleet.Get(id); known != nil {
-		known.Each(func(a *fleet.Attempt) {
+		known.EachAttempt(func(a *fleet.Attempt) {
 			report := m.taskReport(a)
 			if rapid.IntRange(0, 5).Draw(m.t, "missing") > 0 {
 				tasks = append(tasks, report)
@@ -146,7 +146,7 @@
 
 func (m *nodeCacheModel) stop() {
 	if machine := m.machine(); machine != nil {
-		machine.Each(func(a *fleet.Attempt) { m.c.stopAttempt(a, 0, m.now, "test") })
+		machine.EachAttempt(func(a *fleet.Attempt) { m.c.stopAttempt(a, 0, m.now, "test") })
 	}
 }
 
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -28,7 +28,7 @@
 // victim returns the attempt that a preemption stops, or nil if there is none.
 func (s *snapshot) victim(p sched.Preemption) (victim *fleet.Attempt) {
 	if m := s.machine(p.Node); m != nil {
-		m.Each(func(a *fleet.Attempt) {
+		m.EachAttempt(func(a *fleet.Attempt) {
 			if a.Serial == p.Serial {
 				victim = a
 			}
--- a/internal/controller/tokenannounce.go
+++ b/internal/controller/tokenannounce.go
@@ -105,7 +105,7 @@
 // newestIncarnation returns the newest known incarnation of a machine, and 1 if none is known.
 func newestIncarnation(m *fleet.Machine) uint64 {
 	incarnation := max(m.Incarnation, m.IncarnationHint)
-	m.Each(func(a *fleet.Attempt) { incarnation = max(incarnation, a.Incarnation) })
+	m.EachAttempt(func(a *fleet.Attempt) { incarnation = max(incarnation, a.Incarnation) })
 	return max(incarnation, 1)
 }
 
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -109,8 +109,8 @@
 	return len(fetching)
 }
 
-// Each calls visit for every attempt that is not Off.
-func (m *Machine) Each(visit func(*Attempt)) {
+// EachAttempt calls visit for every attempt that is not Off.
+func (m *Machine) EachAttempt(visit func(*Attempt)) {
 	for _, a := range m.attempts {
 		visit(a)
 	}
--- a/internal/simcluster/checker_test.go
+++ b/internal/simcluster/checker_test.go
@@ -103,7 +103,7 @@
 		for i := range jobs {
 			jobs[i], _ = replicaJob(0)(i, rand.New(rand.NewPCG(1, 1)))
 			if i < 3 {
-				cluster.Users.UploadSpec(jobs[i])
+				cluster.Users.RegisterSpec(jobs[i])
 			}
 		}
 		users, checker := cluster.Users, cluster.Checker
@@ -129,7 +129,7 @@
 			{"went_back", 200, wire.JobRunning, func() { users.Cancel("n0", jobs[2].UID) }},
 			{"", 200, wire.JobAborted, cancel(2)},
 			{"went_back", 200, wire.JobRunning, func() { users.CrossCheck(jobs[2].UID) }},
-			{"", 201, wire.JobQueued, func() { users.UploadSpec(jobs[3]); submit(3)() }},
+			{"", 201, wire.JobQueued, func() { users.RegisterSpec(jobs[3]); submit(3)() }},
 			{"", 200, wire.JobQueued, func() { checker.FaultsOver(); time.Sleep(80 * time.Second) }},
 			{"left_waiting", 200, wire.JobQueued, func() { time.Sleep(20 * time.Second) }},
 			{"late_begin", 200, wire.JobQueued, checker.CheckJobsServed},
@@ -157,8 +157,8 @@
 		first := stageJob(1, 1)
 		first.ExpectedRunS = 100
 		second := stageJob(2, 1, first.UID)
-		users.UploadSpec(first)
-		users.UploadSpec(second)
+		users.RegisterSpec(first)
+		users.RegisterSpec(second)
 		independent := second
 		independent.Dependencies = nil // the controllers do not learn of the dependency
 		users.Submit("n0", first)
@@ -167,12 +167,12 @@
 		time.Sleep(10 * time.Second)
 		users.Cancel("n0", first.UID)
 		blocked := stageJob(3, 1, first.UID)
-		users.UploadSpec(blocked)
+		users.RegisterSpec(blocked)
 		blocked.Cores, blocked.Dependencies = 30, nil
 		for i := range 6 {
 			large := stageJob(10+i, 1)
 			large.Cores, large.ExpectedRunS, large.Priority = 64, 300, wire.High
-			users.UploadSpec(large)
+			users.RegisterSpec(large)
 			users.Submit("n0", large)
 		}
 		time.Sleep(5 * time.Second)
--- a/internal/simcluster/cloud.go
+++ b/internal/simcluster/cloud.go
@@ -110,7 +110,7 @@
 			if !worker.isTerminated() { // a repeated request needs no record
 				c.cluster.Checker.checkReturn(host)
 			}
-			worker.Die()
+			worker.Terminate()
 		}
 	}
 	jsonhttp.Reply(w, http.StatusOK, struct{}{})
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -69,7 +69,7 @@
 func (c *Cluster) StopMachines() {
 	c.stopped.Store(true)
 	for _, worker := range c.Cloud.allWorkers() {
-		worker.Die()
+		worker.Terminate()
 	}
 }
 
--- a/internal/simcluster/combined_faults_test.go
+++ b/internal/simcluster/combined_faults_test.go
@@ -39,7 +39,7 @@
 func (sc *scenario) hangWorkers(r *rand.Rand, count int) {
 	for range count {
 		if worker := sc.cluster.Cloud.RandomWorker(); worker != nil {
-			worker.Hang(time.Duration(3+r.IntN(14)) * time.Second)
+			worker.Suspend(time.Duration(3+r.IntN(14)) * time.Second)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 func (sc *scenario) killWorkers(count int) {
 	for range count {
 		if worker := sc.cluster.Cloud.RandomWorker(); worker != nil {
-			worker.Die()
+			worker.Terminate()
 		}
 	}
 }
--- a/internal/simcluster/dependencies_test.go
+++ b/internal/simcluster/dependencies_test.go
@@ -29,7 +29,7 @@
 		service := stageJob(2, 1)
 		service.Kind, service.JobClass = wire.Service, "serve"
 		for _, spec := range []wire.JobSpec{first, service, last} {
-			sc.cluster.Users.UploadSpec(spec)
+			sc.cluster.Users.RegisterSpec(spec)
 		}
 		submit := func(status int, node, body string) {
 			t.Helper()
@@ -93,8 +93,8 @@
 		time.Sleep(5 * time.Second)
 		first := stageJob(1, 1)
 		second := stageJob(2, 1, first.UID)
-		sc.cluster.Users.UploadSpec(first)
-		sc.cluster.Users.UploadSpec(second)
+		sc.cluster.Users.RegisterSpec(first)
+		sc.cluster.Users.RegisterSpec(second)
 		sc.expectStatus(http.StatusCreated, "n2", http.MethodPost, "/work", jobJSON(first))
 		for i := range nodeNames {
 			if i > 0 {
@@ -126,7 +126,7 @@
 		sc.cluster.Cloud.AddMachines("g8", "a", 2)
 		time.Sleep(5 * time.Second)
 		first := stageJob(1, 1)
-		sc.cluster.Users.UploadSpec(first)
+		sc.cluster.Users.RegisterSpec(first)
 		sc.expectStatus(http.StatusCreated, "n2", http.MethodPost, "/work", jobJSON(first))
 		sc.isolatePeers(2, true)
 		sc.upgradeNode(0, time.Second)
--- a/internal/simcluster/large_fleet_test.go
+++ b/internal/simcluster/large_fleet_test.go
@@ -47,8 +47,8 @@
 			time.Sleep(15 * time.Second)
 			sc.partitionThirdOfMachines(machines, 25*time.Second)
 			for range 30 {
-				sc.cluster.Cloud.RandomWorker().Hang(20 * time.Second)
-				sc.cluster.Cloud.RandomWorker().Die()
+				sc.cluster.Cloud.RandomWorker().Suspend(20 * time.Second)
+				sc.cluster.Cloud.RandomWorker().Terminate()
 			}
 			time.Sleep(10 * time.Second)
 			sc.cluster.Store.SetDown(true)
@@ -170,7 +170,7 @@
 			ExpectedRunS: 4,
 			MachineTypes: []string{"g4", "g8"},
 		}
-		sc.cluster.Users.UploadSpec(spec)
+		sc.cluster.Users.RegisterSpec(spec)
 		if status, _ := sc.cluster.Users.Request("n0", http.MethodPost, "/work", spec); status != http.StatusCreated {
 			t.Fatalf("got status %d for the submission, want %d", status, http.StatusCreated)
 		}
--- a/internal/simcluster/older_release_test.go
+++ b/internal/simcluster/older_release_test.go
@@ -105,12 +105,12 @@
 	sc.startNode(i)
 }
 
-// unannouncedRelease sends the requests of a node that runs the older release, which announces no version in the
+// olderReleaseTransport sends the requests of a node that runs the older release, which announces no version in the
 // state store.
-type unannouncedRelease struct{ http.RoundTripper }
+type olderReleaseTransport struct{ http.RoundTripper }
 
 // RoundTrip answers announcements of a version with 503 and sends all other requests.
-func (u unannouncedRelease) RoundTrip(req *http.Request) (*http.Response, error) {
+func (u olderReleaseTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if req.Body != nil {
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
--- a/internal/simcluster/poll_load_test.go
+++ b/internal/simcluster/poll_load_test.go
@@ -46,7 +46,7 @@
 // status.
 func (sc *scenario) timeToFinalStatusAt(node string, spec wire.JobSpec) time.Duration {
 	began := time.Now()
-	sc.cluster.Users.UploadSpec(spec)
+	sc.cluster.Users.RegisterSpec(spec)
 	isAccepted := false
 	for sc.cluster.Checker.FinalStatus(spec.UID) == "" && time.Since(began) < time.Minute {
 		if isAccepted = isAccepted || sc.cluster.Users.Submit(node, spec); isAccepted {
--- a/internal/simcluster/random_faults_test.go
+++ b/internal/simcluster/random_faults_test.go
@@ -189,13 +189,13 @@
 
 func (f *randomFault) killWorker() {
 	if worker := f.sc.cluster.Cloud.RandomWorker(); worker != nil {
-		worker.Die()
+		worker.Terminate()
 	}
 }
 
 func (f *randomFault) hangWorker() {
 	if worker := f.sc.cluster.Cloud.RandomWorker(); worker != nil {
-		worker.Hang(f.duration)
+		worker.Suspend(f.duration)
 	}
 }
 
--- a/internal/simcluster/refused_leader_test.go
+++ b/internal/simcluster/refused_leader_test.go
@@ -124,7 +124,7 @@
 // startJob submits a job to the first node and expects that all its tasks run after the given time.
 func (sc *scenario) startJob(spec wire.JobSpec, after time.Duration) {
 	sc.t.Helper()
-	sc.cluster.Users.UploadSpec(spec)
+	sc.cluster.Users.RegisterSpec(spec)
 	if !sc.cluster.Users.Submit(nodeNames[0], spec) {
 		sc.t.Fatalf("%s was not accepted by %s", spec.UID, nodeNames[0])
 	}
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -180,7 +180,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	network := node.Network{State: transport, Cloud: transport, Workers: transport, DialPeer: sc.net.DialPeer(peerAddress(name))}
 	if sc.olderRelease[i] {
-		network.State = unannouncedRelease{transport}
+		network.State = olderReleaseTransport{transport}
 	}
 	n := node.New(cfg, network)
 	server, err := peer.NewServer(newReleaseHandler(n, sc, i))
--- a/internal/simcluster/users.go
+++ b/internal/simcluster/users.go
@@ -72,8 +72,8 @@
 	return resp.StatusCode, view
 }
 
-// UploadSpec makes a job's specification known to workers and to the checker.
-func (u *Users) UploadSpec(spec wire.JobSpec) { u.cluster.Checker.registerSpec(spec) }
+// RegisterSpec makes a job's specification known to workers and to the checker.
+func (u *Users) RegisterSpec(spec wire.JobSpec) { u.cluster.Checker.registerSpec(spec) }
 
 // Run submits a job and polls it until it is over, or until the deadline. If cancelAfter is above 0, it
 // cancels a job that is not over by then.
@@ -86,7 +86,7 @@
 // SubmitUntil repeats the submission of a job until the job is accepted, and reports whether it was accepted
 // before the deadline.
 func (u *Users) SubmitUntil(spec wire.JobSpec, deadline time.Time) bool {
-	u.UploadSpec(spec)
+	u.RegisterSpec(spec)
 	for !u.Submit(u.randomNode(), spec) {
 		if time.Now().After(deadline) {
 			return false
--- a/internal/simcluster/worker.go
+++ b/internal/simcluster/worker.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Die terminates the machine with all its tasks. A second call does nothing.
-func (w *Worker) Die() {
+// Terminate terminates the machine with all its tasks. A second call does nothing.
+func (w *Worker) Terminate() {
 	w.mu.Lock()
 	if w.terminated {
 		w.mu.Unlock()
@@ -89,8 +89,8 @@
 	w.cluster.Net.Attach(w.Host, nil, nil)
 }
 
-// Hang suspends the machine for d. Its tasks continue afterwards unless its lease has expired by then.
-func (w *Worker) Hang(d time.Duration) {
+// Suspend suspends the machine for d. Its tasks continue afterwards unless its lease has expired by then.
+func (w *Worker) Suspend(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hungUntil = time.Now().Add(d)
