--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -83,8 +83,8 @@
 }
 
 // campaign makes one attempt to become leader: it creates the leader's key, attached to a new lease. If elected is
-// true, this node leads the returned term by the returned lease. Otherwise campaign revokes the lease, if one was
-// granted, and reads who leads from the state store.
+// true, this node leads the returned term by the returned lease. If elected is false although a lease was granted,
+// campaign revokes that lease and reads from the state store which node leads.
 func (e *Elector) campaign(ctx context.Context) (term, leaseID uint64, elected bool) {
 	ctx = store.WithUrgentLane(ctx)
 	leaseID, err := e.Store.GrantLease(ctx, e.LeaseTTL)
--- a/internal/election/lease_test.go
+++ b/internal/election/lease_test.go
@@ -60,7 +60,7 @@
 					t.Errorf("the node is %s, want %s", got, tc.want)
 				}
 				if revoked := len(fake.revoked) > 0; revoked != (tc.rival != nil) {
-					t.Errorf("got lease of the campaign revoked %v, want %v", revoked, tc.rival != nil)
+					t.Errorf("lease of the campaign revoked: %v, want %v", revoked, tc.rival != nil)
 				}
 				if tc.rival != nil && elector.View().Leader != "b" {
 					t.Errorf("after a lost campaign the view is %+v, want Leader b", elector.View())
@@ -133,7 +133,7 @@
 		fake.mu.Lock()
 		defer fake.mu.Unlock()
 		if len(fake.revoked) == 0 || !errors.Is(termErr, context.Canceled) {
-			t.Errorf("got revoked leases %v with context error %v, want some with %v", fake.revoked, termErr, context.Canceled)
+			t.Errorf("revoked leases: %v, want some; error of the term's context then: %v, want %v", fake.revoked, termErr, context.Canceled)
 		}
 		if got := elector.State(); got == Leading {
 			t.Errorf("after the transfer the node is %s, want it not to lead", got)
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -169,7 +169,7 @@
 
 // nextRetryAfter returns how long a refused user should wait before trying again; at least wait. Each
 // user gets a later time than the previous one, at the rate of the user write budget, so that they do
-// not all try again at once. maxRetryAfterTimeouts bounds how late that is.
+// not all try again at once. maxRetryAfterTimeouts bounds how far in the future the next user's time is.
 func (c *Client) nextRetryAfter(now time.Time, wait time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/watchcache/cache_test.go
+++ b/internal/watchcache/cache_test.go
@@ -68,7 +68,7 @@
 		}
 	case 14:
 		if rapid.IntRange(0, 9).Draw(t, "compact") == 0 {
-			m.store.compacted = m.store.revision
+			m.store.compactedUpTo = m.store.revision
 		}
 	}
 }
--- a/internal/watchcache/fakes_test.go
+++ b/internal/watchcache/fakes_test.go
@@ -10,12 +10,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// fakeStore is a state store of job records that keeps the changes after the revision compacted.
+// fakeStore is a state store of job records. It keeps only the changes after revision compactedUpTo.
 type fakeStore struct {
-	revision  uint64
-	items     map[string]wire.KeyValue
-	events    []wire.WatchEvent
-	compacted uint64 // changes up to this revision are no longer kept
+	revision      uint64
+	items         map[string]wire.KeyValue
+	events        []wire.WatchEvent
+	compactedUpTo uint64 // changes up to this revision are no longer kept
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{items: map[string]wire.KeyValue{}} }
@@ -43,7 +43,7 @@
 }
 
 func (s *fakeStore) Watch(_ context.Context, _ string, afterRevision uint64, _ time.Duration) (wire.WatchResponse, error) {
-	if afterRevision < s.compacted {
+	if afterRevision < s.compactedUpTo {
 		return wire.WatchResponse{}, store.ErrCompacted
 	}
 	changes := wire.WatchResponse{Revision: s.revision}
--- a/internal/workerlease/workerlease.go
+++ b/internal/workerlease/workerlease.go
@@ -54,9 +54,10 @@
 // to the answer, and removes their launches.
 //
 // This is why cancelled work ends within cancel_s. If this node knows of a cancellation, this answer stops the task.
-// Otherwise the cancellation was committed after the last read of the cancellations. That read is recent enough that a
-// task whose job was cancelled after it ends with its lease within cancel_s. The lease counts from when the worker sent
-// the heartbeat, which was before this call, so it does not matter how long the answer takes to arrive.
+// Otherwise the cancellation was committed after the last read of the cancellations. That read is recent enough: even if
+// the job was cancelled right after the read, the lease that this answer renews expires, and with it the task ends,
+// within cancel_s of the cancellation. The lease counts from when the worker sent the heartbeat, which was before this
+// call, so it does not matter how long the answer takes to arrive.
 func (r *Renewer) Renew(heartbeat *wire.Heartbeat, answer *wire.Commands) error {
 	// One call returns the set and its time. With two calls, a cancellation that was applied between them would be
 	// missing from the set, while the time would say that it is known.
@@ -70,8 +71,7 @@
 	return nil
 }
 
-// concernedJobs returns the jobs that have a task that the heartbeat reports and that has not ended, or a task that the
-// answer launches.
+// concernedJobs returns the jobs of the reported tasks that have not ended, and of the tasks that the answer launches.
 func concernedJobs(heartbeat *wire.Heartbeat, answer *wire.Commands) []string {
 	uids := make([]string, 0, len(heartbeat.Tasks)+len(answer.Commands))
 	for _, task := range heartbeat.Tasks {
