--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -16,7 +16,8 @@
 //	t/last              how the last failover went
 //	o/settings          the settings that the operators have set
 //	o/version           the cluster version: which formats of records are in use
-//	o/release/<node>    the version that a node understands, attached to a lease, until it is in force
+//	o/release/<node>    the version that a node understands, attached to a lease; the node revokes the
+//	                    lease once that version is in force
 package records
 
 import (
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -11,8 +11,8 @@
 // init fixes the seed so that every run draws the same inputs; -rapid.seed sets another seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// FitNames splits a list of machines so that each part fits into a value and no machine is lost. A list of
-// a thousand machines in one record exceeded the maximum value size.
+// FitNames splits a list of machines so that each part fits into a value and no machine is lost. Before
+// lists were split, a record of a thousand machines exceeded the maximum value size.
 func TestFitNamesSplits(t *testing.T) {
 	splits := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/records/releasebefore_test.go
+++ b/internal/records/releasebefore_test.go
@@ -109,8 +109,8 @@
 		if err != nil || !reflect.DeepEqual(got, placement) {
 			t.Errorf("%s is decoded as %+v (error %v), want %+v", key, got, err, placement)
 		}
-		const plain, dense = 8192, 1
-		reencoded := records.EncodePlacement(got, []int{plain, dense}[number], true)
+		const limitForPlain, limitForDense = 8192, 1
+		reencoded := records.EncodePlacement(got, []int{limitForPlain, limitForDense}[number], true)
 		if string(reencoded) != string(items[key].Value) {
 			t.Errorf("%s is encoded again as %s, want %s", key, reencoded, items[key].Value)
 		}
--- a/internal/records/settings.go
+++ b/internal/records/settings.go
@@ -9,12 +9,12 @@
 
 // Defaults of the settings that operators can change.
 const (
-	// cyclesPerHeartbeat is the number of scheduling cycles in a heartbeat interval. The default
-	// interval between cycles in the paper is 3 s. Here it is shorter, a third of a heartbeat
-	// interval, since fetching an image already takes most of the time that users wait.
+	// cyclesPerHeartbeat is the number of scheduling cycles in a heartbeat interval. In the paper that
+	// docs/design.md names, the default interval between cycles is 3 s. Here it is shorter, a third of
+	// a heartbeat interval, since fetching an image already takes most of the time that users wait.
 	cyclesPerHeartbeat = 3
 	defaultWindow      = 200 // jobs
-	defaultHeadroom    = 2   // factor of the usual headroom
+	defaultHeadroom    = 2   // factor by which the computed headroom is scaled
 )
 
 // Bounds of the settings that operators can change.
