--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -140,7 +140,7 @@
 // recordFailedTransfer changes the state after a transfer that was not completed, to Empty if there is no copy and to
 // Behind if the copy is older than BehindAfter. The caller holds f.mu.
 func (f *Follower) recordFailedTransfer(err error) {
-	slog.Debug("standby completed no transfer from the leader", "err", err)
+	slog.Debug("standby did not complete a transfer from the leader", "err", err)
 	switch {
 	case f.copy == nil:
 		f.setState(Empty, "the transfer was cut off")
--- a/internal/standby/leader_test.go
+++ b/internal/standby/leader_test.go
@@ -71,7 +71,7 @@
 	return NewFollower(FollowerConfig{Label: label, BehindAfter: time.Second, Fetch: fetch})
 }
 
-// followSources returns a follower that fetches parts from sources, which are given by the leader's name.
+// followSources returns a follower that fetches parts from sources. The keys of sources are the leaders' labels.
 func followSources(label string, sources map[string]*Source) *Follower {
 	return newFollower(label, func(leader string, args peer.FollowArgs) (peer.FollowReply, error) {
 		source := sources[leader]
--- a/internal/standby/recordingstore.go
+++ b/internal/standby/recordingstore.go
@@ -16,8 +16,8 @@
 	Commit(ctx context.Context, tx wire.Transaction) (uint64, error)
 }
 
-// RecordingStore is a Store that reports the outcome of every commit to a Source. It is safe for
-// concurrent use.
+// RecordingStore is a Store that reports to a Source the outcome of every commit that changes followed records. It is
+// safe for concurrent use.
 type RecordingStore struct {
 	Store
 	source *Source
@@ -26,8 +26,8 @@
 // NewRecordingStore returns a store for a controller. The source offers the controller's commits to its standbys.
 func NewRecordingStore(s Store, source *Source) *RecordingStore { return &RecordingStore{s, source} }
 
-// Get reads a key and applies what it has read to the source. What a read returns is at least as new as what the source
-// has for the key.
+// Get reads a key. If the key belongs to a followed record, Get applies what it has read to the source: a read returns
+// what is at least as new as what the source has for the key.
 func (r *RecordingStore) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
 	item, found, err := r.Store.Get(ctx, key)
 	if err == nil && isRecord(key) {
@@ -36,7 +36,7 @@
 	return item, found, err
 }
 
-// Commit commits a transaction and reports its outcome to the source.
+// Commit commits a transaction. If it changes followed records, Commit reports its outcome to the source.
 func (r *RecordingStore) Commit(ctx context.Context, tx wire.Transaction) (uint64, error) {
 	keys := recordKeys(tx)
 	if len(keys) == 0 {
--- a/internal/standby/size_test.go
+++ b/internal/standby/size_test.go
@@ -20,8 +20,8 @@
 }
 
 // A follower receives the views of 4,096 and of 6,000 machines and of the largest allowed job, and keeps up while all
-// of these views change. Once the view of such a job was larger than the limit of a part, and the follower
-// discarded its copy and started again endlessly.
+// of these views change. When the view of such a job could exceed the size limit of a part, the follower discarded its
+// copy and started again endlessly.
 func TestLargeFleetIsFollowed(t *testing.T) {
 	for _, machines := range []int{4096, 6000} {
 		views := &repeatedViews{}
--- a/internal/standby/source.go
+++ b/internal/standby/source.go
@@ -77,8 +77,8 @@
 		}
 	}
 	s.contents = edit.contents()
-	// The term is the revision of its election. Records of earlier terms have lower revisions, and this source records
-	// the commits of this term.
+	// The term is the revision of its election. Records of earlier terms have lower revisions, and the commits of this
+	// term are reported to this source.
 	s.positions.newestRevision = max(s.positions.newestRevision, s.term)
 	s.seeded, s.views = true, views
 }
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -4,9 +4,9 @@
 // At the leader, a Source holds entries in an immutable radix tree: the followed records, and views, which are what
 // the leader knows beyond its records. At the standby, a Follower pulls the entries in transfers. The first transfer
 // contains everything, later ones contain what has changed since the one before. Each transfer is sent in parts and
-// results in a sequence number, a position in the state store's history and a digest. The follower never uses a
-// part of a transfer: it discards the transfer if it is not complete or if its digest differs from that of the
-// resulting copy.
+// results in a sequence number, a position in the state store's history and a digest. The follower uses only complete
+// transfers: it discards a transfer that is cut off, and one whose digest differs from the digest of the resulting
+// copy.
 //
 // The position is what proves a copy: the copy contains everything that the leader's term has committed up to that
 // revision. A standby that has been elected reads the changes after the position from the state store, and then has
@@ -29,7 +29,7 @@
 	Empty     State = iota // there is no usable copy
 	Syncing                // the first transfer, of everything, is in progress
 	Following              // the copy is complete and kept up to date
-	Behind                 // the copy is older: the leader is unreachable, or no longer has all changes since the copy
+	Behind                 // the copy is out of date: the leader is unreachable, or no longer has all changes since the copy
 	Verifying              // this node is elected and checks its copy against the state store
 	Ready                  // the copy is proven and the controller loads it
 	Promoted               // the controller of this node's term has loaded the copy
--- a/internal/standby/transfer.go
+++ b/internal/standby/transfer.go
@@ -55,21 +55,21 @@
 	}
 }
 
-// beginTransfer begins a transfer of what has changed since the sequence number have, or of everything if these changes
-// are not all logged. The caller holds s.mu.
-func (s *Source) beginTransfer(have uint64) *outgoingTransfer {
+// beginTransfer begins a transfer of the changes after the sequence number base, or of everything if the log no longer
+// has all these changes. The caller holds s.mu.
+func (s *Source) beginTransfer(base uint64) *outgoingTransfer {
 	s.positions.lastID++
 	t := &outgoingTransfer{id: s.positions.lastID, contents: s.contents}
 	t.header = peer.FollowReply{
 		Term:     s.term,
 		Leading:  true,
 		Transfer: t.id,
-		Base:     have,
+		Base:     base,
 		Sequence: s.sequence,
 		Position: s.positions.position(),
 		Digest:   s.contents.digest,
 	}
-	if keys, ok := s.changedSince(have); ok {
+	if keys, ok := s.changedSince(base); ok {
 		t.remainingKeys = keys
 		return t
 	}
@@ -82,14 +82,14 @@
 	return t
 }
 
-// changedSince returns the keys that have changed since the sequence number have, each key once. ok is false if have
-// is 0 or newer than the contents, or if the log no longer has all these changes. The caller holds s.mu.
-func (s *Source) changedSince(have uint64) (keys []string, ok bool) {
-	if have == 0 || have > s.sequence || have < s.sequence && (len(s.changeLog) == 0 || s.changeLog[0].sequence > have+1) {
+// changedSince returns the keys of the changes after the sequence number base, each key once. ok is false if base is
+// 0 or newer than the contents, or if the log no longer has all these changes. The caller holds s.mu.
+func (s *Source) changedSince(base uint64) (keys []string, ok bool) {
+	if base == 0 || base > s.sequence || base < s.sequence && (len(s.changeLog) == 0 || s.changeLog[0].sequence > base+1) {
 		return nil, false
 	}
 	seen := map[string]bool{}
-	for i := len(s.changeLog) - 1; i >= 0 && s.changeLog[i].sequence > have; i-- {
+	for i := len(s.changeLog) - 1; i >= 0 && s.changeLog[i].sequence > base; i-- {
 		if key := s.changeLog[i].key; !seen[key] {
 			seen[key] = true
 			keys = append(keys, key)
--- a/internal/standby/views.go
+++ b/internal/standby/views.go
@@ -102,30 +102,30 @@
 	return tasks, nil
 }
 
-// LeaderView is what a leader has learned that does not belong to one machine or job. Refusal and Arrival have no cbor
-// tags, so the Go names of their fields are the names in the encoding.
+// LeaderView is what a leader has learned that does not belong to one machine or job. CapacityRefusal and ArrivalStats
+// have no cbor tags, so the Go names of their fields are the names in the encoding.
 type LeaderView struct {
-	Window   int               `cbor:"1,keyasint,omitempty"`
+	Window   int               `cbor:"1,keyasint,omitempty"` // maximum number of jobs that a scheduling cycle considers
 	Refusals []CapacityRefusal `cbor:"2,keyasint,omitempty"`
 	Arrivals []ArrivalStats    `cbor:"3,keyasint,omitempty"`
 }
 
-// CapacityRefusal is a machine type in a zone for which the cloud had no capacity left. UntilMs is a Unix time in milliseconds,
-// PauseMs a duration in milliseconds.
+// CapacityRefusal is a machine type in a zone for which the cloud had no capacity left, and the backoff before the
+// leader requests such machines again.
 type CapacityRefusal struct {
 	Type, Zone string
 	Spot       bool
-	UntilMs    int64
-	PauseMs    int64
+	UntilMs    int64 // end of the backoff, as a Unix time in milliseconds
+	PauseMs    int64 // length of the backoff in milliseconds
 }
 
 // ArrivalStats is a weighted count of the jobs of a class that were submitted: older submissions count less.
 type ArrivalStats struct {
 	Class       string
-	Job         wire.JobSpec // one of the jobs
+	Job         wire.JobSpec // the newest of the jobs
 	Count       float64
-	TasksSquare float64 // mean of the square of a job's number of tasks
-	AtMs        int64
+	TasksSquare float64 // weighted mean of the squared task counts of the jobs
+	AtMs        int64   // when Count was last updated, as a Unix time in milliseconds
 }
 
 // Entry returns the entry of the view.
