--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -118,7 +118,7 @@
 	Blamed   int // wire.LeadStatus.QuarantinedMachines
 }
 
-// RoundStatusMessage is the message form of wire.RoundStatus.
+// RoundStatusMessage is the message form of wire.CycleStatus.
 type RoundStatusMessage struct {
 	AgoS      float64
 	TookMs    float64
--- a/internal/peer/types.go
+++ b/internal/peer/types.go
@@ -14,7 +14,7 @@
 	// last leader lease.
 	RenewedHosts []string
 	// Counts are the task counts of the jobs that have changed at the leader since the caller's revision. With them,
-	// the caller is at CountsRevision.
+	// the caller has all changes up to CountsRevision.
 	Counts         []wire.JobView
 	CountsRevision uint64
 	CountsMore     bool   // more counts have changed than fit into one answer; the next answer contains them
--- a/internal/relay/batch.go
+++ b/internal/relay/batch.go
@@ -104,7 +104,7 @@
 // number.
 func equalExceptSequence(a, b *wire.Heartbeat) bool {
 	if a.SpotNoticeS != nil || b.SpotNoticeS != nil {
-		return false // each heartbeat has another time until the machine is reclaimed
+		return false // the time until the machine is reclaimed differs from heartbeat to heartbeat
 	}
 	return a.Host == b.Host && a.Address == b.Address && a.MachineType == b.MachineType && a.Zone == b.Zone && a.Spot == b.Spot &&
 		a.Incarnation == b.Incarnation && a.FencingToken == b.FencingToken && slices.Equal(a.Tasks, b.Tasks)
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -50,10 +50,10 @@
 // capacity returns the number of workers that a controller accepts from any zone. r.mu must be held.
 func (r *Router) capacity(label string) int { return int(r.share(label) * float64(r.MaxConnections)) }
 
-// capacityFor returns the number of workers below which a controller accepts another worker from a zone. The limit
-// is higher for the controller's own zone, whose workers can reach no other controller during a network partition
-// of the zone. When a leader accepted only its usual share, the leases of a third of the 700 machines in a
-// partitioned zone expired. r.mu must be held.
+// capacityFor returns the number of workers, from all zones together, below which a controller accepts another
+// worker from the given zone. The limit is higher for the controller's own zone, whose workers can reach no other
+// controller during a network partition of the zone. When a leader accepted only its usual share, the leases of a
+// third of the 700 machines in a partitioned zone expired. r.mu must be held.
 func (r *Router) capacityFor(label, zone string) int {
 	if r.Zones[label] == zone {
 		return MaxWorkers(r.MaxConnections)
--- a/internal/relay/departure.go
+++ b/internal/relay/departure.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// stayLeases is the number of worker leases during which a worker that has left a controller, which may be
-	// unreachable for it, is not sent back.
+	// stayLeases is the number of worker leases during which a worker is not moved after it has left a controller: it
+	// may be unable to reach that controller.
 	stayLeases = 3
-	// stayIntervals is the number of heartbeat intervals before a worker that probably left because of one slow
-	// answer may be sent back. It also limits the age of the last heartbeat of a worker that counts as reporting.
+	// stayIntervals is the number of heartbeat intervals after which a worker that probably left because of one slow
+	// answer may be sent back. A worker counts as reporting while its last heartbeat is at most that old.
 	stayIntervals = 2
 	// countsMaxAgeShare is the maximum age of the workerCounts, as a share of a heartbeat interval.
 	countsMaxAgeShare = 0.25
--- a/internal/relay/pressure.go
+++ b/internal/relay/pressure.go
@@ -7,7 +7,7 @@
 // The levels of pressure. Their numeric values are sent in batches to other controllers.
 const (
 	NoPressure    Pressure = iota // enough connections are free
-	UnderPressure                 // nearly all are in use: answers are sent without waiting, and their connections closed
+	UnderPressure                 // nearly all are in use: answers do not wait for commands, and close their connections
 	Full                          // the heartbeat arrived on a reserve connection: the worker has to move
 )
 
