--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -102,9 +102,9 @@
 	return true
 }
 
-// cheapest returns an empty bin of the group with the lowest price per task, where a machine runs at
-// most maxTasks tasks. Among groups of equal price it chooses one in the zone with the fewest
-// machines. found is false if no group may be provisioned.
+// cheapest returns an empty bin of the group with the lowest price per task. The price of a machine is
+// divided among the tasks that fit on it, but at most maxTasks. Among groups of equal price it chooses
+// one in the zone with the fewest machines. found is false if no group may be provisioned.
 func (p *packing) cheapest(job *sched.Job, tasksByZone map[string]int, maxTasks int) (best bin, found bool) {
 	bestCost, bestZoneMachines := math.Inf(1), 0
 	need := fleet.TaskResources(job.Spec)
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -24,7 +24,7 @@
 		Zones:      []string{"a", "b", "c", "d"},
 	}}}
 	for _, machines := range []int{4096, 6000} {
-		const calls = 10
+		const maxRequests = 10
 		shortfalls := make([]sched.Shortfall, 0, machines)
 		for i := range machines {
 			spec := &wire.JobSpec{UID: fmt.Sprintf("run-%06d", i), TaskCount: 8, Cores: float64(8 + i%5), Gpus: 1, RAMGb: 40}
@@ -32,17 +32,17 @@
 		}
 		machinesByZone, provisioned, started := map[string]int{}, 0, time.Now()
 		for cycles := 0; len(shortfalls) > 0; cycles++ {
-			if cycles > machines/(calls*wire.MaxProvision)+2 {
+			if cycles > machines/(maxRequests*wire.MaxProvision)+2 {
 				t.Fatalf("got %d machines requested after %d cycles, want at least %d", provisioned, cycles, machines)
 			}
 			requests := Plan(catalog, Demand{
 				Shortfalls:     shortfalls,
 				MachinesByZone: machinesByZone,
 				Refused:        func(MachineGroup) bool { return false },
-				MaxRequests:    calls,
+				MaxRequests:    maxRequests,
 			})
-			if len(requests) > calls {
-				t.Fatalf("got %d requests in a plan, want at most %d", len(requests), calls)
+			if len(requests) > maxRequests {
+				t.Fatalf("got %d requests in a plan, want at most %d", len(requests), maxRequests)
 			}
 			requested := 0
 			for _, r := range requests {
--- a/internal/autoscaler/releases.go
+++ b/internal/autoscaler/releases.go
@@ -27,7 +27,7 @@
 // still on record. The steps of a release are:
 //
 //  1. Start adds the machine.
-//  2. The caller commits a record that lists the machine (NextRecord, Recorded).
+//  2. The caller commits a record that lists the machine (NextRecord, AddRecorded).
 //  3. The caller requests the release from the cloud until the cloud confirms it (Unconfirmed,
 //     Confirm).
 //  4. Once no machine list can show the machine any more, the caller drops the record (Expired, Drop).
@@ -72,8 +72,8 @@
 
 // NextRecord returns a record of machines that no stored record lists yet, as many as fit into a
 // value of valueBytes; found is false if there are none. The caller commits the record in a
-// transaction that requires its key to be absent. It then calls Recorded or, if the outcome of the
-// commit is unknown, MayBeStored. Each key is used once: if a key were written twice, a delayed
+// transaction that requires its key to be absent. It then calls AddRecorded or, if the outcome of the
+// commit is unknown, AddUncertain. Each key is used once: if a key were written twice, a delayed
 // transaction could replace a newer list with an older one.
 func (r *Releases) NextRecord(valueBytes int) (record ReleaseRecord, found bool) {
 	hosts := r.hosts(func(m *release) bool { return !m.recorded })
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -26,11 +26,11 @@
 const Unbounded = math.MaxInt
 
 const (
-	// The cloud's machine list can show that machines are gone while it is at most maxListAgeLags times
-	// its usual lag, plus a worker lease, old.
+	// The cloud's machine list can show that machines are gone only up to a certain age: maxListAgeLags
+	// times its usual lag, plus a worker lease.
 	maxListAgeLags = 4
-	// recordsPerMachine is how many records a new leader lists for each machine: one of its images,
-	// and a placement record that includes it.
+	// recordsPerMachine is how many records a new leader lists for each machine: the record that lists
+	// its images, and a placement record that includes it.
 	recordsPerMachine = 2
 	// listingLeaseShare is the fraction of a worker lease within which a new leader should have listed
 	// the records.
@@ -77,7 +77,7 @@
 	}
 	if !cfg.RelayHeartbeats {
 		limit.Machines = perController
-		limit.ExceededEffect += "; with --relay-check-ins, every controller would take some"
+		limit.ExceededEffect += "; with --relay-check-ins, every controller would serve some of them"
 	}
 	return limit
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -39,7 +39,7 @@
 	timeout         time.Duration // of one call, including the wait for the rate limit
 	callLimiter     *rate.Limiter // of all calls
 	pageLimiter     *rate.Limiter // of pages of the machine list; leaves calls for provisioning and returning machines
-	outOfOrderPages atomic.Uint64 // see RefusedPages
+	outOfOrderPages atomic.Uint64 // see OutOfOrderPages
 }
 
 // callShare is the share of the cloud's rate limit that one node uses.
--- a/internal/clusterversion/announcement.go
+++ b/internal/clusterversion/announcement.go
@@ -35,7 +35,7 @@
 func (t *Tracker) Announce(ctx context.Context, leases LeaseStore, node string, ttl time.Duration) {
 	ctx = store.WithUrgentLane(ctx)
 	// Wait first: the leader usually learns the version from pings, and then no record is needed.
-	for t.waitWhileNotInForce(ctx, ttl) {
+	for t.notInForceAfter(ctx, ttl) {
 		leaseID, err := leases.GrantLease(ctx, ttl)
 		if err == nil {
 			err = t.announceOnLease(ctx, leases, node, leaseID, ttl)
@@ -53,7 +53,7 @@
 	_, err := leases.Commit(ctx, wire.Transaction{
 		Changes: []wire.Change{{Set: records.ReleaseKey(node), Value: record, LeaseID: leaseID}},
 	})
-	for err == nil && t.waitWhileNotInForce(ctx, ttl/renewalsPerTTL) {
+	for err == nil && t.notInForceAfter(ctx, ttl/renewalsPerTTL) {
 		err = leases.RenewLease(ctx, leaseID)
 	}
 	if err != nil {
@@ -62,9 +62,9 @@
 	return leases.RevokeLease(ctx, leaseID)
 }
 
-// waitWhileNotInForce waits for d, and then reports whether the latest version is still not in force. It
+// notInForceAfter waits for d, and then reports whether the latest version is still not in force. It
 // returns false at once if ctx ends.
-func (t *Tracker) waitWhileNotInForce(ctx context.Context, d time.Duration) bool {
+func (t *Tracker) notInForceAfter(ctx context.Context, d time.Duration) bool {
 	return timeralign.Sleep(ctx, d) && t.InForce() < Latest
 }
 
--- a/internal/clusterversion/clusterversion.go
+++ b/internal/clusterversion/clusterversion.go
@@ -3,10 +3,10 @@
 //
 // Every node announces in its pings the latest version that it understands; a node that announces none
 // understands First. A node that the leader cannot reach announces its version in a record that is
-// attached to a lease. The version in force, which is the version in use, is a record in the state
-// store. The leader raises it once every member has announced that it understands the newer version,
-// and never lowers it. Until then nothing is stored or sent that a node of the older release would
-// misread, lose or refuse.
+// attached to a lease. The version that the cluster uses is called the version in force, and is a
+// record in the state store. The leader raises it once every member has announced that it understands
+// the newer version, and never lowers it. Until then nothing is stored or sent that a node of the older
+// release would misread, lose or refuse.
 package clusterversion
 
 import (
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,8 +28,8 @@
 // that are too low to work with are rejected with an error that names the setting.
 func TestAnnouncedLimitsCountWhereLower(t *testing.T) {
 	for _, tc := range []struct {
-		name, next, fault string
-		want              StateLimits
+		name, next, wantErr string
+		want                StateLimits
 	}{
 		{"none", "", "", StateLimits{Rps: 100, WriteRps: 25, ValueKb: 8, TxnOps: 20}},
 		{"lower", "write_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 6", "", StateLimits{Rps: 100, WriteRps: 18, ValueKb: 2, TxnOps: 6}},
@@ -46,9 +46,9 @@
 				next = "[cluster.state.next]\n" + next
 			}
 			c, err := Parse([]byte(strings.ReplaceAll(settingsText, "NEXT", next)))
-			if tc.fault != "" {
-				if err == nil || !strings.Contains(err.Error(), tc.fault) {
-					t.Errorf("Parse returned error %v, want one with %q", err, tc.fault)
+			if tc.wantErr != "" {
+				if err == nil || !strings.Contains(err.Error(), tc.wantErr) {
+					t.Errorf("Parse returned error %v, want one with %q", err, tc.wantErr)
 				}
 				return
 			}
--- a/internal/config/durations.go
+++ b/internal/config/durations.go
@@ -38,9 +38,9 @@
 
 // MaxCancellationAge returns how old a node's data on cancellations may be while it renews worker
 // leases: cancel_s, less a worker lease and a margin of a tenth of a lease. Suppose that a task is
-// cancelled right after the node read that data. The task ends with its worker's lease, which counts
-// from when the worker sent its heartbeat: at most cancel_s less the margin after that read.
-// docs/safety.md says what the margin is for.
+// cancelled right after the node read that data. The task ends when its worker's lease expires. The
+// lease runs from when the worker sent its heartbeat, so it expires within cancel_s less the margin,
+// counted from that read. docs/safety.md says what the margin is for.
 func (c *Config) MaxCancellationAge() time.Duration {
 	return seconds(c.Cluster.Workers.CancelS) - c.WorkerLease() - c.WorkerLease()/cancelMarginDivisor
 }
--- a/internal/config/succession.go
+++ b/internal/config/succession.go
@@ -13,19 +13,19 @@
 	return labels
 }
 
-// CampaignDelaySteps returns by how many steps the node with a label should delay its campaign for
-// leadership: 0 for the nodes that are placed best to lead. A worker that loses its leader tries the
-// nodes that follow the leader in the order of labels. Each node that it cannot reach because of a
-// network partition between zones costs it half of its lease. So a node is well placed to lead if
-// every other zone has a node soon after it in that order.
+// CampaignDelaySteps returns by how many steps the node with the given label should delay its campaign
+// for leadership: 0 for the nodes that are placed best to lead. A worker that loses its leader tries
+// the nodes that follow the leader in the order of labels. Each node that it cannot reach because of a
+// network partition between zones costs it half of its lease. So a node is well placed to lead if every
+// other zone has a node soon after it in that order.
 func (c *Config) CampaignDelaySteps(label string) int {
 	zones := map[string]string{c.Label: c.Location}
 	for _, member := range c.Members {
 		zones[member.Label] = member.Location
 	}
 	labels := c.sortedLabels()
-	// hopsToAllZones returns how many of the nodes after the one with a label a worker has to try until
-	// it has tried a node in every other zone.
+	// hopsToAllZones returns how many nodes after the one with the given label a worker has to try to have
+	// tried a node in every other zone.
 	hopsToAllZones := func(label string) int {
 		start, hops, seen := slices.Index(labels, label), 0, map[string]bool{zones[label]: true}
 		for i := 1; i < len(labels); i++ {
@@ -42,9 +42,10 @@
 	return hopsToAllZones(label) - best
 }
 
-// UnreachableSuccessors returns how many nodes in a row are unreachable directly after the one with a
-// label, in the order in which workers try nodes. A worker whose controller ends or pauses loses half
-// of its lease before it tries the next one, and the other half if that one is unreachable too.
+// UnreachableSuccessors returns how many consecutive nodes are unreachable, beginning with the
+// successor of the node with the given label, in the order in which workers try nodes. A worker whose
+// controller ends or pauses loses half of its lease before it tries the next one, and the other half if
+// that one is unreachable too.
 func (c *Config) UnreachableSuccessors(label string, unreachable func(label string) bool) int {
 	labels := c.sortedLabels()
 	start := slices.Index(labels, label)
