--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -121,7 +121,7 @@
 // are none, or the cloud did not confirm the request.
 func (c *Controller) sendReleases(ctx context.Context) bool {
 	c.mu.Lock()
-	hosts := c.releases.Unconfirmed(wire.MaxReturn)
+	hosts := c.releases.Unconfirmed(wire.MaxScaleIn)
 	c.mu.Unlock()
 	if len(hosts) == 0 {
 		return false
--- a/internal/simcluster/cloud.go
+++ b/internal/simcluster/cloud.go
@@ -101,7 +101,7 @@
 // serveReturn terminates the machines that a controller scales in. It ignores unknown names.
 func (c *Cloud) serveReturn(w http.ResponseWriter, r *http.Request) {
 	var request wire.HostNames
-	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Hosts) > wire.MaxReturn {
+	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Hosts) > wire.MaxScaleIn {
 		replyMalformed(w)
 		return
 	}
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -3,8 +3,8 @@
 const (
 	// MaxProvision is the largest number of machines in one provision request.
 	MaxProvision = 50
-	// MaxReturn is the largest number of machines in one scale-in request (POST /machines/return).
-	MaxReturn = 100
+	// MaxScaleIn is the largest number of machines in one scale-in request (POST /machines/return).
+	MaxScaleIn = 100
 )
 
 // MachineType is a machine type in the cloud's catalog.
