--- a/internal/simcluster/checker.go
+++ b/internal/simcluster/checker.go
@@ -49,7 +49,7 @@
 
 // The rules that the checker checks. A violation begins with the name of the rule that it breaks.
 const (
-	ruleForgotten    = "forgotten"     // an accepted job is unknown later, a valid one is refused, or one is not over in time
+	ruleForgotten    = "forgotten"     // an accepted job is unknown later, a valid job is refused, or a job is not over in time
 	ruleInvented     = "invented"      // a job that nobody submitted starts or has a status
 	ruleLateBegin    = "late_begin"    // one of the largest jobs starts more than maxStartDelay after its acceptance
 	ruleLeftWaiting  = "left_waiting"  // a job waits although a machine has free capacity for it
@@ -80,7 +80,8 @@
 	}
 }
 
-// Violations returns the violations so far: the rule, the time since the beginning and the case.
+// Violations returns the violations so far, each as the rule, the time since the checker was created and what
+// happened.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,7 +143,7 @@
 	job.spec, job.hasSpec = spec, true
 }
 
-// spec returns a job's specification, empty if nobody has uploaded it.
+// spec returns a job's specification, empty if none is registered.
 func (c *Checker) spec(uid string) wire.JobSpec {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,8 +191,9 @@
 	return uid, len(job.completedTasks) == job.spec.TaskCount
 }
 
-// checkPlace checks that a job allows a machine's type and zone, and a spot machine if it is one, given the
-// zones of its other tasks. c.mu is held.
+// checkPlace checks that a job allows its task to run on a machine: the job must allow the machine's type and zone,
+// and spot machines if the machine is one, and the zones of all its tasks must be as SingleZone and SpreadZones
+// require. c.mu is held.
 func (c *Checker) checkPlace(task string, spec *wire.JobSpec, machine Machine) {
 	isTypeAllowed := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, machine.MachineType)
 	isZoneAllowed := spec.Zone == "" || spec.Zone == machine.Zone
--- a/internal/simcluster/checker_records.go
+++ b/internal/simcluster/checker_records.go
@@ -9,7 +9,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// comparesPerChange is how many compares a transaction may have for each change that its limit allows.
+// comparesPerChange is how many compares a transaction may have for each change that the limit TxnOps allows.
 const comparesPerChange = 4
 
 // checkCommit checks the size of a commit, and that its writes are guarded: placements and scale-ins by
--- a/internal/simcluster/checker_service.go
+++ b/internal/simcluster/checker_service.go
@@ -32,10 +32,10 @@
 	return !c.faultsOverAt.IsZero()
 }
 
-// CheckJobsServed checks, at the end of a scenario, that at least half of the jobs of each class, of each
-// team and of the largest of each class were served, and that the largest started within maxStartDelay. A
-// service is served when it starts, an array when it is done. Jobs that their users cancelled before they
-// could be served do not count.
+// CheckJobsServed checks, at the end of a scenario, that at least half of the jobs of each class were served, half
+// of the jobs of each team, and half of the largest jobs of each class. It also checks that each of the largest
+// jobs started within maxStartDelay. A service is served when it starts, an array when it is done. Jobs that their
+// users cancelled before they could be served do not count.
 func (c *Checker) CheckJobsServed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simcluster/cloud.go
+++ b/internal/simcluster/cloud.go
@@ -116,8 +116,8 @@
 	jsonhttp.Reply(w, http.StatusOK, struct{}{})
 }
 
-// serveList answers a page of the machine list. New machines appear, and terminated ones disappear, after
-// the delay in the settings.
+// serveList answers a request for a page of the machine list. New machines appear in the list, and terminated ones
+// disappear from it, only after list_lag_s.
 func (c *Cloud) serveList(w http.ResponseWriter, r *http.Request) {
 	pageSize, err := strconv.Atoi(r.URL.Query().Get("Most"))
 	if err != nil || pageSize < 1 || pageSize > maxListed {
--- a/internal/simcluster/fakestore/handlers.go
+++ b/internal/simcluster/fakestore/handlers.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// serveList answers a page of a listing. s.mu is held.
+// serveList answers a request for a page of a listing. s.mu is held.
 func (s *Store) serveList(w http.ResponseWriter, query url.Values) {
 	pageSize, _ := strconv.Atoi(query.Get("Most"))
 	if pageSize <= 0 || pageSize > maxListed {
--- a/internal/simcluster/fakestore/limits.go
+++ b/internal/simcluster/fakestore/limits.go
@@ -9,7 +9,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// comparesPerChange is how many compares a transaction may have for each change that its limit allows.
+// comparesPerChange is how many compares a transaction may have for each change that the limit TxnOps allows.
 const comparesPerChange = 4
 
 // Limits are the limits of the state store on requests. A field that is 0 sets no limit.
@@ -28,7 +28,7 @@
 	rejected []string // keys of transactions that were over a size limit
 }
 
-// SetLimits sets the limits at once, without announcing them.
+// SetLimits puts limits into force at once, without notice to the store's clients.
 func (s *Store) SetLimits(limits Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,8 +44,8 @@
 	return slices.Clone(s.limits.rejected)
 }
 
-// newRateLimiter returns a limiter that allows bursts of as much as one second allows, or nil if there is no
-// limit.
+// newRateLimiter returns a limiter whose bursts may be as large as the amount that it allows per second, or nil if
+// there is no limit.
 func newRateLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
--- a/internal/simcluster/faultnet/faults.go
+++ b/internal/simcluster/faultnet/faults.go
@@ -12,8 +12,8 @@
 }
 
 // Partition begins or ends a partition between two parties, in both directions. Requests between them hang
-// until they time out. When it begins, both parties lose all their connections between controllers, also
-// those to third parties.
+// until they time out. When it begins, both parties lose all their connections to other controllers, even to
+// those that remain reachable.
 func (n *Network) Partition(a, b string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simcluster/faultnet/peerconn.go
+++ b/internal/simcluster/faultnet/peerconn.go
@@ -34,7 +34,7 @@
 }
 
 // forward copies data from src to dst while neither party is paused. While one is paused, it queues up to
-// forwardQueueSize chunks, so that writes to src do not block.
+// forwardQueueSize chunks, so that the sender's writes do not block.
 func (n *Network) forward(src, dst net.Conn, from, to string) {
 	sent := make(chan []byte, forwardQueueSize)
 	go func() {
--- a/internal/simcluster/jobs_test.go
+++ b/internal/simcluster/jobs_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// mixedJob makes services, arrays and short tasks of a team with a limit and of one without; some are
-// cancelled.
+// mixedJob makes services and arrays of a team with a limit and of one without. All services and some of the arrays
+// are cancelled.
 func mixedJob(i int, r *rand.Rand) (wire.JobSpec, time.Duration) {
 	spec, cancelAfter := replicaJob(time.Duration(30+r.IntN(60))*time.Second)(i, r)
 	switch i % 4 {
--- a/internal/simcluster/leadership_test.go
+++ b/internal/simcluster/leadership_test.go
@@ -10,8 +10,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A node that is partitioned from the state store while others serve is not ready, also if it cannot reach the
-// others. In an outage that affects all nodes, every node is ready.
+// A node that is partitioned from the state store while other nodes serve is not ready, even if it cannot reach
+// those nodes either. In an outage that affects all nodes, every node is ready.
 func TestOnlyPartitionedNodesAreNotReady(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
--- a/internal/simcluster/random_faults_test.go
+++ b/internal/simcluster/random_faults_test.go
@@ -18,8 +18,8 @@
 )
 
 // All rules of the checker hold, and every accepted job is over in time after the last fault, in scenarios with
-// crashes, partitions, outages, machines that are terminated, hang, fail tasks or get no responses, late
-// transactions and late copies of heartbeats.
+// crashes, partitions, outages, machines that are terminated, are suspended, fail tasks or get no responses,
+// late transactions and late copies of heartbeats.
 func TestRulesHoldWhateverFails(t *testing.T) {
 	t.Parallel()
 	scenarios := 12
@@ -117,11 +117,11 @@
 	(*randomFault).isolateNode,
 	(*randomFault).storeOutage,
 	(*randomFault).killWorker,
-	(*randomFault).hangWorker,
+	(*randomFault).suspendWorker,
 	(*randomFault).failTasksOfWorker,
 	(*randomFault).dropResponsesToWorker,
 	(*randomFault).partitionWorker,
-	(*randomFault).leaveWithWorkersOnly,
+	(*randomFault).partitionFromStoreAndPeers,
 	(*randomFault).partitionZone,
 	(*randomFault).partitionZone, // twice as often
 }
@@ -193,7 +193,7 @@
 	}
 }
 
-func (f *randomFault) hangWorker() {
+func (f *randomFault) suspendWorker() {
 	if worker := f.sc.cluster.Cloud.RandomWorker(); worker != nil {
 		worker.Suspend(f.duration)
 	}
@@ -226,9 +226,9 @@
 	}
 }
 
-// leaveWithWorkersOnly partitions a controller from the state store and from two controllers, one of which may
-// be itself.
-func (f *randomFault) leaveWithWorkersOnly() {
+// partitionFromStoreAndPeers partitions a controller from the state store and from two controllers, one of which
+// may be itself.
+func (f *randomFault) partitionFromStoreAndPeers() {
 	f.holdForDuration(func(on bool) {
 		address := peerAddress(nodeNames[f.node])
 		f.sc.net.Partition(nodeNames[f.node], storeAddress, on)
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -69,7 +69,7 @@
 	nodeZones = []string{"a", "b", "a"} // n2 has the longest campaign delay: n0, the next in order, is in its zone
 )
 
-// The addresses of the outside systems, as the settings have them.
+// The addresses of the state store and of the cloud in settingsFormat.
 const (
 	storeAddress = "state:1"
 	cloudAddress = "cloud:1"
@@ -98,7 +98,7 @@
 // jobName returns the ID of a job by its number.
 func jobName(number int) string { return fmt.Sprintf("run-%06d", number) }
 
-// parseNodeConfig returns the settings of one of several nodes, each in its zone.
+// parseNodeConfig returns the settings of node i. names and zones list the names and zones of all nodes.
 func parseNodeConfig(tb testing.TB, names, zones []string, i int) *config.Config {
 	tb.Helper()
 	members := ""
@@ -238,9 +238,9 @@
 }
 
 // partitionZoneA begins or ends a partition between zone a and the rest, for the links between machines and
-// controllers. The machines of zone a reach only the controller inside, and the other machines only the other
-// controllers. Links between controllers and to the state store stay as they are. hosts is the largest number
-// of machines that there may be.
+// controllers. The machines of zone a reach only the controller with the index inside, and the other machines only
+// the other controllers. Links between controllers and to the state store stay as they are. hosts is the largest
+// number of machines that there may be.
 func (sc *scenario) partitionZoneA(inside, hosts int, on bool) {
 	for k := range hosts {
 		host := hostName(k)
--- a/internal/simcluster/users.go
+++ b/internal/simcluster/users.go
@@ -76,7 +76,7 @@
 func (u *Users) RegisterSpec(spec wire.JobSpec) { u.cluster.Checker.registerSpec(spec) }
 
 // Run submits a job and polls it until it is over, or until the deadline. If cancelAfter is above 0, it
-// cancels a job that is not over by then.
+// cancels the job if it is not over after that time.
 func (u *Users) Run(spec wire.JobSpec, cancelAfter time.Duration, deadline time.Time) {
 	if u.SubmitUntil(spec, deadline) {
 		u.Follow(spec, cancelAfter, deadline)
--- a/internal/simcluster/worker.go
+++ b/internal/simcluster/worker.go
@@ -26,18 +26,18 @@
 	boot            time.Duration
 	terminatedAfter atomic.Int64 // nanoseconds from provisionedAt to its termination; 0 until then
 
-	mu           sync.Mutex
-	terminated   bool
-	hungUntil    time.Time
-	failUntil    time.Time // tasks that start before it fail
-	incarnation  uint64
-	sequence     uint64
-	fencingToken uint64    // highest fencing token seen
-	leaseStart   time.Time // when the last answered heartbeat was sent
-	nodeIndex    int       // index in Cluster.Nodes of the controller that heartbeats go to
-	tasks        map[taskKey]*workerTask
-	heartbeatDue chan struct{} // a change of the worker's state makes a heartbeat due early
-	stop         chan struct{}
+	mu             sync.Mutex
+	terminated     bool
+	suspendedUntil time.Time
+	failUntil      time.Time // tasks that start before this time fail
+	incarnation    uint64
+	sequence       uint64
+	fencingToken   uint64    // highest fencing token seen
+	leaseStart     time.Time // when the last answered heartbeat was sent
+	nodeIndex      int       // index in Cluster.Nodes of the controller that heartbeats go to
+	tasks          map[taskKey]*workerTask
+	heartbeatDue   chan struct{} // a change of the worker's state makes a heartbeat due early
+	stop           chan struct{}
 }
 
 // taskKey identifies an attempt of a task.
@@ -93,7 +93,7 @@
 func (w *Worker) Suspend(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hungUntil = time.Now().Add(d)
+	w.suspendedUntil = time.Now().Add(d)
 }
 
 // FailTasks makes every task that starts within d fail.
@@ -134,13 +134,13 @@
 	}
 }
 
-// load returns the capacity and the tasks of the machine; isUp is false if it is terminated,
-// booting or faulty.
+// load returns the capacity and the tasks of the machine; isUp is false if it is terminated, booting or faulty,
+// that is, suspended or failing the tasks that start on it.
 func (w *Worker) load() (load machineLoad, isUp bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if w.terminated || now.Before(w.hungUntil) || now.Before(w.failUntil) || now.Sub(w.provisionedAt) < w.boot {
+	if w.terminated || now.Before(w.suspendedUntil) || now.Before(w.failUntil) || now.Sub(w.provisionedAt) < w.boot {
 		return machineLoad{}, false
 	}
 	load = machineLoad{Machine: w.Machine}
@@ -165,21 +165,21 @@
 	w.nodeIndex = w.cluster.Net.RandIntN(len(w.cluster.Nodes))
 	w.mu.Unlock()
 	go w.runTasks()
-	for w.waitForHeartbeat() && w.sleep(w.remainingHang()) {
+	for w.waitForHeartbeat() && w.sleep(w.remainingSuspension()) {
 		for !w.sendHeartbeat() {
 			// The next node is tried 1 s later.
-			if !w.sleep(time.Second) || !w.sleep(w.remainingHang()) {
+			if !w.sleep(time.Second) || !w.sleep(w.remainingSuspension()) {
 				return
 			}
 		}
 	}
 }
 
-// remainingHang returns how long the machine still hangs.
-func (w *Worker) remainingHang() time.Duration {
+// remainingSuspension returns how long the machine remains suspended.
+func (w *Worker) remainingSuspension() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return max(0, time.Until(w.hungUntil))
+	return max(0, time.Until(w.suspendedUntil))
 }
 
 // sleep waits for d. It returns false if the machine is terminated meanwhile.
@@ -211,7 +211,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if now.Before(w.hungUntil) {
+	if now.Before(w.suspendedUntil) {
 		return
 	}
 	w.expireLease(now)
