--- a/internal/simcluster/combined_faults_test.go
+++ b/internal/simcluster/combined_faults_test.go
@@ -35,9 +35,9 @@
 	})
 }
 
-// hangWorkers makes up to count random machines hang, each for 3 to 16 s: some for less than the worker lease of
+// suspendWorkers makes up to count random machines hang, each for 3 to 16 s: some for less than the worker lease of
 // 10 s, some for more.
-func (sc *scenario) hangWorkers(r *rand.Rand, count int) {
+func (sc *scenario) suspendWorkers(r *rand.Rand, count int) {
 	for range count {
 		if worker := sc.cluster.Cloud.RandomWorker(); worker != nil {
 			worker.Suspend(time.Duration(3+r.IntN(14)) * time.Second)
@@ -95,7 +95,7 @@
 // nodes, then crashes the leader.
 func cancelledOnUnreachableMachines(sc *scenario, r *rand.Rand) {
 	for i := range 3 {
-		sc.hangWorkers(r, 3)
+		sc.suspendWorkers(r, 3)
 		faultRandomHosts(r, 3, time.Duration(5+r.IntN(25))*time.Second, sc.net.Partition)
 		time.Sleep(milliseconds(r.IntN(1500)))
 		sc.cancelJobs(nodeNames[i], 16+8*i, 8*time.Second)
@@ -172,7 +172,7 @@
 func machinesDieUnderZonedJobs(sc *scenario, r *rand.Rand) {
 	for range 4 {
 		sc.killWorkers(2)
-		sc.hangWorkers(r, 2)
+		sc.suspendWorkers(r, 2)
 		time.Sleep(5*time.Second + milliseconds(r.IntN(4000)))
 		sc.crashLeader(milliseconds(300 + r.IntN(3000)))
 	}
@@ -186,7 +186,7 @@
 	alsoFromStore := r.IntN(2) == 0
 	partition := func(on bool) {
 		sc.net.Partition(nodeNames[insideNode], storeAddress, on && alsoFromStore)
-		sc.isolatePeers(insideNode, on)
+		sc.partitionFromPeers(insideNode, on)
 		sc.partitionZoneA(insideNode, maxHosts, on)
 	}
 	partition(true)
@@ -205,7 +205,7 @@
 	leader := sc.leaderIndex()
 	isolate := func(on bool) {
 		sc.net.Partition(nodeNames[leader], storeAddress, on)
-		sc.isolatePeers(leader, on)
+		sc.partitionFromPeers(leader, on)
 	}
 	isolate(true)
 	faultRandomHosts(r, 4, 25*time.Second, func(host, node string, on bool) {
@@ -228,7 +228,7 @@
 	time.Sleep(milliseconds(r.IntN(1000)))
 	sc.crashAllNodes()
 	time.Sleep(time.Duration(9+r.IntN(8)) * time.Second)
-	sc.hangWorkers(r, 3)
+	sc.suspendWorkers(r, 3)
 	sc.startAllNodes()
 	sc.cluster.CaptureHeartbeats(true)
 	time.Sleep(5 * time.Second)
@@ -284,7 +284,7 @@
 	for range 4 {
 		// A leader uses direct commands to announce its token to machines whose heartbeats reach no controller.
 		faultRandomHosts(r, 2, time.Duration(6+r.IntN(10))*time.Second, sc.net.DropRequests)
-		sc.hangWorkers(r, 2)
+		sc.suspendWorkers(r, 2)
 		time.Sleep(5*time.Second + milliseconds(r.IntN(4000)))
 		sc.crashLeader(milliseconds(300 + r.IntN(5000)))
 		sc.cancelJobs(nodeNames[r.IntN(3)], 24, 6*time.Second)
--- a/internal/simcluster/dependencies_test.go
+++ b/internal/simcluster/dependencies_test.go
@@ -128,7 +128,7 @@
 		first := stageJob(1, 1)
 		sc.cluster.Users.RegisterSpec(first)
 		sc.expectStatus(http.StatusCreated, "n2", http.MethodPost, "/work", jobJSON(first))
-		sc.isolatePeers(2, true)
+		sc.partitionFromPeers(2, true)
 		sc.upgradeNode(0, time.Second)
 		sc.upgradeNode(1, time.Second)
 		time.Sleep(20 * time.Second)
--- a/internal/simcluster/failover_test.go
+++ b/internal/simcluster/failover_test.go
@@ -231,7 +231,7 @@
 // function that ends the partition.
 func isolateLeaderForMinutes(sc *scenario, leader, standby int) (restore func()) {
 	sc.t.Helper()
-	sc.isolatePeers(leader, true)
+	sc.partitionFromPeers(leader, true)
 	time.Sleep(3 * time.Minute)
 	if status := sc.status(nodeNames[standby]).WarmStandby; status.State != "behind" || status.LagS < 170 {
 		sc.t.Errorf("got a standby that is %s with a lag of %.0f s, want behind with at least 170 s", status.State, status.LagS)
--- a/internal/simcluster/fault_combinations_test.go
+++ b/internal/simcluster/fault_combinations_test.go
@@ -16,7 +16,7 @@
 type faultCombination struct {
 	name           string
 	machines       int
-	makeJob        makeJob
+	makeJob        jobMaker
 	jobCount       int
 	submitInterval time.Duration
 	injectFaults   func(sc *scenario, r *rand.Rand)
--- a/internal/simcluster/jobs_test.go
+++ b/internal/simcluster/jobs_test.go
@@ -8,9 +8,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// makeJob returns the i-th job of a scenario, and the time after which its user cancels it; 0: never. A
+// jobMaker returns the i-th job of a scenario, and the time after which its user cancels it; 0: never. A
 // seed gives the same jobs only as long as the order of the draws stays.
-type makeJob func(i int, r *rand.Rand) (spec wire.JobSpec, cancelAfter time.Duration)
+type jobMaker func(i int, r *rand.Rand) (spec wire.JobSpec, cancelAfter time.Duration)
 
 // randomJob makes arrays of a team with a limit or of one without, with and without checkpoints, in any zone or
 // in one, and services that spread over zones, keep to a single zone or do neither.
@@ -46,7 +46,7 @@
 }
 
 // replicaJob makes services that run until their users cancel them, after cancelAfter.
-func replicaJob(cancelAfter time.Duration) makeJob {
+func replicaJob(cancelAfter time.Duration) jobMaker {
 	return func(i int, r *rand.Rand) (wire.JobSpec, time.Duration) {
 		return wire.JobSpec{
 			UID:       jobName(i),
--- a/internal/simcluster/leadership_test.go
+++ b/internal/simcluster/leadership_test.go
@@ -23,7 +23,7 @@
 		}
 		isolate := func(on bool) {
 			sc.net.Partition(nodeNames[0], storeAddress, on)
-			sc.isolatePeers(0, on)
+			sc.partitionFromPeers(0, on)
 		}
 		expectReady(200, 200, 200)
 		isolate(true)
--- a/internal/simcluster/process_pause_test.go
+++ b/internal/simcluster/process_pause_test.go
@@ -100,7 +100,7 @@
 func pauseInPhase(sc *scenario, r *rand.Rand, phase pausePhase) (pauseCount int) {
 	for i, minPauseMs := range []int{2000, 4500, 13000, 50000} {
 		pause := milliseconds(minPauseMs + r.IntN(minPauseMs/2))
-		sc.hangWorkers(r, 1)
+		sc.suspendWorkers(r, 1)
 		sc.killWorkers(1)
 		if phase.crashesLeaderFirst {
 			sc.crashLeader(milliseconds(300 + r.IntN(3000)))
--- a/internal/simcluster/random_faults_test.go
+++ b/internal/simcluster/random_faults_test.go
@@ -181,7 +181,7 @@
 				f.sc.net.Partition(nodeNames[f.node], name, on)
 			}
 		}
-		f.sc.isolatePeers(f.node, on)
+		f.sc.partitionFromPeers(f.node, on)
 	})
 }
 
@@ -244,7 +244,7 @@
 	withoutStore := f.r.IntN(2) == 0
 	f.holdForDuration(func(on bool) {
 		f.sc.net.Partition(nodeNames[f.node], storeAddress, on && withoutStore)
-		f.sc.isolatePeers(f.node, on)
+		f.sc.partitionFromPeers(f.node, on)
 		f.sc.partitionZoneA(f.node, maxHosts, on)
 	})
 }
--- a/internal/simcluster/refused_leader_test.go
+++ b/internal/simcluster/refused_leader_test.go
@@ -94,7 +94,7 @@
 		sc.net.Partition(nodeNames[leader], storeAddress, on)
 	}
 	if g.withoutPeers {
-		sc.isolatePeers(leader, on)
+		sc.partitionFromPeers(leader, on)
 	}
 }
 
@@ -147,7 +147,7 @@
 		sc.startJob(spec, 40*time.Second)
 		leader := sc.leaderIndex()
 		sc.net.Partition(nodeNames[leader], storeAddress, true)
-		sc.isolatePeers(leader, true)
+		sc.partitionFromPeers(leader, true)
 		time.Sleep(25 * time.Second)
 		if newLeader := sc.leaderIndex(); newLeader == leader || newLeader < 0 {
 			t.Errorf("got controller %d as leader after controller %d, want another one", newLeader, leader)
@@ -177,7 +177,7 @@
 		spec.Zone = "a"
 		time.AfterFunc(30*time.Second, func() {
 			sc.net.Partition(nodeNames[0], storeAddress, true)
-			sc.isolatePeers(0, true)
+			sc.partitionFromPeers(0, true)
 			sc.partitionZoneA(0, 20, true)
 		})
 		sc.cluster.Nodes = []string{"n1", "n2", "n0"} // requests to the partitioned n0 would only wait
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -228,8 +228,8 @@
 	time.Sleep(2 * time.Minute) // late deliveries and timeouts pass
 }
 
-// isolatePeers begins or ends a partition between a controller and its peers.
-func (sc *scenario) isolatePeers(i int, on bool) {
+// partitionFromPeers begins or ends a partition between a controller and its peers.
+func (sc *scenario) partitionFromPeers(i int, on bool) {
 	for j, name := range nodeNames {
 		if j != i {
 			sc.net.Partition(peerAddress(nodeNames[i]), peerAddress(name), on)
