--- a/internal/simcluster/failover_test.go
+++ b/internal/simcluster/failover_test.go
@@ -192,8 +192,8 @@
 	before func(sc *scenario, leader, standby int) (restore func())
 	// after, if set, is called once there is a new leader.
 	after    func(sc *scenario, leader int)
-	warm     bool // the new leader is to begin warm
-	duration time.Duration
+	warm     bool          // the new leader is to begin warm
+	duration time.Duration // from the start of the cluster to the end of the case
 }
 
 // In a failover under a fault, while jobs are submitted and end, no rule is broken, tasks are placed again, and
@@ -231,7 +231,7 @@
 // function that ends the partition.
 func isolateLeaderForMinutes(sc *scenario, leader, standby int) (restore func()) {
 	sc.t.Helper()
-	sc.isolatePeers(leader, true)
+	sc.partitionFromPeers(leader, true)
 	time.Sleep(3 * time.Minute)
 	if status := sc.status(nodeNames[standby]).WarmStandby; status.State != "behind" || status.LagS < 170 {
 		sc.t.Errorf("got a standby that is %s with a lag of %.0f s, want behind with at least 170 s", status.State, status.LagS)
--- a/internal/simcluster/refused_leader_test.go
+++ b/internal/simcluster/refused_leader_test.go
@@ -26,10 +26,10 @@
 	outageSeeds = 3
 )
 
-// The state store is out of reach of the leader alone while another controller confirms cancellations. It is then
-// down for all controllers for longer than cancel_s, while workers keep sending heartbeats to the old leader. The
-// old leader's last answered request may be newer than its cancellation data, and a leader elected in between may
-// not have read the records at all. Nevertheless the cancelled tasks must be gone within cancel_s of the
+// First only the leader cannot reach the state store, while another controller confirms cancellations. Then the store
+// is down for all controllers for longer than cancel_s, while workers keep sending heartbeats to the old leader. The
+// old leader's last answered request may be newer than its cancellation data, and a leader elected before the outage
+// may not have read the records at all. Nevertheless the cancelled tasks must have ended within cancel_s of the
 // confirmation.
 func TestCancelledTasksEndInTimeWhenAnOutageFollowsARefusedLeader(t *testing.T) {
 	t.Parallel()
@@ -94,12 +94,12 @@
 		sc.net.Partition(nodeNames[leader], storeAddress, on)
 	}
 	if g.withoutPeers {
-		sc.isolatePeers(leader, on)
+		sc.partitionFromPeers(leader, on)
 	}
 }
 
-// A leader that alone is refused by the state store learns of a cancellation from the node that confirmed it: the
-// tasks end within seconds, not only when the workers' leases end.
+// When the state store refuses the requests of the leader only, the leader learns of a cancellation from the node that
+// confirmed it: the tasks end within seconds, not only when the workers' leases end.
 func TestRefusedLeaderStopsTasksOnAnnouncedCancellation(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
@@ -147,7 +147,7 @@
 		sc.startJob(spec, 40*time.Second)
 		leader := sc.leaderIndex()
 		sc.net.Partition(nodeNames[leader], storeAddress, true)
-		sc.isolatePeers(leader, true)
+		sc.partitionFromPeers(leader, true)
 		time.Sleep(25 * time.Second)
 		if newLeader := sc.leaderIndex(); newLeader == leader || newLeader < 0 {
 			t.Errorf("got controller %d as leader after controller %d, want another one", newLeader, leader)
@@ -177,7 +177,7 @@
 		spec.Zone = "a"
 		time.AfterFunc(30*time.Second, func() {
 			sc.net.Partition(nodeNames[0], storeAddress, true)
-			sc.isolatePeers(0, true)
+			sc.partitionFromPeers(0, true)
 			sc.partitionZoneA(0, 20, true)
 		})
 		sc.cluster.Nodes = []string{"n1", "n2", "n0"} // requests to the partitioned n0 would only wait
