--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -144,7 +144,8 @@
 	j.outcomeUnknown = false
 	c.mu.Unlock()
 	if !found {
-		// A job without a record is archived. No record has a higher revision, so this event is not ignored as outdated.
+		// A job without a record is archived. The event has the highest possible revision, so that it is not ignored as
+		// outdated.
 		c.applyJobEvent(j.uid, watchcache.Entry{ModRevision: ^uint64(0)})
 		return
 	}
@@ -152,7 +153,7 @@
 }
 
 // deferRejected handles a batch that the state store has rejected as malformed or too large. If the batch holds several
-// jobs, each batch of the next worker lease holds only one job, so that the faulty job is found and does not delay the
+// jobs, batches hold one job each for the time of a worker lease, so that the faulty job is found and does not delay the
 // others. If the batch holds one job, nothing of that job is written for a worker lease.
 func (c *Controller) deferRejected(b *batch, rejected *store.RejectedError) {
 	c.mu.Lock()
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -25,12 +25,12 @@
 func newFaultyFleet(t *testing.T, machines, tasks int) (*faultyFleet, *limitedStore, *job) {
 	t.Helper()
 	f := &faultyFleet{t: t, now: time.Unix(10_000, 0), sequence: 1, faultyJobs: map[string]bool{}, failedAttempts: map[string]int{}}
-	services, c, j := leaderWithArray(t, &f.now, machines, tasks, fleet.Resources{Cores: 16, RAM: 1})
+	store, c, j := leaderWithArray(t, &f.now, machines, tasks, fleet.Resources{Cores: 16, RAM: 1})
 	f.c = c
 	f.c.now = func() time.Time { return f.now }
 	f.c.detector.Start(f.now.Add(time.Hour)) // prevents the release of idle machines
 	f.faultyJobs[j.uid] = true
-	return f, services, j
+	return f, store, j
 }
 
 // outcome reports how an attempt went: attempts of faulty jobs and on the faulty machine fail as they
@@ -164,7 +164,7 @@
 
 // A new leader, which has only the records, does not start all tasks of a faulty array again.
 func TestNextLeaderSuspectsArraysThatNeverSucceeded(t *testing.T) {
-	f, services, j := newFaultyFleet(t, 10, 25)
+	f, store, j := newFaultyFleet(t, 10, 25)
 	for range 30 {
 		f.step()
 	}
@@ -175,14 +175,14 @@
 	}{{"nothing was ever done", false, true}, {"a task was done", true, false}} {
 		if tc.done {
 			key := records.PlacementKey(j.uid, 0)
-			placement, err := records.DecodePlacement(services.items[key].Value)
+			placement, err := records.DecodePlacement(store.items[key].Value)
 			if err != nil {
 				t.Fatal(err)
 			}
 			placement.MarkDone(0)
-			services.items[key] = wire.KeyValue{Key: key, Value: records.Encode(placement), ModRevision: services.revision}
+			store.items[key] = wire.KeyValue{Key: key, Value: records.Encode(placement), ModRevision: store.revision}
 		}
-		newLeader := services.newLeader(6, &f.now)
+		newLeader := store.newLeader(6, &f.now)
 		if got := newLeader.jobs.get(j.uid); got == nil || got.suspect != tc.suspect {
 			t.Errorf("%s: the new leader has the job %+v, want suspect %v", tc.name, got, tc.suspect)
 		}
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -25,7 +25,7 @@
 
 func (o fakeObserver) JobFinished(uid string, status wire.JobStatus) { o.finished[uid] = status }
 
-// scriptedStore is a state store that answers commits with the given errors in turn and keeps them.
+// scriptedStore is a state store that answers commits with the given errors in turn and keeps the commits.
 type scriptedStore struct {
 	Store
 	answers []error
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -27,7 +27,7 @@
 //
 // With MayWait, an answer that has no commands for a ready machine waits for some, so that launches and stops are sent
 // at once instead of with the next heartbeat. The answer does not wait while the cancellation data is too old to
-// send launches (see mayLaunch): the wait would only delay the next heartbeat. When answers did wait then, and the leader
+// send launches (see mayLaunch): the wait would only delay the next heartbeat. Without this exception, when the leader
 // had to stop answering because its zone was partitioned, the leases of its workers were half of an interval older than
 // those of a follower's workers: 170 to 220 of some 700 machines lost their leases just before the partition ended.
 func (c *Controller) Heartbeat(ctx context.Context, h *wire.Heartbeat, opts HeartbeatOptions) (answer wire.Commands, ok bool) {
--- a/internal/controller/hugearray_test.go
+++ b/internal/controller/hugearray_test.go
@@ -14,8 +14,8 @@
 // state store, which has usual limits.
 func leaderWithArray(t *testing.T, now *time.Time, machines, tasks int, need fleet.Resources) (*limitedStore, *Controller, *job) {
 	t.Helper()
-	services := newLimitedStore(t, config.StateLimits{Rps: 250, WriteRps: 100, ValueKb: 8, TxnOps: 24})
-	c := services.newLeader(5, now)
+	store := newLimitedStore(t, config.StateLimits{Rps: 250, WriteRps: 100, ValueKb: 8, TxnOps: 24})
+	c := store.newLeader(5, now)
 	spec := wire.JobSpec{
 		UID:       "run-000001",
 		JobClass:  "huge",
@@ -27,10 +27,10 @@
 		RAMGb:     need.RAM,
 		Image:     "img",
 	}
-	services.addJob(c, spec)
+	store.addJob(c, spec)
 	c.applyMachineList(listedHosts(machines, "a"), *now)
 	reportAll(t, c, 1, nil)
-	return services, c, c.jobs.get(spec.UID)
+	return store, c, c.jobs.get(spec.UID)
 }
 
 // taskOutcome returns the status and the cause that a machine reports for an attempt.
@@ -73,7 +73,7 @@
 func TestHugeArrayIsArchived(t *testing.T) {
 	const tasks = 25_000
 	now := time.Unix(10_000, 0)
-	services, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Resources{Cores: 0.25, RAM: 1})
+	store, c, j := leaderWithArray(t, &now, 7, tasks, fleet.Resources{Cores: 0.25, RAM: 1})
 	sequence := uint64(1)
 	for cycles := 0; j.doneTasks < tasks && cycles < 1000; cycles++ {
 		now = now.Add(3 * time.Second)
@@ -91,7 +91,7 @@
 	if c.jobs.get(j.uid) != nil {
 		t.Errorf("the leader still has the job with status %s, want it archived", j.record.Status)
 	}
-	if left := len(services.items); left != 1 || services.items[records.FinalKey(j.uid)].ModRevision == 0 {
+	if left := len(store.items); left != 1 || store.items[records.FinalKey(j.uid)].ModRevision == 0 {
 		t.Errorf("%d records are left, want only the final status", left)
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
--- a/internal/controller/jobtable.go
+++ b/internal/controller/jobtable.go
@@ -13,7 +13,8 @@
 	// the time to answer a ping does not grow with the number of jobs.
 	maxCountsPerReply = 2000
 	// maxFinalStatuses is the maximum number of final statuses that are kept for followers. A
-	// follower that did not ask for one before it was discarded reads it from the state store.
+	// follower that has not asked for a final status before the status is discarded reads it from the
+	// state store.
 	maxFinalStatuses = maxCountsPerReply
 )
 
--- a/internal/controller/largefleet_test.go
+++ b/internal/controller/largefleet_test.go
@@ -14,7 +14,7 @@
 // fleetScenario is a leader and a fleet in which each machine gets one task of an array.
 type fleetScenario struct {
 	t        *testing.T
-	services *limitedStore
+	store    *limitedStore
 	hosts    []wire.ListedHost
 	now      time.Time
 	leader   *Controller
@@ -66,10 +66,10 @@
 func (f *fleetScenario) recordAllImages() {
 	f.t.Helper()
 	f.now = f.now.Add(time.Minute)
-	for range len(f.hosts)/f.services.limits.TxnOps + 1 {
+	for range len(f.hosts)/f.store.limits.TxnOps + 1 {
 		f.leader.commitImageBatch(f.t.Context())
 	}
-	if images, _, _ := f.services.List(f.t.Context(), records.ImagesPrefix); len(images) != len(f.hosts) {
+	if images, _, _ := f.store.List(f.t.Context(), records.ImagesPrefix); len(images) != len(f.hosts) {
 		f.t.Errorf("the images of %d machines are recorded, want %d", len(images), len(f.hosts))
 	}
 }
@@ -87,8 +87,8 @@
 	}
 	for f.leader.sendReleases(f.t.Context()) {
 	}
-	if left := f.leader.fleet.Len(); len(f.services.released) != len(f.hosts) || left != 0 {
-		f.t.Errorf("%d machines are released, want %d; %d are left, want 0", len(f.services.released), len(f.hosts), left)
+	if left := f.leader.fleet.Len(); len(f.store.released) != len(f.hosts) || left != 0 {
+		f.t.Errorf("%d machines are released, want %d; %d are left, want 0", len(f.store.released), len(f.hosts), left)
 	}
 }
 
@@ -100,12 +100,12 @@
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
 			f := &fleetScenario{
 				t:        t,
-				services: newLimitedStore(t, config.StateLimits{Rps: 900, WriteRps: 350, ValueKb: 8, TxnOps: 24}),
+				store:    newLimitedStore(t, config.StateLimits{Rps: 900, WriteRps: 350, ValueKb: 8, TxnOps: 24}),
 				hosts:    listedHosts(machines, "a", "b"),
 				now:      time.Unix(10_000, 0),
 				sequence: 1,
 			}
-			f.leader = f.services.newLeader(5, &f.now)
+			f.leader = f.store.newLeader(5, &f.now)
 			spec := wire.JobSpec{
 				UID:       "run-000001",
 				JobClass:  "batch",
@@ -118,12 +118,12 @@
 				RAMGb:     512,
 				Image:     "img",
 			}
-			entry := f.services.addJob(f.leader, spec)
+			entry := f.store.addJob(f.leader, spec)
 			f.leader.applyMachineList(f.hosts, f.now)
 			f.placeAll(spec.UID)
 			f.recordAllImages()
 
-			f.leader = f.services.newLeader(6, &f.now)
+			f.leader = f.store.newLeader(6, &f.now)
 			f.leader.applyJobEventLocked(spec.UID, entry)
 			f.leader.loaded = false
 			if err := f.leader.loadState(t.Context()); err != nil {
--- a/internal/controller/liveness.go
+++ b/internal/controller/liveness.go
@@ -93,7 +93,7 @@
 	})
 }
 
-// usualBootS returns how many seconds a machine of a type usually boots; known is false if the
+// usualBootS returns how many seconds a machine of a type usually takes to boot; known is false if the
 // catalog does not have the type. c.mu is held.
 func (c *Controller) usualBootS(machineType string) (seconds float64, known bool) {
 	t := findMachineType(c.catalog, machineType)
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -28,8 +28,8 @@
 // ended: a leader that counted machines as silent only after three intervals, and did not count those that a follower
 // answered, released 38 of 90 machines. If up to half of a zone's machines stop while the others send heartbeats, they
 // are declared dead after three intervals. If more stop, they are declared dead after a worker lease, provided that a
-// controller in the zone is reachable: without this, two thirds of a zone that had died were not replaced for six
-// leases.
+// controller in the zone is reachable: without this rule, when two thirds of a zone's machines had died, they were
+// not replaced for six leases.
 func TestWhichSilentMachinesAreDeclaredDead(t *testing.T) {
 	all := func(int) bool { return true }
 	none := func(int) bool { return false }
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -30,8 +30,8 @@
 
 	// LeaderlessSince is when this node detected that there was no leader; zero if it did not detect that.
 	LeaderlessSince time.Time
-	// ProveStandbyCopy checks the copy of the records that this node keeps as a warm standby against the state store, for
-	// a new term; nil if this node is not a warm standby.
+	// ProveStandbyCopy checks this node's copy of the records against the state store, for a new term. Only a warm standby
+	// has such a copy: the field is nil if this node is not one.
 	ProveStandbyCopy func(ctx context.Context, term uint64) (*standby.ProvenCopy, error)
 	// StandbySource sends the state of this term to a warm standby; nil if no warm standby is to be served.
 	StandbySource *standby.Source
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -71,7 +71,8 @@
 	return planned
 }
 
-// markChanged counts a change that is to be written at due, or earlier if an earlier write is already due.
+// markChanged counts a change that is to be written at due, or earlier if the placement already has changes that are to
+// be written earlier.
 func (p *placement) markChanged(due time.Time) {
 	p.changeCount++
 	if !p.dirty || due.Before(p.due) {
--- a/internal/controller/placementwriter.go
+++ b/internal/controller/placementwriter.go
@@ -15,7 +15,7 @@
 )
 
 // placementWriter commits the changes of a term's placements and jobs to the state store, one batch after the other.
-// Its only own state is the channel that wakes it.
+// Apart from the channel that wakes it, it has no state of its own.
 type placementWriter struct {
 	config *config.Config
 	store  Store
@@ -118,7 +118,7 @@
 
 // reread reads the keys of a batch again after a conflict or an unknown outcome. Only this term writes placement
 // records, so the controller's state is newer than a placement record that is read: only the record's revision is
-// applied, and the state is written again. If the state store applies the first commit even later, the compares of
+// applied, and the state is written again. If the state store applies the first commit only after that, the compares of
 // revisions let only one of the two commits succeed.
 func (w *placementWriter) reread(ctx context.Context, b *batch) {
 	w.state.markOutcomeUnknown(b)
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -27,8 +27,8 @@
 
 // releaseIdle starts the release of idle machines that no task and no headroom needs, the most
 // expensive first. It releases a quarter of them in each cycle, since the next cycle may need some of
-// the others. When it released one machine in each cycle instead, a large fleet kept 250 idle
-// machines of 450 for minutes. c.mu is held.
+// the others. When it released one machine in each cycle instead, a fleet of 450 machines kept
+// 250 idle ones for minutes. c.mu is held.
 func (c *Controller) releaseIdle(shortfalls []sched.Shortfall, now time.Time) {
 	var idle []*fleet.Machine
 	c.fleet.Each(func(m *fleet.Machine) {
@@ -189,7 +189,7 @@
 	return commit
 }
 
-// addImageDrops adds changes to a commit that drop the image records of a release record's machines.
+// addImageDrops adds to a commit the changes that drop the image records of a release record's machines.
 // It returns false if the commit would have more than maxChanges changes. c.mu is held.
 func (c *Controller) addImageDrops(commit *cleanupCommit, record autoscaler.ReleaseRecord, maxChanges int) bool {
 	for _, host := range record.Hosts {
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -81,7 +81,7 @@
 }
 
 // Once an array that is large for its class has waited for a long time, its first task, and only that one,
-// goes before other jobs of the same priority. Without this rule, one in nine of the largest arrays
+// goes before other jobs of the same priority. Without this rule, only one in nine of the largest arrays
 // had begun after four minutes when jobs queued for minutes at their team's limit.
 func TestFirstTaskOfOverdueLargeArrayGoesFirst(t *testing.T) {
 	now := time.Now()
--- a/internal/controller/tokenannounce.go
+++ b/internal/controller/tokenannounce.go
@@ -76,8 +76,8 @@
 	rand.Shuffle(len(announcements), func(i, k int) {
 		announcements[i], announcements[k] = announcements[k], announcements[i]
 	})
-	// Each round announces to a quarter of the machines: those that answer do so within milliseconds, and a whole fleet may
-	// be connected to a deposed leader.
+	// Each round announces to a quarter of these machines. It has to be so many because a whole fleet may be connected to a
+	// deposed leader, and it can be so many because machines that answer do so within milliseconds.
 	roundLimit := max(minAnnouncementsPerRound, len(announcements)/4)
 	announcements = announcements[:min(len(announcements), roundLimit)]
 	for _, a := range announcements {
--- a/internal/controller/urgency.go
+++ b/internal/controller/urgency.go
@@ -64,7 +64,8 @@
 // A job that has neither, or is not an array, counts as due four boot times after it began to wait,
 // so that the job that has waited longest goes first. The same applies to an array that has missed
 // all its objectives and has no deadline: when its whole age counted, it went before arrays that
-// could still finish in time, and fewer of those did so at a team's limit.
+// could still finish in time, and fewer of those arrays finished in time while their team was at its
+// limit.
 func (u *urgency) laxityS(j *job, now time.Time) float64 {
 	spec := &j.record.Spec
 	ageS := float64(now.UnixMilli()-j.eligibleSinceMs) / 1000
