--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -151,7 +151,8 @@
 
 // updateUnreachableRelays records, while followers relay heartbeats, which controllers seem unable to
 // reach their machines: followers that are not reachable, and controllers none of whose machines has
-// sent a heartbeat for half of an interval. This controller is treated alike, under the empty name.
+// sent a heartbeat for half of an interval. The second rule also covers this controller, which has the
+// empty relay name.
 //
 // Pings and the count of silent machines are both too slow to show such a failure. Pings show it only
 // after the first machines of the controller have been silent for three intervals. By then the count may
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -145,10 +145,10 @@
 		{"listed as failed and being released", fleet.Machine{State: fleet.Returning, Failed: true}, NotDead},
 		{"suspected", fleet.Machine{State: fleet.Suspected, LastHeartbeat: now.Add(-lease - 1)}, LeaseExpired},
 		{"reclaimed, without tasks", fleet.Machine{State: fleet.Ready, LastHeartbeat: now, SpotNotice: true}, SpotReclaimed},
-		{"booting for the limit of its type", fleet.Machine{Type: "known", FirstSeen: now.Add(-105 * time.Second)}, NotDead},
-		{"booting for longer than the limit of its type", fleet.Machine{Type: "known", FirstSeen: now.Add(-106 * time.Second)}, NeverBooted},
-		{"booting for the limit of an unknown type", fleet.Machine{FirstSeen: now.Add(-210 * time.Second)}, NotDead},
-		{"booting for longer than the limit of an unknown type", fleet.Machine{FirstSeen: now.Add(-211 * time.Second)}, NeverBooted},
+		{"booting for exactly the timeout of its type", fleet.Machine{Type: "known", FirstSeen: now.Add(-105 * time.Second)}, NotDead},
+		{"booting for longer than the timeout of its type", fleet.Machine{Type: "known", FirstSeen: now.Add(-106 * time.Second)}, NeverBooted},
+		{"booting for exactly the timeout of an unknown type", fleet.Machine{FirstSeen: now.Add(-210 * time.Second)}, NotDead},
+		{"booting for longer than the timeout of an unknown type", fleet.Machine{FirstSeen: now.Add(-211 * time.Second)}, NeverBooted},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			evaluation := newTestDetector(now).Evaluate(observe(machines{&tc.machine}, now, "", "a", "b", "c"))
@@ -185,7 +185,7 @@
 	now = now.Add(lease - 1)
 	sendHeartbeats()
 	if got := d.Evaluate(observe(ms, now, "", "a")).CauseOfDeath(last); got != NotDead {
-		t.Errorf("just before a lease after the partition: cause %q, want %q", got, NotDead)
+		t.Errorf("less than a lease after the partition: cause %q, want %q", got, NotDead)
 	}
 	now = now.Add(1)
 	sendHeartbeats()
--- a/internal/failuredetector/evaluation.go
+++ b/internal/failuredetector/evaluation.go
@@ -81,8 +81,8 @@
 }
 
 // isPartitioned reports whether a machine's zone was partitioned within the last worker lease. When a
-// partition ends, the machines return one after the other: the last ones must not be declared dead
-// because the others are back.
+// partition ends, the machines return one after the other, and the last ones must not be declared dead
+// just because most of the others are back.
 func (ev *Evaluation) isPartitioned(m *fleet.Machine) bool {
 	at, found := ev.detector.partitionedAt[m.Zone]
 	return found && ev.now.Sub(at) < ev.detector.options.WorkerLease
--- a/internal/faultattribution/evidence_test.go
+++ b/internal/faultattribution/evidence_test.go
@@ -90,10 +90,10 @@
 func (truth *groundTruth) checkJob(t *rapid.T, e *Evidence, job string) {
 	probability := e.JobFaultProbability(job)
 	if e.IsJobFaulty(job) && !truth.faultyJobs[job] && len(truth.faultyMachines) < 2 {
-		t.Fatalf("%s counts as faulty with %.3f, want not faulty", job, probability)
+		t.Fatalf("%s counts as faulty with probability %.3f, want not faulty", job, probability)
 	}
 	if failedOn := len(truth.failedWith[job]); truth.faultyJobs[job] && failedOn >= 4 && !e.IsJobFaulty(job) {
-		t.Fatalf("%s failed on %d machines, but is faulty only with %.3f, want at least %v", job, failedOn, probability, faultyThreshold)
+		t.Fatalf("%s failed on %d machines, but has fault probability %.3f, want at least %v", job, failedOn, probability, faultyThreshold)
 	}
 }
 
@@ -101,7 +101,7 @@
 // faulty jobs.
 func (truth *groundTruth) checkMachine(t *rapid.T, e *Evidence, machine string) {
 	if e.IsMachineFaulty(machine) && !truth.faultyMachines[machine] && len(truth.faultyJobs) < 2 {
-		t.Fatalf("%s counts as faulty with %.3f, want not faulty", machine, e.MachineFaultProbability(machine))
+		t.Fatalf("%s counts as faulty with probability %.3f, want not faulty", machine, e.MachineFaultProbability(machine))
 	}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,8 +8,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Every run draws the same inputs; -rapid.seed draws others. If the fleet accepts old copies of
-// heartbeats, the first input that fails is the 560th, so rapid's default of 100 inputs is too few.
+// Every run draws the same inputs; -rapid.seed draws others. If the fleet accepted old copies
+// of heartbeats, the first input to fail would be the 560th, so rapid's default of 100 inputs is too few.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "2000")
@@ -137,10 +137,10 @@
 }
 
 // A machine whose lease ends although it sends heartbeats does not receive the answers, and is avoided.
-// Two other cases look alike, and the machine must not be avoided in them. In an outage its heartbeats
-// are not answered: when such machines were avoided, 600 jobs waited for two leases after an outage
-// while 700 machines had free capacity. A new leader may also receive a copy of a heartbeat of an earlier
-// incarnation: leaders then avoided the machine for two leases.
+// Two other cases look the same to the leader, but the machine must not be avoided in them. In an outage
+// its heartbeats are not answered: when such machines were avoided, 600 jobs waited for two leases after
+// an outage while 700 machines had free capacity. In the other case, a new leader receives a copy of a
+// heartbeat of an earlier incarnation: this once made leaders avoid the machine for two leases.
 func TestNewIncarnationAvoidsMachineOnlyIfAnswersWereLost(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -35,7 +35,7 @@
 	Capacity             Resources
 	Incarnation          uint64               // of the machine's worker, from its newest heartbeat
 	Sequence             uint64               // number of the newest heartbeat
-	IncarnationHint      uint64               // as an earlier leader knew it; used only to announce the fencing token
+	IncarnationHint      uint64               // the incarnation that an earlier leader knew; used only to announce the fencing token
 	LastHeartbeat        time.Time            // when any node last answered one of its heartbeats
 	LastHeartbeatHere    time.Time            // when this leader last answered one, directly or through a relay
 	LastRelayedHeartbeat time.Time            // when a follower last relayed one to this leader
@@ -151,7 +151,7 @@
 
 // MarkSuspected marks every machine whose last heartbeat is older than a worker lease as Suspected. A
 // machine that is Booting is only suspected if it has live attempts: a new leader has read these from
-// the records, and the machine's last heartbeat was answered before this term began.
+// the records, so the machine had booted and its heartbeats were answered before this term began.
 func (f *Fleet) MarkSuspected(now time.Time) {
 	for _, m := range f.machines {
 		heartbeatExpected := m.State == Ready || m.State == Confirming || m.State == Booting && m.liveAttempts > 0
--- a/internal/jobdag/graph.go
+++ b/internal/jobdag/graph.go
@@ -93,7 +93,8 @@
 		effects.Cancelled = append(effects.Cancelled, uid)
 	}
 	g.updateUrgency(n, &effects)
-	// The job's successors may have been added before it. Its predecessors inherit their urgency, too.
+	// If the job's successors were added before it, its urgency may be the same as before. updateUrgency has
+	// then not updated its predecessors, which inherit this urgency, too.
 	for _, predecessor := range n.predecessors {
 		g.updateUrgency(predecessor, &effects)
 	}
--- a/internal/sched/doc.go
+++ b/internal/sched/doc.go
@@ -23,7 +23,7 @@
 //   - eligibility.go: which nodes a job may use
 //   - classindex.go: index of nodes with equal properties and free capacity
 //   - reservation.go: reserving nodes for a job that has waited long
-//   - preempt.go, preemptor.go, victims.go: preemption
+//   - preempt.go, preemptionrule.go, victims.go: preemption
 //   - view.go, profile.go: machines that are retained from cycle to cycle
 //   - scratch.go: memory that cycles reuse
 //   - heap.go: binary heap
--- a/internal/sched/equivalence_test.go
+++ b/internal/sched/equivalence_test.go
@@ -144,7 +144,7 @@
 		slot := slotOf[reference.Nodes[i].ID]
 		afterStops, afterBoot := plan.FreeAfterStops[slot], plan.FreeAfterBoot[slot]
 		if afterStops != want.FreeAfterStops[i] || afterBoot != want.FreeAfterBoot[i] {
-			t.Fatalf("%s: free is %v and %v, want %v and %v", id(slot), afterStops, afterBoot, want.FreeAfterStops[i], want.FreeAfterBoot[i])
+			t.Fatalf("%s: free after stops %v, boot %v, want %v, %v", id(slot), afterStops, afterBoot, want.FreeAfterStops[i], want.FreeAfterBoot[i])
 		}
 	}
 	return plan
--- a/internal/sched/generators_test.go
+++ b/internal/sched/generators_test.go
@@ -124,7 +124,7 @@
 	Changes   []nodeChange
 	Jobs      []*Job
 	Window    int
-	Rentals   []Node
+	Rentals   []Node // nodes outside the view, which exist in this step only
 	GPULimit  float64
 	JobsAfter []*Job
 }
--- a/internal/sched/input.go
+++ b/internal/sched/input.go
@@ -75,8 +75,8 @@
 	Stopping struct{ Cores, Gpus float64 }
 }
 
-// beyondQuota returns by how much the team's usage would exceed its quota once more resources of it have
-// been released. Negative amounts are below the quota.
+// beyondQuota returns by how much the team's usage would exceed its quota if the resources in more were
+// also released. Negative amounts are below the quota.
 func (t *Team) beyondQuota(more fleet.Resources) fleet.Resources {
 	return fleet.Resources{
 		Cores: t.Used.Cores - t.Stopping.Cores - t.Quota.Cores - more.Cores,
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -7,8 +7,9 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// preemptionCostS is a fixed cost of stopping a task, in seconds, on top of the work that the task loses. It
-// makes free capacity better than any victim, and of options that lose equal work, the one with fewer victims.
+// preemptionCostS is a fixed cost of stopping a task, in seconds, on top of the work that the task loses.
+// Because of it, free capacity is preferred to any victim, and of two options that lose equal work, the one
+// with fewer victims is preferred.
 const preemptionCostS = 1
 
 // preemptionOption is a way to place one task on a node: on free capacity, or by stopping victims.
--- a/internal/sched/reference_preempt_test.go
+++ b/internal/sched/reference_preempt_test.go
@@ -7,8 +7,8 @@
 	"lotusstile.dev/lotusstile/internal/fleet"
 )
 
-// referencePreemption is a way to place one task on a node: on free capacity, or by stopping victims.
-type referencePreemption struct {
+// referencePreemptionOption is a way to place one task on a node: on free capacity, or by stopping victims.
+type referencePreemptionOption struct {
 	node                   int
 	firstVictim, endVictim int // range in stop order; the victims in it that the job may preempt are stopped
 	lossS                  float64
@@ -45,7 +45,7 @@
 
 // preemptionOptions lists the options for tasks of a job by node: free capacity, and capacity that would be free
 // if victims were stopped.
-func (r *referenceCycle) preemptionOptions(j *Job, want int) []referencePreemption {
+func (r *referenceCycle) preemptionOptions(j *Job, want int) []referencePreemptionOption {
 	need := fleet.TaskResources(j.Spec)
 	options := r.preemptionsBuffer[:0]
 	for i, victims := range r.victimsInStopOrder() {
@@ -54,10 +54,10 @@
 		}
 		free := r.free[afterStops][i]
 		for range free.CountFitting(need, want) {
-			options = append(options, referencePreemption{node: i})
+			options = append(options, referencePreemptionOption{node: i})
 			free = free.Sub(need)
 		}
-		option := referencePreemption{node: i}
+		option := referencePreemptionOption{node: i}
 		for k := range victims {
 			v := &victims[k]
 			if !referenceMayPreempt(j, v) {
@@ -68,7 +68,7 @@
 			option.lossS += v.lossS(r.input.Now) + 1
 			if free.Fits(need) {
 				options = append(options, option)
-				option = referencePreemption{node: i, firstVictim: option.endVictim}
+				option = referencePreemptionOption{node: i, firstVictim: option.endVictim}
 				free = free.Sub(need)
 			}
 		}
@@ -94,9 +94,9 @@
 // chooseLeastDisruptive chooses the options with the least loss for up to want tasks, within the zones that the
 // job may use.
 func (r *referenceCycle) chooseLeastDisruptive(
-	j *Job, want int, options []referencePreemption,
-) (placements []Placement, chosen []referencePreemption) {
-	leastLossFirst := referenceHeap[referencePreemption]{items: options, compare: func(a, b referencePreemption) int {
+	j *Job, want int, options []referencePreemptionOption,
+) (placements []Placement, chosen []referencePreemptionOption) {
+	leastLossFirst := referenceHeap[referencePreemptionOption]{items: options, compare: func(a, b referencePreemptionOption) int {
 		return cmp.Or(cmp.Compare(a.lossS, b.lossS), cmp.Compare(a.node, b.node), cmp.Compare(a.firstVictim, b.firstVictim))
 	}}
 	jobZone := ""
@@ -125,7 +125,7 @@
 }
 
 // stopVictims stops the victims of the chosen options, and adds their resources to the free capacity.
-func (r *referenceCycle) stopVictims(j *Job, chosen []referencePreemption) {
+func (r *referenceCycle) stopVictims(j *Job, chosen []referencePreemptionOption) {
 	stopped := map[int]bool{}
 	for _, option := range chosen {
 		for _, v := range r.victims[option.node][option.firstVictim:option.endVictim] {
--- a/internal/sched/reference_test.go
+++ b/internal/sched/reference_test.go
@@ -27,7 +27,7 @@
 	// Memory that jobs reuse. Without reuse, these lists made up nearly all allocations of a leader with
 	// 2,700 machines.
 	optionsBuffer     []referenceOption
-	preemptionsBuffer []referencePreemption
+	preemptionsBuffer []referencePreemptionOption
 }
 
 // runReference runs one reference cycle.
