--- a/internal/election/terms.go
+++ b/internal/election/terms.go
@@ -9,8 +9,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// ObserveTerm records a term that this node has learned from a worker's heartbeat (leader is then empty) or from
-// another node, rather than from the state store. If this node leads an older term, that term ends.
+// ObserveTerm records a term that this node has learned from a worker's heartbeat or from another node, rather than
+// from the state store. leader is empty if only the term is known. If this node leads an older term, that term ends.
 func (e *Elector) ObserveTerm(term uint64, leader string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -147,7 +147,7 @@
 	if err != nil {
 		return fmt.Errorf("listen on mesh_addr: %w", err)
 	}
-	// Timeouts close idle connections: keep-alive probes on each would only cost system calls.
+	// Keep-alive probes would only cost system calls for each connection, since timeouts already close idle ones.
 	withoutKeepAlive := net.ListenConfig{KeepAlive: -1}
 	clientListener, err := withoutKeepAlive.Listen(ctx, "tcp", n.cfg.Listen)
 	if err != nil {
--- a/internal/node/pinging.go
+++ b/internal/node/pinging.go
@@ -60,7 +60,7 @@
 	return result
 }
 
-// Counts tells a peer, which answers a poll of a job, how many tasks of the job are done and running.
+// Counts returns how many tasks of a job are done and running, for a peer that is answering a user's poll of the job.
 func (n *Node) Counts(args peer.CountsArgs) peer.CountsReply {
 	c := n.controller()
 	if c == nil {
--- a/internal/relay/departure.go
+++ b/internal/relay/departure.go
@@ -12,7 +12,7 @@
 	// stayIntervals is the number of heartbeat intervals after which a worker that probably left because of one slow
 	// answer may be sent back. A worker counts as reporting while its last heartbeat is at most that old.
 	stayIntervals = 2
-	// countsMaxAgeShare is the maximum age of the workerCounts, as a share of a heartbeat interval.
+	// countsMaxAgeShare is the maximum age of the worker counts, as a share of a heartbeat interval.
 	countsMaxAgeShare = 0.25
 )
 
--- a/internal/relay/pressure_test.go
+++ b/internal/relay/pressure_test.go
@@ -96,7 +96,7 @@
 // Controllers accept as many workers as the fleet needs, up to maxShare of their connections. The cases have about
 // 4,000 and 6,000 workers, three and five controllers, and mostly the connection limits of the large deployments.
 // With fixed shares, three controllers had capacity for only 3,235 workers.
-func TestRoomGrowsWithTheFleet(t *testing.T) {
+func TestCapacityGrowsWithTheFleet(t *testing.T) {
 	for _, tc := range []struct {
 		controllers, connections, workers int
 		fits                              bool // the connections suffice for all workers
@@ -154,8 +154,8 @@
 	}
 }
 
-// A delayed copy of a heartbeat that the leader receives for the first time looks as if the worker had been at
-// another controller in between. The worker is nevertheless not sent back to the controller that it cannot reach.
+// If the first copy of a heartbeat that reaches the leader is a delayed one, the worker seems to have been at another
+// controller in between. The worker is nevertheless not sent back to the controller that it cannot reach.
 // When only the last departure counted, a machine was declared dead in 11 of 120 runs in which a leader became
 // unreachable for its workers.
 func TestLateCopyDoesNotHideADeparture(t *testing.T) {
--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -50,8 +50,8 @@
 // size returns the length of the key and the value in bytes.
 func (e *Entry) size() int { return len(e.Key) + len(e.Value) }
 
-// absentEntry returns an entry that drops a record which a read did not find, whatever mod revision the contents have
-// for that record.
+// absentEntry returns an entry that drops a key that no longer exists. Applied to contents, it drops the key whatever
+// mod revision they have for it.
 func absentEntry(key string) *Entry { return &Entry{Key: key, Dropped: true, ModRevision: ^uint64(0)} }
 
 // contents is an immutable set of entries with its digest. A transfer can read it without a lock while a contentsEditor
--- a/internal/standby/late_commit_test.go
+++ b/internal/standby/late_commit_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// The proof must include a commit whose answer is lost and that is executed late: here after 13 commits of another
-// key, changing a key that an earlier commit has set. TestWhatIsProvenIsWhatIsListed once failed with this input: the
-// standby proved the earlier value (revision 10), while the state store had the later one (revision 25).
+// The proof must include a commit that gets no answer and is executed late. Here the late commit sets a key that an
+// earlier commit has set, and is executed after 13 commits of another key. TestWhatIsProvenIsWhatIsListed once failed
+// with this input: the standby proved the earlier value (revision 10), while the state store had the later one
+// (revision 25).
 func TestProofIncludesACommitCarriedOutLate(t *testing.T) {
 	s := newFakeStore()
 	l := newLeader(s)
--- a/internal/standby/positions.go
+++ b/internal/standby/positions.go
@@ -7,7 +7,7 @@
 // the commit can no longer change anything. The floor of a commit is the newest revision that the leader knew before
 // it sent the commit. Since revisions only increase, the commit can only get a revision above its floor. The position
 // is the lowest floor of the open commits, or newestRevision if no commit is open: no open commit can get a revision at
-// or below it.
+// or below the position.
 type positionTracker struct {
 	newestRevision uint64 // of the commits that are known to have been executed; at first the term
 	lastID         uint64 // the last id given to a commit or to a transfer of the source
--- a/internal/standby/recordingstore.go
+++ b/internal/standby/recordingstore.go
@@ -26,8 +26,8 @@
 // NewRecordingStore returns a store for a controller. The source offers the controller's commits to its standbys.
 func NewRecordingStore(s Store, source *Source) *RecordingStore { return &RecordingStore{s, source} }
 
-// Get reads a key. If the key belongs to a followed record, Get applies what it has read to the source: a read returns
-// what is at least as new as what the source has for the key.
+// Get reads a key. If the key belongs to a followed record, Get also applies the result to the source, since the result
+// is at least as new as the source's entry for the key.
 func (r *RecordingStore) Get(ctx context.Context, key string) (wire.KeyValue, bool, error) {
 	item, found, err := r.Store.Get(ctx, key)
 	if err == nil && isRecord(key) {
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -375,7 +375,7 @@
 }
 
 // A transfer that is no longer requested is dropped, and a node that is not a member gets nothing.
-func TestSourceDropsAbandonedTransfersAndRefusesStrangers(t *testing.T) {
+func TestSourceDropsAbandonedTransfersAndRefusesNonMembers(t *testing.T) {
 	l := newLargeLeader(newFakeStore())
 	now := time.Unix(1000, 0)
 	l.source.now = func() time.Time { return now }
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -27,8 +27,8 @@
 
 // Shares of the store's request limit that all nodes together may use for users' reads. Their sum and
 // the leader's RequestShare stay below the limit. When each node could use RequestShare for users
-// alone and users sent eight times as many requests, the leader's lease was not renewed, a new leader
-// could not read the records for 12 s, and users got 503.
+// alone, an eightfold increase in users' requests had this effect: the leader's lease was not renewed,
+// a new leader could not read the records for 12 s, and users got 503.
 const (
 	sharedReadShare = 0.15
 	lookupShare     = 0.2
