--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -39,7 +39,8 @@
 		}
 		requests := c.runCycle(interval)
 		if requests.failover != nil {
-			// The write has its own timeout and may continue after the term has ended.
+			// Nothing waits for this write. It has its own timeout and may continue after the term
+			// has ended.
 			go c.storeFailoverRecord(context.WithoutCancel(ctx), *requests.failover)
 		}
 		for _, request := range requests.provision {
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// recordFirstDecision is called after every scheduling cycle. It records the time of the first cycle that could place
-// tasks, and reports whether this cycle was that one.
+// recordFirstDecision is called after every scheduling cycle whose plan has been applied. It records the time of the
+// first cycle that could place tasks, and reports whether this cycle was that one.
 func (r *failoverReport) recordFirstDecision(now time.Time) bool {
 	if r.decided || !r.machineReady {
 		return false
--- a/internal/controller/imagerecords.go
+++ b/internal/controller/imagerecords.go
@@ -13,10 +13,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// recordedImages describes a machine's last image record: how many images the machine had then, and
-// when the record was written or loaded.
+// recordedImages describes a machine's last image record, and when the record was written or loaded.
 type recordedImages struct {
-	count      int
+	count      int // the machine's images when this leader wrote the record; of a loaded record, the images in it
 	recordedAt time.Time
 }
 
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -69,7 +69,7 @@
 		c.applyListedHost(&hosts[i], requestedAt, now)
 	}
 	c.fleet.Each(func(m *fleet.Machine) {
-		if !listed[m.ID] && c.isMissingFromLists(m, now) {
+		if !listed[m.ID] && c.hasFailedIfUnlisted(m, now) {
 			c.markFailed(m)
 		}
 		if listed[m.ID] && m.State == fleet.Gone {
@@ -99,11 +99,11 @@
 	}
 }
 
-// isMissingFromLists reports whether a machine that is not in the latest list has failed. A new machine
+// hasFailedIfUnlisted reports whether a machine that is not in the latest list has failed. A new machine
 // may be younger than the list. A machine that has been known for much longer than the lag of lists,
 // whether it was ever listed or not, is in every list until it is gone. A machine that sends
 // heartbeats has not failed. c.mu is held.
-func (c *Controller) isMissingFromLists(m *fleet.Machine, now time.Time) bool {
+func (c *Controller) hasFailedIfUnlisted(m *fleet.Machine, now time.Time) bool {
 	return now.Sub(m.FirstSeen) > 4*c.Config.CloudListLag()+c.Config.WorkerLease() &&
 		now.Sub(m.LastHeartbeat) > 2*c.Config.HeartbeatInterval()
 }
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -33,7 +33,7 @@
 	// ProveStandbyCopy checks this node's copy of the records against the state store, for a new term. Only a warm standby
 	// has such a copy: the field is nil if this node is not one.
 	ProveStandbyCopy func(ctx context.Context, term uint64) (*standby.ProvenCopy, error)
-	// StandbySource sends the state of this term to a warm standby; nil if no warm standby is to be served.
+	// StandbySource offers the state of this term to a warm standby; nil if no warm standby is to be served.
 	StandbySource *standby.Source
 }
 
@@ -82,7 +82,8 @@
 type Observer interface {
 	// TermObserved is called when a newer term is seen.
 	TermObserved(term uint64)
-	// CycleFinished is called after every scheduling cycle, with the time that its decisions took.
+	// CycleFinished is called for every scheduling cycle that makes decisions, with the time that they took. It is not
+	// called for cycles before the catalog has been read.
 	CycleFinished(took time.Duration)
 	// JobFinished is called when the final status of a job is committed.
 	JobFinished(uid string, status wire.JobStatus)
--- a/internal/controller/placementwriter.go
+++ b/internal/controller/placementwriter.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// writeAll commits batches until there is nothing left to write, or until a background commit fails. It pauses after any
-// other commit that failed.
+// writeAll commits batches until there is nothing left to write. When commit returns false, writeAll pauses; after a
+// background commit it returns instead, since what is left can wait.
 func (w *placementWriter) writeAll(ctx context.Context, retryDelay time.Duration) {
 	for ctx.Err() == nil {
 		b := w.state.nextBatch()
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -25,10 +25,11 @@
 	}
 }
 
-// releaseIdle starts the release of idle machines that no task and no headroom needs, the most
-// expensive first. It releases a quarter of them in each cycle, since the next cycle may need some of
-// the others. When it released one machine in each cycle instead, a fleet of 450 machines kept
-// 250 idle ones for minutes. c.mu is held.
+// releaseIdle starts the release of machines that have been idle for a while and that neither headroom
+// nor a waiting task needs, the most expensive first. It releases a quarter of them in each cycle, since
+// the next cycle may need some of the others. This is a share and not a fixed number, because a large
+// fleet otherwise keeps unneeded machines for minutes: when one machine was released in each cycle, 250
+// of 450 machines were idle. c.mu is held.
 func (c *Controller) releaseIdle(shortfalls []sched.Shortfall, now time.Time) {
 	var idle []*fleet.Machine
 	c.fleet.Each(func(m *fleet.Machine) {
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -56,8 +56,8 @@
 }
 
 // A leader that learns from the commit of a release record that it is deposed ends its term and still
-// answers queries. Without this rule, it deadlocked on a lock that it held itself, and its node never
-// saw the term end.
+// answers queries. When it stepped down while it held its own lock, it deadlocked, and its node waited
+// for the end of the term forever.
 func TestLeaderDeposedWhileReleasingStepsDown(t *testing.T) {
 	c, _, cloud := newLeaderReleasing(3, &store.ConflictError{Failed: []string{records.LeaderKey}})
 	errEnded := errors.New("deposed")
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -37,8 +37,8 @@
 	return victim
 }
 
-// newSnapshot makes the snapshot of a cycle. It also stops the remaining tasks of each gang that has
-// lost some of its tasks. c.mu is held, and the catalog has been read.
+// newSnapshot makes the snapshot of a cycle. It also stops the live tasks of each gang that is
+// incomplete. c.mu is held, and the catalog has been read.
 func (c *Controller) newSnapshot(now time.Time, interval time.Duration) snapshot {
 	c.refreshNodes(now)
 	in := &sched.Input{
@@ -135,10 +135,10 @@
 		return nil
 	}
 	if spec.Kind == wire.Gang && j.liveAttempts > 0 {
-		// A gang is all-or-nothing: if some of its tasks have ended, the others are stopped and
-		// the whole gang starts again.
+		// A gang is all-or-nothing: if some of its tasks wait, for example because their attempts have
+		// ended, the others are stopped and the whole gang starts again.
 		j.eachAttempt(func(a *fleet.Attempt) {
-			c.stopAttempt(a, spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "other tasks of its gang have ended")
+			c.stopAttempt(a, spec.CheckpointOnStopS+c.Config.Cluster.Workers.ReportS, now, "its gang is incomplete")
 		})
 		return nil
 	}
--- a/internal/controller/status_test.go
+++ b/internal/controller/status_test.go
@@ -10,7 +10,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A follower needs several pings to learn the task counts of more jobs than one reply carries.
+// If there are more jobs than one reply carries, a follower learns the task counts of all of them over
+// several pings.
 func TestFollowerLearnsTheCountsOfManyJobs(t *testing.T) {
 	const jobs = 3*maxCountsPerReply + 1
 	now := time.Unix(1000, 0)
@@ -26,7 +27,7 @@
 		var views []wire.JobView
 		views, revision, more = c.CountsSince(revision)
 		if len(views) > maxCountsPerReply || pings > jobs/maxCountsPerReply {
-			t.Fatalf("reply %d has %d counts, want at most %d in %d replies", pings, len(views), maxCountsPerReply, jobs/maxCountsPerReply+1)
+			t.Fatalf("reply %d has %d counts, want at most %d in %d replies", pings+1, len(views), maxCountsPerReply, jobs/maxCountsPerReply+1)
 		}
 		for _, v := range views {
 			learned[v.UID] = true
--- a/internal/controller/tokenannounce.go
+++ b/internal/controller/tokenannounce.go
@@ -71,13 +71,13 @@
 			announcements = append(announcements, announcement{m.ID, m.Address, newestIncarnation(m)})
 		}
 	})
-	// The order is random, since many of the machines may be unreachable for the same reason. A single answer is enough
-	// to end the term of a leader that is deposed and does not know it.
+	// The order is random, since most of the machines may have been lost together. A single answer is enough to end the
+	// term of a leader that is deposed and does not know it.
 	rand.Shuffle(len(announcements), func(i, k int) {
 		announcements[i], announcements[k] = announcements[k], announcements[i]
 	})
-	// Each round announces to a quarter of these machines. It has to be so many because a whole fleet may be connected to a
-	// deposed leader, and it can be so many because machines that answer do so within milliseconds.
+	// Each round announces to a quarter of these machines: those that answer take milliseconds, and a whole fleet may be
+	// connected to a deposed leader.
 	roundLimit := max(minAnnouncementsPerRound, len(announcements)/4)
 	announcements = announcements[:min(len(announcements), roundLimit)]
 	for _, a := range announcements {
--- a/internal/controller/urgency.go
+++ b/internal/controller/urgency.go
@@ -89,8 +89,8 @@
 
 // effectiveLevel returns the priority level at which a job competes for capacity. That is its own
 // level until its laxity, or what is left of its start slack, is at most a boot time. From then on
-// it is the level that the job inherits from the jobs that depend on it. Until then the job does not
-// preempt others by the inherited level.
+// it is the level that the job inherits from the jobs that depend on it. Until then the job waits for
+// capacity like others of its own level, and does not preempt others by the inherited level.
 func (u *urgency) effectiveLevel(j *job, now time.Time) int {
 	spec := &j.record.Spec
 	ownLevel := spec.Priority.Level()
