--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -54,7 +54,8 @@
 
 func main() {
 	var c cli
-	kong.Parse(&c, kong.Name("fleetsim"), kong.Description("Fakes of services, machines and users for lotusstile."), kong.UsageOnError())
+	kong.Parse(&c, kong.Name("fleetsim"),
+		kong.Description("Fakes of services, machines and users for lotusstile, on loopback."), kong.UsageOnError())
 	if err := c.run(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "fleetsim:", err)
 		os.Exit(1)
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -102,7 +102,7 @@
 	return Limit{
 		Setting:        "cluster.state.rps",
 		Machines:       keys / recordsPerMachine,
-		ExceededEffect: "a new leader without a warm standby lists records for over half of a worker lease, and launches nothing until then",
+		ExceededEffect: "a new leader without a warm standby lists records for over half of a worker lease, and launches nothing meanwhile",
 	}
 }
 
--- a/internal/httpapi/cancel.go
+++ b/internal/httpapi/cancel.go
@@ -75,7 +75,7 @@
 		s.AnnounceCancelled(peer.Cancellation{UID: uid, Record: job, ModRevision: modRevision})
 	case errors.As(err, &conflict):
 	default:
-		slog.Info("failed to commit a cancellation", "uid", uid, "err", err)
+		slog.Info("could not commit a cancellation, or its outcome is unknown", "uid", uid, "err", err)
 		return commitError(err)
 	}
 	return nil
--- a/internal/httpapi/errors.go
+++ b/internal/httpapi/errors.go
@@ -42,16 +42,18 @@
 	errNoUserConnection = retryLater("no connection is free")
 )
 
-// ErrNoTerm means that a heartbeat cannot be answered because this node knows no leader's term yet.
-// Its text is part of the answer.
+// ErrNoTerm means that a heartbeat cannot be answered now, for example because this node knows no
+// leader's term yet. Its text is part of the answer.
 var ErrNoTerm = errors.New("no answer can be given yet")
 
 // RedirectError means that a worker has to send its heartbeats to another node.
 type RedirectError struct {
-	Leader string // label of the leading controller; "" if the worker has to find it
+	// Leader is the label of that node: the leader, or a controller that relays heartbeats to it. It is ""
+	// if the worker has to find the node itself.
+	Leader string
 }
 
-// Error names the leader. The answer carries a wire.Redirect instead of this text.
+// Error names the node to go to. The answer carries a wire.Redirect instead of this text.
 func (e *RedirectError) Error() string {
 	if e.Leader == "" {
 		return "not the leader, which is not known"
@@ -144,9 +146,9 @@
 	return status, records.Encode(&wire.ErrorResponse{Error: err.Error()})
 }
 
-// commitError maps the error of a failed commit to the error of the user's request. If this node's
-// write budget is used up, the request is refused at once with a Retry-After. Otherwise another
-// node may serve it.
+// commitError maps the error of a commit that failed, or whose outcome is unknown, to the error of the
+// user's request. If this node's write budget is used up, the request is refused at once with a
+// Retry-After. Otherwise another node may serve it.
 func commitError(err error) error {
 	var busy *store.BusyError
 	if errors.As(err, &busy) {
--- a/internal/httpapi/submit.go
+++ b/internal/httpapi/submit.go
@@ -59,7 +59,7 @@
 	}
 	switch known, err := s.recordJob(ctx, &spec, value); {
 	case err != nil:
-		slog.Info("failed to commit a submission", "uid", spec.UID, "err", err)
+		slog.Info("could not commit a submission, or its outcome is unknown", "uid", spec.UID, "err", err)
 		return commitError(err)
 	case known:
 		return s.answerKnownJob(ctx, c, spec.UID)
@@ -101,7 +101,7 @@
 	_, err = s.Store.Commit(store.WithUserLane(ctx, reserved), tx)
 	for errors.Is(err, store.ErrOutcomeUnknown) && ctx.Err() == nil {
 		// The commit may have been executed, or may still be executed late. It is sent again:
-		// the compares let only one of the two succeed.
+		// the compares let only one of these commits succeed.
 		_, err = s.Store.Commit(store.WithUserLane(ctx, reserved), tx)
 	}
 	var conflict *store.ConflictError
--- a/internal/node/connectionpressure_test.go
+++ b/internal/node/connectionpressure_test.go
@@ -74,7 +74,7 @@
 
 // While all connections are busy, operators, users and workers are answered on connections of a reserve. A worker
 // is answered at once and its connection is then closed. A worker that finds no free slot in the workers'
-// part of the reserve is redirected. Without the reserve no request was answered.
+// part of the reserve is redirected at once. Without the reserve no request was answered.
 func TestRequestsAreAnsweredWhileAllConnectionsAreBusy(t *testing.T) {
 	const connections = 64
 	n := benchNode(t, 1, connections)
--- a/internal/node/heartbeats_test.go
+++ b/internal/node/heartbeats_test.go
@@ -18,9 +18,9 @@
 )
 
 // Every answer that renews a lease stops cancelled tasks, and no lease is renewed while the node's knowledge of
-// cancellations is too old. Two failures are guarded against: a leader that had not loaded its records renewed
-// leases without stopping any task, and a node whose watch of the jobs hung renewed leases because the state
-// store answered its other requests.
+// cancellations is too old, by whichever path the answer reaches the worker. Two failures are guarded against: a
+// leader that had not loaded its records renewed leases without stopping any task, and a node whose watch of the
+// jobs hung renewed leases because the state store answered its other requests.
 func TestLeasesAreRenewedOnFreshKnowledgeOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(100, 100)
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -113,8 +113,8 @@
 	return known
 }
 
-// receiveBatch answers a batch of heartbeats that a follower relays. While this node does not lead, the reply
-// contains only the term that it knows.
+// receiveBatch answers a batch of heartbeats that a follower relays. While this node does not lead, or if its
+// configuration does not enable relaying, the reply contains only the term that it knows.
 func (r *heartbeatRelay) receiveBatch(batch peer.HeartbeatBatch) (peer.HeartbeatBatchReply, error) {
 	receiver := r.receiver.Load()
 	if receiver == nil {
--- a/internal/node/submissions_test.go
+++ b/internal/node/submissions_test.go
@@ -48,7 +48,7 @@
 		accepted    int
 	}{
 		{"outage", http.StatusServiceUnavailable, 100, 0},
-		{"budget", http.StatusOK, 5, 3}, // users' submissions may use six tenths of the writes
+		{"budget", http.StatusOK, 5, 3}, // each node may use six tenths of the writes for users
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { checkRefusals(t, tc.state, tc.writeBudget, tc.accepted) })
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -11,7 +11,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// sampleBodies returns one value of each body, by the name of its golden file.
+// sampleBodies returns bodies of the protocol by the name of their golden file. All their fields are set, except
+// for the dependencies of a job and some fields of the status.
 func sampleBodies() map[string]any {
 	bodies := map[string]any{}
 	for _, group := range []map[string]any{sampleJobs(), sampleWorkers(), sampleCloud(), sampleStateStore(), sampleAdmin()} {
