--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -17,15 +17,15 @@
 
 // Durations as fractions of the time to live of the leader's lease: each is LeaseTTL divided by the constant.
 const (
-	// campaignJitterDivisor gives the upper bound of the random wait before a campaign. The wait keeps nodes that
-	// notice a leader's failure together from campaigning at the same moment.
+	// campaignJitterDivisor gives the upper bound of the random wait before a campaign. The wait keeps nodes from
+	// campaigning at the same moment in every attempt.
 	campaignJitterDivisor = 40
 	// delayStepDivisor gives the wait before a campaign for each step of CampaignDelaySteps.
 	delayStepDivisor = 8
 	// deferDivisor gives the extra wait before a campaign while DeferToStandby is true. It is longer than the random
 	// wait of either node, so that the node that is better prepared to lead campaigns first.
 	deferDivisor = 16
-	// retryJitterDivisor gives the upper bound of the random wait after a lost campaign.
+	// retryJitterDivisor gives the upper bound of the random wait after a campaign that this node did not win.
 	retryJitterDivisor = 8
 	// watchPauseDivisor gives the pause before the election's keys are read again after a failed read.
 	watchPauseDivisor = 8
@@ -84,12 +84,12 @@
 
 // campaign makes one attempt to become leader: it creates the leader's key, attached to a new lease. If elected is
 // true, this node leads the returned term by the returned lease. If elected is false although a lease was granted,
-// campaign revokes that lease and reads from the state store which node leads.
+// campaign revokes that lease, and updates the view with the leader if the state store answers.
 func (e *Elector) campaign(ctx context.Context) (term, leaseID uint64, elected bool) {
 	ctx = store.WithUrgentLane(ctx)
 	leaseID, err := e.Store.GrantLease(ctx, e.LeaseTTL)
 	if err != nil {
-		slog.Debug("campaign failed: the state store granted no lease", "err", err)
+		slog.Debug("campaign got no lease from the state store", "err", err)
 		return 0, 0, false
 	}
 	record := records.Encode(records.Leader{Node: e.Node})
@@ -103,7 +103,7 @@
 	if err == nil {
 		return term, leaseID, true
 	}
-	slog.Debug("commit of a campaign failed", "err", err)
+	slog.Debug("commit of a campaign returned an error", "err", err)
 	if errors.Is(err, store.ErrOutcomeUnknown) {
 		// The commit may have been executed. If it was, the leader's key is attached to this campaign's lease.
 		if item, found, err := e.Store.Get(ctx, records.LeaderKey); err == nil && found && item.LeaseID == leaseID {
@@ -111,13 +111,13 @@
 		}
 	}
 	if err := e.Store.RevokeLease(ctx, leaseID); err != nil {
-		slog.Debug("lease of a lost campaign could not be revoked", "err", err) // the lease expires by itself
+		slog.Debug("lease of a campaign that was not won could not be revoked", "err", err) // the lease expires by itself
 	}
 	e.readLeader(ctx)
 	return 0, 0, false
 }
 
-// readLeader reads the leader's key after a lost campaign and applies it to the view.
+// readLeader reads the leader's key after a campaign that this node did not win, and applies it to the view.
 func (e *Elector) readLeader(ctx context.Context) {
 	item, found, err := e.Store.Get(ctx, records.LeaderKey)
 	if err != nil || !found {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -74,7 +74,7 @@
 	// Timers aligns the lease renewals with the other periodic work of the process.
 	Timers timeralign.Grid
 	// CampaignDelaySteps returns how many eighths of LeaseTTL this node waits before a campaign, so that better
-	// placed nodes campaign first; nil means that it does not wait.
+	// placed nodes campaign first; nil means none.
 	CampaignDelaySteps func() int
 	// DeferToStandby reports whether another node is better prepared to lead and should campaign first; nil means
 	// never.
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -7,9 +7,9 @@
 
 // This file and messages_relay.go define every message of the net/rpc service between controllers, and convert the
 // messages to and from the types that the rest of the program uses. encoding/gob matches fields by their Go names, and
-// nodes of two releases run at the same time. The fields must therefore keep the names of the first release, even
-// where the rest of the program has other names for them. The fixtures in testdata/release1 check this. Fields may be
-// added, since a receiver ignores fields that it does not know.
+// nodes of two releases run at the same time. The fields must therefore keep the names with which they were first
+// sent, even where the rest of the program has other names for them. The fixtures in testdata/release1 check this.
+// Fields may be added, since a receiver ignores fields that it does not know.
 
 // PingArgs tells the callee of a ping what the caller knows.
 type PingArgs struct {
--- a/internal/records/placement_test.go
+++ b/internal/records/placement_test.go
@@ -142,7 +142,7 @@
 	}
 	if finished.Status != wire.JobAborted || finished.TasksPerPlacement != job.TasksPerPlacement ||
 		finished.Spec.TaskCount != 16 || finished.Spec.Team != "vision" || finished.Spec.Cores != 8 {
-		t.Errorf("finished record is %+v, want the status, tasks, team and cores of %+v", finished, job)
+		t.Errorf("finished record is %+v, want status %s and the tasks, team and cores of %+v", finished, wire.JobAborted, job)
 	}
 	small := Job{Spec: wire.JobSpec{UID: "run-000412", MachineTypes: []string{"g8"}, Image: "img"}}
 	small.SetFinal(wire.JobDone, limit)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -2,10 +2,11 @@
 // batches, when the fleet is too large for the connections of one controller.
 //
 // A worker sends its heartbeats to the controller that the leader's Router chooses, preferably one in its own zone.
-// A follower's Sender collects the heartbeats of its workers, sends them periodically to the leader's Receiver as
-// one batch, and gets back the answers that are ready. The leader decides every answer. A follower only forwards the
-// answer to the request that waits for it, matched by incarnation and sequence number. Commands are therefore still
-// delivered in answers to heartbeats, and a relayed heartbeat proves as much about its worker as a direct one.
+// A follower's Sender collects the heartbeats of its workers and sends them to the leader's Receiver in batches, once
+// per SenderConfig.Period and aligned to the timer grid. It gets back the answers that are ready. The leader decides
+// every answer. A follower only forwards the answer to the request that waits for it, matched by incarnation and
+// sequence number. Commands are therefore still delivered in answers to heartbeats, and a relayed heartbeat proves as
+// much about its worker as a direct one.
 //
 // Most heartbeats differ from the previous one of the same worker only in the sequence number, and are sent as a
 // reference to it. The leader resolves the reference only if it names the last heartbeat received from that host,
--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -50,7 +50,7 @@
 // size returns the length of the key and the value in bytes.
 func (e *Entry) size() int { return len(e.Key) + len(e.Value) }
 
-// absentEntry returns an entry that drops a key that no longer exists. Applied to contents, it drops the key whatever
+// absentEntry returns the entry of a record that a read did not find. Applied to contents, it drops the key whatever
 // mod revision they have for it.
 func absentEntry(key string) *Entry { return &Entry{Key: key, Dropped: true, ModRevision: ^uint64(0)} }
 
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -115,8 +115,9 @@
 	}
 }
 
-// A wrong part is refused with an exported error and counted, and the follower discards its copy. If its node is
-// elected then, Prove returns ErrNoCopy, so that the node lists all records; otherwise the next pull starts again.
+// A wrong part is refused with an exported error and counted. None of it is used, and the follower discards its copy.
+// If its node is elected then, Prove returns ErrNoCopy, so that the node lists all records; otherwise the next pull
+// starts again.
 func TestWrongPartsAreRefused(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -300,7 +301,7 @@
 	}
 }
 
-// A copy that has been corrupted in memory is discarded instead of proven.
+// A copy that has been corrupted in memory is discarded instead of proven, before any decision depends on it.
 func TestCorruptedCopyIsNotProven(t *testing.T) {
 	s := newFakeStore()
 	l := newLeader(s)
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -26,9 +26,9 @@
 )
 
 // Shares of the store's request limit that all nodes together may use for users' reads. Their sum and
-// the leader's RequestShare stay below the limit. When each node could use RequestShare for users
-// alone, an eightfold increase in users' requests had this effect: the leader's lease was not renewed,
-// a new leader could not read the records for 12 s, and users got 503.
+// the leader's RequestShare stay below the limit. In the past, each node could use up to RequestShare
+// for users alone. When users then sent eight times as many requests, the leader's lease was not
+// renewed, a new leader could not read the records for 12 s, and users got 503.
 const (
 	sharedReadShare = 0.15
 	lookupShare     = 0.2
@@ -95,9 +95,10 @@
 }
 
 // cutReadBudgets cuts the budgets of users' reads after the store has refused a request, whose body is
-// given, because it receives too many. Users' reads are cut whichever request was refused, so that the
-// leader can still renew its lease: without a leader, users are not served at all. A commit that
-// changes something cuts no budget: it may have exceeded the write limit, to which reads do not count.
+// given, because it receives too many. Users' reads are cut first, whichever request was refused, so
+// that the leader can renew its lease: a leader whose lease is not renewed is of no use to anyone. A
+// commit that changes something cuts no budget: it may have exceeded the write limit, to which reads do
+// not count.
 func (c *Client) cutReadBudgets(body any) {
 	if tx, ok := body.(wire.Transaction); ok && len(tx.Changes) > 0 {
 		return
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -125,7 +125,7 @@
 		return status, nil, err
 	}
 	c.growReadBudget(ctx)
-	if maxWait == 0 { // the store may have been unreachable since a watch started, so a watch proves nothing
+	if maxWait == 0 { // a watch may have waited through an outage: its answer proves nothing about its start
 		c.advanceLastExecuted(start)
 	}
 	return status, answer, nil
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -33,7 +33,7 @@
 }
 
 // List reads all keys under a prefix, page by page. It returns the revision of the first page, so that
-// a watch from this revision on returns every change that the later pages may have missed.
+// a watch from this revision on returns every later change, also those that the later pages missed.
 func (c *Client) List(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
 	afterKey := ""
 	for {
--- a/internal/watchcache/linearizable.go
+++ b/internal/watchcache/linearizable.go
@@ -109,7 +109,7 @@
 		}
 		delayTimer.Stop()
 	}
-	// This wait always ends: at most one read waits for the pacer, and the pacer's rate never falls to 0.
+	// This wait always ends: nothing else waits for the pacer, and the pacer's rate never falls to 0.
 	err := r.pacer.Wait(context.Background())
 	r.mu.Lock()
 	defer r.mu.Unlock()
