--- a/internal/simcluster/checker.go
+++ b/internal/simcluster/checker.go
@@ -51,13 +51,13 @@
 const (
 	ruleForgotten    = "forgotten"     // an accepted job is unknown later, a valid job is refused, or a job is not over in time
 	ruleInvented     = "invented"      // a job that nobody submitted starts or has a status
-	ruleLateBegin    = "late_begin"    // one of the largest jobs starts more than maxStartDelay after its acceptance
-	ruleLeftWaiting  = "left_waiting"  // a job waits although a machine has free capacity for it
+	ruleLateBegin    = "late_begin"    // one of the largest jobs has not started within maxStartDelay of its acceptance
+	ruleLeftWaiting  = "left_waiting"  // a job waits for longer than maxWait although a machine has free capacity for it
 	ruleLimits       = "limits"        // a commit is larger than the state store allows
 	ruleNotDone      = "not_done"      // a job is reported done before all its tasks have completed
-	ruleOrphaned     = "orphaned"      // a job outlives the cancellation of a job that it depends on
+	ruleOrphaned     = "orphaned"      // a job is not over more than cancel_s after a dependency was reported cancelled
 	ruleQuota        = "quota"         // a team uses more than its limit
-	ruleRanCancelled = "ran_cancelled" // a task is on a machine more than cancel_s after its cancellation
+	ruleRanCancelled = "ran_cancelled" // a task is on a machine more than cancel_s after its job was reported cancelled
 	ruleRanTwice     = "ran_twice"     // a task starts while it is already on a machine
 	ruleReaped       = "reaped"        // an attempt is acknowledged before its end is recorded
 	ruleTooEarly     = "too_early"     // a task starts before the dependencies of its job are done
@@ -170,7 +170,7 @@
 	c.onMachines.add(task, machine.Host, &job.spec)
 	c.checkDependenciesDone(task, &job.spec)
 	if c.isPastCancelDeadline(job, time.Now()) {
-		c.reportLocked(ruleRanCancelled, "%s starts on %s more than cancel_s after its cancellation", task, machine.Host)
+		c.reportLocked(ruleRanCancelled, "%s starts on %s more than cancel_s after its job was reported cancelled", task, machine.Host)
 	}
 	c.checkPlace(task, &job.spec, machine)
 	c.checkQuota(job.spec.Team)
@@ -234,14 +234,15 @@
 	return !job.cancelledAt.IsZero() && at.Sub(job.cancelledAt).Seconds() > c.config.Cluster.Workers.CancelS
 }
 
-// checkCancelledTasks checks that no task is on a machine longer than cancel_s after its cancellation.
+// checkCancelledTasks checks that no task is on a machine more than cancel_s after its job was reported
+// cancelled.
 func (c *Checker) checkCancelledTasks() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task, hosts := range c.onMachines.hostsOf {
 		uid, _, _ := wire.SplitTaskName(task)
 		if job := c.job(uid); c.isPastCancelDeadline(job, time.Now()) {
-			c.reportLocked(ruleRanCancelled, "%s is on %v %.1f s after its cancellation", task, hosts, time.Since(job.cancelledAt).Seconds())
+			c.reportLocked(ruleRanCancelled, "%s is on %v %.1f s after being reported cancelled", task, hosts, time.Since(job.cancelledAt).Seconds())
 			job.cancelledAt = time.Time{} // report each job only once
 		}
 	}
--- a/internal/simcluster/checker_service.go
+++ b/internal/simcluster/checker_service.go
@@ -50,7 +50,7 @@
 		if job.spec.TaskCount == largest[job.spec.JobClass] {
 			groups = append(groups, "largest of "+job.spec.JobClass)
 			if !hasStarted || job.firstStart.Sub(job.acceptedAt) > maxStartDelay {
-				c.reportLocked(ruleLateBegin, "%s, one of the largest jobs of its class, did not start within four minutes", uid)
+				c.reportLocked(ruleLateBegin, "%s, one of the largest jobs of its class, did not start within four minutes of its acceptance", uid)
 			}
 		}
 		isService := job.spec.Kind == wire.Service
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -34,8 +34,8 @@
 }
 
 // NewCluster returns a cluster without machines. The state store and the cloud are attached to the network
-// under their addresses in cfg. ctx bounds all requests that users and workers send; it is given here, and not
-// with each call, because a request may outlive the call that causes it.
+// under their addresses in cfg. ctx bounds all requests that users and workers send later; it is given here, and
+// not with each call, because these requests do not belong to the call that causes them.
 func NewCluster(
 	ctx context.Context, cfg *config.Config, network *faultnet.Network, nodes []string, catalog wire.Catalog,
 ) *Cluster {
@@ -52,9 +52,9 @@
 // checkInterval is the time between two checks of WatchInvariants.
 const checkInterval = 500 * time.Millisecond
 
-// WatchInvariants checks periodically that no task is on a machine more than cancel_s after its cancellation and,
-// once faults are over, that no job waits for longer than maxWait although a machine has free capacity for it. It
-// returns at the deadline or after StopMachines.
+// WatchInvariants checks periodically that no task is on a machine more than cancel_s after its job was reported
+// cancelled and, once faults are over, that no job waits for longer than maxWait although a machine has free
+// capacity for it. It returns at the deadline or after StopMachines.
 func (c *Cluster) WatchInvariants(deadline time.Time) {
 	for time.Now().Before(deadline) && !c.stopped.Load() {
 		time.Sleep(checkInterval)
--- a/internal/simcluster/combined_faults_test.go
+++ b/internal/simcluster/combined_faults_test.go
@@ -78,7 +78,7 @@
 	time.Sleep(25 * time.Second)
 }
 
-// lateCommitsAndCrashes carries out a share of the commits late, after newer ones, and crashes the leader
+// lateCommitsAndCrashes carries out a share of the commits late, possibly after newer ones, and crashes the leader
 // again and again.
 func lateCommitsAndCrashes(sc *scenario, r *rand.Rand) {
 	sc.net.DelayCommits(0.3, false)
@@ -91,8 +91,8 @@
 	time.Sleep(15 * time.Second)
 }
 
-// cancelledOnUnreachableMachines cancels jobs while some of their machines hang or are partitioned from all
-// nodes, then crashes the leader.
+// cancelledOnUnreachableMachines cancels jobs while some machines hang or are partitioned from all nodes,
+// then crashes the leader.
 func cancelledOnUnreachableMachines(sc *scenario, r *rand.Rand) {
 	for i := range 3 {
 		sc.suspendWorkers(r, 3)
@@ -221,7 +221,7 @@
 	time.Sleep(10 * time.Second)
 }
 
-// allNodesDownForALease crashes all nodes, just after jobs are cancelled, for about as long as a worker lease or
+// allNodesDownForALease crashes all nodes, just after users ask to cancel jobs, for about as long as a worker lease or
 // longer. When they are started again, machines hang, the leader crashes and old heartbeats arrive.
 func allNodesDownForALease(sc *scenario, r *rand.Rand) {
 	sc.cancelJobs(nodeNames[0], 8, 2*time.Second)
--- a/internal/simcluster/dependencies_test.go
+++ b/internal/simcluster/dependencies_test.go
@@ -73,7 +73,7 @@
 		}
 		refusal := sc.expectStatus(http.StatusBadRequest, "n1", http.MethodPost, "/work", jobJSON(stageJob(9, 1, uids...)))
 		if !strings.Contains(refusal, "Awaits may name about 607 jobs") {
-			t.Errorf("got refusal %s, want one that says how many jobs fit", refusal)
+			t.Errorf("got refusal %s, want one that says that about 607 jobs fit", refusal)
 		}
 		sc.expectStatus(http.StatusCreated, "n1", http.MethodPost, "/work", jobJSON(stageJob(9, 1, uids[:500]...)))
 		sc.expectStatus(http.StatusOK, "n2", http.MethodPost, "/work", jobJSON(stageJob(9, 1, uids...)))
--- a/internal/simcluster/failover_test.go
+++ b/internal/simcluster/failover_test.go
@@ -92,7 +92,7 @@
 						t.Errorf("got %d of %d failovers warm, want at least half", results.warmCount, len(results.durations))
 					}
 					if len(results.durations) < failoverCount || results.slowCount > 0 {
-						t.Errorf("got %d failovers, %d of them slow, want %d, none slow", len(results.durations), results.slowCount, failoverCount)
+						t.Errorf("got %d failovers with placements, %d slow, want %d, none slow", len(results.durations), results.slowCount, failoverCount)
 					}
 				})
 			}
--- a/internal/simcluster/faultnet/pause.go
+++ b/internal/simcluster/faultnet/pause.go
@@ -3,11 +3,11 @@
 import "strings"
 
 // PauseProcess pauses a party's process, or resumes it. To the other parties, a paused process seems to get
-// no CPU time. Its requests in flight are carried out, and it receives the responses, or timeouts, when it is
-// resumed. What it was about to send is sent at that moment, and requests to it are carried out at that
-// moment, although their senders may have given up. Unlike the timers of a process that is really paused,
-// its timers continue: what it decides meanwhile, without those responses, is sent as well, which makes the
-// test harder.
+// no CPU time while the clock runs on. Its requests in flight are carried out, and it receives the responses,
+// or timeouts, when it is resumed. What it was about to send is sent at that moment, and requests to it are
+// carried out at that moment, although their senders may have given up. Unlike the timers of a process that is
+// really paused, its timers continue: what it decides meanwhile, without those responses, is sent as well,
+// which makes the test harder.
 func (n *Network) PauseProcess(name string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simcluster/faulty_job_test.go
+++ b/internal/simcluster/faulty_job_test.go
@@ -47,7 +47,7 @@
 		if n := sc.cluster.Cloud.MachinesProvisioned(); n > 8 {
 			t.Errorf("got %d machines provisioned, want at most 8", n)
 		}
-		// The other seven jobs have 28 tasks. Each of the 6 faulty tasks may start 1 to 12 times.
+		// The other seven jobs have 28 tasks. The 6 faulty tasks may start up to 12 times each on average.
 		if n := sc.cluster.Checker.StartCount(); n < 28+6 || n > 28+6*12 {
 			t.Errorf("got %d task starts, want %d to %d", n, 28+6, 28+6*12)
 		}
--- a/internal/simcluster/leadership_test.go
+++ b/internal/simcluster/leadership_test.go
@@ -82,8 +82,8 @@
 
 // While a node is unreachable, the node before it in the workers' order does not stay leader: it transfers
 // leadership to a node whose successor is live, and no task ends. When the new leader is paused or crashes, the
-// workers reach the other live node within their lease. If n1 stayed leader and were lost, all leases would
-// end: workers would wait four seconds for an answer from n1 and as long from the unreachable node.
+// workers reach the other live node within their lease. When the leader was the node before the unreachable one,
+// all leases ended: a worker waits four seconds for an answer from each of the two.
 func TestLeaderTransfersWhenItsSuccessorIsLost(t *testing.T) {
 	t.Parallel()
 	for _, crashes := range []bool{false, true} {
--- a/internal/simcluster/poll_load_test.go
+++ b/internal/simcluster/poll_load_test.go
@@ -95,7 +95,7 @@
 		close(unknown.stop)
 		time.Sleep(3 * time.Second)
 		if ok, failed := known.statusCounts[200], known.statusCounts[503]; ok < 20*failed || known.statusCounts[404] > 0 {
-			t.Errorf("polls of known jobs: got statuses %v, want no 404 and 20 times as many 200 as 503", known.statusCounts)
+			t.Errorf("polls of known jobs: got statuses %v, want no 404 and at least 20 times as many 200 as 503", known.statusCounts)
 		}
 		if unknown.statusCounts[200] > 0 {
 			t.Errorf("polls of unknown jobs: got statuses %v, want no 200", unknown.statusCounts)
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -75,7 +75,7 @@
 	cloudAddress = "cloud:1"
 )
 
-// maxHosts is the largest number of machines that a scenario with faults may provision.
+// maxHosts is the largest number of machines that a scenario with faults may have in all, terminated ones included.
 const maxHosts = 40
 
 var catalog = wire.Catalog{MachineTypes: []wire.MachineType{
