--- a/internal/aimd/aimd_test.go
+++ b/internal/aimd/aimd_test.go
@@ -16,7 +16,7 @@
 
 	mu          sync.Mutex
 	secondStart time.Time // when the current second began
-	executed    int       // requests in it
+	received    int       // requests in the current second, refused ones included
 	refused     int
 }
 
@@ -26,9 +26,9 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	if now.Sub(s.secondStart) >= time.Second {
-		s.secondStart, s.executed = now, 0
+		s.secondStart, s.received = now, 0
 	}
-	if s.executed++; s.executed > s.capacity {
+	if s.received++; s.received > s.capacity {
 		s.refused++
 		client.OnThrottled(now)
 		return
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -13,7 +13,7 @@
 // number of cycles. No plan has more requests than allowed, and no request is larger than the cloud
 // accepts. One plan takes less than a second, and the test allows 4 s for all plans of a fleet. When
 // Plan examined every bin for every task, one plan took several seconds.
-func TestPlanReplacesADeadFleetWithinItsCalls(t *testing.T) {
+func TestPlanReplacesALostFleetWithinItsRequestLimit(t *testing.T) {
 	catalog := &wire.Catalog{MachineTypes: []wire.MachineType{{
 		Name:       "g8",
 		Cores:      96,
--- a/internal/autoscaler/releases.go
+++ b/internal/autoscaler/releases.go
@@ -8,8 +8,8 @@
 	"lotusstile.dev/lotusstile/internal/records"
 )
 
-// ReleaseRecord is a record in the state store. It lists machines that the leader may release. Hosts
-// must not be modified.
+// ReleaseRecord is a records.ScaleIns in the state store, with its key. It lists machines that the
+// leader may release. Hosts must not be modified.
 type ReleaseRecord struct {
 	Key   string
 	Hosts []string
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -44,7 +44,7 @@
 	bytesPerMiB        = 1 << 20
 	baseBytes          = 16 << 20
 	bytesPerConnection = 20 << 10 // buffers, and the stack of the connection's goroutine
-	bytesPerMachine    = 10 << 10 // with eight task attempts, the machine's node in scheduling cycles and its entry for the standby
+	bytesPerMachine    = 10 << 10 // with eight task attempts, the machine's sched.Node and its entry for the standby
 )
 
 // Limits returns the limits on the size of the fleet, the lowest first.
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -19,7 +19,7 @@
 
 // The settings of a large deployment support 4,000 machines, and 6,000 with five controllers. A warning
 // names each setting that does not support a larger fleet.
-func TestWarningsNameTheSettingsThatDoNotCarryAFleet(t *testing.T) {
+func TestWarningsNameTheSettingsThatDoNotSupportAFleet(t *testing.T) {
 	for _, tc := range []struct {
 		controllers, connections, machines int
 		relay                              bool
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -84,7 +84,7 @@
 		}
 		l.waitForRoom()
 	}
-	if err := c.SetReadDeadline(time.Time{}); err != nil {
+	if err := c.SetReadDeadline(time.Time{}); err != nil { // on the reserve, this sets c.deadline
 		_ = c.Close() // the connection is broken: the server will find it closed
 	}
 	return c, nil
--- a/internal/httpapi/operators.go
+++ b/internal/httpapi/operators.go
@@ -28,8 +28,8 @@
 }
 
 // changeSettings changes the operators' settings. Fields left out of the body keep their values.
-// Stamp, the mod revision, must be that of the settings in force: otherwise the answer is 409 with
-// those settings.
+// Stamp must be the mod revision of the settings in force: otherwise the answer is 409 with those
+// settings.
 func (s *Server) changeSettings(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
--- a/internal/httpapi/submit.go
+++ b/internal/httpapi/submit.go
@@ -124,9 +124,9 @@
 }
 
 // admissionPriority is the priority by which a submission is admitted when many arrive at once.
-// A job that depends on others is a stage of a pipeline. Users give the priority that they
-// care about only to the last stage, and can submit that one only once the others are
-// accepted. So all stages with dependencies are admitted with at least high priority.
+// A job that depends on others is a stage of a pipeline. Users set the intended priority only on
+// the last stage, which they can submit only once the earlier stages are accepted. So all stages with
+// dependencies are admitted with at least high priority.
 func admissionPriority(spec *wire.JobSpec) wire.Priority {
 	if len(spec.Dependencies) > 0 && spec.Priority.Level() < wire.High.Level() {
 		return wire.High
--- a/internal/httpapi/users.go
+++ b/internal/httpapi/users.go
@@ -24,8 +24,8 @@
 )
 
 // userHandler wraps a handler of users' requests. It refuses a request while the node is overloaded
-// or already answers the maximum number of them, and forwards it to a peer if this node cannot
-// serve it.
+// or already answers the maximum number of users' requests, in total or on connections of the
+// reserve. It forwards the request to a peer if this node cannot serve it.
 func (s *Server) userHandler(h echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		defer func() { s.Operations.CountRequest("user", c.Response().Status) }()
--- a/internal/jobstatus/taskcounts.go
+++ b/internal/jobstatus/taskcounts.go
@@ -38,10 +38,10 @@
 }
 
 // Update applies the counts in a peer's answer to a ping. args are the arguments of that ping, in which this
-// node asked for the changes since args.CountsRevision. Update ignores an answer that is older than the known
-// counts, and an answer to a ping whose CountsRevision is newer than them in the same term: it lacks the
-// changes between the two revisions. Update deletes the counts of archived jobs once there are more than
-// twice as many counts as jobs.
+// node asked for the changes since args.CountsRevision. Update ignores an answer without counts, and an answer
+// that is older than the known counts. If args.CountsRevision is newer than the known counts of the same term,
+// Update ignores the answer too, since it lacks the changes between the two revisions. Update deletes the counts of
+// archived jobs once there are more than twice as many counts as jobs.
 func (t *TaskCounts) Update(from string, args peer.PingArgs, answer peer.PingResult, jobs jobIndex) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -15,8 +15,8 @@
 // deadline is a value for pointer fields.
 var deadline = 900.5
 
-// release1Messages holds one message of each type, as the release before cluster version 2 encoded it in
-// testdata/release1.
+// release1Messages holds the messages that the release before cluster version 2 encoded in testdata/release1, by the
+// names of the files without ".gob".
 var release1Messages = map[string]any{
 	"ping-args": PingArgs{From: "n0", Term: 7, CountsTerm: 6, CountsRevision: 5},
 	"ping-reply": PingReply{
@@ -68,7 +68,7 @@
 }
 
 // This release decodes the messages of the previous one correctly.
-func TestMessagesOfTheReleaseBeforeAreRead(t *testing.T) {
+func TestMessagesOfThePreviousReleaseAreRead(t *testing.T) {
 	for name, want := range release1Messages {
 		data, err := os.ReadFile(filepath.Join("testdata", "release1", name+".gob"))
 		if err != nil {
@@ -151,7 +151,7 @@
 
 // The previous release decodes the messages of this one, and ignores the fields that it does not know: the version,
 // and the dependencies of a job.
-func TestReleaseBeforeReadsMessages(t *testing.T) {
+func TestPreviousReleaseReadsMessages(t *testing.T) {
 	cancellation, ok := release1Messages["withdrawn-args"].(WithdrawnArgs)
 	if !ok {
 		t.Fatal("release1Messages has no WithdrawnArgs")
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,8 +13,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// serviceName is the name of the net/rpc service. Any change of the messages that an older release would misread also
-// requires a new name: nodes of the two releases then cannot call each other, and treat each other as unreachable.
+// serviceName is the name of the net/rpc service. It must change if the messages change in a way that an older release
+// would misread: nodes of the two releases then cannot call each other, and treat each other as unreachable.
 const serviceName = "Controller"
 
 // Handler answers the calls of other controllers. Its methods are called concurrently.
--- a/internal/peer/types.go
+++ b/internal/peer/types.go
@@ -13,8 +13,8 @@
 	// RenewedHosts are the machines whose worker leases the controller has renewed on the leader's behalf within the
 	// last leader lease.
 	RenewedHosts []string
-	// Counts are the task counts of the jobs that have changed at the leader since the caller's revision. With them,
-	// the caller has all changes up to CountsRevision.
+	// Counts are the task counts that have changed at the leader since the caller's revision, and the final statuses
+	// that were added since. With them, the caller has all changes up to CountsRevision.
 	Counts         []wire.JobView
 	CountsRevision uint64
 	CountsMore     bool   // more counts have changed than fit into one answer; the next answer contains them
--- a/internal/records/releasebefore_test.go
+++ b/internal/records/releasebefore_test.go
@@ -95,7 +95,7 @@
 
 // Jobs, placements and the smaller records of the previous release decode with the value of every field,
 // and encode again to the same bytes that the previous release wrote.
-func TestRecordsOfTheReleaseBeforeAreRead(t *testing.T) {
+func TestRecordsOfThePreviousReleaseAreRead(t *testing.T) {
 	items := storedByPreviousRelease(t)
 	attempts := []records.PlacedAttempt{
 		{Task: 1, Attempt: 2, Host: "m-000001", Incarnation: 4},
@@ -155,7 +155,7 @@
 // The parts of a node that read the store can start from what the previous release wrote: the watch cache
 // has the jobs and their cancellations, the election has the leader and its term, the settings of the
 // operators are valid, and the cluster version is in force.
-func TestNodeStartsFromRecordsOfTheReleaseBefore(t *testing.T) {
+func TestNodeStartsFromRecordsOfThePreviousRelease(t *testing.T) {
 	items := storedByPreviousRelease(t)
 	now := time.Now()
 
