--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -11,7 +11,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// The controller as the placementState of its placementWriter.
+// Controller is the placementState of its placementWriter.
 var _ placementState = (*Controller)(nil)
 
 // wakeWriter wakes the placement writer, which then asks for the next batch. It may be called with
@@ -153,8 +153,8 @@
 }
 
 // deferRejected handles a batch that the state store has rejected as malformed or too large. If the batch holds several
-// jobs, batches hold one job each for the time of a worker lease, so that the faulty job is found and does not delay the
-// others. If the batch holds one job, nothing of that job is written for a worker lease.
+// jobs, batches hold one job each for the time of a worker lease, so that the job whose record is rejected is found and
+// does not delay the others. If the batch holds one job, nothing of that job is written for a worker lease.
 func (c *Controller) deferRejected(b *batch, rejected *store.RejectedError) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,11 +1,11 @@
 // Package controller does the work of the leader of a fleet, for one term: it runs scheduling
 // cycles, commits their decisions, answers workers' heartbeats, and scales the fleet out and in.
 //
-// Controller ties the parts together: it owns the lock and the order of the steps. Decisions that need neither are
-// made by separate types: by jobTable and job, batchBuilder, nodeCache and nodeBuilder, urgency, failoverReport and
-// changedViews in this package, and by the packages fleet, sched, jobdag, autoscaler, failuredetector and
-// faultattribution. One lock guards the whole state, because a scheduling cycle needs a consistent view of all of it.
-// Nothing blocks while the lock is held.
+// Controller ties the parts together: it owns the lock and the order of the steps. Decisions that need neither the lock
+// nor this order are made by separate types: by jobTable and job, batchBuilder, nodeCache and nodeBuilder, urgency,
+// failoverReport and changedViews in this package, and by the packages fleet, sched, jobdag, autoscaler,
+// failuredetector and faultattribution. One lock guards the whole state, because a scheduling cycle needs a consistent
+// view of all of it. Nothing blocks while the lock is held.
 package controller
 
 import (
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -17,9 +17,8 @@
 const (
 	// evidenceLeases is the number of worker leases for which a failure counts as evidence.
 	evidenceLeases = 12
-	// suspectQuarantineLeases and faultyQuarantineLeases are the numbers of worker leases for which a
-	// machine is quarantined: after a failed task of a job that is not suspect, and if the machine
-	// is estimated to be faulty.
+	// A machine is quarantined for suspectQuarantineLeases worker leases when a task of a job that is
+	// not suspect fails on it, and for faultyQuarantineLeases worker leases if it is estimated to be faulty.
 	suspectQuarantineLeases, faultyQuarantineLeases = 1, 6
 	// firstBackoffShare is the upper limit of a job's first backoff, as a fraction of a worker lease.
 	// The limit doubles with each backoff, up to maxBackoffLeases worker leases.
@@ -132,9 +131,9 @@
 }
 
 // suspectFromRecords marks a job as suspect by its records alone, since a new leader has no other
-// evidence of failures. An array is suspect if none of its tasks is done although at least two
-// attempts, and at least as many as it has tasks, are over. It then starts with one task, which costs
-// little if the machines were at fault.
+// evidence of failures. An array is suspect if none of its tasks is done, and the number of its
+// attempts that are over is at least two and at least its number of tasks. It then starts with one
+// task, which costs little if the machines were at fault.
 func (j *job) suspectFromRecords() {
 	if j.record.Spec.Kind != wire.JobArray || j.doneTasks > 0 {
 		return
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -10,7 +10,7 @@
 
 // HeartbeatOptions describe how a heartbeat has arrived and how it may be answered.
 type HeartbeatOptions struct {
-	// Forwarded is true if another controller has forwarded this heartbeat on its own, not in a batch.
+	// Forwarded is true if another controller has forwarded this heartbeat singly, not in a batch.
 	Forwarded bool
 	// RelayedBy is the label of the follower that receives the worker's heartbeats and relays them in batches; "" if there is
 	// none.
@@ -71,7 +71,7 @@
 	c.setCapacity(m)
 	m.RelayedBy = opts.RelayedBy
 	if opts.Forwarded || wasDirect && opts.RelayedBy != "" {
-		// The worker may no longer reach this node: its heartbeat was forwarded on its own, or a follower now relays the
+		// The worker may no longer reach this node: its heartbeat was forwarded singly, or a follower now relays the
 		// heartbeats that came here directly before.
 		m.LastRelayedHeartbeat = now
 	}
@@ -100,7 +100,8 @@
 
 // mayLaunch reports whether launches may be sent: the cancellation data must be younger than the TTL of the leader
 // lease. If the state store becomes unreachable between the commit of a launch and the answer that carries it, another
-// node may have confirmed a cancellation of the job meanwhile, so the launch is not sent before this node can read that.
+// node may have confirmed a cancellation of the job meanwhile, so the launch is not sent until this
+// node can read the cancellation.
 func (c *Controller) mayLaunch() bool {
 	return c.now().Sub(c.JobCache.FreshAsOf()) < c.Config.LeaderLeaseTTL()
 }
--- a/internal/controller/imagerecords.go
+++ b/internal/controller/imagerecords.go
@@ -22,8 +22,8 @@
 // maxRecordedImages is the maximum number of images in a machine's record.
 const maxRecordedImages = 16
 
-// imageWriteDivisor limits a commit of image records to the number of writes that the state store
-// accepts in a second, divided by this. Launches need the other writes.
+// imageWriteDivisor limits the image records in one commit: there are at most as many as the writes
+// per second that the state store accepts, divided by imageWriteDivisor. Launches need the other writes.
 const imageWriteDivisor = 8
 
 // recordImages periodically records which images the machines have, until ctx ends, so that a new
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -7,8 +7,8 @@
 
 // CountsSince returns the task counts that have changed and the final statuses that were added after a
 // revision, and the revision to ask from next, which is 0 until the state is loaded. If there are more
-// changes than one reply carries, it returns the oldest, and more is true. A view with a final status
-// is of a job whose final status is committed.
+// changes than one reply carries, it returns the oldest, and more is true. Every final status that it
+// returns is committed.
 func (c *Controller) CountsSince(revision uint64) (views []wire.JobView, upTo uint64, more bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/tokenannounce.go
+++ b/internal/controller/tokenannounce.go
@@ -122,7 +122,7 @@
 		return
 	}
 	if answer.FencingToken == c.term && answer.Incarnation == a.incarnation {
-		c.restartBootTimeout(a.host)
+		c.restartHeartbeatTimeout(a.host)
 	}
 	// The worker is in another incarnation than this node knew and has not accepted the token: announce the token again
 	// for that incarnation.
@@ -133,10 +133,10 @@
 	}
 }
 
-// restartBootTimeout restarts the timeout of a machine that has sent no heartbeat in this term. Its worker has accepted
-// the token and is still in the newest incarnation that this node knows, so its worker lease has not expired: another
-// node has renewed the lease, and the worker will soon send its heartbeats to this node.
-func (c *Controller) restartBootTimeout(host string) {
+// restartHeartbeatTimeout restarts the heartbeat timeout of a machine that has sent no heartbeat in this term. Its worker
+// has accepted the token and is still in the newest incarnation that this node knows, so its worker lease has not
+// expired: another node has renewed the lease, and the worker will soon send its heartbeats to this node.
+func (c *Controller) restartHeartbeatTimeout(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m := c.fleet.Get(host); m != nil && m.State == fleet.Booting {
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -56,7 +56,8 @@
 // Peers tells which of the other controllers are reachable from this one.
 type Peers interface {
 	// ReachableZones lists the zones of the reachable controllers, including this one. A zone is
-	// listed once per controller, since an evaluation also counts the reachable controllers by it.
+	// listed once per controller, since an evaluation takes the length of the list as the number of
+	// reachable controllers.
 	ReachableZones() []string
 	// RelayReachable reports whether the relay with this label is reachable.
 	RelayReachable(label string) bool
--- a/internal/failuredetector/evidence.go
+++ b/internal/failuredetector/evidence.go
@@ -13,9 +13,10 @@
 	// that a partitioned follower answered on its behalf do not: the follower's machines are behind
 	// the same partition as the machines that still look for a controller.
 	//
-	// The empty name counts the machines of all zones. Machines whose zone a new leader does not
-	// know are compared with these. They must not form a zone of their own: 62 spot machines that
-	// the cloud had reclaimed, and would never list again, were taken for a partitioned zone.
+	// The group with the empty name counts the machines of all zones. Machines whose zone a new
+	// leader does not know are compared with these. They must not form a zone of their own: 62 spot
+	// machines that the cloud had reclaimed, and would never list again, were taken for a
+	// partitioned zone.
 	zones map[string]*group
 	// relays counts, by relay, the machines that have sent a heartbeat in this term and are not
 	// suspected. While followers relay heartbeats, the machines of one relay are a small part of a
--- a/internal/fleet/resources.go
+++ b/internal/fleet/resources.go
@@ -30,9 +30,9 @@
 	return request.Cores <= r.Cores+roundingSlack && request.Gpus <= r.Gpus+roundingSlack && request.RAM <= r.RAM+roundingSlack
 }
 
-// FitsRequested reports whether the request fits into r, considering only resources of which the request
-// is not zero, that is, whether CountFitting is at least one. Unlike with Fits, the other resources of r may
-// be negative (overbooked).
+// FitsRequested reports whether the request fits into r. Unlike Fits, it ignores the resources of which the
+// request is zero: r may be negative (overbooked) in these. It returns true exactly if CountFitting
+// finds room for at least one.
 func (r Resources) FitsRequested(request Resources) bool {
 	return (request.Cores <= 0 || request.Cores <= r.Cores+roundingSlack) &&
 		(request.Gpus <= 0 || request.Gpus <= r.Gpus+roundingSlack) &&
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -15,7 +15,7 @@
 	State              string      `json:"State"` // state of the leader election at this node
 	Leader             string      `json:"Leader"`
 	Term               uint64      `json:"Term"`
-	SinceLastExecutedS float64     `json:"Proof"`          // seconds since the start of this node's latest executed request to the state store
+	SinceLastExecutedS float64     `json:"Proof"`          // seconds since the start of this node's latest request that the store has executed
 	Lead               *LeadStatus `json:"Lead,omitempty"` // nil if the leader is unreachable
 	// WarmStandby says how this node replicates the leader's state or, at the leader, offers its own.
 	// It is nil unless warm standbys are enabled.
