--- a/internal/simcluster/checker_answers.go
+++ b/internal/simcluster/checker_answers.go
@@ -115,8 +115,8 @@
 		!c.eachDependency(uid, func(dependency string) bool { return !c.job(dependency).cancelRequested })
 }
 
-// checkNotOrphaned checks that a job whose status is not final has no dependency whose user was told, more
-// than cancel_s before the request was sent, that it is cancelled. c.mu is held.
+// checkNotOrphaned checks a job whose status is not final: none of its dependencies may have been reported cancelled
+// more than cancel_s before the request was sent. c.mu is held.
 func (c *Checker) checkNotOrphaned(uid string, sentAt time.Time, status wire.JobStatus) {
 	if status.Final() {
 		return
--- a/internal/simcluster/checker_records.go
+++ b/internal/simcluster/checker_records.go
@@ -12,9 +12,9 @@
 // comparesPerChange is how many compares a transaction may have for each change that the limit TxnOps allows.
 const comparesPerChange = 4
 
-// checkCommit checks the size of a commit, and that its writes are guarded: placements and scale-ins by
-// the leader key, placements and job records by a compare of the key itself, launches by a compare of
-// the record of their job.
+// checkCommit checks the size of a commit, and that compares guard its writes. A placement needs a compare of the
+// leader key and one of its own key, and if it is a launch also one of the record of its job. A scale-in needs a
+// compare of the leader key, a job record one of its own key.
 func (c *Checker) checkCommit(tx wire.Transaction) {
 	stateLimits := c.config.StateLimits()
 	if len(tx.Changes) > stateLimits.TxnOps || len(tx.Compares) > comparesPerChange*stateLimits.TxnOps {
--- a/internal/simcluster/checker_service.go
+++ b/internal/simcluster/checker_service.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// maxStartDelay is how long after its acceptance one of the largest jobs of a class may start its first task.
+	// maxStartDelay is the longest time allowed from the acceptance of a job, one of the largest of its class, to the
+	// start of its first task.
 	maxStartDelay = 4 * time.Minute
 	// maxWait is how long a job may wait, once the faults are over, while a suitable machine has free
 	// capacity for one of its tasks and its team is under its limit.
--- a/internal/simcluster/dependencies_test.go
+++ b/internal/simcluster/dependencies_test.go
@@ -167,12 +167,12 @@
 			time.AfterFunc(55*time.Second, func() { sc.cluster.Store.SetDown(false) })
 		}},
 	} {
-		t.Run(tc.name, func(t *testing.T) { runScenario(t, tc.play) })
+		t.Run(tc.name, func(t *testing.T) { runScenario(t, tc.run) })
 	}
 }
 
-// play cancels the first job of a chain. The last jobs of the chain are submitted only after that.
-func (c cancelledDependency) play(sc *scenario) {
+// run cancels the first job of a chain. The last jobs of the chain are submitted only after that.
+func (c cancelledDependency) run(sc *scenario) {
 	sc.t.Helper()
 	chain := chainOfJobs()
 	submitted, later := chain[:5], chain[5:]
--- a/internal/simcluster/failover_test.go
+++ b/internal/simcluster/failover_test.go
@@ -13,7 +13,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// runStandbyScenarios plays scenarios of random faults with warm standbys. prepare may change each scenario
+// runStandbyScenarios runs scenarios of random faults with warm standbys. prepare may change each scenario
 // further, depending on its number.
 func runStandbyScenarios(t *testing.T, firstSeed, scenarios uint64, prepare func(sc *scenario, number uint64)) {
 	t.Helper()
@@ -84,7 +84,7 @@
 				t.Run(fmt.Sprint(seed), func(t *testing.T) {
 					t.Parallel()
 					const failoverCount = 6
-					results := playFailovers(t, 900+seed, standby, failoverCount)
+					results := runFailovers(t, 900+seed, standby, failoverCount)
 					expectNoViolations(t, results.violations)
 					slices.Sort(results.durations)
 					t.Logf("%d of %d failovers warm, %d slow, took %v", results.warmCount, len(results.durations), results.slowCount, results.durations)
@@ -100,9 +100,9 @@
 	}
 }
 
-// playFailovers makes leaders fail at random moments. Users submit jobs all the time and cancel some of them,
+// runFailovers makes leaders fail at random moments. Users submit jobs all the time and cancel some of them,
 // also between the failure of a leader and the election of the next one.
-func playFailovers(t *testing.T, seed uint64, standby bool, failoverCount int) (results failoverResults) {
+func runFailovers(t *testing.T, seed uint64, standby bool, failoverCount int) (results failoverResults) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScenario(t, seed, func(sc *scenario) { sc.standby = standby })
@@ -222,7 +222,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, tc.play)
+			synctest.Test(t, tc.run)
 		})
 	}
 }
@@ -239,8 +239,8 @@
 	return sc.net.Heal
 }
 
-// play plays the failover in a synctest bubble.
-func (f failoverUnderFault) play(t *testing.T) {
+// run runs the failover in a synctest bubble.
+func (f failoverUnderFault) run(t *testing.T) {
 	sc := newScenario(t, 950, withStandby)
 	sc.cluster.Cloud.AddMachines("g8", "a", 5)
 	sc.cluster.Cloud.AddMachines("g8", "b", 5)
--- a/internal/simcluster/fault_combinations_test.go
+++ b/internal/simcluster/fault_combinations_test.go
@@ -29,20 +29,20 @@
 	settleTime      = 30 * time.Second
 )
 
-// playSeeds plays the combination once for each seed from 0 to seeds-1, and expects that no rule is broken.
-func (c faultCombination) playSeeds(t *testing.T, seeds int) {
+// runSeeds runs the combination once for each seed from 0 to seeds-1, and expects that no rule is broken.
+func (c faultCombination) runSeeds(t *testing.T, seeds int) {
 	t.Helper()
 	for seed := range uint64(seeds) {
-		if violations := c.playSeed(t, seed); len(violations) > 0 {
+		if violations := c.runSeed(t, seed); len(violations) > 0 {
 			shown := violations[:min(maxShown, len(violations))]
 			t.Errorf("seed %d: got %d violations, want none:\n%s", seed, len(violations), strings.Join(shown, "\n"))
 		}
 	}
 }
 
-// playSeed plays the combination with the jobs and the timing that a seed determines, and returns the
+// runSeed runs the combination with the jobs and the timing that a seed determines, and returns the
 // violations of the checker's rules.
-func (c faultCombination) playSeed(t *testing.T, seed uint64) (violations []string) {
+func (c faultCombination) runSeed(t *testing.T, seed uint64) (violations []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScenario(t, seed)
@@ -80,7 +80,7 @@
 	return violations
 }
 
-// seedCount returns the number of seeds that a test plays: defaultCount, or the number in the environment
+// seedCount returns the number of seeds that a test runs: defaultCount, or the number in the environment
 // variable SEEDS, for longer searches.
 func seedCount(t *testing.T, defaultCount int) int {
 	t.Helper()
@@ -234,7 +234,7 @@
 	for _, combination := range faultCombinations {
 		t.Run(combination.name, func(t *testing.T) {
 			t.Parallel()
-			combination.playSeeds(t, seedCount(t, 2))
+			combination.runSeeds(t, seedCount(t, 2))
 		})
 	}
 }
--- a/internal/simcluster/faultnet/transport.go
+++ b/internal/simcluster/faultnet/transport.go
@@ -98,7 +98,7 @@
 	return f.lateness * (limit / time.Second) / (maxLateness / time.Second)
 }
 
-// loss reports whether a fault before the arrival of the request keeps the response from its sender (lost),
+// loss reports whether the sender gets no response because of a fault before the arrival of the request (lost),
 // and whether the request is carried out nevertheless (delivered) and how much later (after).
 func (f requestFaults) loss() (lost, delivered bool, after time.Duration) {
 	switch {
--- a/internal/simcluster/large_fleet_test.go
+++ b/internal/simcluster/large_fleet_test.go
@@ -19,7 +19,7 @@
 func TestRulesHoldInAGrownFleet(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		violations, started := playLargeFleet(t, 190, 90*time.Second, func(sc *scenario) {
+		violations, started := runLargeFleet(t, 190, 90*time.Second, func(sc *scenario) {
 			time.Sleep(20 * time.Second)
 			sc.sendMalformedRequests()
 			time.Sleep(20 * time.Second)
@@ -43,7 +43,7 @@
 	t.Parallel()
 	const machines = 1070
 	synctest.Test(t, func(t *testing.T) {
-		violations, started := playLargeFleet(t, machines, 60*time.Second, func(sc *scenario) {
+		violations, started := runLargeFleet(t, machines, 60*time.Second, func(sc *scenario) {
 			time.Sleep(15 * time.Second)
 			sc.partitionThirdOfMachines(machines, 25*time.Second)
 			for range 30 {
@@ -70,10 +70,10 @@
 	})
 }
 
-// playLargeFleet plays a deployment of many machines and calls inject, which causes the faults. As many jobs as there
+// runLargeFleet runs a deployment of many machines and calls inject, which causes the faults. As many jobs as there
 // are machines are submitted at once, then one a second for the duration. It returns the violations and the number
 // of tasks started.
-func playLargeFleet(t *testing.T, machines int, duration time.Duration, inject func(sc *scenario)) (violations []string, started int) {
+func runLargeFleet(t *testing.T, machines int, duration time.Duration, inject func(sc *scenario)) (violations []string, started int) {
 	t.Helper()
 	sc := newScenario(t, 7)
 	sc.cluster.Cloud.SetCapacity(machines + machines/8)
--- a/internal/simcluster/leadership_test.go
+++ b/internal/simcluster/leadership_test.go
@@ -82,8 +82,9 @@
 
 // While a node is unreachable, the node before it in the workers' order does not stay leader: it transfers
 // leadership to a node whose successor is live, and no task ends. When the new leader is paused or crashes, the
-// workers reach the other live node within their lease. When the leader was the node before the unreachable one,
-// all leases ended: a worker waits four seconds for an answer from each of the two.
+// workers reach the other live node within their lease. When the node before the unreachable one stayed leader and
+// was lost too, all leases ended: a worker waits four seconds for an answer from the lost leader, then four seconds
+// for one from the unreachable node.
 func TestLeaderTransfersWhenItsSuccessorIsLost(t *testing.T) {
 	t.Parallel()
 	for _, crashes := range []bool{false, true} {
--- a/internal/simcluster/limits_test.go
+++ b/internal/simcluster/limits_test.go
@@ -30,7 +30,7 @@
 // announce.
 func TestCommitsKeepWithinLowerLimitsAfterUpgrade(t *testing.T) {
 	t.Parallel()
-	if rejectedKeys := playUpgradeWithLowerLimits(t, 60*time.Second); len(rejectedKeys) > 0 {
+	if rejectedKeys := runUpgradeWithLowerLimits(t, 60*time.Second); len(rejectedKeys) > 0 {
 		t.Errorf("got commits over the lower limits with the keys %v, want none", rejectedKeys)
 	}
 }
@@ -39,15 +39,15 @@
 // only until it is complete.
 func TestLowerLimitsBeforeUpgradeDelayOnlyOversizedPlacements(t *testing.T) {
 	t.Parallel()
-	if rejectedKeys := playUpgradeWithLowerLimits(t, 20*time.Second); len(rejectedKeys) > 0 {
+	if rejectedKeys := runUpgradeWithLowerLimits(t, 20*time.Second); len(rejectedKeys) > 0 {
 		t.Errorf("got commits over the lower limits with the keys %v, want none", rejectedKeys)
 	}
 }
 
-// playUpgradeWithLowerLimits plays an upgrade while arrays run whose placements are larger than the lower limits
+// runUpgradeWithLowerLimits upgrades all nodes while arrays run whose placements are larger than the lower limits
 // allow. The lower limits take effect limitsAfter the submission of these arrays. It returns the keys of commits
 // that were over the limits once all nodes ran the new release.
-func playUpgradeWithLowerLimits(t *testing.T, limitsAfter time.Duration) (rejectedKeys []string) {
+func runUpgradeWithLowerLimits(t *testing.T, limitsAfter time.Duration) (rejectedKeys []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScenario(t, 1, beforeUpgrade)
--- a/internal/simcluster/pipelines_test.go
+++ b/internal/simcluster/pipelines_test.go
@@ -18,7 +18,7 @@
 	for seed := range uint64(seedCount(t, 8)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			violations, rejectedKeys, started := playPipelines(t, seed, int(2*seed))
+			violations, rejectedKeys, started := runPipelineScenario(t, seed, int(2*seed))
 			if started == 0 {
 				t.Error("no task was started")
 			}
@@ -30,10 +30,10 @@
 	}
 }
 
-// playPipelines plays a scenario in which the older release is replaced node by node, then the state store
+// runPipelineScenario runs a scenario in which the older release is replaced node by node, then the state store
 // lowers its limits and pipelines are submitted, with random faults at any time. It returns the violations, the
 // keys of commits that were over the store's limits, and the number of tasks started.
-func playPipelines(t *testing.T, seed uint64, faults int) (violations, rejectedKeys []string, started int) {
+func runPipelineScenario(t *testing.T, seed uint64, faults int) (violations, rejectedKeys []string, started int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScenario(t, seed, beforeUpgrade)
--- a/internal/simcluster/process_pause_test.go
+++ b/internal/simcluster/process_pause_test.go
@@ -86,7 +86,7 @@
 				jobCount:       36,
 				submitInterval: time.Second,
 				injectFaults:   func(sc *scenario, r *rand.Rand) { pauseCount += pauseInPhase(sc, r, phase) },
-			}.playSeeds(t, seedCount(t, 1))
+			}.runSeeds(t, seedCount(t, 1))
 			// Each seed tries four pauses, but a phase that needs a cancellation does not always occur.
 			if pauseCount < 2*seedCount(t, 1) {
 				t.Errorf("got %d pauses of a controller, want at least %d", pauseCount, 2*seedCount(t, 1))
--- a/internal/simcluster/quota_test.go
+++ b/internal/simcluster/quota_test.go
@@ -30,7 +30,7 @@
 	t.Logf("jobs within quota start after %v beside a team without quota, %v alone", besideDelay, aloneDelay)
 }
 
-// meanStartDelay plays a team within its quota on a fleet that cannot grow, while the leader crashes twice. If
+// meanStartDelay runs the jobs of a team within its quota on a fleet that cannot grow, while the leader crashes twice. If
 // withOthers is set, a team without quota fills all machines with jobs of higher priority. It returns the mean time
 // from the submission of a job within quota to the start of its tasks.
 func meanStartDelay(t *testing.T, withOthers bool) (mean time.Duration) {
--- a/internal/simcluster/refused_leader_test.go
+++ b/internal/simcluster/refused_leader_test.go
@@ -22,15 +22,15 @@
 const (
 	// outageJobs is the number of jobs that run, and are cancelled, in each case.
 	outageJobs = 8
-	// outageSeeds is the number of seeds that each case is played with.
+	// outageSeeds is the number of seeds that each case is run with.
 	outageSeeds = 3
 )
 
 // First only the leader cannot reach the state store, while another controller confirms cancellations. Then the store
 // is down for all controllers for longer than cancel_s, while workers keep sending heartbeats to the old leader. The
-// old leader's last answered request may be newer than its cancellation data, and a leader elected before the outage
-// may not have read the records at all. Nevertheless the cancelled tasks must have ended within cancel_s of the
-// confirmation.
+// old leader may have had a request answered, such as a lease renewal, after its cancellation data was last updated,
+// and a leader elected before the outage may not have read the records at all. Nevertheless the cancelled tasks must
+// have ended within cancel_s of the confirmation.
 func TestCancelledTasksEndInTimeWhenAnOutageFollowsARefusedLeader(t *testing.T) {
 	t.Parallel()
 	s := time.Second
@@ -57,7 +57,7 @@
 				jobCount:       outageJobs,
 				submitInterval: s,
 				injectFaults:   tc.inject,
-			}.playSeeds(t, outageSeeds)
+			}.runSeeds(t, outageSeeds)
 		})
 	}
 }
@@ -114,7 +114,7 @@
 		time.Sleep(3 * time.Second)
 		onMachines, status := sc.cluster.Checker.TasksOnMachines(spec.UID), sc.cluster.Checker.FinalStatus(spec.UID)
 		if onMachines != 0 || status != wire.JobAborted {
-			t.Errorf("got %d tasks left and final status %q, want none and %q", onMachines, status, wire.JobAborted)
+			t.Errorf("got %d tasks on machines and final status %q, want none and %q", onMachines, status, wire.JobAborted)
 		}
 		sc.cluster.Store.SetDown(false)
 		sc.net.Heal()
@@ -156,7 +156,7 @@
 		time.Sleep(20 * time.Second)
 		started, onMachines := sc.cluster.Checker.StartCount(), sc.cluster.Checker.TasksOnMachines(spec.UID)
 		if started != replicas || onMachines != replicas {
-			t.Errorf("got %d task starts and %d tasks left, want %d of both", started, onMachines, replicas)
+			t.Errorf("got %d task starts and %d tasks on machines, want %d of both", started, onMachines, replicas)
 		}
 	})
 }
--- a/internal/simcluster/relays_test.go
+++ b/internal/simcluster/relays_test.go
@@ -22,7 +22,7 @@
 // there are more than eight workers.
 const relayConnections = 16
 
-// runRelayScenarios plays scenarios of random faults with relays. prepare may change each scenario further,
+// runRelayScenarios runs scenarios of random faults with relays. prepare may change each scenario further,
 // depending on its number.
 func runRelayScenarios(t *testing.T, firstSeed, scenarios uint64, prepare func(sc *scenario, number uint64)) {
 	t.Helper()
@@ -180,7 +180,7 @@
 	time.Sleep(2 * time.Minute)
 }
 
-// expectNoTaskLost plays a zoned cluster in simulated time. It expects that no task has to be started again and
+// expectNoTaskLost runs a zoned cluster in simulated time. It expects that no task has to be started again and
 // that no rule is broken while injectFaults runs.
 func expectNoTaskLost(t *testing.T, injectFaults func(z *zonedCluster)) {
 	t.Helper()
@@ -208,7 +208,7 @@
 			expectNoTaskLost(t, func(z *zonedCluster) {
 				zone := z.leader()
 				if !isLeaderZone {
-					zone = (zone + zoneCount - 1) % zoneCount // its workers try its controller last
+					zone = (zone + zoneCount - 1) % zoneCount // its controller is the last in the workers' order from the leader on
 				}
 				// If the next leader's announcement of its token arrived late, leases would end, as the protocol specifies.
 				z.net.SetLateDeliveryShare(0)
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -66,7 +66,8 @@
 
 var (
 	nodeNames = []string{"n0", "n1", "n2"}
-	nodeZones = []string{"a", "b", "a"} // n2 has the longest campaign delay: n0, the next in order, is in its zone
+	// n2 has the longest campaign delay: workers that lose n2 try n0, in the same zone, before n1 in the other zone.
+	nodeZones = []string{"a", "b", "a"}
 )
 
 // The addresses of the state store and of the cloud in settingsFormat.
