--- a/internal/controller/batch.go
+++ b/internal/controller/batch.go
@@ -75,7 +75,7 @@
 	changes        int  // the maximum number of changes in the commit
 	placementBytes int  // the maximum size of a placement record
 	valueBytes     int  // the maximum size of any other value
-	denseEncoding  bool // placement records may use the dense encoding
+	allowDense     bool // placement records may have the dense form
 	singleJob      bool // the batch holds records of one job only
 	// retryAfter is how long to wait before a placement record that was too large is tried again.
 	retryAfter time.Duration
@@ -164,7 +164,7 @@
 // record that was first written under a higher limit. Writing it is retried every limits.retryAfter, until enough of
 // its tasks have ended.
 func (b *batchBuilder) encodePlacement(p *placement) json.RawMessage {
-	value := records.EncodePlacement(p.record(), b.limits.placementBytes, b.limits.denseEncoding)
+	value := records.EncodePlacement(p.record(), b.limits.placementBytes, b.limits.allowDense)
 	if len(value) > b.limits.placementBytes {
 		slog.Warn("placement record is too large to be written", "uid", p.job.uid, "placement", p.index, "bytes", len(value))
 		p.due = b.now.Add(b.limits.retryAfter)
--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -55,7 +55,7 @@
 		changes:        c.maxBatchChanges(),
 		placementBytes: c.maxPlacementBytes(),
 		valueBytes:     c.Config.MaxValueBytes(),
-		denseEncoding:  c.mayUseDenseEncoding(),
+		allowDense:     c.mayUseDenseForm(),
 		singleJob:      now.Before(c.singleJobCommitsUntil),
 		retryAfter:     c.endRecordDelay(),
 	}
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -25,14 +25,14 @@
 	return min(limits.TxnOps, max(minBatchChanges, int(limits.WriteRps*store.RecordWriteShare)))
 }
 
-// mayUseDenseEncoding reports whether all nodes can read the dense encoding of placement records.
-func (c *Controller) mayUseDenseEncoding() bool { return c.Version.InForce() >= clusterversion.JobDAGs }
+// mayUseDenseForm reports whether all nodes can read the dense form of placement records.
+func (c *Controller) mayUseDenseForm() bool { return c.Version.InForce() >= clusterversion.JobDAGs }
 
 // maxPlacementBytes returns the largest size of a placement record in bytes. If the state store has announced a lower
-// limit, that limit applies as soon as all nodes can read the dense encoding, in which placement records fit the
+// limit, that limit applies as soon as all nodes can read the dense form, in which placement records fit the
 // lower limit. The state store does not enforce the lower limit before then.
 func (c *Controller) maxPlacementBytes() int {
-	if c.mayUseDenseEncoding() {
+	if c.mayUseDenseForm() {
 		return c.Config.MaxValueBytes()
 	}
 	return c.Config.CurrentMaxValueBytes()
--- a/internal/fleet/resources.go
+++ b/internal/fleet/resources.go
@@ -9,8 +9,8 @@
 	RAM   float64 // GB
 }
 
-// roundingSlack bounds the floating-point rounding error of a sum of resources.
-const roundingSlack = 1e-6
+// roundingTolerance bounds the floating-point rounding error of a sum of resources.
+const roundingTolerance = 1e-6
 
 // TaskResources returns the resources that one task of a job requests.
 func TaskResources(spec *wire.JobSpec) Resources { return Resources{spec.Cores, spec.Gpus, spec.RAMGb} }
@@ -27,16 +27,16 @@
 
 // Fits reports whether the request fits into r.
 func (r Resources) Fits(request Resources) bool {
-	return request.Cores <= r.Cores+roundingSlack && request.Gpus <= r.Gpus+roundingSlack && request.RAM <= r.RAM+roundingSlack
+	return request.Cores <= r.Cores+roundingTolerance && request.Gpus <= r.Gpus+roundingTolerance && request.RAM <= r.RAM+roundingTolerance
 }
 
 // FitsRequested reports whether the request fits into r. Unlike Fits, it ignores the resources of which the
 // request is zero: r may be negative (overbooked) in these. It returns true exactly if CountFitting
 // finds room for at least one.
 func (r Resources) FitsRequested(request Resources) bool {
-	return (request.Cores <= 0 || request.Cores <= r.Cores+roundingSlack) &&
-		(request.Gpus <= 0 || request.Gpus <= r.Gpus+roundingSlack) &&
-		(request.RAM <= 0 || request.RAM <= r.RAM+roundingSlack)
+	return (request.Cores <= 0 || request.Cores <= r.Cores+roundingTolerance) &&
+		(request.Gpus <= 0 || request.Gpus <= r.Gpus+roundingTolerance) &&
+		(request.RAM <= 0 || request.RAM <= r.RAM+roundingTolerance)
 }
 
 // CountFitting returns how many times the request fits into r, at most limit.
@@ -44,7 +44,7 @@
 	count := limit
 	for _, pair := range [...][2]float64{{r.Cores, request.Cores}, {r.Gpus, request.Gpus}, {r.RAM, request.RAM}} {
 		if available, needed := pair[0], pair[1]; needed > 0 {
-			count = min(count, int((available+roundingSlack)/needed))
+			count = min(count, int((available+roundingTolerance)/needed))
 		}
 	}
 	return max(count, 0)
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -25,17 +25,17 @@
 // StandbyStatus says how a node replicates the leader's state as its warm standby or, at the leader,
 // offers its own state for replication.
 type StandbyStatus struct {
-	State       string            `json:"State"`             // state of this node's replica
+	State       string            `json:"State"`             // state of this node's copy
 	Cause       string            `json:"Cause"`             // cause of the last change of State
-	Leader      string            `json:"Leader,omitempty"`  // leader that the replica is copied from
+	Leader      string            `json:"Leader,omitempty"`  // leader whose state is copied
 	Term        uint64            `json:"Term,omitempty"`    // term of that leader
 	Sequence    uint64            `json:"Sequence"`          // number of the last change copied; at the leader, of the last change offered
-	Position    uint64            `json:"Position"`          // revision of the state store up to which the replica has all records
-	LagS        float64           `json:"LagS"`              // age of the replica; 0 at the leader
-	Entries     int               `json:"Entries"`           // number of records and views in the replica
+	Position    uint64            `json:"Position"`          // revision of the state store up to which the copy has all records
+	LagS        float64           `json:"LagS"`              // age of the copy; 0 at the leader
+	Entries     int               `json:"Entries"`           // number of records and views in the copy
 	Bytes       int               `json:"Bytes"`             // size of these entries
 	MovedBytes  uint64            `json:"Moved"`             // bytes that this node has received; at the leader, bytes sent
-	Refused     map[string]uint64 `json:"Refused,omitempty"` // number of rejected transfers and replicas, by cause
+	Refused     map[string]uint64 `json:"Refused,omitempty"` // number of rejected transfers and copies, by cause
 	StandbyNode string            `json:"Standby,omitempty"` // at the leader: the node chosen as its warm standby
 }
 
