--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -32,8 +32,8 @@
 	Teams       int           `default:"1" help:"Number of teams that submit jobs."`
 	ReportS     float64       `default:"1" help:"Seconds between two heartbeats of a worker."`
 	LeaseS      float64       `default:"10" help:"Duration of a worker's lease, in seconds."`
-	Rps         float64       `default:"250" help:"Requests per second to the state service that the settings allow."`
-	WriteRps    float64       `default:"100" help:"Changes per second to the state service that the settings allow."`
+	Rps         float64       `default:"250" help:"Requests per second to the state store that the settings allow."`
+	WriteRps    float64       `default:"100" help:"Changes per second to the state store that the settings allow."`
 	Connections int           `default:"700" help:"Maximum connections of a controller in the settings."`
 	MemMb       float64       `default:"65" help:"Memory limit of a controller in the settings, in MiB."`
 	Tasks       int           `default:"45" help:"Maximum number of tasks of an array."`
@@ -44,7 +44,7 @@
 	PerMinute   float64       `default:"50" help:"Mean number of jobs to submit per minute after the start."`
 	Stay        time.Duration `default:"4m" help:"Mean time after which users cancel services."`
 	Poll        time.Duration `default:"5s" help:"Time between two polls of a job by its user."`
-	Delay       time.Duration `default:"4ms" help:"Delay of each response of the state service and the cloud."`
+	Delay       time.Duration `default:"4ms" help:"Delay of each response of the state store and the cloud."`
 	For         time.Duration `default:"2m" help:"How long to run."`
 	Seed        uint64        `default:"1" help:"Seed of all random choices."`
 	Run         string        `help:"Command that runs a controller. Fleetsim starts it for each settings file."`
@@ -163,7 +163,7 @@
 		return address
 	}
 	if _, err := simcluster.Listen(ctx, c.storeAddress(), simcluster.Delayed(cluster.Store, c.Delay)); err != nil {
-		return nil, fmt.Errorf("start the state service: %w", err)
+		return nil, fmt.Errorf("start the state store: %w", err)
 	}
 	if _, err := simcluster.Listen(ctx, c.cloudAddress(), simcluster.Delayed(cluster.Cloud, c.Delay)); err != nil {
 		return nil, fmt.Errorf("start the cloud: %w", err)
--- a/internal/simcluster/failover_test.go
+++ b/internal/simcluster/failover_test.go
@@ -204,7 +204,7 @@
 		{name: "followed to the end", warm: true, duration: 2 * time.Minute},
 		{name: "the stream is cut for minutes", warm: true, duration: 5 * time.Minute, before: isolateLeaderForMinutes},
 		{
-			name:     "the state service refuses the standby alone",
+			name:     "the state store refuses the standby alone",
 			duration: 2 * time.Minute,
 			before: func(sc *scenario, _, standby int) func() {
 				sc.net.RefuseRequests(nodeNames[standby], storeAddress, true)
--- a/internal/simcluster/fault_combinations_test.go
+++ b/internal/simcluster/fault_combinations_test.go
@@ -178,7 +178,7 @@
 		injectFaults:   partitionedZone,
 	},
 	{
-		name:           "a leader without state service and peers, reports from late, deaf and mute machines",
+		name:           "a leader without state store and peers, reports from late, deaf and mute machines",
 		machines:       8,
 		makeJob:        mixedJob,
 		jobCount:       30,
--- a/internal/simcluster/users_test.go
+++ b/internal/simcluster/users_test.go
@@ -92,7 +92,7 @@
 
 // While a single node cannot reach the state store, it forwards its users' requests. While no node can reach
 // the state store, users get a Retry-After at once.
-func TestNodeWithoutStateServiceForwardsUserRequests(t *testing.T) {
+func TestNodeWithoutStateStoreForwardsUserRequests(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
 		for i, setFault := range []func(from, to string, on bool){sc.net.RefuseRequests, sc.net.Partition} {
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -275,7 +275,7 @@
 
 // While the state store refuses the elected node's reads, Prove returns the store's error, the follower keeps its
 // copy, and its state stays Verifying. A later Prove can succeed.
-func TestStateServiceRefusesTheStandby(t *testing.T) {
+func TestStateStoreRefusesTheStandby(t *testing.T) {
 	s := newFakeStore()
 	l := newLeader(s)
 	l.write("1", false, "p/run-1/000000")
