--- a/internal/autoscaler/releases.go
+++ b/internal/autoscaler/releases.go
@@ -24,7 +24,8 @@
 }
 
 // Releases holds the machines that are being released to the cloud, and those that are gone but
-// still on record. The steps of a release are:
+// still on record. Idle machines are released to scale in the fleet, dead ones so that the cloud
+// terminates them. The steps of a release are:
 //
 //  1. Start adds the machine.
 //  2. The caller commits a record that lists the machine (NextRecord, AddRecorded).
@@ -83,7 +84,7 @@
 	}
 	r.lastRecord++
 	return ReleaseRecord{
-		Key:   fmt.Sprintf("%s%d-%d", records.ScaleInPrefix, r.term, r.lastRecord),
+		Key:   fmt.Sprintf("%s%d-%d", records.MachineReleasePrefix, r.term, r.lastRecord),
 		Hosts: records.FitNames(hosts, valueBytes),
 	}, true
 }
--- a/internal/autoscaler/releases_test.go
+++ b/internal/autoscaler/releases_test.go
@@ -64,7 +64,7 @@
 	if !found || second.Key == first.Key || !slices.Equal(second.Hosts, first.Hosts) {
 		t.Fatalf("got %+v (found %v) after %+v, want the same machines under another key", second, found, first)
 	}
-	if want := records.ScaleInPrefix + "7-2"; second.Key != want {
+	if want := records.MachineReleasePrefix + "7-2"; second.Key != want {
 		t.Errorf("got key %s, want %s", second.Key, want)
 	}
 	r.AddRecorded(second)
@@ -76,7 +76,7 @@
 
 func TestRestoredReleaseIsSentAgainWithoutAnotherRecord(t *testing.T) {
 	r := NewReleases(8)
-	record := ReleaseRecord{Key: records.ScaleInPrefix + "7-1", Hosts: []string{"m-1", "m-2"}}
+	record := ReleaseRecord{Key: records.MachineReleasePrefix + "7-1", Hosts: []string{"m-1", "m-2"}}
 	r.Restore(record)
 	r.Restore(record) // the state is loaded again after an error
 	if _, found := r.NextRecord(valueBytes); found {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -38,7 +38,7 @@
 	http            *http.Client
 	timeout         time.Duration // of one call, including the wait for the rate limit
 	callLimiter     *rate.Limiter // of all calls
-	pageLimiter     *rate.Limiter // of pages of the machine list; leaves calls for provisioning and returning machines
+	pageLimiter     *rate.Limiter // of pages of the machine list; leaves calls for provisioning and releasing machines
 	outOfOrderPages atomic.Uint64 // see OutOfOrderPages
 }
 
@@ -83,11 +83,11 @@
 	return names.Hosts, nil
 }
 
-// Return returns machines to the cloud. A nil error proves that they are terminated, and with them
+// Release releases machines to the cloud. A nil error proves that they are terminated, and with them
 // everything that ran on them.
-func (c *Client) Return(ctx context.Context, hosts []string) error {
+func (c *Client) Release(ctx context.Context, hosts []string) error {
 	if err := c.call(ctx, http.MethodPost, "/machines/return", wire.HostNames{Hosts: hosts}, nil); err != nil {
-		return fmt.Errorf("return %d machines: %w", len(hosts), err)
+		return fmt.Errorf("release %d machines: %w", len(hosts), err)
 	}
 	return nil
 }
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -45,7 +45,7 @@
 	hosts []string
 }
 
-func (r *recordingCloud) Return(_ context.Context, hosts []string) error {
+func (r *recordingCloud) Release(_ context.Context, hosts []string) error {
 	r.hosts = append(r.hosts, hosts...)
 	return nil
 }
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -58,11 +58,11 @@
 	}}
 }
 
-// returningHosts lists the machines that are being released.
-func (c *Controller) returningHosts() []string {
+// releasingHosts lists the machines that are being released.
+func (c *Controller) releasingHosts() []string {
 	var hosts []string
 	c.fleet.Each(func(m *fleet.Machine) {
-		if m.State == fleet.Returning {
+		if m.State == fleet.Releasing {
 			hosts = append(hosts, m.ID)
 		}
 	})
--- a/internal/controller/limitedstore_test.go
+++ b/internal/controller/limitedstore_test.go
@@ -76,9 +76,9 @@
 
 func (limitedCloud) List(context.Context) ([]wire.ListedHost, error) { return nil, nil }
 
-func (l limitedCloud) Return(_ context.Context, hosts []string) error {
-	if len(hosts) > wire.MaxScaleIn {
-		l.t.Errorf("%d machines are released at once, want at most %d", len(hosts), wire.MaxScaleIn)
+func (l limitedCloud) Release(_ context.Context, hosts []string) error {
+	if len(hosts) > wire.MaxRelease {
+		l.t.Errorf("%d machines are released at once, want at most %d", len(hosts), wire.MaxRelease)
 	}
 	for _, host := range hosts {
 		l.released[host] = true
--- a/internal/controller/liveness_test.go
+++ b/internal/controller/liveness_test.go
@@ -130,7 +130,7 @@
 		c.releaseDead(now)
 		now = now.Add(step)
 	}
-	return c.returningHosts()
+	return c.releasingHosts()
 }
 
 // After its process was paused, or after it answered no heartbeats because the state store was unreachable for too long,
@@ -173,13 +173,13 @@
 			for silenceEnd := now.Add(tc.silence); now.Before(silenceEnd); {
 				runCycle(tc.step, tc.storeReadable, false)
 			}
-			if dead := len(c.returningHosts()); dead != tc.wantDead {
+			if dead := len(c.releasingHosts()); dead != tc.wantDead {
 				t.Errorf("%d machines are declared dead, want %d", dead, tc.wantDead)
 			}
 			for range 120 { // the machines still send no heartbeats
 				runCycle(time.Second/2, true, false)
 			}
-			if dead := len(c.returningHosts()); dead != machines {
+			if dead := len(c.releasingHosts()); dead != machines {
 				t.Errorf("%d machines are declared dead a minute later, want %d", dead, machines)
 			}
 		})
@@ -206,7 +206,7 @@
 		c.releaseDead(now)
 		now = now.Add(time.Second)
 	}
-	if dead := len(c.returningHosts()); dead != deadMachines {
+	if dead := len(c.releasingHosts()); dead != deadMachines {
 		t.Errorf("%d machines are declared dead, want %d", dead, deadMachines)
 	}
 }
@@ -244,7 +244,7 @@
 		c.releaseDead(now)
 		now = now.Add(step)
 	}
-	for _, host := range c.returningHosts() {
+	for _, host := range c.releasingHosts() {
 		t.Errorf("machine %s is declared dead, want none", host)
 	}
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -73,12 +73,12 @@
 // at any time and are never used again. c.mu is held.
 func (c *Controller) applyReleaseRecords(rows []wire.KeyValue, now time.Time) error {
 	for _, row := range rows {
-		var record records.ScaleIns
+		var record records.MachineReleases
 		if err := wire.Decode(row.Value, &record); err != nil {
 			return fmt.Errorf("release record %s: %w", row.Key, err)
 		}
 		for _, id := range record.Hosts {
-			c.fleet.MarkReturning(c.fleet.GetOrAdd(id, now), now, "its release was attempted in an earlier term")
+			c.fleet.MarkReleasing(c.fleet.GetOrAdd(id, now), now, "its release was attempted in an earlier term")
 		}
 		c.releases.Restore(autoscaler.ReleaseRecord{Key: row.Key, Hosts: record.Hosts})
 	}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -46,11 +46,11 @@
 		{Task: 0, Attempt: 1, Host: "m-1", Incarnation: 1},
 		{Task: 1, Attempt: 2, Host: "m-2", Incarnation: 1},
 	}}
-	release := records.ScaleIns{Hosts: []string{"m-3"}}
+	release := records.MachineReleases{Hosts: []string{"m-3"}}
 	return map[string][]wire.KeyValue{
-		records.JobPrefix:       {{Key: records.JobKey("run-000001"), Value: records.Encode(job), ModRevision: 2}},
-		records.PlacementPrefix: {{Key: records.PlacementKey("run-000001", 0), Value: records.Encode(placement), ModRevision: 3}},
-		records.ScaleInPrefix:   {{Key: records.ScaleInPrefix + "3-1", Value: records.Encode(release), ModRevision: 4}},
+		records.JobPrefix:            {{Key: records.JobKey("run-000001"), Value: records.Encode(job), ModRevision: 2}},
+		records.PlacementPrefix:      {{Key: records.PlacementKey("run-000001", 0), Value: records.Encode(placement), ModRevision: 3}},
+		records.MachineReleasePrefix: {{Key: records.MachineReleasePrefix + "3-1", Value: records.Encode(release), ModRevision: 4}},
 	}
 }
 
@@ -69,9 +69,9 @@
 		t.Fatal(err)
 	}
 	return &standby.ProvenCopy{
-		Placements: rows[records.PlacementPrefix],
-		ScaleIns:   rows[records.ScaleInPrefix],
-		Jobs:       []standby.JobView{job},
+		Placements:      rows[records.PlacementPrefix],
+		MachineReleases: rows[records.MachineReleasePrefix],
+		Jobs:            []standby.JobView{job},
 		Machines: []standby.MachineView{
 			{Host: "m-1", Type: "g8", Zone: "a", Incarnation: 9, FencingToken: 4, Images: []string{"img"}},
 			{Host: "m-3", Type: "g8", Zone: "a", Incarnation: 1, FencingToken: 4},
@@ -105,7 +105,7 @@
 			t.Errorf("%s: %d lists, want %d; record %+v, want Warm %t", tc.name, store.listCount, tc.wantLists, c.failover.record, tc.err == nil)
 		}
 		j := c.jobs.get("run-000001")
-		if j.liveAttempts != 2 || c.fleet.Get("m-3").State != fleet.Returning {
+		if j.liveAttempts != 2 || c.fleet.Get("m-3").State != fleet.Releasing {
 			t.Errorf("%s: got %d attempts and machine m-3 %s, want 2 attempts and m-3 returning", tc.name, j.liveAttempts, c.fleet.Get("m-3").State)
 		}
 		j.eachAttempt(func(a *fleet.Attempt) {
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -53,7 +53,7 @@
 	// Provision requests machines and returns the names of those that the cloud provides, which may be fewer. It fails
 	// with cloud.ErrNoCapacity if the cloud provides none.
 	Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
-	Return(ctx context.Context, hosts []string) error
+	Release(ctx context.Context, hosts []string) error
 	List(ctx context.Context) ([]wire.ListedHost, error)
 	// MinListDuration returns the shortest time in which this many machines can be listed.
 	MinListDuration(machines int) time.Duration
--- a/internal/controller/recordloader.go
+++ b/internal/controller/recordloader.go
@@ -59,7 +59,7 @@
 // not kept and an overloaded state store refused one of the four requests in each attempt, the leader repeated all four
 // for 12 s.
 func (l *recordLoader) list(ctx context.Context) (*termRecords, error) {
-	for _, prefix := range []string{records.JobPrefix, records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix} {
+	for _, prefix := range []string{records.JobPrefix, records.PlacementPrefix, records.MachineReleasePrefix, records.ImagesPrefix} {
 		if _, known := l.listings[prefix]; known {
 			continue
 		}
@@ -72,7 +72,7 @@
 	return &termRecords{
 		jobs:       l.listings[records.JobPrefix],
 		placements: l.listings[records.PlacementPrefix],
-		releases:   l.listings[records.ScaleInPrefix],
+		releases:   l.listings[records.MachineReleasePrefix],
 		images:     l.listings[records.ImagesPrefix],
 	}, nil
 }
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	l.failover.recordProof(proven)
-	return &termRecords{placements: proven.Placements, releases: proven.ScaleIns, images: proven.Images, hints: proven}, nil
+	return &termRecords{placements: proven.Placements, releases: proven.MachineReleases, images: proven.Images, hints: proven}, nil
 }
 
 // isPermanentProofError reports whether the proof would fail again if it were retried.
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -19,7 +19,7 @@
 // startRelease starts the release of a machine to the cloud. The machine gets no more launches from
 // now on; releaseMachines carries out the release. c.mu is held.
 func (c *Controller) startRelease(m *fleet.Machine, now time.Time, reason string) {
-	c.fleet.MarkReturning(m, now, reason)
+	c.fleet.MarkReleasing(m, now, reason)
 	if c.releases.Start(m.ID) {
 		notify(c.releaseWake)
 	}
@@ -100,7 +100,7 @@
 	}
 	_, err := c.Store.Commit(ctx, wire.Transaction{
 		Compares: []wire.Compare{{Key: records.LeaderKey, ModRevision: c.term}, {Key: record.Key}},
-		Changes:  []wire.Change{{Set: record.Key, Value: records.Encode(records.ScaleIns{Hosts: record.Hosts})}},
+		Changes:  []wire.Change{{Set: record.Key, Value: records.Encode(records.MachineReleases{Hosts: record.Hosts})}},
 	})
 	if err != nil {
 		slog.Warn("machine releases cannot be recorded", "hosts", record.Hosts, "err", err)
@@ -122,12 +122,12 @@
 // are none, or the cloud did not confirm the request.
 func (c *Controller) sendReleases(ctx context.Context) bool {
 	c.mu.Lock()
-	hosts := c.releases.Unconfirmed(wire.MaxScaleIn)
+	hosts := c.releases.Unconfirmed(wire.MaxRelease)
 	c.mu.Unlock()
 	if len(hosts) == 0 {
 		return false
 	}
-	if err := c.Cloud.Return(ctx, hosts); err != nil {
+	if err := c.Cloud.Release(ctx, hosts); err != nil {
 		slog.Warn("machines cannot be released", "hosts", hosts, "err", err)
 		return false
 	}
--- a/internal/controller/tokenannounce.go
+++ b/internal/controller/tokenannounce.go
@@ -92,7 +92,7 @@
 func (c *Controller) needsAnnouncement(m *fleet.Machine, now time.Time) bool {
 	interval := c.Config.HeartbeatInterval()
 	switch {
-	case m.Address == "" || m.State == fleet.Gone || m.State == fleet.Returning:
+	case m.Address == "" || m.State == fleet.Gone || m.State == fleet.Releasing:
 		return false
 	case m.State == fleet.Ready && now.Sub(m.LastHeartbeat) < 2*interval:
 		return false
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -142,7 +142,7 @@
 		want    Cause
 	}{
 		{"listed as failed", fleet.Machine{State: fleet.Ready, LastHeartbeat: now, Failed: true}, Failed},
-		{"listed as failed and being released", fleet.Machine{State: fleet.Returning, Failed: true}, NotDead},
+		{"listed as failed and being released", fleet.Machine{State: fleet.Releasing, Failed: true}, NotDead},
 		{"suspected", fleet.Machine{State: fleet.Suspected, LastHeartbeat: now.Add(-lease - 1)}, LeaseExpired},
 		{"reclaimed, without tasks", fleet.Machine{State: fleet.Ready, LastHeartbeat: now, SpotNotice: true}, SpotReclaimed},
 		{"booting for exactly the timeout of its type", fleet.Machine{Type: "known", FirstSeen: now.Add(-105 * time.Second)}, NotDead},
--- a/internal/failuredetector/evaluation.go
+++ b/internal/failuredetector/evaluation.go
@@ -64,7 +64,7 @@
 func (ev *Evaluation) CauseOfDeath(m *fleet.Machine) Cause {
 	silence := ev.now.Sub(m.LastHeartbeat)
 	switch {
-	case m.State == fleet.Returning || m.State == fleet.Gone:
+	case m.State == fleet.Releasing || m.State == fleet.Gone:
 		return NotDead
 	case m.Failed:
 		return Failed
--- a/internal/failuredetector/evidence.go
+++ b/internal/failuredetector/evidence.go
@@ -73,7 +73,7 @@
 // and has no live attempts is not, since it may not have booted yet.
 func heartbeatExpected(m *fleet.Machine) bool {
 	switch m.State {
-	case fleet.Returning, fleet.Gone:
+	case fleet.Releasing, fleet.Gone:
 		return false
 	case fleet.Booting:
 		return m.LiveCount() > 0
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -103,11 +103,11 @@
 	if !m.AcceptsAttempts(now) {
 		t.Fatal("a ready machine accepts no attempts")
 	}
-	f.MarkReturning(m, now, "test")
+	f.MarkReleasing(m, now, "test")
 	f.ApplyHeartbeat(heartbeat(1, 2, 5), now)
 	f.ApplyHeartbeat(heartbeat(2, 3, 5), now)
-	if m.State != Returning || m.AcceptsAttempts(now) {
-		t.Fatalf("after a release attempt: machine %v, accepts attempts: %v, want %v, false", m.State, m.AcceptsAttempts(now), Returning)
+	if m.State != Releasing || m.AcceptsAttempts(now) {
+		t.Fatalf("after a release attempt: machine %v, accepts attempts: %v, want %v, false", m.State, m.AcceptsAttempts(now), Releasing)
 	}
 	f.MarkGone(m, now, "test")
 	f.ApplyHeartbeat(heartbeat(3, 4, 5), now)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -14,7 +14,7 @@
 	Confirming                     // sends heartbeats, but not yet with this term's fencing token
 	Ready                          // has sent this term's fencing token: its attempts may be launched
 	Suspected                      // no heartbeat for longer than a worker lease
-	Returning                      // a release to the cloud was attempted: the machine is never used again
+	Releasing                      // a release to the cloud was attempted: the machine is never used again
 	Gone                           // the cloud confirmed the release
 )
 
@@ -123,10 +123,10 @@
 }
 
 // setMachineState changes the state of a machine. No other function does so after GetOrAdd has set the
-// initial state. A machine whose release was attempted is never used again: Returning only leads to Gone,
+// initial state. A machine whose release was attempted is never used again: Releasing only leads to Gone,
 // and Gone is final.
 func (f *Fleet) setMachineState(m *Machine, to MachineState, now time.Time, reason string) {
-	if m.State == to || m.State == Gone || (m.State == Returning && to != Gone) {
+	if m.State == to || m.State == Gone || (m.State == Releasing && to != Gone) {
 		return
 	}
 	from := m.State
@@ -135,9 +135,9 @@
 	f.observer.MachineChanged(m, from, reason)
 }
 
-// MarkReturning is called before the leader attempts to release a machine to the cloud.
-func (f *Fleet) MarkReturning(m *Machine, now time.Time, reason string) {
-	f.setMachineState(m, Returning, now, reason)
+// MarkReleasing is called before the leader attempts to release a machine to the cloud.
+func (f *Fleet) MarkReleasing(m *Machine, now time.Time, reason string) {
+	f.setMachineState(m, Releasing, now, reason)
 }
 
 // MarkGone must only be called when the cloud has answered the release of a machine with status 200:
--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -47,7 +47,7 @@
 		"leader":  {Leader{Node: "n"}, new(Leader)},
 		"job":     {Job{Spec: spec, Status: wire.JobQueued, AcceptedAtMs: 1, TasksPerPlacement: 85}, new(Job)},
 		"final":   {Final{Status: wire.JobDone}, new(Final)},
-		"returns": {ScaleIns{Hosts: []string{"m-1"}}, new(ScaleIns)},
+		"returns": {MachineReleases{Hosts: []string{"m-1"}}, new(MachineReleases)},
 		"images":  {Images{Names: []string{"img-07"}}, new(Images)},
 		"kept":    {RenewedLeases{Hosts: []string{"m-1"}}, new(RenewedLeases)},
 		"piece":   {placement, new(Placement)},
@@ -88,7 +88,7 @@
 		{FailoverKey, "t/last"},
 		{SettingsKey, "o/settings"},
 		{VersionKey, "o/version"},
-		{ScaleInPrefix, "r/"},
+		{MachineReleasePrefix, "r/"},
 		{RenewedLeasesPrefix, "k/"},
 	} {
 		if tc.key != tc.want {
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -8,20 +8,20 @@
 
 // Fixed keys and key prefixes. The package comment says what each of them holds.
 const (
-	ElectionPrefix      = "e/"
-	LeaderKey           = "e/leader"
-	TermKey             = "e/term"
-	JobPrefix           = "j/"
-	PlacementPrefix     = "p/"
-	FinalPrefix         = "f/"
-	ScaleInPrefix       = "r/"
-	ImagesPrefix        = "i/"
-	RenewedLeasesPrefix = "k/"
-	FailoverKey         = "t/last"
-	SettingsPrefix      = "o/"
-	SettingsKey         = "o/settings"
-	VersionKey          = "o/version"
-	ReleasePrefix       = "o/release/"
+	ElectionPrefix       = "e/"
+	LeaderKey            = "e/leader"
+	TermKey              = "e/term"
+	JobPrefix            = "j/"
+	PlacementPrefix      = "p/"
+	FinalPrefix          = "f/"
+	MachineReleasePrefix = "r/"
+	ImagesPrefix         = "i/"
+	RenewedLeasesPrefix  = "k/"
+	FailoverKey          = "t/last"
+	SettingsPrefix       = "o/"
+	SettingsKey          = "o/settings"
+	VersionKey           = "o/version"
+	ReleasePrefix        = "o/release/"
 )
 
 // JobKey returns the key of a job.
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -10,7 +10,7 @@
 //	j/<uid>             an accepted job that is not archived yet
 //	p/<uid>/<number>    one of the job's placement records: attempts that may be running, tasks that are done
 //	f/<uid>             the final status of an archived job, never dropped
-//	r/<term>-<number>   machines whose scale-in was requested: they may be terminated at any time
+//	r/<term>-<number>   machines that are being released to the cloud: they may be terminated at any time
 //	i/<host>            the images that were seen on a machine
 //	k/<node>/<number>   machines whose worker leases a node renews while it cannot reach the leader
 //	t/last              how the last failover went
@@ -35,9 +35,9 @@
 	Version int `json:"Version"`
 }
 
-// ScaleIns lists machines whose scale-in was requested. They may be terminated at any time, so they are
+// MachineReleases lists machines that are being released to the cloud. They may be terminated at any time, so they are
 // never used again, and the request is repeated until the cloud confirms it.
-type ScaleIns struct {
+type MachineReleases struct {
 	Hosts []string `json:"Hosts"`
 }
 
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -24,7 +24,7 @@
 			if len(part) == 0 {
 				t.Fatal("FitNames returned no name, want at least one")
 			}
-			if n := len(Encode(ScaleIns{Hosts: part})); n > valueBytes {
+			if n := len(Encode(MachineReleases{Hosts: part})); n > valueBytes {
 				t.Fatalf("%d names take %d bytes, want at most %d", len(part), n, valueBytes)
 			}
 			got, remaining = append(got, part...), remaining[len(part):]
--- a/internal/records/releasebefore_test.go
+++ b/internal/records/releasebefore_test.go
@@ -137,7 +137,7 @@
 	}{
 		{"j/run-000412", decode[records.Job](t, items, records.JobKey("run-000412")), wantArrayJob()},
 		{"f/run-000411", decode[records.Final](t, items, "f/run-000411"), records.Final{Status: wire.JobDone}},
-		{"r/6-0", decode[records.ScaleIns](t, items, "r/6-0"), records.ScaleIns{Hosts: []string{"m-000003", "m-000004"}}},
+		{"r/6-0", decode[records.MachineReleases](t, items, "r/6-0"), records.MachineReleases{Hosts: []string{"m-000003", "m-000004"}}},
 		{"i/m-000001", decode[records.Images](t, items, "i/m-000001"), records.Images{Names: []string{"img-07", "img-08"}}},
 		{"k/n1/0", decode[records.RenewedLeases](t, items, "k/n1/0"), records.RenewedLeases{Hosts: []string{"m-000005"}}},
 		{"t/last", decode[records.Failover](t, items, records.FailoverKey), failover},
--- a/internal/records/size_test.go
+++ b/internal/records/size_test.go
@@ -16,7 +16,7 @@
 			listed := 0
 			for len(names) > 0 {
 				part := FitNames(names, valueBytes)
-				if size := len(Encode(ScaleIns{Hosts: part})); size > valueBytes {
+				if size := len(Encode(MachineReleases{Hosts: part})); size > valueBytes {
 					t.Fatalf("a record has %d bytes, want at most %d", size, valueBytes)
 				}
 				if want := fmt.Sprintf("m-%06d", listed); part[0] != want {
--- a/internal/simcluster/checker.go
+++ b/internal/simcluster/checker.go
@@ -62,7 +62,7 @@
 	ruleReaped       = "reaped"        // an attempt is acknowledged before its end is recorded
 	ruleTooEarly     = "too_early"     // a task starts before the dependencies of its job are done
 	ruleUnguarded    = "unguarded"     // a write lacks a compare that it needs
-	ruleUnrecorded   = "unrecorded"    // a launch or a scale-in is sent before it is recorded
+	ruleUnrecorded   = "unrecorded"    // a launch or a machine release is sent before it is recorded
 	ruleUnserved     = "unserved"      // fewer than half of a group of jobs are served
 	ruleWentBack     = "went_back"     // a status contradicts an earlier answer or what users have cancelled
 	ruleWrongPlace   = "wrong_place"   // a task starts on a machine or in a zone that its job does not allow
--- a/internal/simcluster/checker_records.go
+++ b/internal/simcluster/checker_records.go
@@ -13,7 +13,7 @@
 const comparesPerChange = 4
 
 // checkCommit checks the size of a commit, and that compares guard its writes. A placement needs a compare of the
-// leader key and one of its own key, and if it is a launch also one of the record of its job. A scale-in needs a
+// leader key and one of its own key, and if it is a launch also one of the record of its job. A machine release needs a
 // compare of the leader key, a job record one of its own key.
 func (c *Checker) checkCommit(tx wire.Transaction) {
 	stateLimits := c.config.StateLimits()
@@ -44,7 +44,7 @@
 		_, isKeyCompared := compared[key]
 		switch {
 		case strings.HasPrefix(key, records.PlacementPrefix) && (term == 0 || !isKeyCompared),
-			strings.HasPrefix(key, records.ScaleInPrefix) && term == 0,
+			strings.HasPrefix(key, records.MachineReleasePrefix) && term == 0,
 			strings.HasPrefix(key, records.JobPrefix) && !isKeyCompared:
 			c.report(ruleUnguarded, "%s is written with compares %v", key, tx.Compares)
 		}
@@ -80,14 +80,14 @@
 	}
 }
 
-// checkReturn checks that the scale-in of a machine was recorded before the cloud is asked to terminate it.
-func (c *Checker) checkReturn(host string) {
-	for _, item := range c.store.Items(records.ScaleInPrefix) {
+// checkRelease checks that the release of a machine was recorded before the cloud is asked to terminate it.
+func (c *Checker) checkRelease(host string) {
+	for _, item := range c.store.Items(records.MachineReleasePrefix) {
 		if bytes.Contains(item.Value, []byte(`"`+host+`"`)) {
 			return
 		}
 	}
-	c.report(ruleUnrecorded, "%s is scaled in without a record", host)
+	c.report(ruleUnrecorded, "%s is released without a record", host)
 }
 
 // checkAcknowledge checks that the end of an attempt was recorded before its worker is told to remove it.
--- a/internal/simcluster/cloud.go
+++ b/internal/simcluster/cloud.go
@@ -58,7 +58,7 @@
 	case r.URL.Path == "/machines" && r.Method == http.MethodPost:
 		c.serveProvision(w, r)
 	case r.URL.Path == "/machines/return":
-		c.serveReturn(w, r)
+		c.serveRelease(w, r)
 	case r.URL.Path == "/machines":
 		c.serveList(w, r)
 	}
@@ -98,17 +98,17 @@
 	jsonhttp.Reply(w, http.StatusOK, wire.HostNames{Hosts: hosts})
 }
 
-// serveReturn terminates the machines that a controller scales in. It ignores unknown names.
-func (c *Cloud) serveReturn(w http.ResponseWriter, r *http.Request) {
+// serveRelease terminates the machines that a controller releases. It ignores unknown names.
+func (c *Cloud) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var request wire.HostNames
-	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Hosts) > wire.MaxScaleIn {
+	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Hosts) > wire.MaxRelease {
 		replyMalformed(w)
 		return
 	}
 	for _, host := range request.Hosts {
 		if worker := c.worker(host); worker != nil {
 			if !worker.isTerminated() { // a repeated request needs no record
-				c.cluster.Checker.checkReturn(host)
+				c.cluster.Checker.checkRelease(host)
 			}
 			worker.Terminate()
 		}
--- a/internal/standby/contents.go
+++ b/internal/standby/contents.go
@@ -22,7 +22,7 @@
 
 // recordPrefixes are the key prefixes of the followed records: those that only the leader writes and that a new leader
 // needs. Jobs are not among them because every node has a watch cache of the jobs.
-var recordPrefixes = []string{records.PlacementPrefix, records.ScaleInPrefix, records.ImagesPrefix}
+var recordPrefixes = []string{records.PlacementPrefix, records.MachineReleasePrefix, records.ImagesPrefix}
 
 // isRecord reports whether a key belongs to a followed record.
 func isRecord(key string) bool {
--- a/internal/standby/late_commit_test.go
+++ b/internal/standby/late_commit_test.go
@@ -15,7 +15,7 @@
 	l := newLeader(s)
 	sources := map[string]*Source{"leader-0": l.source}
 	standby := followSources("n1", sources)
-	const placement, scaleIn = "p/run-1/000000", "r/7-2"
+	const placement, machineRelease = "p/run-1/000000", "r/7-2"
 	step := 0
 	write := func(result outcome, drop bool, key string) {
 		s.nextOutcome = result
@@ -29,10 +29,10 @@
 	for range 8 {
 		write(executed, true, placement)
 	}
-	write(executed, false, scaleIn)
+	write(executed, false, machineRelease)
 	write(executed, true, placement)
 	executeDelayed()
-	write(delayedRequest, false, scaleIn)
+	write(delayedRequest, false, machineRelease)
 	for range 13 {
 		write(executed, true, placement)
 	}
@@ -50,7 +50,7 @@
 		t.Fatalf("Prove returned %v, want nil", err)
 	}
 	checkSameAsListed(t, s, proven)
-	if item := s.items[scaleIn]; string(item.Value) != "11" || item.ModRevision != 25 {
+	if item := s.items[machineRelease]; string(item.Value) != "11" || item.ModRevision != 25 {
 		t.Errorf("the late commit has set %s at revision %d, want 11 at revision 25", item.Value, item.ModRevision)
 	}
 }
--- a/internal/standby/proof.go
+++ b/internal/standby/proof.go
@@ -16,9 +16,9 @@
 // ProvenCopy is a copy that agrees with the state store: its records are those that a listing after the election would
 // return.
 type ProvenCopy struct {
-	Placements []wire.KeyValue
-	ScaleIns   []wire.KeyValue
-	Images     []wire.KeyValue
+	Placements      []wire.KeyValue
+	MachineReleases []wire.KeyValue
+	Images          []wire.KeyValue
 	// Machines, Jobs and Leader are the views of the previous leader. The proof does not cover them.
 	Machines []MachineView
 	Jobs     []JobView
@@ -129,13 +129,13 @@
 	}
 	current := edit.contents()
 	proven := &ProvenCopy{
-		Placements:   current.listRecords(records.PlacementPrefix),
-		ScaleIns:     current.listRecords(records.ScaleInPrefix),
-		Images:       current.listRecords(records.ImagesPrefix),
-		FollowedTerm: followed.term,
-		Position:     followed.position,
-		Digest:       followed.digest,
-		Changes:      len(events),
+		Placements:      current.listRecords(records.PlacementPrefix),
+		MachineReleases: current.listRecords(records.MachineReleasePrefix),
+		Images:          current.listRecords(records.ImagesPrefix),
+		FollowedTerm:    followed.term,
+		Position:        followed.position,
+		Digest:          followed.digest,
+		Changes:         len(events),
 	}
 	if err := current.decodeViews(proven); err != nil {
 		return nil, err
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -24,10 +24,13 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 }
 
-// checkSameAsListed checks that the proven placements and scale-ins are those that the state store lists.
+// checkSameAsListed checks that the proven placements and machine releases are those that the state store lists.
 func checkSameAsListed(t rapid.TB, s *fakeStore, p *ProvenCopy) {
 	t.Helper()
-	for prefix, got := range map[string][]wire.KeyValue{records.PlacementPrefix: p.Placements, records.ScaleInPrefix: p.ScaleIns} {
+	for prefix, got := range map[string][]wire.KeyValue{
+		records.PlacementPrefix:      p.Placements,
+		records.MachineReleasePrefix: p.MachineReleases,
+	} {
 		want, _, _ := s.List(context.Background(), prefix)
 		if len(got) != len(want) {
 			t.Fatalf("got %d proven records under %s, want %d", len(got), prefix, len(want))
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -3,8 +3,8 @@
 const (
 	// MaxProvision is the largest number of machines in one provision request.
 	MaxProvision = 50
-	// MaxScaleIn is the largest number of machines in one scale-in request (POST /machines/return).
-	MaxScaleIn = 100
+	// MaxRelease is the largest number of machines in one release request (POST /machines/return).
+	MaxRelease = 100
 )
 
 // MachineType is a machine type in the cloud's catalog.
