--- a/internal/simcluster/combined_faults_test.go
+++ b/internal/simcluster/combined_faults_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// lostCommitResponses loses the responses to a share of the commits, which are carried out at once, and crashes
+// lostCommitResponses loses the responses to a share of the commits, which are executed at once, and crashes
 // the leader. Users cross-check answers and cancel each job when its last task completes.
 func lostCommitResponses(sc *scenario, r *rand.Rand) {
 	sc.cluster.Users.CrossCheckAnswers.Store(true)
@@ -67,7 +67,7 @@
 	time.Sleep(20 * time.Second)
 }
 
-// lostOrLateCommits loses the responses to 15% of the commits, which are carried out late with some seeds and at once
+// lostOrLateCommits loses the responses to 15% of the commits, which are executed late with some seeds and at once
 // with the others, and crashes the leader. Users cross-check answers and cancel each job when its last task completes.
 func lostOrLateCommits(sc *scenario, r *rand.Rand) {
 	sc.cluster.Users.CrossCheckAnswers.Store(true)
@@ -78,7 +78,7 @@
 	time.Sleep(25 * time.Second)
 }
 
-// lateCommitsAndCrashes carries out a share of the commits late, possibly after newer ones, and crashes the leader
+// lateCommitsAndCrashes executes a share of the commits late, possibly after newer ones, and crashes the leader
 // again and again.
 func lateCommitsAndCrashes(sc *scenario, r *rand.Rand) {
 	sc.net.DelayCommits(0.3, false)
@@ -144,7 +144,7 @@
 }
 
 // newMachinesAndLateCommits lets the fleet grow by machines that boot fast, while a share of the commits is
-// carried out late, leaders crash and machines die.
+// executed late, leaders crash and machines die.
 func newMachinesAndLateCommits(sc *scenario, r *rand.Rand) {
 	sc.cluster.Cloud.SetCapacity(10)
 	sc.cluster.Cloud.SetBootTime(2 * time.Second)
@@ -238,9 +238,9 @@
 	time.Sleep(20 * time.Second)
 }
 
-// machinesCutOffFromNewLeader crashes the leader while half of the machines cannot reach any node, or get no
+// machinesPartitionedFromNewLeader crashes the leader while half of the machines cannot reach any node, or get no
 // responses.
-func machinesCutOffFromNewLeader(sc *scenario, r *rand.Rand) {
+func machinesPartitionedFromNewLeader(sc *scenario, r *rand.Rand) {
 	for i := range 3 {
 		setFault := sc.net.Partition
 		if i%2 == 0 {
--- a/internal/simcluster/fakestore/handlers.go
+++ b/internal/simcluster/fakestore/handlers.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// serveCommit carries out a transaction. s.mu is held.
+// serveCommit executes a transaction. s.mu is held.
 func (s *Store) serveCommit(w http.ResponseWriter, r *http.Request) {
 	var tx wire.Transaction
 	if json.NewDecoder(r.Body).Decode(&tx) != nil {
--- a/internal/simcluster/fault_combinations_test.go
+++ b/internal/simcluster/fault_combinations_test.go
@@ -122,7 +122,7 @@
 		injectFaults:   lateCommitsAndCrashes,
 	},
 	{
-		name:           "teams at their limit, cancelled on machines that are cut off or hang, a new leader",
+		name:           "teams at their limit, cancelled on machines that are partitioned or hang, a new leader",
 		machines:       8,
 		makeJob:        mixedJob,
 		jobCount:       40,
@@ -170,7 +170,7 @@
 		injectFaults:   machinesDieUnderZonedJobs,
 	},
 	{
-		name:           "a zone with workers and a controller is cut off for longer than a lease",
+		name:           "a zone with workers and a controller is partitioned for longer than a lease",
 		machines:       8,
 		makeJob:        mixedJob,
 		jobCount:       40,
@@ -199,7 +199,7 @@
 		makeJob:        longJob,
 		jobCount:       24,
 		submitInterval: time.Second,
-		injectFaults:   machinesCutOffFromNewLeader,
+		injectFaults:   machinesPartitionedFromNewLeader,
 	},
 	{
 		name:           "refused and down in turn while users cancel and ask",
--- a/internal/simcluster/faultnet/faults.go
+++ b/internal/simcluster/faultnet/faults.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// DropResponses drops the responses to requests from one party to another. The requests are carried out.
+// DropResponses drops the responses to requests from one party to another. The requests are executed.
 func (n *Network) DropResponses(from, to string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -39,7 +39,7 @@
 	setLink(n.faults.refused, from, to, on)
 }
 
-// DropRequests drops requests from one party to another. They are never carried out.
+// DropRequests drops requests from one party to another. They are never executed.
 func (n *Network) DropRequests(from, to string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,7 +61,7 @@
 	n.faults.extraLatency = extra
 }
 
-// DelayCommits makes a share of the commits, from 0 to 1, get no response. They are carried out 2 to 12 s
+// DelayCommits makes a share of the commits, from 0 to 1, get no response. They are executed 2 to 12 s
 // later, which may be after newer commits, or at once if atOnce is set.
 func (n *Network) DelayCommits(share float64, atOnce bool) {
 	n.mu.Lock()
--- a/internal/simcluster/faultnet/network.go
+++ b/internal/simcluster/faultnet/network.go
@@ -22,7 +22,7 @@
 	conns       map[string][]net.Conn // by controller: its ends of the connections to other controllers
 	faults      faults
 	paused      map[string]chan struct{} // by party; closed when it is resumed
-	observer    func(from, to, path string, carriedOut bool)
+	observer    func(from, to, path string, executed bool)
 }
 
 // faults holds the faults that are simulated now. Heal ends all but lateDelivery.
@@ -34,7 +34,7 @@
 	lateDelivery    float64       // share of the requests caught in a partition that are delivered later
 	extraLatency    time.Duration // the maximum, each way
 	delayedCommits  float64       // share of commits that get no response
-	commitsAtOnce   bool          // delayed commits are carried out at once, not 2 to 12 s later
+	commitsAtOnce   bool          // delayed commits are executed at once, not 2 to 12 s later
 	delayedCommands float64       // share of direct commands that are delivered late
 }
 
--- a/internal/simcluster/faultnet/pause.go
+++ b/internal/simcluster/faultnet/pause.go
@@ -3,9 +3,9 @@
 import "strings"
 
 // PauseProcess pauses a party's process, or resumes it. To the other parties, a paused process seems to get
-// no CPU time while the clock runs on. Its requests in flight are carried out, and it receives the responses,
+// no CPU time while the clock runs on. Its requests in flight are executed, and it receives the responses,
 // or timeouts, when it is resumed. What it was about to send is sent at that moment, and requests to it are
-// carried out at that moment, although their senders may have given up. Unlike the timers of a process that is
+// executed at that moment, although their senders may have given up. Unlike the timers of a process that is
 // really paused, its timers continue: what it decides meanwhile, without those responses, is sent as well,
 // which makes the test harder.
 func (n *Network) PauseProcess(name string, on bool) {
@@ -38,19 +38,19 @@
 }
 
 // ObserveRequests makes the network call observer for every request that reaches a party: just before the
-// request is carried out, and just after that, before the response is sent. Tests use it to pause a process at
+// request is executed, and just after that, before the response is sent. Tests use it to pause a process at
 // a given step of the protocol. A nil observer ends it.
-func (n *Network) ObserveRequests(observer func(from, to, path string, carriedOut bool)) {
+func (n *Network) ObserveRequests(observer func(from, to, path string, executed bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.observer = observer
 }
 
-func (n *Network) notifyObserver(l link, path string, carriedOut bool) {
+func (n *Network) notifyObserver(l link, path string, executed bool) {
 	n.mu.Lock()
 	observer := n.observer
 	n.mu.Unlock()
 	if observer != nil {
-		observer(l.from, l.to, path, carriedOut)
+		observer(l.from, l.to, path, executed)
 	}
 }
--- a/internal/simcluster/faultnet/transport.go
+++ b/internal/simcluster/faultnet/transport.go
@@ -14,7 +14,7 @@
 const (
 	// maxLateness is the longest time after which a request caught in a partition is delivered.
 	maxLateness = 40 * time.Second
-	// Delayed commits and direct commands are carried out after minDelay and a random extra delay of up to
+	// Delayed commits and direct commands are executed after minDelay and a random extra delay of up to
 	// maxExtraCommitDelay or maxExtraCommandDelay.
 	minDelay             = 2 * time.Second
 	maxExtraCommitDelay  = 10 * time.Second
@@ -62,7 +62,7 @@
 	dropResponse   bool
 	refused        bool
 	commitDelayed  bool
-	commitAtOnce   bool // a delayed commit is carried out at once
+	commitAtOnce   bool // a delayed commit is executed at once
 	commandDelayed bool
 	deliverLate    bool          // deliver it later if it is caught in a partition
 	lateness       time.Duration // up to maxLateness
@@ -99,7 +99,7 @@
 }
 
 // loss reports whether the sender gets no response because of a fault before the arrival of the request (lost),
-// and whether the request is carried out nevertheless (delivered) and how much later (after).
+// and whether the request is executed nevertheless (delivered) and how much later (after).
 func (f requestFaults) loss() (lost, delivered bool, after time.Duration) {
 	switch {
 	case f.commitDelayed && !f.partitioned && !f.refused && f.reachable:
@@ -191,7 +191,7 @@
 
 // deliver waits until the receiver is not paused and carries the request out, then waits again until the
 // receiver is not paused and sends the response. It sends none if the receiver has left the network by the
-// time that the request is to be carried out.
+// time that the request is to be executed.
 func (e *exchange) deliver(responses chan<- *httptest.ResponseRecorder) {
 	n := e.network
 	n.waitWhilePaused(e.link.to)
--- a/internal/simcluster/process_pause_test.go
+++ b/internal/simcluster/process_pause_test.go
@@ -12,15 +12,15 @@
 type pausePhase struct {
 	name string // what the controller does, or has done, when it is paused
 	// nodeToPause returns the controller to pause at an observed request, or "" for none. Each request is
-	// observed twice: before and after it is carried out.
-	nodeToPause        func(sc *scenario, from, to, path string, carriedOut bool) string
+	// observed twice: before and after it is executed.
+	nodeToPause        func(sc *scenario, from, to, path string, executed bool) string
 	crashesLeaderFirst bool // so that another leader is elected
 }
 
-// leaderAfterRequest selects the leader when a request that it sent has been carried out and not yet answered.
-func leaderAfterRequest(matches func(path string) bool) func(sc *scenario, from, to, path string, carriedOut bool) string {
-	return func(sc *scenario, from, _, path string, carriedOut bool) string {
-		if carriedOut && matches(path) && sc.isLeader(from) {
+// leaderAfterRequest selects the leader when a request that it sent has been executed and not yet answered.
+func leaderAfterRequest(matches func(path string) bool) func(sc *scenario, from, to, path string, executed bool) string {
+	return func(sc *scenario, from, _, path string, executed bool) string {
+		if executed && matches(path) && sc.isLeader(from) {
 			return from
 		}
 		return ""
@@ -29,26 +29,26 @@
 
 // leaderAtHeartbeat selects the leader when it is about to receive a heartbeat, or, if isApplied is set, when it
 // has applied the heartbeat and not yet answered it.
-func leaderAtHeartbeat(isApplied bool) func(sc *scenario, from, to, path string, carriedOut bool) string {
-	return func(sc *scenario, _, to, path string, carriedOut bool) string {
-		if carriedOut == isApplied && path == "/checkin" && sc.isLeader(to) {
+func leaderAtHeartbeat(isApplied bool) func(sc *scenario, from, to, path string, executed bool) string {
+	return func(sc *scenario, _, to, path string, executed bool) string {
+		if executed == isApplied && path == "/checkin" && sc.isLeader(to) {
 			return to
 		}
 		return ""
 	}
 }
 
-// leaderAfterOtherCommit selects the leader when a commit of another node has been carried out.
-func leaderAfterOtherCommit(sc *scenario, from, _, path string, carriedOut bool) string {
-	if leader := sc.leaderIndex(); carriedOut && path == "/commit" && leader >= 0 && nodeNames[leader] != from {
+// leaderAfterOtherCommit selects the leader when a commit of another node has been executed.
+func leaderAfterOtherCommit(sc *scenario, from, _, path string, executed bool) string {
+	if leader := sc.leaderIndex(); executed && path == "/commit" && leader >= 0 && nodeNames[leader] != from {
 		return nodeNames[leader]
 	}
 	return ""
 }
 
-// followerAfterCommit selects a node that does not lead when its commit has been carried out.
-func followerAfterCommit(sc *scenario, from, _, path string, carriedOut bool) string {
-	if carriedOut && path == "/commit" && !sc.isLeader(from) {
+// followerAfterCommit selects a node that does not lead when its commit has been executed.
+func followerAfterCommit(sc *scenario, from, _, path string, executed bool) string {
+	if executed && path == "/commit" && !sc.isLeader(from) {
 		return from
 	}
 	return ""
@@ -106,8 +106,8 @@
 			sc.crashLeader(milliseconds(300 + r.IntN(3000)))
 		}
 		var once sync.Once
-		sc.net.ObserveRequests(func(from, to, path string, carriedOut bool) {
-			if node := phase.nodeToPause(sc, from, to, path, carriedOut); node != "" {
+		sc.net.ObserveRequests(func(from, to, path string, executed bool) {
+			if node := phase.nodeToPause(sc, from, to, path, executed); node != "" {
 				once.Do(func() {
 					pauseCount++
 					sc.net.PauseProcess(node, true)
--- a/internal/simcluster/relays_test.go
+++ b/internal/simcluster/relays_test.go
@@ -263,7 +263,7 @@
 // leader suspects its own links and declares no machine dead whose worker has not reached a follower yet. An
 // earlier version counted only heartbeats that were relayed one by one, not those in batches, as a reason for the
 // leader to suspect its links: the leader declared 129 of its 178 machines dead.
-func TestLeaderCutOffFromItsWorkersLosesNoTask(t *testing.T) {
+func TestLeaderPartitionedFromItsWorkersLosesNoTask(t *testing.T) {
 	t.Parallel()
 	expectNoTaskLost(t, func(z *zonedCluster) {
 		leader := z.names[z.leader()]
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -198,7 +198,7 @@
 	sc.stops[i] = cancel
 }
 
-// crashNode stops a controller at once. Its requests in flight may still be carried out.
+// crashNode stops a controller at once. Its requests in flight may still be executed.
 func (sc *scenario) crashNode(i int) {
 	if sc.stops[i] == nil {
 		return
--- a/internal/standby/late_commit_test.go
+++ b/internal/standby/late_commit_test.go
@@ -10,7 +10,7 @@
 // earlier commit has set, and is executed after 13 commits of another key. TestWhatIsProvenIsWhatIsListed once failed
 // with this input: the standby proved the earlier value (revision 10), while the state store had the later one
 // (revision 25).
-func TestProofIncludesACommitCarriedOutLate(t *testing.T) {
+func TestProofIncludesACommitExecutedLate(t *testing.T) {
 	s := newFakeStore()
 	l := newLeader(s)
 	sources := map[string]*Source{"leader-0": l.source}
