--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -10,8 +10,8 @@
 
 // HeartbeatOptions describe how a heartbeat has arrived and how it may be answered.
 type HeartbeatOptions struct {
-	// Forwarded is true if another controller has forwarded this heartbeat singly, not in a batch.
-	Forwarded bool
+	// RelayedSingly is true if another controller has relayed this heartbeat singly, not in a batch.
+	RelayedSingly bool
 	// RelayedBy is the label of the follower that receives the worker's heartbeats and relays them in batches; "" if there is
 	// none.
 	RelayedBy string
@@ -70,8 +70,8 @@
 	}
 	c.setCapacity(m)
 	m.RelayedBy = opts.RelayedBy
-	if opts.Forwarded || wasDirect && opts.RelayedBy != "" {
-		// The worker may no longer reach this node: its heartbeat was forwarded singly, or a follower now relays the
+	if opts.RelayedSingly || wasDirect && opts.RelayedBy != "" {
+		// The worker may no longer reach this node: its heartbeat was relayed singly, or a follower now relays the
 		// heartbeats that came here directly before.
 		m.LastRelayedHeartbeat = now
 	}
--- a/internal/node/heartbeats.go
+++ b/internal/node/heartbeats.go
@@ -137,9 +137,9 @@
 		}
 	}
 	options := controller.HeartbeatOptions{
-		Forwarded: relayedSingly,
-		RelayedBy: from.follower,
-		MayWait:   !relayedSingly && from.pressure == relay.NoPressure && !h.load.IsOverloaded(),
+		RelayedSingly: relayedSingly,
+		RelayedBy:     from.follower,
+		MayWait:       !relayedSingly && from.pressure == relay.NoPressure && !h.load.IsOverloaded(),
 	}
 	if commands, ok := c.Heartbeat(ctx, heartbeat, options); ok {
 		return &commands, nil
--- a/internal/peer/types.go
+++ b/internal/peer/types.go
@@ -62,7 +62,7 @@
 	Resend  []string // hosts whose heartbeats the leader needs in full, since it does not have the one referred to
 }
 
-// HeartbeatAnswer is the leader's answer to one relayed heartbeat. The follower forwards it to the worker that waits
+// HeartbeatAnswer is the leader's answer to one relayed heartbeat. The follower passes it on to the worker that waits
 // for it.
 type HeartbeatAnswer struct {
 	Host        string
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -4,7 +4,7 @@
 // A worker sends its heartbeats to the controller that the leader's Router chooses, preferably one in its own zone.
 // A follower's Sender collects the heartbeats of its workers and sends them to the leader's Receiver in batches, once
 // per SenderConfig.Period and aligned to the timer grid. It gets back the answers that are ready. The leader decides
-// every answer. A follower only forwards the answer to the request that waits for it, matched by incarnation and
+// every answer. A follower only passes the answer on to the request that waits for it, matched by incarnation and
 // sequence number. Commands are therefore still delivered in answers to heartbeats, and a relayed heartbeat proves as
 // much about its worker as a direct one.
 //
