--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -91,7 +91,7 @@
 }
 
 // HeadroomJobs returns placeholder jobs of one task each, for the classes whose jobs must start at
-// once (priority high and above). The scheduler places them after the waiting jobs: machines that
+// once (priority high and above). The scheduler places them after the pending jobs: machines that
 // placeholder jobs would use are not released, and machines are provisioned for those that fit
 // nowhere. Placeholder jobs have no UID and are never launched.
 func (a *Arrivals) HeadroomJobs(now time.Time, options HeadroomOptions) []*sched.Job {
--- a/internal/autoscaler/headroom_test.go
+++ b/internal/autoscaler/headroom_test.go
@@ -10,24 +10,24 @@
 
 const workerLease = 10 * time.Second
 
-func TestRefusalsPauseForLongerEachTime(t *testing.T) {
+func TestBackoffGrowsWithEachRefusal(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	refusals, group := NewRefusals(workerLease), MachineGroup{Type: "g8", Zone: "a", Spot: true}
-	for _, pause := range []time.Duration{
+	for _, backoff := range []time.Duration{
 		workerLease / 2, workerLease, 2 * workerLease, 3 * workerLease, 3 * workerLease,
 	} {
 		refusals.Add(group, now)
-		if !refusals.IsPaused(group, now.Add(pause-1)) || refusals.IsPaused(group, now.Add(pause)) {
-			t.Errorf("got a backoff that does not end after %s, want one that does", pause)
+		if !refusals.InBackoff(group, now.Add(backoff-1)) || refusals.InBackoff(group, now.Add(backoff)) {
+			t.Errorf("got a backoff that does not end after %s, want one that does", backoff)
 		}
-		now = now.Add(pause)
+		now = now.Add(backoff)
 	}
-	if refusals.IsPaused(MachineGroup{Type: "g8", Zone: "a"}, now) {
+	if refusals.InBackoff(MachineGroup{Type: "g8", Zone: "a"}, now) {
 		t.Error("got a backoff of a group that was not refused, want none")
 	}
 	refusals.Clear(group)
 	refusals.Add(group, now)
-	if refusals.IsPaused(group, now.Add(workerLease/2)) {
+	if refusals.InBackoff(group, now.Add(workerLease/2)) {
 		t.Errorf("got a backoff longer than %s after Clear, want the initial one", workerLease/2)
 	}
 }
--- a/internal/autoscaler/refusals.go
+++ b/internal/autoscaler/refusals.go
@@ -22,16 +22,16 @@
 
 // Add records that the cloud refused a group at now, and starts the next backoff of the group.
 func (r *Refusals) Add(group MachineGroup, now time.Time) {
-	pause := min(max(r.groups[group].Backoff*2, r.workerLease/2), 3*r.workerLease)
-	r.groups[group] = Refusal{Until: now.Add(pause), Backoff: pause}
+	backoff := min(max(r.groups[group].Backoff*2, r.workerLease/2), 3*r.workerLease)
+	r.groups[group] = Refusal{Until: now.Add(backoff), Backoff: backoff}
 }
 
 // Clear ends the backoff of a group and resets its length. The caller calls it when the cloud has
 // provisioned machines of the group.
 func (r *Refusals) Clear(group MachineGroup) { delete(r.groups, group) }
 
-// IsPaused reports whether a group is in backoff and must not be requested now.
-func (r *Refusals) IsPaused(group MachineGroup, now time.Time) bool {
+// InBackoff reports whether a group is in backoff and must not be requested now.
+func (r *Refusals) InBackoff(group MachineGroup, now time.Time) bool {
 	return now.Before(r.groups[group].Until)
 }
 
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -9,10 +9,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// planHeadroom plans phantom jobs, which stand for jobs that may arrive and must then start at once,
+// planHeadroom plans placeholder jobs, which stand for jobs that may arrive and must then start at once,
 // on the capacity that the plan of a scheduling cycle leaves free. It returns a plan whose shortfalls
-// are to be provisioned. Machines that phantom jobs would use are not released until the next cycle.
-// Phantom jobs are never launched. c.mu is held.
+// are to be provisioned. Machines that placeholder jobs would use are not released until the next cycle.
+// Placeholder jobs are never launched. c.mu is held.
 func (c *Controller) planHeadroom(s *snapshot, plan *sched.Plan, now time.Time) *sched.Plan {
 	in := &sched.Input{
 		Now:              now,
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -46,7 +46,7 @@
 	plan := autoscaler.Plan(c.catalog, autoscaler.Demand{
 		Shortfalls:     append(append([]sched.Shortfall{}, tasks...), headroom...),
 		MachinesByZone: machinesByZone,
-		Refused:        func(g autoscaler.MachineGroup) bool { return c.refusals.IsPaused(g, now) },
+		Refused:        func(g autoscaler.MachineGroup) bool { return c.refusals.InBackoff(g, now) },
 		MaxRequests:    c.provisionCalls(),
 	})
 	requests := make([]wire.ProvisionRequest, 0, len(plan))
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -215,7 +215,7 @@
 		}
 		for _, zone := range machineType.Zones {
 			group := autoscaler.MachineGroup{Type: machineType.Name, Zone: zone, Spot: true}
-			if sched.IsEligible(spec, machineType.Name, zone, true) && !c.refusals.IsPaused(group, now) {
+			if sched.IsEligible(spec, machineType.Name, zone, true) && !c.refusals.InBackoff(group, now) {
 				return false
 			}
 		}
--- a/internal/faultattribution/propagation.go
+++ b/internal/faultattribution/propagation.go
@@ -29,7 +29,7 @@
 	return e.belief(e.machines, machine, priorMachineFault)
 }
 
-// IsJobFaulty reports whether the probability that a job is faulty is so high that the job should be deferred.
+// IsJobFaulty reports whether the probability that a job is faulty is so high that the job should be backed off.
 func (e *Evidence) IsJobFaulty(job string) bool { return e.JobFaultProbability(job) >= faultyThreshold }
 
 // IsMachineFaulty reports whether the probability that a machine is faulty is so high that the machine should
--- a/internal/standby/views.go
+++ b/internal/standby/views.go
@@ -38,7 +38,7 @@
 type JobView struct {
 	UID            string `cbor:"1,keyasint"`
 	HasRun         bool   `cbor:"2,keyasint,omitempty"` // one of its tasks has run
-	BackoffCount   int    `cbor:"3,keyasint,omitempty"` // number of consecutive delays after failures
+	BackoffCount   int    `cbor:"3,keyasint,omitempty"` // number of consecutive backoffs after failures
 	NotBeforeMs    int64  `cbor:"4,keyasint,omitempty"` // the job is not placed before this time
 	WaitingSinceMs int64  `cbor:"5,keyasint,omitempty"` // since when none of its tasks runs
 	Running        []byte `cbor:"6,keyasint,omitempty"` // Roaring bitmap of its running tasks, see RunningTasks
