--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -126,7 +126,7 @@
 	c.window = min(c.window, maxWindow)
 }
 
-// preempt stops the victims of a plan. A victim that writes checkpoints gets the time to write one
+// preempt stops the victims of a plan. A victim that saves checkpoints gets the time to save one
 // if the preempting job can wait for that and still start in time. c.mu is held.
 func (c *Controller) preempt(preemptions []sched.Preemption, s *snapshot, now time.Time) {
 	for _, p := range preemptions {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -16,7 +16,7 @@
 // applies when the time left until a deadline is computed.
 const runTimeFactor = 1.5
 
-// addToGraph adds a job that this leader did not know yet to the dependency graph. A job is released
+// addToGraph adds a job that this leader did not know yet to the dependency graph. A job is ready
 // only on positive evidence that the end of each job that it depends on is committed: the leader has
 // read the record that says so, has committed it itself, or has read the final status. An unknown
 // job is no such evidence, since it may have been cancelled. c.mu is held.
@@ -38,7 +38,7 @@
 		c.markFinished(j.uid, j.record.Status, now)
 	}
 	if c.jobs.graph.Ready(j.uid) {
-		c.releaseJob(j, now)
+		c.markReady(j, now)
 	}
 }
 
@@ -81,9 +81,9 @@
 			c.markMachinesChanged(j)
 		}
 	}
-	for _, uid := range effects.Released {
+	for _, uid := range effects.Ready {
 		if j := c.jobs.get(uid); j != nil {
-			c.releaseJob(j, now)
+			c.markReady(j, now)
 		}
 	}
 	for _, uid := range effects.Cancelled {
@@ -96,18 +96,18 @@
 	c.wakeResolver()
 }
 
-// releaseJob makes a job eligible for scheduling, because all jobs that it depends on are done. c.mu is
-// held.
-func (c *Controller) releaseJob(j *job, now time.Time) {
-	if j.released || j.record.Status.Final() {
+// markReady makes a job ready, so that its tasks may be placed: all jobs that it depends on are done. c.mu
+// is held.
+func (c *Controller) markReady(j *job, now time.Time) {
+	if j.ready || j.record.Status.Final() {
 		return
 	}
-	j.released = true
+	j.ready = true
 	if len(j.record.Spec.Dependencies) > 0 {
 		// The job's waiting time and the objectives of its class count from now; its deadline does not.
-		j.eligibleSinceMs = now.UnixMilli()
+		j.readySinceMs = now.UnixMilli()
 		j.waitingSince = now
-		slog.Info("job released", "uid", j.uid)
+		slog.Info("job ready: all jobs that it depends on are done", "uid", j.uid)
 	}
 	c.arrivals.Observe(&j.record.Spec, now)
 	notify(c.placementWake)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -83,8 +83,8 @@
 	}
 	later := now.Add(time.Minute)
 	c.markFinished("run-000001", wire.JobDone, later)
-	if j.waitingCount() != 1 || j.eligibleSinceMs != later.UnixMilli() {
-		t.Errorf("%d tasks wait since %d, want 1 since %d", j.waitingCount(), j.eligibleSinceMs, later.UnixMilli())
+	if j.waitingCount() != 1 || j.readySinceMs != later.UnixMilli() {
+		t.Errorf("%d tasks wait since %d, want 1 since %d", j.waitingCount(), j.readySinceMs, later.UnixMilli())
 	}
 	c.addStage("run-000003", wire.High, 0, now, 6, "run-000008")
 	c.markFinished("run-000008", wire.JobAborted, now)
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -19,11 +19,11 @@
 	taskResources fleet.Resources // of one task
 
 	// Its state in the dependency graph.
-	level           int     // priority level: its own, or the highest of the jobs that depend on it
-	dueMs           float64 // due time by its own deadline or one of a job that depends on it; +Inf if there is none
-	released        bool    // all jobs that it depends on are done
-	cancelled       bool    // a job that it depends on is cancelled
-	eligibleSinceMs int64   // when it was accepted or, if later, released
+	level        int     // priority level: its own, or the highest of the jobs that depend on it
+	dueMs        float64 // due time by its own deadline or one of a job that depends on it; +Inf if there is none
+	ready        bool    // all jobs that it depends on are done
+	cancelled    bool    // a job that it depends on is cancelled
+	readySinceMs int64   // when it was accepted or, if later, became ready
 
 	// Its tasks.
 	placements      map[int]*placement // by index
@@ -33,7 +33,7 @@
 	freedTasks      []int              // tasks that may wait again because an attempt was removed
 	nextUnplaced    int                // nextWaitingTasks has not yet looked at tasks from this index on
 	hasRun          bool               // one of its tasks has run, as far as this leader knows
-	waitingSince    time.Time          // start of its current wait: when it was added, released or lost its last live attempt
+	waitingSince    time.Time          // start of its current wait: when it was added, became ready or lost its last live attempt
 	countsRevision  uint64             // jobTable.revision at the last change of its task counts
 
 	// Its failures: failures.go.
@@ -50,16 +50,16 @@
 
 func newJob(uid string, e watchcache.Entry, now time.Time) *job {
 	return &job{
-		uid:             uid,
-		record:          e.Job,
-		modRevision:     e.ModRevision,
-		taskResources:   fleet.TaskResources(&e.Job.Spec),
-		level:           e.Job.Spec.Priority.Level(),
-		dueMs:           math.Inf(1),
-		eligibleSinceMs: e.Job.AcceptedAtMs,
-		placements:      map[int]*placement{},
-		waitingSince:    now,
-		failedOn:        map[string]time.Time{},
+		uid:           uid,
+		record:        e.Job,
+		modRevision:   e.ModRevision,
+		taskResources: fleet.TaskResources(&e.Job.Spec),
+		level:         e.Job.Spec.Priority.Level(),
+		dueMs:         math.Inf(1),
+		readySinceMs:  e.Job.AcceptedAtMs,
+		placements:    map[int]*placement{},
+		waitingSince:  now,
+		failedOn:      map[string]time.Time{},
 	}
 }
 
@@ -150,9 +150,10 @@
 	}
 }
 
-// waitingCount returns how many tasks wait to be placed.
+// waitingCount returns how many tasks wait to be placed. Those of them that may be placed now (placeableTasks) are the
+// job's pending tasks in a scheduling cycle (sched.Job.PendingTasks).
 func (j *job) waitingCount() int {
-	if j.record.Status.Final() || !j.released {
+	if j.record.Status.Final() || !j.ready {
 		return 0
 	}
 	return max(0, j.record.Spec.TaskCount-j.doneTasks-j.liveAttempts)
@@ -202,7 +203,7 @@
 	}
 }
 
-// runningCount returns how many attempts are running or writing their last checkpoint.
+// runningCount returns how many attempts are running or saving their last checkpoint.
 func (j *job) runningCount() int {
 	n := 0
 	j.eachAttempt(func(a *fleet.Attempt) {
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -28,7 +28,7 @@
 // mayUseDenseForm reports whether all nodes can read the dense form of placement records.
 func (c *Controller) mayUseDenseForm() bool { return c.Version.InForce() >= clusterversion.JobDAGs }
 
-// maxPlacementBytes returns the largest size of a placement record in bytes. If the state store has announced a lower
+// maxPlacementBytes returns the largest size of a placement record in bytes. If the settings announce a lower
 // limit, that limit applies as soon as all nodes can read the dense form, in which placement records fit the
 // lower limit. The state store does not enforce the lower limit before then.
 func (c *Controller) maxPlacementBytes() int {
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -16,7 +16,7 @@
 	}
 	jobs := make([]quota.Job, 0, len(c.jobs.byUID))
 	for _, j := range c.jobs.byUID {
-		if j.record.Status.Final() || !j.released {
+		if j.record.Status.Final() || !j.ready {
 			continue
 		}
 		unfinished := float64(j.record.Spec.TaskCount - j.doneTasks)
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -156,7 +156,7 @@
 		Spec:           spec,
 		WithinQuota:    withinQuota,
 		Level:          u.effectiveLevel(j, now),
-		QueuedSinceMs:  j.eligibleSinceMs,
+		QueuedSinceMs:  j.readySinceMs,
 		PendingTasks:   pending,
 		LiveAttempts:   j.liveAttempts,
 		LiveByZone:     liveByZone,
@@ -186,7 +186,7 @@
 func (c *Controller) isOverdueToStart(j *job, now time.Time) bool {
 	spec := &j.record.Spec
 	return spec.Kind == wire.JobArray && !spec.SingleZone && !j.hasRun && j.doneTasks == 0 && j.liveAttempts == 0 &&
-		now.Sub(time.UnixMilli(j.eligibleSinceMs)) > overdueStartLeases*c.Config.WorkerLease() &&
+		now.Sub(time.UnixMilli(j.readySinceMs)) > overdueStartLeases*c.Config.WorkerLease() &&
 		c.arrivals.IsLarge(spec)
 }
 
--- a/internal/controller/urgency.go
+++ b/internal/controller/urgency.go
@@ -68,7 +68,7 @@
 // limit.
 func (u *urgency) laxityS(j *job, now time.Time) float64 {
 	spec := &j.record.Spec
-	ageS := float64(now.UnixMilli()-j.eligibleSinceMs) / 1000
+	ageS := float64(now.UnixMilli()-j.readySinceMs) / 1000
 	leftS := (j.dueMs - float64(now.UnixMilli())) / 1000
 	for _, o := range u.config.Cluster.Objectives {
 		if o.Kind == "finished" && o.Class == spec.JobClass && o.WithinS > ageS {
--- a/internal/jobdag/graph.go
+++ b/internal/jobdag/graph.go
@@ -37,7 +37,7 @@
 
 // Effects lists the UIDs of the jobs that a change of the graph affects.
 type Effects struct {
-	Released  []string // jobs whose dependencies are now all done
+	Ready     []string // jobs whose dependencies are now all done
 	Cancelled []string // jobs that are cancelled because a job that they depend on is
 	Urgency   []string // jobs whose priority or due time has changed
 }
@@ -134,7 +134,7 @@
 		switch to {
 		case Done:
 			if successor.pendingPredecessors--; successor.pendingPredecessors == 0 {
-				effects.Released = append(effects.Released, successor.uid)
+				effects.Ready = append(effects.Ready, successor.uid)
 			}
 		case Cancelled:
 			g.transition(successor, Cancelled, effects)
--- a/internal/jobdag/graph_test.go
+++ b/internal/jobdag/graph_test.go
@@ -56,19 +56,19 @@
 // harness applies the same changes to a graph and to its model, and collects the effects that the graph
 // reported.
 type harness struct {
-	model     *model
-	graph     *Graph
-	released  map[string]bool
-	cancelled map[string]bool
-	notAdded  []string // accepted jobs that are not in the graph yet
+	model         *model
+	graph         *Graph
+	reportedReady map[string]bool
+	cancelled     map[string]bool
+	notAdded      []string // accepted jobs that are not in the graph yet
 }
 
 func newHarness(t *rapid.T) *harness {
 	h := &harness{
-		model:     &model{jobs: map[string]Job{}, finished: map[string]State{}, archived: map[string]bool{}},
-		graph:     New(),
-		released:  map[string]bool{},
-		cancelled: map[string]bool{},
+		model:         &model{jobs: map[string]Job{}, finished: map[string]State{}, archived: map[string]bool{}},
+		graph:         New(),
+		reportedReady: map[string]bool{},
+		cancelled:     map[string]bool{},
 	}
 	// The graph learns of a job that was archived earlier only from its final status.
 	if rapid.Bool().Draw(t, "old") {
@@ -79,13 +79,13 @@
 	return h
 }
 
-// apply records the effects of a change. No job may be released twice.
+// apply records the effects of a change. No job may be reported ready twice.
 func (h *harness) apply(t *rapid.T, effects Effects) {
-	for _, uid := range effects.Released {
-		if h.released[uid] {
-			t.Fatalf("%s is released twice, want once", uid)
+	for _, uid := range effects.Ready {
+		if h.reportedReady[uid] {
+			t.Fatalf("%s is reported ready twice, want once", uid)
 		}
-		h.released[uid] = true
+		h.reportedReady[uid] = true
 	}
 	for _, uid := range effects.Cancelled {
 		h.cancelled[uid] = true
@@ -95,7 +95,7 @@
 func (h *harness) add(t *rapid.T, uid string) {
 	h.apply(t, h.graph.Add(uid, h.model.jobs[uid]))
 	if h.graph.Ready(uid) {
-		h.released[uid] = true
+		h.reportedReady[uid] = true
 	}
 	if state, ok := h.model.finished[uid]; ok {
 		h.apply(t, h.graph.Finish(uid, state))
@@ -179,8 +179,8 @@
 	if got, want := h.graph.State(uid), h.model.state(uid); got != want {
 		t.Fatalf("%s is %s, want %s", uid, got, want)
 	}
-	if got, want := h.graph.Ready(uid), h.model.ready(uid); got != want || want && !h.released[uid] {
-		t.Fatalf("%s: ready %v, released %v, want ready %v, and released if it is ready", uid, got, h.released[uid], want)
+	if got, want := h.graph.Ready(uid), h.model.ready(uid); got != want || want && !h.reportedReady[uid] {
+		t.Fatalf("%s: ready %v, reported ready %v, want ready %v, and reported ready if it is", uid, got, h.reportedReady[uid], want)
 	}
 	if _, finished := h.model.finished[uid]; !finished && h.model.state(uid) == Cancelled && !h.cancelled[uid] {
 		t.Fatalf("%s is cancelled with a job that it depends on, but no effect lists it", uid)
@@ -249,8 +249,8 @@
 	if level, dueMs := g.Urgency("j0"); level != 4 || dueMs != 10000-size {
 		t.Errorf("the first job of the chain has level %d and due time %v, want 4 and %d", level, dueMs, 10000-size)
 	}
-	if e := g.Finish("j0", Done); len(e.Released) != size {
-		t.Errorf("%d jobs are released, want %d", len(e.Released), size)
+	if e := g.Finish("j0", Done); len(e.Ready) != size {
+		t.Errorf("%d jobs are reported ready, want %d", len(e.Ready), size)
 	}
 	if e := g.Finish("j1", Cancelled); len(e.Cancelled) != size-1 {
 		t.Errorf("%d jobs are cancelled, want %d", len(e.Cancelled), size-1)
--- a/internal/records/placementsize.go
+++ b/internal/records/placementsize.go
@@ -16,7 +16,7 @@
 
 // TasksPerPlacement returns how many tasks a placement record may cover, at least 1. A record with so many
 // tasks fits into a value of currentBytes, the state store's current limit, in the plain form, and into a
-// value of lowestBytes, the lowest limit that was announced, in the dense form.
+// value of lowestBytes, the lowest limit that the settings announce, in the dense form.
 func TasksPerPlacement(currentBytes, lowestBytes int) int {
 	return max(1, min(currentBytes/placedAttemptBytes, lowestBytes/denseAttemptBytes))
 }
--- a/internal/sched/classindex.go
+++ b/internal/sched/classindex.go
@@ -7,9 +7,10 @@
 )
 
 // The class index saves a cycle from visiting every node for every job. A class is a set of nodes with the
-// same profile, number of active fetches and free capacity; only their IDs, images and victims may differ. For each
-// job the cycle compares classes, and visits single nodes only in the classes where it places tasks. A node
-// is in no class if the smallest need of the window fits it at no horizon.
+// same profile, number of active fetches and free capacity; only their IDs, images and victims may differ. It has
+// nothing to do with the classes of jobs (wire.JobSpec.JobClass). For each job the cycle compares classes, and visits
+// single nodes only in the classes where it places tasks. A node is in no class if the smallest need of the window
+// fits it at no horizon.
 
 // noClass is the class ID of a node that is in no class.
 const noClass = -1
--- a/internal/sched/input.go
+++ b/internal/sched/input.go
@@ -7,7 +7,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Node is the state of a machine that a cycle uses.
+// Node is the state of a machine that a cycle uses. Only in this package and in its input is a machine called a node:
+// elsewhere a node is a controller.
 type Node struct {
 	ID               string
 	Type             string
@@ -52,8 +53,8 @@
 	Spec             *wire.JobSpec
 	Level            int            // priority level: higher levels go first
 	WithinQuota      bool           // fits its team's quota: goes first, and does not wait for tasks that other teams run beyond theirs
-	QueuedSinceMs    int64          // Unix time in ms when it was accepted or, if later, released by its dependencies
-	PendingTasks     int            // tasks without an attempt
+	QueuedSinceMs    int64          // Unix time in ms when it was accepted or, if later, became ready: the jobs that it depends on were done
+	PendingTasks     int            // tasks without an attempt that may be placed now
 	LiveAttempts     int            // attempts not known to have ended
 	LiveByZone       map[string]int // LiveAttempts by zone
 	WaitedS          float64        // seconds that it has been waiting
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -19,7 +19,7 @@
 }
 
 // Follower holds a copy of the leader's state and keeps it up to date. It is safe for concurrent use, except that
-// only one goroutine at a time may call Pull.
+// only one goroutine at a time may call Pull. Outside this package, a follower is any node that does not lead.
 type Follower struct {
 	FollowerConfig
 	now func() time.Time
