--- a/internal/simcluster/fault_combinations_test.go
+++ b/internal/simcluster/fault_combinations_test.go
@@ -122,7 +122,7 @@
 		injectFaults:   lateCommitsAndCrashes,
 	},
 	{
-		name:           "teams at their limit, cancelled on machines that are cut off or hang, a new leader",
+		name:           "teams at their limit, cancelled on machines that are partitioned or hang, a new leader",
 		machines:       8,
 		makeJob:        mixedJob,
 		jobCount:       40,
@@ -170,7 +170,7 @@
 		injectFaults:   machinesDieUnderZonedJobs,
 	},
 	{
-		name:           "a zone with workers and a controller is cut off for longer than a lease",
+		name:           "a zone with workers and a controller is partitioned for longer than a lease",
 		machines:       8,
 		makeJob:        mixedJob,
 		jobCount:       40,
@@ -178,7 +178,7 @@
 		injectFaults:   partitionedZone,
 	},
 	{
-		name:           "a leader without state service and peers, reports from late, deaf and mute machines",
+		name:           "a leader without state store and peers, reports from late, deaf and mute machines",
 		machines:       8,
 		makeJob:        mixedJob,
 		jobCount:       30,
@@ -199,7 +199,7 @@
 		makeJob:        longJob,
 		jobCount:       24,
 		submitInterval: time.Second,
-		injectFaults:   machinesCutOffFromNewLeader,
+		injectFaults:   machinesPartitionedFromNewLeader,
 	},
 	{
 		name:           "refused and down in turn while users cancel and ask",
