--- a/internal/httpapi/body.go
+++ b/internal/httpapi/body.go
@@ -11,10 +11,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Keys of what a request's context carries.
+// Keys of the values in a request's echo.Context.
 const (
-	bodyKey      = "body"      // []byte: the body, which has been read already
-	forwardedKey = "forwarded" // set if a peer has forwarded the request
+	bodyKey      = "body"      // []byte: the body, already read
+	forwardedKey = "forwarded" // bool: set if a peer forwarded the request
 )
 
 // readBody returns the body of a request. Its error is an *echo.HTTPError: 413 if the body is
@@ -35,12 +35,12 @@
 	return data, nil
 }
 
-// readAll reads a body. length is the announced one, 0 or below if it is unknown: it only
-// sizes the buffer, and a body of another length is read all the same.
+// readAll reads the whole body. length is the request's Content-Length, or -1 or 0 if that is
+// unknown. It only sizes the buffer: a body of another length is read completely as well.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	var buffer bytes.Buffer
 	if length > 0 && length <= wire.MaxBody {
-		buffer.Grow(int(length) + bytes.MinRead) // room to see the end without growing again
+		buffer.Grow(int(length) + bytes.MinRead) // ReadFrom needs MinRead free bytes to see the end
 	}
 	_, err := buffer.ReadFrom(body)
 	return buffer.Bytes(), err
--- a/internal/httpapi/cancel.go
+++ b/internal/httpapi/cancel.go
@@ -15,8 +15,9 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// cancel cancels a job, unless its status is final already, and answers the final status. If
-// others change the record meanwhile it reads it again, for up to submitWait.
+// cancel cancels a job unless its status is final already, and answers with the final status. If
+// another request or node changes the job's record meanwhile, cancel reads the record again and
+// retries, for up to submitWait.
 func (s *Server) cancel(c echo.Context) error {
 	uid, err := jobID(c)
 	if err != nil {
@@ -30,7 +31,7 @@
 		}
 		item, found, err := s.Store.Get(ctx, records.JobKey(uid))
 		if err != nil {
-			return errElsewhere
+			return errCannotServeHere
 		}
 		if found {
 			if err := s.cancelRecord(ctx, uid, item); err != nil {
@@ -41,7 +42,7 @@
 		view, known, err := s.Statuses.Lookup(ctx, uid)
 		switch {
 		case err != nil:
-			return errElsewhere
+			return errCannotServeHere
 		case !known:
 			return errNoSuchJob()
 		case view.Status.Final():
@@ -51,9 +52,9 @@
 	return retryLater("cannot be decided now")
 }
 
-// cancelRecord commits a job's record as cancelled, unless its status is final already. In both
-// cases the final status is recorded with Statuses. If there is neither an error nor a final
-// status, others have changed the record meanwhile: the caller has to read it again.
+// cancelRecord commits a job's record as cancelled unless its status is final already. In both
+// cases it stores the final status in s.Statuses. If it returns nil and s.Statuses has no final
+// status, the record was changed meanwhile: the caller has to read it again.
 func (s *Server) cancelRecord(ctx context.Context, uid string, item wire.KeyValue) error {
 	var job records.Job
 	if err := json.Unmarshal(item.Value, &job); err != nil {
@@ -74,8 +75,8 @@
 		s.AnnounceCancelled(peer.Cancellation{UID: uid, Record: job, ModRevision: modRevision})
 	case errors.As(err, &conflict):
 	default:
-		slog.Info("cancellation could not be recorded", "uid", uid, "err", err)
-		return changeError(err)
+		slog.Info("failed to commit a cancellation", "uid", uid, "err", err)
+		return commitError(err)
 	}
 	return nil
 }
--- a/internal/httpapi/operators.go
+++ b/internal/httpapi/operators.go
@@ -19,29 +19,30 @@
 	return c.Blob(http.StatusOK, "text/plain; version=0.0.4", out.Bytes())
 }
 
-// status answers the state of this node and, if the leader is reached, of the whole service.
+// status answers with the state of this node and, if the leader is reachable, of the whole service.
 func (s *Server) status(c echo.Context) error { return c.JSON(http.StatusOK, s.Operations.Status()) }
 
-// settings answers the operators' settings in force.
+// settings answers with the operators' settings in force.
 func (s *Server) settings(c echo.Context) error {
 	return c.JSON(http.StatusOK, s.Settings.Current())
 }
 
-// changeSettings changes the operators' settings. Fields that are left out stay as they are;
-// Stamp, the mod revision, must be that of the settings that the change was made from.
+// changeSettings changes the operators' settings. Fields left out of the body keep their values.
+// Stamp, the mod revision, must be that of the settings in force: otherwise the answer is 409 with
+// those settings.
 func (s *Server) changeSettings(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
 		return err
 	}
-	var version struct {
+	var base struct {
 		ModRevision *uint64 `json:"Stamp"`
 	}
-	if err := json.Unmarshal(body, &version); err != nil || version.ModRevision == nil {
+	if err := json.Unmarshal(body, &base); err != nil || base.ModRevision == nil {
 		return echo.NewHTTPError(http.StatusBadRequest, "the body must be a JSON object with the Stamp of the settings that it changes")
 	}
 	next := *s.Settings.Current()
-	if next.ModRevision != *version.ModRevision {
+	if next.ModRevision != *base.ModRevision {
 		return c.JSON(http.StatusConflict, next)
 	}
 	dec := json.NewDecoder(bytes.NewReader(body))
--- a/internal/httpapi/profile.go
+++ b/internal/httpapi/profile.go
@@ -8,8 +8,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// profile serves the profiles of net/http/pprof while the operators' settings
-// allow it: taking one costs processor time.
+// profile serves the profiles of net/http/pprof while the operators' settings allow it, since
+// taking a profile costs processor time.
 func (s *Server) profile(c echo.Context) error {
 	if !s.Settings.Current().Profiling {
 		return echo.NewHTTPError(http.StatusForbidden, "profiling is off: set Profiling in /admin/settings")
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -1,6 +1,5 @@
-// Package httpapi is what users, workers and operators reach over HTTP: routes, parsing,
-// status codes and Retry-After. What is answered is decided behind the interfaces of
-// Options.
+// Package httpapi is the HTTP API for users, workers and operators: routes, parsing, status codes
+// and Retry-After. The components in Options supply the content of the answers.
 package httpapi
 
 import (
@@ -24,24 +23,25 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Heartbeats answers workers.
+// Heartbeats decides the answers to workers' heartbeats.
 type Heartbeats interface {
-	// Answer decides the answer to the body of a heartbeat that a worker has sent here.
-	// Its error is of the kinds that EncodeHeartbeatAnswer maps.
+	// Answer returns the commands for a worker that has sent a heartbeat with this body to this
+	// node. Its error is of the kinds that EncodeHeartbeatAnswer maps.
 	Answer(ctx context.Context, body []byte, pressure relay.Pressure) (*wire.Commands, error)
 }
 
-// Settings are the operators' own settings.
+// Settings reads and changes the operators' settings.
 type Settings interface {
 	// Current returns the settings in force, which must not be changed.
 	Current() *wire.Settings
-	// Change commits settings made from Current. A *store.ConflictError means that others
-	// were committed meanwhile.
+	// Change commits settings that are based on Current. A *store.ConflictError means that other
+	// settings were committed meanwhile.
 	Change(ctx context.Context, next wire.Settings) error
 }
 
-// Operations is the state of the node that the administration API shows.
+// Operations provides the state and the metrics of the node that the administration API shows.
 type Operations interface {
+	// Status returns the state of this node and, if the leader is reachable, of the whole service.
 	Status() wire.Status
 	// WriteMetrics writes the metrics in the Prometheus text format.
 	WriteMetrics(out io.Writer)
@@ -49,7 +49,7 @@
 	CountRequest(kind string, status int)
 }
 
-// Options are what a Server answers from.
+// Options are the components that a Server answers requests with.
 type Options struct {
 	Config      *config.Config
 	Store       *store.Client
@@ -64,7 +64,7 @@
 	Operations  Operations
 	// Catalog returns the machine types, or nil before they are known.
 	Catalog func() *wire.Catalog
-	// Serving reports whether this node has read the state store lately.
+	// Serving reports whether this node has read the state store recently.
 	Serving func() bool
 	// AnnounceCancelled applies a committed cancellation at this node and announces it to its peers.
 	AnnounceCancelled func(peer.Cancellation)
@@ -82,9 +82,9 @@
 	s.echo.HideBanner, s.echo.HidePort = true, true
 	s.echo.HTTPErrorHandler = handleError
 	s.echo.POST("/checkin", s.heartbeat)
-	s.echo.POST(submitPath, s.user(s.submit))
-	s.echo.GET("/work/:id", s.user(s.poll))
-	s.echo.POST("/work/:id/withdraw", s.user(s.cancel))
+	s.echo.POST(submitPath, s.userHandler(s.submit))
+	s.echo.GET("/work/:id", s.userHandler(s.poll))
+	s.echo.POST("/work/:id/withdraw", s.userHandler(s.cancel))
 	s.echo.GET("/ready", s.ready)
 	s.echo.GET("/admin/status", s.status)
 	s.echo.GET("/admin/metrics", s.metrics)
@@ -97,10 +97,10 @@
 // submitPath is where jobs are submitted.
 const submitPath = "/work"
 
-// Handler answers all routes.
+// Handler returns the handler of all routes.
 func (s *Server) Handler() http.Handler { return s.echo }
 
-// Serve answers on l until it closes.
+// Serve answers requests on l until l is closed.
 func (s *Server) Serve(l net.Listener) error {
 	limited := s.Connections.Listen(l)
 	srv := &http.Server{
@@ -120,12 +120,12 @@
 	return err
 }
 
-// handleError answers a request whose handler has failed.
+// handleError answers a request whose handler returned an error, unless an answer has been started.
 func handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
 	if err := respondError(c, err); err != nil {
-		slog.Debug("answer could not be written", "err", err)
+		slog.Debug("failed to write an answer", "err", err)
 	}
 }
--- a/internal/httpapi/submit_test.go
+++ b/internal/httpapi/submit_test.go
@@ -6,9 +6,10 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// The stages of a pipeline are submitted within milliseconds of each other, and most of them have
-// the lowest priority: when that priority decided, two or three at once were refused with a
-// Retry-After of a second although there was room for them.
+// Stages of a pipeline, which have dependencies, are admitted with at least high priority. They are
+// submitted within milliseconds of each other, most of them with the lowest priority: when they were
+// admitted with that priority, two or three at once were refused with a Retry-After of one second
+// although the write budget was sufficient.
 func TestStagesOfPipelinesAreAdmittedWithHighPriority(t *testing.T) {
 	for _, tc := range []struct {
 		priority     wire.Priority
--- a/internal/httpapi/users.go
+++ b/internal/httpapi/users.go
@@ -16,14 +16,17 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
+// How long this node tries to serve a request itself. Users wait longer, so that a peer can still
+// be asked within that time.
 const (
-	submitWait = 1250 * time.Millisecond // users wait 5 s for an answer to a submission
-	pollWait   = 1200 * time.Millisecond // and 2 s for one to a poll; a peer may still be asked
+	submitWait = 1250 * time.Millisecond // users wait 5 s for the answer to a submission
+	pollWait   = 1200 * time.Millisecond // users wait 2 s for the answer to a poll
 )
 
-// user wraps a handler of users' requests: a request is refused while the node is overloaded
-// or already answers as many as it may, and forwarded to a peer if this node cannot serve it.
-func (s *Server) user(h echo.HandlerFunc) echo.HandlerFunc {
+// userHandler wraps a handler of users' requests. It refuses a request while the node is overloaded
+// or already answers the maximum number of them, and forwards it to a peer if this node cannot
+// serve it.
+func (s *Server) userHandler(h echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		defer func() { s.Operations.CountRequest("user", c.Response().Status) }()
 		if !s.Load.AdmitUser() {
@@ -38,32 +41,32 @@
 		}
 		err := s.serveOrForward(c, h)
 		if isUnavailable(err) {
-			return respondError(c, err) // here, so that the request is counted by this status
+			return respondError(c, err) // respond now: the deferred CountRequest reads the status
 		}
 		return err
 	}
 }
 
-// serveOrForward answers a user's request here, or forwards it to a peer if this node cannot
-// reach the state store and the peer can.
+// serveOrForward answers a user's request at this node. If this node cannot serve it, it forwards
+// the request to a peer that reaches the state store, unless a peer forwarded it here.
 func (s *Server) serveOrForward(c echo.Context, h echo.HandlerFunc) error {
 	body, err := readBody(c)
 	if err != nil {
 		return err
 	}
 	c.Set(bodyKey, body)
-	unserved := errElsewhere
+	localErr := errCannotServeHere
 	if s.Serving() {
-		if unserved = h(c); !errors.Is(unserved, errElsewhere) {
-			return unserved
+		if localErr = h(c); !errors.Is(localErr, errCannotServeHere) {
+			return localErr
 		}
 	}
 	if c.Get(forwardedKey) != nil {
-		return unserved
+		return localErr
 	}
 	reply, ok := s.forward(c.Request(), body)
 	if !ok {
-		return unserved
+		return localErr
 	}
 	if reply.RetryAfter != "" {
 		c.Response().Header().Set(echo.HeaderRetryAfter, reply.RetryAfter)
@@ -71,11 +74,12 @@
 	return c.JSONBlob(reply.Status, reply.Body)
 }
 
-// forward asks the peers that reach the state store, one after another, until one answers.
+// forward sends a user's request to the peers that reach the state store, one after another, until
+// one answers.
 func (s *Server) forward(req *http.Request, body []byte) (peer.UserReply, bool) {
 	for _, p := range s.Peers {
-		r, ok := p.LastPing(s.Config.LeaderLeaseTTL())
-		if !ok || !r.Serving || !understands(p.SupportedVersion(), req.Method, req.URL.Path, body) {
+		ping, ok := p.LastPing(s.Config.LeaderLeaseTTL())
+		if !ok || !ping.Serving || !understands(p.SupportedVersion(), req.Method, req.URL.Path, body) {
 			continue
 		}
 		reply, err := p.ForwardUserRequest(peer.UserArgs{Method: req.Method, Path: req.URL.Path, Body: body}, pollWait*2/3)
@@ -86,8 +90,8 @@
 	return peer.UserReply{}, false
 }
 
-// understands reports whether a peer of a cluster version interprets a user's request as this
-// node does: an older release does not understand the dependencies of a submission.
+// understands reports whether a peer that supports a cluster version interprets a user's request as
+// this node does: an older release ignores the dependencies of a submission.
 func understands(version clusterversion.Version, method, path string, body []byte) bool {
 	if method != http.MethodPost || path != submitPath || version >= clusterversion.JobDAGs {
 		return true
@@ -95,8 +99,8 @@
 	return !wire.HasDependencies(body)
 }
 
-// AnswerForwarded answers a user's request that a peer forwards. Its status is 0 if the
-// request is malformed.
+// AnswerForwarded answers a user's request that a peer forwards. The status in the reply is 0 if the
+// method or the path is malformed.
 func (s *Server) AnswerForwarded(args peer.UserArgs) peer.UserReply {
 	recorder := &responseRecorder{header: http.Header{}}
 	req, err := http.NewRequestWithContext(context.Background(), args.Method, args.Path, bytes.NewReader(args.Body))
@@ -112,15 +116,15 @@
 	return peer.UserReply{Status: recorder.status, RetryAfter: recorder.header.Get(echo.HeaderRetryAfter), Body: recorder.body.Bytes()}
 }
 
-// responseRecorder is the http.ResponseWriter of a forwarded request: it records the answer
-// that goes back to the peer.
+// responseRecorder is the http.ResponseWriter of a forwarded request: it records the answer, which
+// is then sent back to the peer.
 type responseRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-// Header is the answer's header.
+// Header returns the answer's header.
 func (r *responseRecorder) Header() http.Header { return r.header }
 
 // WriteHeader records the status.
@@ -129,13 +133,13 @@
 // Write appends a part of the body.
 func (r *responseRecorder) Write(part []byte) (int, error) { return r.body.Write(part) }
 
-// userContext returns the context of a user's change: it ends after limit, and commits go in the
-// users' lane, where a spent write budget refuses them at once.
+// userContext returns the context of a user's submission or cancellation. It ends after limit. Its
+// commits use the users' lane, which refuses them at once while the write budget is used up.
 func userContext(c echo.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(store.WithUserLane(c.Request().Context(), 0), limit)
 }
 
-// jobID returns the id of the job that a request is about.
+// jobID returns the id in the path of a request about a job.
 func jobID(c echo.Context) (string, error) {
 	uid := c.Param("id")
 	if !wire.ValidUID(uid) {
@@ -144,9 +148,10 @@
 	return uid, nil
 }
 
+// errNoSuchJob returns the error of a request about a job that is not known.
 func errNoSuchJob() error { return echo.NewHTTPError(http.StatusNotFound, "no such job") }
 
-// poll answers how a job stands.
+// poll answers with the status of a job.
 func (s *Server) poll(c echo.Context) error {
 	uid, err := jobID(c)
 	if err != nil {
--- a/internal/httpapi/workers.go
+++ b/internal/httpapi/workers.go
@@ -6,7 +6,8 @@
 	"lotusstile.dev/lotusstile/internal/relay"
 )
 
-// heartbeat answers a worker.
+// heartbeat answers a worker's heartbeat. If it came on a connection of the reserve and the workers'
+// slots on the reserve are taken, the worker is redirected to another node.
 func (s *Server) heartbeat(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
@@ -16,7 +17,7 @@
 	pressure := s.Connections.Pressure(ctx)
 	if pressure == relay.Full {
 		if !s.Connections.WorkerReserve.Acquire() {
-			status, answer := EncodeHeartbeatAnswer(nil, errNoRoom)
+			status, answer := EncodeHeartbeatAnswer(nil, errNoWorkerConnection)
 			s.Operations.CountRequest("checkin", status)
 			return c.JSONBlob(status, answer)
 		}
