--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -1,8 +1,8 @@
-// Package simcluster simulates what a fleet of controllers works with: a fake state store
-// (fakestore), a fake cloud with machines and their workers, users, and a network with faults
-// between all of them (faultnet). All fakes are written from the published protocol. A checker
-// verifies the invariants of the service under all faults. Tests run whole scenarios in the simulated
-// time of a synctest bubble; fleetsim runs them against real processes.
+// Package simcluster simulates the environment of the controllers: a fake state store (fakestore), a fake
+// cloud with machines and their workers, users, and a network that injects faults between all of them
+// (faultnet). All fakes are written from the published protocol. A checker verifies the invariants of the
+// service under all faults. Tests run whole scenarios in the simulated time of a synctest bubble; fleetsim
+// runs them against real processes.
 package simcluster
 
 import (
@@ -16,7 +16,7 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// Cluster is all that the controllers of a deployment work with, and the checker of the rules.
+// Cluster is the simulated environment of a deployment's controllers, with the checker of the invariants.
 type Cluster struct {
 	Config  *config.Config
 	Net     *faultnet.Network
@@ -25,7 +25,7 @@
 	Cloud   *Cloud
 	Users   *Users
 	Checker *Checker
-	// FaultyJobClass is a class of jobs that fail on every machine.
+	// FaultyJobClass is a class of jobs that fail on every machine; "" means that there is none.
 	FaultyJobClass string
 
 	ctx     context.Context // of the requests of users and workers
@@ -33,9 +33,9 @@
 	stopped atomic.Bool
 }
 
-// NewCluster makes a cluster for a deployment, without machines. The state store and the cloud
-// answer on the network under their addresses in the settings. ctx bounds all requests that users and
-// workers send later, because these do not belong to the call that causes them.
+// NewCluster returns a cluster without machines. The state store and the cloud are attached to the network
+// under their addresses in cfg. ctx bounds all requests that users and workers send later, because a
+// request may outlive the call that causes it.
 func NewCluster(
 	ctx context.Context, cfg *config.Config, network *faultnet.Network, nodes []string, catalog wire.Catalog,
 ) *Cluster {
@@ -53,7 +53,8 @@
 const checkInterval = 500 * time.Millisecond
 
 // WatchInvariants checks periodically that no task outlives its cancellation and, once faults are over,
-// that no job waits although there is room. It returns at the deadline or after StopMachines.
+// that no job waits although a machine has free capacity for it. It returns at the deadline or after
+// StopMachines.
 func (c *Cluster) WatchInvariants(deadline time.Time) {
 	for time.Now().Before(deadline) && !c.stopped.Load() {
 		time.Sleep(checkInterval)
@@ -64,7 +65,7 @@
 	}
 }
 
-// StopMachines ends all machines, at the end of a scenario.
+// StopMachines terminates all machines, at the end of a scenario.
 func (c *Cluster) StopMachines() {
 	c.stopped.Store(true)
 	for _, worker := range c.Cloud.allWorkers() {
@@ -72,7 +73,8 @@
 	}
 }
 
-// taskEnded is called when a task leaves a machine; completed if it ran to its end.
+// taskEnded is called when a task leaves a machine; completed means that it ran to its end. If that
+// completes its job and CancelOnCompletion is set, a user cancels the job at that moment.
 func (c *Cluster) taskEnded(task, host string, completed bool) {
 	if uid, jobCompleted := c.Checker.TaskEnded(task, host, completed); jobCompleted && c.Users.CancelOnCompletion.Load() {
 		go c.Users.Cancel(c.Nodes[len(uid)%len(c.Nodes)], uid)
--- a/internal/simcluster/fakestore/handlers.go
+++ b/internal/simcluster/fakestore/handlers.go
@@ -98,7 +98,7 @@
 	}
 	s.lastLeaseID++
 	ttl := time.Duration(request.TTLMs) * time.Millisecond
-	s.leases[s.lastLeaseID] = &lease{ttl: ttl, ends: time.Now().Add(ttl)}
+	s.leases[s.lastLeaseID] = &lease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
 	jsonhttp.Reply(w, http.StatusOK, wire.Lease{LeaseID: s.lastLeaseID})
 }
 
@@ -114,7 +114,7 @@
 		s.endLease(id)
 		jsonhttp.Reply(w, http.StatusOK, struct{}{})
 	default:
-		l.ends = time.Now().Add(l.ttl)
+		l.expiresAt = time.Now().Add(l.ttl)
 		jsonhttp.Reply(w, http.StatusOK, struct{}{})
 	}
 }
--- a/internal/simcluster/fakestore/store.go
+++ b/internal/simcluster/fakestore/store.go
@@ -31,8 +31,8 @@
 
 // lease is a lease that expires at ends unless it is renewed.
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // New returns an empty store without limits.
@@ -48,7 +48,7 @@
 	s.expireLeases()
 	s.down = down
 	for _, l := range s.leases {
-		l.ends = time.Now().Add(l.ttl)
+		l.expiresAt = time.Now().Add(l.ttl)
 	}
 }
 
@@ -100,7 +100,7 @@
 	}
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.After(l.ends) {
+		if now.After(l.expiresAt) {
 			s.endLease(id)
 		}
 	}
--- a/internal/simcluster/faultnet/faults.go
+++ b/internal/simcluster/faultnet/faults.go
@@ -36,7 +36,7 @@
 func (n *Network) RefuseRequests(from, to string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	setLink(n.faults.refuse, from, to, on)
+	setLink(n.faults.refused, from, to, on)
 }
 
 // DropRequests drops requests from one party to another. They are never carried out.
@@ -88,7 +88,7 @@
 	}
 	clear(n.faults.partitioned)
 	clear(n.faults.dropResponses)
-	clear(n.faults.refuse)
+	clear(n.faults.refused)
 	clear(n.faults.dropRequests)
 	n.faults.extraLatency, n.faults.delayedCommits, n.faults.delayedCommands = 0, 0, 0
 }
@@ -97,5 +97,5 @@
 func (n *Network) isRefused(l link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.faults.refuse[l]
+	return n.faults.refused[l]
 }
--- a/internal/simcluster/faultnet/network.go
+++ b/internal/simcluster/faultnet/network.go
@@ -29,7 +29,7 @@
 type faults struct {
 	partitioned     map[link]bool // requests hang
 	dropResponses   map[link]bool
-	refuse          map[link]bool // answered 503
+	refused         map[link]bool // answered 503
 	dropRequests    map[link]bool
 	lateDelivery    float64       // share of the requests caught in a partition that are delivered later
 	extraLatency    time.Duration // at most, each way
@@ -55,7 +55,7 @@
 		faults: faults{
 			partitioned:   map[link]bool{},
 			dropResponses: map[link]bool{},
-			refuse:        map[link]bool{},
+			refused:       map[link]bool{},
 			dropRequests:  map[link]bool{},
 			lateDelivery:  defaultLateDelivery,
 		},
--- a/internal/simcluster/heartbeat_copies.go
+++ b/internal/simcluster/heartbeat_copies.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// maxCopies is how many heartbeats are captured at most.
+// maxCopies is the largest number of heartbeats that are captured.
 const maxCopies = 2000
 
-// heartbeatCopies holds copies of heartbeats that the next leader is to receive late.
+// heartbeatCopies holds copies of heartbeats that controllers are to receive again, later.
 type heartbeatCopies struct {
 	mu        sync.Mutex
 	capturing bool
 	copies    [][]byte
 }
 
-// add retains a copy of a heartbeat if heartbeats are captured.
+// add captures a heartbeat if capturing is on and fewer than maxCopies are held.
 func (h *heartbeatCopies) add(data []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -21,7 +21,8 @@
 	}
 }
 
-// setCapturing begins or ends capturing. When it ends, it returns the captured heartbeats.
+// setCapturing switches capturing on or off. When it switches capturing off, it returns the captured
+// heartbeats.
 func (h *heartbeatCopies) setCapturing(on bool) (captured [][]byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -33,8 +34,8 @@
 	return captured
 }
 
-// CaptureHeartbeats begins or ends capturing copies of all heartbeats. When it ends, the copies are sent
-// to every controller: a new leader receives heartbeats that are older than its term.
+// CaptureHeartbeats switches the capturing of all heartbeats on or off. When it switches capturing off, it
+// sends the copies to every controller: a new leader receives heartbeats that are older than its term.
 func (c *Cluster) CaptureHeartbeats(on bool) {
 	captured := c.copies.setCapturing(on)
 	if on {
--- a/internal/simcluster/jsonhttp/jsonhttp.go
+++ b/internal/simcluster/jsonhttp/jsonhttp.go
@@ -1,5 +1,5 @@
-// Package jsonhttp writes the JSON responses of the fakes. The fakes do not use the product's own writer,
-// so that a fault in it cannot cancel itself out.
+// Package jsonhttp writes the JSON responses of the fakes. The fakes do not use the product's own code for
+// this: a fault that both sides shared would go unnoticed.
 package jsonhttp
 
 import (
@@ -8,8 +8,8 @@
 	"net/http"
 )
 
-// Reply answers a request with a status and a body in JSON. It panics if the body cannot be encoded, which
-// would be a fault of a fake.
+// Reply answers a request with a status and a JSON body. It panics if the body cannot be encoded, which would
+// be a programming error in a fake.
 func Reply(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -18,6 +18,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if _, err := w.Write(data); err != nil {
-		slog.Debug("response could not be written", "err", err)
+		slog.Debug("failed to write response", "err", err)
 	}
 }
--- a/internal/simcluster/occupancy.go
+++ b/internal/simcluster/occupancy.go
@@ -6,7 +6,7 @@
 type occupancy struct {
 	hostsOf map[string]map[string]bool // by task: the machines that it is on
 	tasksOf map[string]map[string]bool // by job: its tasks that are on a machine
-	jobsOf  map[string]map[string]bool // by team: its jobs that were ever on one
+	jobsOf  map[string]map[string]bool // by team: its jobs that ever had a task on a machine
 }
 
 func newOccupancy() occupancy {
@@ -19,9 +19,9 @@
 
 // add records that a task of a job is on a machine.
 func (o *occupancy) add(task, host string, spec *wire.JobSpec) {
-	setUnder(o.hostsOf, task)[host] = true
-	setUnder(o.tasksOf, spec.UID)[task] = true
-	setUnder(o.jobsOf, spec.Team)[spec.UID] = true
+	getOrCreateSet(o.hostsOf, task)[host] = true
+	getOrCreateSet(o.tasksOf, spec.UID)[task] = true
+	getOrCreateSet(o.jobsOf, spec.Team)[spec.UID] = true
 }
 
 // remove records that a task has left a machine.
@@ -35,22 +35,22 @@
 	delete(o.tasksOf[uid], task)
 }
 
-// eachHostsOf calls visit for every task of a job that is on a machine, with all its machines.
-func (o *occupancy) eachHostsOf(uid string, visit func(hosts map[string]bool)) {
+// eachTask calls visit for every task of a job that is on a machine, with all machines that the task is on.
+func (o *occupancy) eachTask(uid string, visit func(hosts map[string]bool)) {
 	for task := range o.tasksOf[uid] {
 		visit(o.hostsOf[task])
 	}
 }
 
-// countOf returns how many tasks of a job are on machines. A task that is on two machines counts twice.
-func (o *occupancy) countOf(uid string) int {
+// taskCount returns how many tasks of a job are on machines. A task that is on two machines counts twice.
+func (o *occupancy) taskCount(uid string) int {
 	count := 0
-	o.eachHostsOf(uid, func(hosts map[string]bool) { count += len(hosts) })
+	o.eachTask(uid, func(hosts map[string]bool) { count += len(hosts) })
 	return count
 }
 
-// setUnder returns the set under a key, which it adds if there is none.
-func setUnder(sets map[string]map[string]bool, key string) map[string]bool {
+// getOrCreateSet returns the set under a key, and adds an empty one if there is none.
+func getOrCreateSet(sets map[string]map[string]bool, key string) map[string]bool {
 	if sets[key] == nil {
 		sets[key] = map[string]bool{}
 	}
--- a/internal/simcluster/remote.go
+++ b/internal/simcluster/remote.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// remoteTimeout bounds a forwarded request. It is longer than any time-out of the simulated parties,
-	// so that theirs apply.
+	// remoteTimeout bounds a forwarded request. It is longer than all timeouts of the simulated parties, so
+	// that theirs take effect first.
 	remoteTimeout = 10 * time.Second
-	// usersPool bounds the idle connections of the users' pool.
-	usersPool = 64
+	// maxIdleConns bounds the idle connections of each client.
+	maxIdleConns = 64
 )
 
-// RemoteNode forwards requests to a controller that runs as a process of its own. Every worker has
-// a connection of its own, as on real machines; users share a pool.
+// RemoteNode forwards requests to a controller that runs as a separate process. Every worker has its own
+// connections, as on real machines; users share a pool.
 type RemoteNode struct {
 	address string
 
@@ -57,16 +57,16 @@
 	}
 	defer closeBody(resp)
 	if resp.StatusCode == http.StatusMisdirectedRequest {
-		defer client.CloseIdleConnections() // as a worker does that goes to another node
+		defer client.CloseIdleConnections() // as a worker does when it changes to another node
 	}
 	w.Header().Set("Retry-After", resp.Header.Get("Retry-After"))
 	w.WriteHeader(resp.StatusCode)
 	if _, err := io.Copy(w, resp.Body); err != nil {
-		slog.Debug("response could not be forwarded", "controller", n.address, "err", err)
+		slog.Debug("failed to forward response", "controller", n.address, "err", err)
 	}
 }
 
-// client returns the client of a request's sender, which it adds if there is none.
+// client returns the HTTP client of a request's sender, and creates one if there is none.
 func (n *RemoteNode) client(path string, body []byte) *http.Client {
 	var heartbeat wire.Heartbeat
 	if path == "/checkin" && json.Unmarshal(body, &heartbeat) != nil {
@@ -76,7 +76,7 @@
 	defer n.mu.Unlock()
 	client := n.clients[heartbeat.Host]
 	if client == nil {
-		transport := &http.Transport{MaxIdleConnsPerHost: usersPool, DisableCompression: true}
+		transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}
 		client = &http.Client{Timeout: remoteTimeout, Transport: transport}
 		n.clients[heartbeat.Host] = client
 	}
@@ -86,7 +86,7 @@
 // closeBody closes the body of a response. An error is only logged: the response has been used by then.
 func closeBody(resp *http.Response) {
 	if err := resp.Body.Close(); err != nil {
-		slog.Debug("response could not be closed", "err", err)
+		slog.Debug("failed to close response body", "err", err)
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	go func() {
 		if err := http.Serve(listener, handler); err != nil {
-			slog.Error("listener ended", "address", listener.Addr().String(), "err", err)
+			slog.Error("listener stopped", "address", listener.Addr().String(), "err", err)
 		}
 	}()
 	return listener.Addr().String(), nil
