--- a/internal/simcluster/main_test.go
+++ b/internal/simcluster/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain keeps the log out of the tests' output, unless DAY_LOG asks for it. All tests run side
-// by side, so none of them may set it.
+// TestMain discards the log, unless DAY_LOG is set. The tests run in parallel, so none of them may change the
+// default logger.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	if os.Getenv("DAY_LOG") != "" {
