--- a/internal/simcluster/dependencies_test.go
+++ b/internal/simcluster/dependencies_test.go
@@ -20,8 +20,8 @@
 	return string(data)
 }
 
-// Submissions with invalid dependencies are refused with the status that the protocol specifies, and a job that
-// is already known is never refused.
+// Submissions with valid and invalid dependencies get the status that the protocol specifies, and a job that is
+// already known is never refused.
 func TestSubmissionWithInvalidDependenciesIsRefused(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
