--- a/internal/admission/connections.go
+++ b/internal/admission/connections.go
@@ -15,7 +15,7 @@
 // itself opens to services, workers and peers.
 const (
 	openShare    = 0.75   // connections of workers, users and operators that stay open from request to request
-	reserveShare = 0.0625 // the reserve: further connections, for one request each, while all of those are taken
+	reserveShare = 0.0625 // the reserve: further connections, for one request each, while all open ones are taken
 
 	// The reserve is divided into four parts: two for workers, one for users, one for operators.
 	reserveParts = 4
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -12,9 +12,9 @@
 )
 
 // LoadMonitor measures how late this node's timers fire, and admits users' requests while that lag
-// is below a limit. Under load, users are refused first, with a Retry-After. Scheduling cycles that
-// overrun their interval start nothing, and the next ones plan fewer jobs. Heartbeats of workers are
-// always answered. LoadMonitor is safe for concurrent use.
+// is below a limit: under load, users are refused first, with a Retry-After. The scheduler sheds load
+// by itself: a cycle that overruns its interval starts nothing, and the next ones plan fewer jobs.
+// Heartbeats of workers are always answered. LoadMonitor is safe for concurrent use.
 type LoadMonitor struct {
 	maxLag   time.Duration
 	maxUsers int64
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -45,7 +45,7 @@
 	Status() wire.Status
 	// WriteMetrics writes the metrics in the Prometheus text format.
 	WriteMetrics(out io.Writer)
-	// CountRequest counts an answered request of a kind by its status.
+	// CountRequest counts an answered request by its kind and the status of its answer.
 	CountRequest(kind string, status int)
 }
 
--- a/internal/httpapi/users.go
+++ b/internal/httpapi/users.go
@@ -16,8 +16,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// How long this node tries to serve a request itself. Users wait longer, so that a peer can still
-// be asked within that time.
+// How long this node tries to serve a request itself. Users wait longer for the answer, which leaves
+// time to forward the request to a peer.
 const (
 	submitWait = 1250 * time.Millisecond // users wait 5 s for the answer to a submission
 	pollWait   = 1200 * time.Millisecond // users wait 2 s for the answer to a poll
--- a/internal/jobstatus/reader.go
+++ b/internal/jobstatus/reader.go
@@ -71,7 +71,7 @@
 		return view, err == nil, err
 	}
 	// The job is usually archived. Otherwise it was never accepted, or it has a record that the copy
-	// lacks, for a reason that only the records in the state store show.
+	// lacks. Only the records in the state store show which is the case, and why.
 	if view, found, err := r.readFinal(ctx, uid); found || err != nil {
 		return view, found, err
 	}
--- a/internal/jobstatus/taskcounts.go
+++ b/internal/jobstatus/taskcounts.go
@@ -37,10 +37,11 @@
 	return t.term, t.revision
 }
 
-// Update applies the counts in a peer's answer to a ping. args are the arguments of that ping, with which
-// this node asked for changes since a revision. Update ignores an answer if that revision is newer than the
-// counts known here, and an answer that is older than these counts. It deletes the counts of archived jobs
-// once there are more than twice as many counts as jobs.
+// Update applies the counts in a peer's answer to a ping. args are the arguments of that ping, in which this
+// node asked for the changes since args.CountsRevision. Update ignores an answer that is older than the known
+// counts, and an answer to a ping whose CountsRevision is newer than them in the same term: it lacks the
+// changes between the two revisions. Update deletes the counts of archived jobs once there are more than
+// twice as many counts as jobs.
 func (t *TaskCounts) Update(from string, args peer.PingArgs, answer peer.PingResult, jobs jobIndex) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/jobstatus/taskcounts_test.go
+++ b/internal/jobstatus/taskcounts_test.go
@@ -98,7 +98,7 @@
 	})
 }
 
-// Counts are unknown if the leader does not send them, as a leader of an older release.
+// Counts are unknown if the leader does not send them, as is the case with a leader of an older release.
 func TestTaskCountsAreUnknownIfTheLeaderSendsNone(t *testing.T) {
 	var counts TaskCounts
 	counts.Update("leader", peer.PingArgs{}, peer.PingResult{Term: 3, Leading: true}, allJobs{})
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -11,12 +11,12 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// workerClient sends direct commands to workers.
+// workerClient announces this node's fencing token to workers.
 type workerClient struct{ http *http.Client }
 
 // Announce sends a fencing token, with an empty list of direct commands, to the worker at address
-// (host:port). It returns the heartbeat with which the worker answers, after at most one heartbeat
-// interval.
+// (host:port). incarnation is the worker's incarnation as far as the caller knows. Announce returns the
+// heartbeat with which the worker answers, or an error if no answer comes within a heartbeat interval.
 func (w *workerClient) Announce(ctx context.Context, address string, token, incarnation uint64) (wire.Heartbeat, error) {
 	body, err := json.Marshal(wire.DirectCommands{FencingToken: token, Incarnation: incarnation, Commands: []wire.Command{}})
 	if err != nil {
--- a/internal/node/campaigndelay.go
+++ b/internal/node/campaigndelay.go
@@ -7,14 +7,14 @@
 	"lotusstile.dev/lotusstile/internal/peer"
 )
 
-// The best leader is a node whose workers find another controller within their lease if it fails. Which
-// node that is depends on the zones, which do not change, and on which nodes are unreachable, which does.
+// The best leader is a node after whose failure the workers find another controller within their lease. Which
+// node that is depends on the zones, which do not change, and on the nodes that are unreachable at the moment.
 // Workers try the controllers in a fixed order. If the one after the leader is unreachable, a short pause of
 // the leader is enough to end worker leases: with that controller unreachable for over a minute, the leases
 // of all 112 machines ended when the leader paused for 5 s.
 
-// transferAfterLeases is a time in worker leases. Leadership is transferred only after this node has led, and
-// a peer with a shorter campaign delay has been serving, for longer than that.
+// transferAfterLeases is the minimum time, in worker leases, for which this node must have led and a peer with
+// a shorter campaign delay must have been serving before leadership is transferred.
 const transferAfterLeases = 3
 
 // campaignPolicy computes how long nodes should wait before they campaign in an election, and decides when the
--- a/internal/node/connectionpressure_test.go
+++ b/internal/node/connectionpressure_test.go
@@ -62,7 +62,7 @@
 	return reply{status: resp.StatusCode, closed: resp.Close, took: time.Since(start)}
 }
 
-// waitForCount waits until the count of the connections that what names has reached a limit.
+// waitForCount waits until count returns at least limit. what describes the counted connections for the failure message.
 func waitForCount(t *testing.T, what string, count func() int, limit int) {
 	t.Helper()
 	for deadline := time.Now().Add(2 * time.Second); count() < limit; time.Sleep(time.Millisecond) {
--- a/internal/node/controlleroptions.go
+++ b/internal/node/controlleroptions.go
@@ -33,7 +33,7 @@
 	return zones
 }
 
-// RelayReachable reports whether the follower with a label, which relays heartbeats, answers pings.
+// RelayReachable reports whether the follower with this label, which relays heartbeats, answers pings.
 func (p controllerPeers) RelayReachable(label string) bool {
 	return p.isReachable(label, p.cfg.LeaderLeaseTTL())
 }
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// peer returns the peer with a label, or nil.
+// peer returns the peer with the given label, or nil if there is none.
 func (l *leadership) peer(label string) *peer.Peer {
 	for _, p := range l.peers {
 		if p.Label == label {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// isReachable reports whether a peer has answered a ping that was sent at most maxAge ago. It is false
-// for a label that no peer has, such as this node's own.
+// isReachable reports whether the peer with the given label has answered a ping that was sent at most maxAge
+// ago. It is false for a label that no peer has, such as this node's own.
 func (l *leadership) isReachable(label string, maxAge time.Duration) bool {
 	p := l.peer(label)
 	if p == nil {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -53,7 +53,7 @@
 	counter.(*metrics.Counter).Inc()
 }
 
-// countRelayed adds count heartbeats to the counter of the way in which they were relayed.
+// countRelayed adds count to the number of heartbeats with this kind of delivery.
 func (m *nodeMetrics) countRelayed(kind relay.DeliveryKind, count int) {
 	if count > 0 {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`lotusstile_relayed_reports_total{kind=%q}`, string(kind))).Add(count)
@@ -120,7 +120,7 @@
 	}
 }
 
-// CountRequest counts an answered request of a kind by its status.
+// CountRequest counts an answered request by its kind and the status of its answer.
 func (n *Node) CountRequest(kind string, status int) { n.metrics.countRequest(kind, status) }
 
 // writeLeaderMetrics writes the metrics that only the leader has.
--- a/internal/node/renewals.go
+++ b/internal/node/renewals.go
@@ -14,8 +14,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// leaseRenewals renews worker leases on behalf of a leader that this node cannot reach, and records
-// which. It is safe for concurrent use.
+// leaseRenewals renews worker leases on behalf of a leader that this node cannot reach, and records for which
+// machines it does so. It is safe for concurrent use.
 type leaseRenewals struct {
 	*leadership
 	store     *store.Client
@@ -67,8 +67,8 @@
 	return hosts
 }
 
-// publish writes the machines whose leases this node has renewed to the state store, where the leader reads
-// them. It does so every fifth of a worker lease while this node cannot reach a leader, until ctx ends.
+// publish writes to the state store, where the leader reads it, the list of the machines whose leases this node
+// has renewed. It does so every fifth of a worker lease while this node cannot reach a leader, until ctx ends.
 func (r *leaseRenewals) publish(ctx context.Context) {
 	for timeralign.Sleep(ctx, r.cfg.WorkerLease()/5) {
 		hosts := r.hosts()
--- a/internal/node/warmstandby.go
+++ b/internal/node/warmstandby.go
@@ -52,7 +52,7 @@
 // enabled reports whether this node may keep a copy of a leader's state and offer its own state to a standby.
 func (w *warmStandby) enabled() bool { return w.cfg.WarmStandby }
 
-// fetch asks the leader with a label for a part of its state.
+// fetch asks the leader with the given label for a part of its state.
 func (w *warmStandby) fetch(leader string, args peer.FollowArgs) (peer.FollowReply, error) {
 	if p := w.peer(leader); p != nil {
 		return p.FollowState(args)
@@ -70,8 +70,9 @@
 	return source.Follow(args)
 }
 
-// beginTerm sets the options that let a term of this node start from its copy of the previous leader's state, and
-// that offer its own state to a standby. The caller must call endTerm when the term is over.
+// beginTerm sets the options of a term of this node. With them, the term starts from the follower's copy of the
+// previous leader's state, and this node offers its state to a standby. The caller must call endTerm when the term
+// is over.
 func (w *warmStandby) beginTerm(options *controller.Options, term uint64) {
 	if !w.enabled() {
 		return
