--- a/cmd/fleetsim/failovers.go
+++ b/cmd/fleetsim/failovers.go
@@ -35,7 +35,7 @@
 	rng            *rand.Rand
 	placementTimes []time.Duration // from each leader's failure to the next leader's first placement
 	warm           int             // number of failovers to a warm standby
-	missed         int             // number of failovers without a leader at the start or a placement in time
+	missed         int             // number of failovers that found no leader to fail, or no placement within placementTimeout
 }
 
 // run makes the given number of leaders fail, at random moments.
@@ -99,8 +99,8 @@
 	f.missed++
 }
 
-// record returns the record of the newest failover. The record is empty if its term is not after the
-// given one.
+// record returns the record of the newest failover. It returns an empty record if there is none, or if
+// the newest one's term is not later than the given term.
 func (f *failovers) record(term uint64) (record records.Failover) {
 	item, ok := f.cluster.Store.Get(records.FailoverKey)
 	if !ok {
--- a/cmd/fleetsim/load.go
+++ b/cmd/fleetsim/load.go
@@ -9,8 +9,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// load submits random jobs. For a seed to yield the same jobs as before, the order of the random draws
-// must not change.
+// load submits random jobs. The order of its random draws must not change between versions: otherwise the
+// same seed would yield other jobs.
 type load struct {
 	flags    *cli
 	cluster  *simcluster.Cluster
--- a/wire/admin.go
+++ b/wire/admin.go
@@ -15,7 +15,7 @@
 	State              string      `json:"State"` // state of the leader election at this node
 	Leader             string      `json:"Leader"`
 	Term               uint64      `json:"Term"`
-	SinceLastExecutedS float64     `json:"Proof"`          // seconds since the node began its newest request that the state store executed
+	SinceLastExecutedS float64     `json:"Proof"`          // seconds since the start of this node's latest executed request to the state store
 	Lead               *LeadStatus `json:"Lead,omitempty"` // nil if the leader is unreachable
 	// WarmStandby says how this node replicates the leader's state or, at the leader, offers its own.
 	// It is nil unless warm standbys are enabled.
@@ -29,22 +29,22 @@
 	Cause       string            `json:"Cause"`             // cause of the last change of State
 	Leader      string            `json:"Leader,omitempty"`  // leader that the replica is copied from
 	Term        uint64            `json:"Term,omitempty"`    // term of that leader
-	Sequence    uint64            `json:"Sequence"`          // number of the replica's last change; at the leader, of the last one offered
+	Sequence    uint64            `json:"Sequence"`          // number of the last change copied; at the leader, of the last change offered
 	Position    uint64            `json:"Position"`          // revision of the state store up to which the replica has all records
 	LagS        float64           `json:"LagS"`              // age of the replica; 0 at the leader
 	Entries     int               `json:"Entries"`           // number of records and views in the replica
 	Bytes       int               `json:"Bytes"`             // size of these entries
 	MovedBytes  uint64            `json:"Moved"`             // bytes that this node has received; at the leader, bytes sent
-	Refused     map[string]uint64 `json:"Refused,omitempty"` // rejected parts, by cause
+	Refused     map[string]uint64 `json:"Refused,omitempty"` // number of rejected transfers and replicas, by cause
 	StandbyNode string            `json:"Standby,omitempty"` // at the leader: the node chosen as its warm standby
 }
 
 // LeadStatus is the part of the status that only the leader knows.
 type LeadStatus struct {
 	Term      uint64                 `json:"Term"`
-	Loaded    bool                   `json:"Loaded"`   // the leader has loaded all records and may schedule
-	Window    int                    `json:"Window"`   // maximum number of jobs that the next cycle considers
-	LastCycle CycleStatus            `json:"Round"`    // of the last cycle
+	Loaded    bool                   `json:"Loaded"` // the leader has loaded all records and may schedule
+	Window    int                    `json:"Window"` // maximum number of jobs that the next cycle considers
+	LastCycle CycleStatus            `json:"Round"`
 	Machines  map[string]int         `json:"Machines"` // number of machines by state
 	Classes   map[string]ClassStatus `json:"Classes"`  // by job class
 	// HeartbeatRouting is "direct" if workers send heartbeats to the leader, or "relayed" if followers
@@ -65,7 +65,7 @@
 	Waiting   int     `json:"Waiting"`            // jobs with tasks that were not placed when the cycle began
 	Started   int     `json:"Started"`            // tasks that were launched
 	Stopped   int     `json:"Stopped"`            // tasks that were preempted
-	Short     int     `json:"Short"`              // jobs with tasks that fit on no machine
+	Short     int     `json:"Short"`              // jobs with tasks that fit on no machine, running or booting
 	Objective float64 `json:"Objective"`          // value of the objective function of package sched
 	Reserved  string  `json:"Reserved,omitempty"` // UID of the job that machines are reserved for
 	Overrun   bool    `json:"Overrun"`            // the cycle took longer than the interval, so that nothing was launched
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -3,7 +3,7 @@
 const (
 	// MaxProvision is the largest number of machines in one provision request.
 	MaxProvision = 50
-	// MaxReturn is the largest number of names in one scale-in request.
+	// MaxReturn is the largest number of machines in one scale-in request (POST /machines/return).
 	MaxReturn = 100
 )
 
--- a/wire/dependencies.go
+++ b/wire/dependencies.go
@@ -20,8 +20,8 @@
 	return dependencies, nil
 }
 
-// HasDependencies reports whether a submission names jobs that it depends on. The other fields of the
-// body need not be valid.
+// HasDependencies reports whether a submission names jobs that it depends on. It returns false if the
+// body is not a JSON object. The other fields of the body need not be valid.
 func HasDependencies(body []byte) bool {
 	var in struct {
 		Dependencies json.RawMessage `json:"Awaits"`
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -9,7 +9,7 @@
 //
 // # Users
 //
-// JobSpec: POST /work
+// JobSpec: body of POST /work
 //
 //	Uid          UID
 //	Berth        JobClass
@@ -53,14 +53,14 @@
 //	done         JobDone
 //	aborted      JobAborted
 //
-// JobView: answer of POST /work, GET /work/{id} and POST /work/{id}/withdraw
+// JobView: response to POST /work, GET /work/{id} and POST /work/{id}/withdraw
 //
 //	Uid          UID
 //	Status       Status
 //	done         Done
 //	running      Running
 //
-// ErrorResponse: body of refusals
+// ErrorResponse: body of responses that reject a request
 //
 //	error        Error
 //
@@ -91,7 +91,7 @@
 //	Cause        Cause
 //	Kept         Checkpointed
 //
-// Heartbeat: POST /checkin, GET /show, answer of POST /do
+// Heartbeat: body of POST /checkin, response to GET /show and POST /do
 //
 //	Host         Host
 //	Address      Address
@@ -110,25 +110,25 @@
 //	stop         Stop
 //	reap         Acknowledge
 //
-// Command: commands
+// Command: commands of Commands and DirectCommands
 //
 //	Verb         Verb
 //	Leg          Task
 //	Try          Attempt
 //	LeewayS      GracePeriodS
 //
-// Commands: answer 200 of POST /checkin
+// Commands: 200 response to POST /checkin
 //
 //	Baton        FencingToken
 //	Orders       Commands
 //
-// DirectCommands: POST /do
+// DirectCommands: body of POST /do
 //
 //	Baton        FencingToken
 //	Shift        Incarnation
 //	Orders       Commands
 //
-// Redirect: answer 421 of POST /checkin
+// Redirect: 421 response to POST /checkin
 //
 //	Dispatcher   Leader
 //
@@ -147,11 +147,11 @@
 //	BootS        BootS
 //	Yards        Zones
 //
-// Catalog: answer of GET /catalog
+// Catalog: response to GET /catalog
 //
 //	Rigs         MachineTypes
 //
-// ProvisionRequest: POST /machines
+// ProvisionRequest: body of POST /machines
 //
 //	Booking      RequestID
 //	Rig          MachineType
@@ -159,7 +159,7 @@
 //	Standby      Spot
 //	HowMany      Count
 //
-// HostNames: answer of POST /machines, POST /machines/return
+// HostNames: response to POST /machines, body of POST /machines/return
 //
 //	Hosts        Hosts
 //
@@ -179,21 +179,21 @@
 //	Status       Status
 //	AgeS         AgeS
 //
-// HostList: answer of GET /machines
+// HostList: response to GET /machines
 //
 //	Hosts        Hosts
 //	More         More
 //
 // # State store
 //
-// KeyValue: GET /kv/{key}, items of GET /kv
+// KeyValue: response to GET /kv/{key}, items of GET /kv
 //
 //	Key          Key
 //	Value        Value
 //	Stamp        ModRevision
 //	Permit       LeaseID
 //
-// KeyValueList: answer of GET /kv
+// KeyValueList: response to GET /kv
 //
 //	Rows         KeyValues
 //	More         More
@@ -211,21 +211,21 @@
 //	Permit       LeaseID
 //	Drop         Drop
 //
-// Transaction: POST /commit
+// Transaction: body of POST /commit
 //
 //	Guards       Compares
 //	Apply        Changes
 //
-// TransactionResponse: answer of POST /commit
+// TransactionResponse: response to POST /commit
 //
 //	Epoch        Revision
 //	failed       Failed
 //
-// Lease: answer of POST /holds
+// Lease: response to POST /holds
 //
 //	Permit       LeaseID
 //
-// LeaseRequest: POST /holds
+// LeaseRequest: body of POST /holds
 //
 //	TtlMs        TTLMs
 //
@@ -236,14 +236,14 @@
 //	Value        Value
 //	Stamp        ModRevision
 //
-// WatchResponse: answer of GET /changes
+// WatchResponse: response to GET /changes
 //
 //	Epoch        Revision
 //	News         Events
 //
 // # Administration API
 //
-// Settings: GET and PUT /admin/settings
+// Settings: body of PUT /admin/settings, response to GET and PUT /admin/settings
 //
 //	Stamp        ModRevision
 //	IntervalS    IntervalS
@@ -251,7 +251,7 @@
 //	Spare        Headroom
 //	Profiling    Profiling
 //
-// Status: GET /admin/status
+// Status: response to GET /admin/status
 //
 //	Node         Node
 //	State        State
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -11,7 +11,7 @@
 // JobSpec is the specification of a job: the body of POST /work.
 type JobSpec struct {
 	UID                 string   `json:"Uid"`
-	JobClass            string   `json:"Berth"` // selects the objectives in the settings
+	JobClass            string   `json:"Berth"` // selects the service-level objectives in the settings
 	Team                string   `json:"Crew"`  // the team whose quota and limit apply
 	Kind                JobKind  `json:"Shape"`
 	Priority            Priority `json:"Rank"`
@@ -41,7 +41,7 @@
 const (
 	JobArray JobKind = "sweep"    // tasks are independent and run to completion
 	Service  JobKind = "standing" // tasks are replicas that run until the job is cancelled
-	Gang     JobKind = "group"    // all-or-nothing: tasks run only all together
+	Gang     JobKind = "group"    // all-or-nothing: no task runs unless all of them do
 )
 
 // Priority is the priority of a job.
@@ -82,7 +82,7 @@
 	JobAborted JobStatus = "aborted" // the job was cancelled
 )
 
-// Final reports whether a job keeps this status for ever.
+// Final reports whether a job with this status never changes its status again.
 func (s JobStatus) Final() bool { return s == JobDone || s == JobAborted }
 
 // JobView is the response to submissions, polls and cancellations.
--- a/wire/limits.go
+++ b/wire/limits.go
@@ -5,5 +5,5 @@
 
 const (
 	maxAmount = 1e9 // largest amount of a resource, and longest duration in seconds
-	maxName   = 200 // longest name in bytes; the state store allows no longer keys
+	maxName   = 200 // longest name in bytes; the state store rejects longer keys
 )
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -7,7 +7,8 @@
 	"fmt"
 )
 
-// jobSpecBody is a submission as users send it. A nil field was missing or null; a zero value was sent.
+// jobSpecBody is a submission as users send it. Its fields can be nil, so that a field that is missing or
+// null differs from one that was sent with its zero value.
 type jobSpecBody struct {
 	UID                 *string   `json:"Uid"`
 	JobClass            *string   `json:"Berth"`
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -74,8 +74,8 @@
 // Verb is the action of a command.
 type Verb string
 
-// The verbs of commands. A command may be repeated, with one exception: a launch that is repeated after
-// Acknowledge starts the attempt again.
+// The verbs of commands. Repeating a command has no further effect, with one exception: a launch that is
+// repeated after Acknowledge starts the attempt again.
 const (
 	Launch      Verb = "launch"
 	Stop        Verb = "stop"
