--- a/internal/simcluster/faulty_job_test.go
+++ b/internal/simcluster/faulty_job_test.go
@@ -8,8 +8,8 @@
 	"lotusstile.dev/lotusstile/wire"
 )
 
-// A job whose tasks fail on every machine through their own fault gets no machine quarantined, does not make the
-// fleet grow and delays no other job. Its user can still cancel it.
+// A job whose tasks fail on every machine through their own fault causes no machine to be quarantined, does not make
+// the fleet grow and delays no other job. Its user can still cancel it.
 func TestFaultyJobHarmsNoMachineAndNoOtherJob(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
@@ -43,10 +43,11 @@
 		}
 		users.Wait()
 		sc.expectNoViolations()
-		// Idle machines are scaled in and provisioned again, but not one for each failure.
+		// Idle machines are scaled in and others provisioned later, but not one machine for each failed task.
 		if n := sc.cluster.Cloud.MachinesProvisioned(); n > 8 {
 			t.Errorf("got %d machines provisioned, want at most 8", n)
 		}
+		// The other seven jobs have 28 tasks. Each of the 6 faulty tasks may start 1 to 12 times.
 		if n := sc.cluster.Checker.StartCount(); n < 28+6 || n > 28+6*12 {
 			t.Errorf("got %d task starts, want %d to %d", n, 28+6, 28+6*12)
 		}
--- a/internal/simcluster/older_release_test.go
+++ b/internal/simcluster/older_release_test.go
@@ -15,7 +15,7 @@
 )
 
 // releaseHandler answers a node's peers as the node's release does. The release before cluster version 2 neither
-// sends nor reads a version, ignores Awaits, and supports neither relays nor standbys.
+// sends nor reads a version, ignores the dependencies of jobs, and supports neither relays nor standbys.
 //
 // It embeds only the methods that both releases answer alike. If it embedded all of peer.Handler, a method renamed
 // there would no longer be overridden here, and the tests would not notice.
@@ -68,7 +68,7 @@
 	return r.handler.ServeUserRequest(a)
 }
 
-// withoutDependencies answers users as the older release does, which ignores Awaits.
+// withoutDependencies answers users as the older release does, which ignores the dependencies of jobs.
 func withoutDependencies(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -82,7 +82,7 @@
 	})
 }
 
-// dropDependencies removes Awaits from a submission.
+// dropDependencies removes the dependencies, the field Awaits, from a submission.
 func dropDependencies(body []byte) []byte {
 	fields := map[string]json.RawMessage{}
 	if json.Unmarshal(body, &fields) != nil || fields["Awaits"] == nil {
--- a/internal/simcluster/pipelines_test.go
+++ b/internal/simcluster/pipelines_test.go
@@ -121,8 +121,9 @@
 	lastStage.Wait()
 }
 
-// The rules hold when four pipelines of two one-task stages are submitted a second, the second stage within
-// milliseconds of the end, the cancellation or the archiving of the first. Every answer is cross-checked.
+// The rules hold when a pipeline of two one-task stages is submitted every 250 ms. The later stage is submitted at a
+// random time around the end and the archiving of the first stage, or within milliseconds of its cancellation. Every
+// answer is cross-checked.
 func TestRulesHoldWhenDependentsComeAroundTheEndOfAJob(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
--- a/internal/simcluster/quota_test.go
+++ b/internal/simcluster/quota_test.go
@@ -16,13 +16,14 @@
 // teamJobs is how many jobs the team within its quota submits.
 const teamJobs = 12
 
-// Jobs of a team within its quota start as soon beside a team without quota as alone, although the other team's
-// jobs have a higher priority and fill the machines, and the leader changes twice. The other team's jobs still use
-// the capacity that is left. Quotas once had no effect: teams with quota waited until the others' jobs ended.
+// The jobs of a team within its quota start as soon as they would without any other team, although a team without
+// quota fills the machines with jobs of higher priority, and the leader changes twice. The other team's jobs still
+// use the capacity that is left. Quotas once had no effect: teams with quota waited until the others' jobs ended.
 func TestTeamWithinQuotaWaitsNoLongerBesideTeamsWithoutQuota(t *testing.T) {
 	t.Parallel()
 	aloneDelay, besideDelay := meanStartDelay(t, false), meanStartDelay(t, true)
-	// A task is stopped in the response to one heartbeat, and its end is reported in the next heartbeat.
+	// The 4 s are for stopping tasks of the other team first: the response to one heartbeat stops a task, and the next
+	// heartbeat reports its end.
 	if maxDelay := aloneDelay + 4*time.Second; besideDelay > maxDelay {
 		t.Errorf("got a start delay of %v beside a team without quota, want at most %v", besideDelay, maxDelay)
 	}
--- a/internal/simcluster/refused_leader_test.go
+++ b/internal/simcluster/refused_leader_test.go
@@ -26,10 +26,10 @@
 	outageSeeds = 3
 )
 
-// The state store is out of reach of the leader alone while another controller confirms cancellations. It is then
-// down for all controllers for longer than cancel_s, while workers keep sending heartbeats to the old leader. The
-// old leader's last answered request may be newer than its cancellation data, and a leader elected in between may
-// not have read the records at all. Nevertheless the cancelled tasks must be gone within cancel_s of the
+// First only the leader cannot reach the state store, while another controller confirms cancellations. Then the store
+// is down for all controllers for longer than cancel_s, while workers keep sending heartbeats to the old leader. The
+// old leader's last answered request may be newer than its cancellation data, and a leader elected before the outage
+// may not have read the records at all. Nevertheless the cancelled tasks must have ended within cancel_s of the
 // confirmation.
 func TestCancelledTasksEndInTimeWhenAnOutageFollowsARefusedLeader(t *testing.T) {
 	t.Parallel()
@@ -98,8 +98,8 @@
 	}
 }
 
-// A leader that alone is refused by the state store learns of a cancellation from the node that confirmed it: the
-// tasks end within seconds, not only when the workers' leases end.
+// When the state store refuses the requests of the leader only, the leader learns of a cancellation from the node that
+// confirmed it: the tasks end within seconds, not only when the workers' leases end.
 func TestRefusedLeaderStopsTasksOnAnnouncedCancellation(t *testing.T) {
 	t.Parallel()
 	runScenario(t, func(sc *scenario) {
